--- a/src/main/java/tinlink/http2/Engine.java
+++ b/src/main/java/tinlink/http2/Engine.java
@@ -1,37 +1,30 @@
 package tinlink.http2;
 
-import tinlink.net.Protocol;
 import tinlink.net.Ring;
 
-import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 
 /**
- * The client's side of one HTTP/2 connection (RFC 9113), without its socket: streams, both windows,
- * settings, header blocks. It says what a stream came to, and nothing of what that means for a part
- * call. Whatever does not fit ends the connection with the code that says why, or, where only one
- * message is malformed, its stream.
+ * The client's side of one HTTP/2 connection (RFC 9113), without its socket: it checks what comes in, and
+ * says what each stream came to, and nothing of what that means for a part call. Whatever does not fit ends
+ * the connection with the code that says why, or, where only one message is malformed, its stream. Runs on
+ * the connection's thread.
  */
 final class Engine implements FrameParser.Sink {
-    /**
-     * A connection's window is made this large at once, so that answers don't wait for each
-     * other's.
-     */
-    static final int OUR_WINDOW = 1 << 20;
-    /** An answer of the largest size fits, and what is over is found out by its length. */
-    static final int OUR_STREAM_WINDOW = 2 * Protocol.MOST_BODY;
-    /** Frames of no use that may come at once, and for each answer besides. */
-    private static final int IDLE_FRAMES = 256;
-
-    private static final int IDLE_FRAMES_PER_ANSWER = 16;
-    private static final int MOST_CONTINUATIONS = 16;
+    private static final int PRIORITY_BYTES = 5;
+    private static final int RESET_BYTES = 4;
+    private static final int SETTING_BYTES = 6;
+    private static final int PING_BYTES = 8;
+    private static final int LEAST_GOAWAY_BYTES = 8;
+    private static final int WINDOW_UPDATE_BYTES = 4;
+    /** More than any frame can hold: padding whose length is missing. */
+    private static final int NO_PAD_LENGTH = 256;
+    /** Longer frames are not written, whatever the other side takes. */
+    private static final int MOST_FRAME_WRITTEN = 4 * H2.LEAST_FRAME;
 
     /** Who hears what comes of it. */
     interface Owner {
@@ -47,176 +40,86 @@
          */
         void reset(Stream s, boolean never, boolean ours);
 
-        /**
-         * Streams over that id have not been and will not be processed; no new ones may be opened.
-         */
+        /** Streams over that id have not been and will not be processed; no new ones may be opened. */
         void leaving(int lastId, List<Stream> above);
 
         void ponged(long number);
     }
 
-    private final Consumer<byte[]> out;
     private final Owner owner;
     private final FrameParser parser = new FrameParser(this);
+    private final FrameWriter writer;
     private final Headers headers = new Headers();
-    /** Open streams by id; each leaves with its answer or its reset. */
-    private final TreeMap<Integer, Stream> streams = new TreeMap<>();
-    /** Ids that we have reset, on which frames may still be under way: the newest. */
-    private final Set<Integer> cancelled = new LinkedHashSet<>();
-
-    private final int mostCancelled;
-    private int nextId = 1;
-    private int lastId = H2.MOST_ID;
-    private long window = H2.FIRST_WINDOW;
-    private long takes = OUR_WINDOW;
-    private long firstWindow = H2.FIRST_WINDOW;
-    private int mostFrame = H2.LEAST_FRAME;
-    private boolean heard;
-    private boolean acked;
-    /** The block that is coming: its stream, its flags, its bytes so far. */
-    private int blockStream;
-
-    private int blockFlags;
-    private int continuations;
-    private ByteArrayOutputStream block;
-    private int idleFrames = IDLE_FRAMES;
-    /** Bytes of bodies that have left. */
-    private long pushed;
+    private final HeaderBlockReader headerBlocks = new HeaderBlockReader(headers);
+    private final UselessFrameBudget budget = new UselessFrameBudget();
+    private final ResponseReader responses = new ResponseReader(budget);
+    private final StreamTable streams;
+    private final SendWindow sendWindow;
+    private final ReceiveWindow receiveWindow;
+    private boolean settingsReceived;
+    private boolean settingsAcked;
 
     /** @param mostCancelled so many ids are remembered after we have reset them */
     Engine(Consumer<byte[]> out, Owner owner, int mostCancelled) {
-        this.out = out;
         this.owner = owner;
-        this.mostCancelled = mostCancelled;
+        writer = new FrameWriter(out);
+        streams = new StreamTable(mostCancelled);
+        sendWindow = new SendWindow(writer);
+        receiveWindow = new ReceiveWindow(writer);
     }
 
     // ---- What goes out. ----
 
     /** The preface and our settings; requests may follow at once. */
     void begins() {
-        out.accept(H2.PREFACE);
-        ByteBuffer s = ByteBuffer.allocate(18);
-        s.putShort((short) H2.ENABLE_PUSH).putInt(0);
-        s.putShort((short) H2.INITIAL_WINDOW_SIZE).putInt(OUR_STREAM_WINDOW);
-        s.putShort((short) H2.MAX_HEADER_LIST_SIZE).putInt(Headers.MOST_LIST);
-        put(H2.SETTINGS, 0, 0, s.array());
-        put(H2.WINDOW_UPDATE, 0, 0, four(OUR_WINDOW - H2.FIRST_WINDOW));
-    }
-
-    private void put(int type, int flags, int stream, byte[] payload) {
-        put(type, flags, stream, payload, 0, payload.length);
-    }
-
-    private void put(int type, int flags, int stream, byte[] payload, int from, int length) {
-        out.accept(ByteBuffer.allocate(H2.HEAD + length)
-                .put((byte) (length >> 16))
-                .put((byte) (length >> 8))
-                .put((byte) length)
-                .put((byte) type)
-                .put((byte) flags)
-                .putInt(stream)
-                .put(payload, from, length)
-                .array());
-    }
-
-    private static byte[] four(int value) {
-        return ByteBuffer.allocate(4).putInt(value).array();
+        writer.preface(ReceiveWindow.STREAM_WINDOW);
+        receiveWindow.open();
     }
 
     /** No id is left for a new stream, or the other side takes none. */
     boolean isUsedUp() {
-        return nextId < 0 || lastId < H2.MOST_ID;
+        return streams.isExhausted();
     }
 
     /** Opens a stream; all of the body that the windows allow leaves with it. */
     Stream request(Object call, Map<String, String> list, byte[] body) {
-        Stream s = new Stream(call, nextId, body);
-        nextId += 2;
-        s.window = firstWindow;
-        s.takes = OUR_STREAM_WINDOW;
-        streams.put(s.id, s);
-        byte[] b = headers.block(list);
-        int first = Math.min(b.length, mostFrame);
-        int end = body.length == 0 ? H2.END_STREAM : 0;
-        put(H2.HEADERS, end | (first == b.length ? H2.END_HEADERS : 0), s.id, b, 0, first);
-        for (int at = first; at < b.length; ) {
-            int n = Math.min(b.length - at, mostFrame);
-            put(H2.CONTINUATION, at + n == b.length ? H2.END_HEADERS : 0, s.id, b, at, n);
-            at += n;
-        }
-        push(s);
-        return s;
-    }
-
-    /** What the windows allow of a body. */
-    private void push(Stream s) {
-        while (!s.said()) {
-            int n = (int) Math.min(
-                    Math.min(s.body.length - s.bodySent, mostFrame), Math.min(window, s.window));
-            if (n <= 0) {
-                return;
-            }
-            boolean last = s.bodySent + n == s.body.length;
-            put(H2.DATA, last ? H2.END_STREAM : 0, s.id, s.body, s.bodySent, n);
-            s.bodySent += n;
-            s.window -= n;
-            window -= n;
-            pushed += n;
-        }
-    }
-
-    private void pushAll() {
-        for (Stream s : streams.values()) {
-            if (window <= 0) {
-                return;
-            }
-            push(s);
-        }
+        Stream stream = streams.open(call, body);
+        sendWindow.opened(stream);
+        stream.takes = ReceiveWindow.STREAM_WINDOW;
+        writer.headers(stream.id, headers.block(list), body.length == 0);
+        sendWindow.flush(stream);
+        return stream;
     }
 
     /** Given up: nobody hears of it any more. */
-    void cancel(Stream s) {
-        if (streams.remove(s.id, s)) {
-            reset(s.id, H2.Code.CANCEL);
+    void cancel(Stream stream) {
+        if (streams.remove(stream)) {
+            resetStream(stream.id, H2.Code.CANCEL);
         }
     }
 
-    private void cancelled(int id) {
-        cancelled.add(id);
-        if (cancelled.size() > mostCancelled) {
-            cancelled.remove(cancelled.iterator().next());
-        }
-    }
-
-    private void reset(int id, H2.Code code) {
-        put(H2.RST_STREAM, 0, id, four(code.ordinal()));
-        cancelled(id);
+    private void resetStream(int id, H2.Code code) {
+        writer.resetStream(id, code);
+        streams.rememberReset(id);
     }
 
     void ping(long number) {
-        put(H2.PING, 0, 0, ByteBuffer.allocate(8).putLong(number).array());
+        writer.ping(number);
     }
 
-    /**
-     * The last word; the connection ends after it. We have processed none of the other side's
-     * streams.
-     */
+    /** The last word; the connection ends after it. We have processed none of the other side's streams. */
     void goodbye(H2.Code code) {
-        put(
-                H2.GOAWAY,
-                0,
-                0,
-                ByteBuffer.allocate(8).putInt(0).putInt(code.ordinal()).array());
+        writer.goAway(code);
     }
 
     /** Open streams, oldest first. */
     List<Stream> open() {
-        return List.copyOf(streams.values());
+        return List.copyOf(streams.openStreams());
     }
 
-    /** A frame has begun, or a header block, and has not come whole. */
+    /** Nothing of a next frame or of a header block has come. */
     boolean between() {
-        return parser.between() && block == null;
+        return parser.between() && !headerBlocks.isUnderWay();
     }
 
     // ---- What comes in. ----
@@ -225,371 +128,245 @@
         parser.read(in);
     }
 
-    private static Broken broken(String what) {
-        return new Broken(H2.Code.PROTOCOL_ERROR, what);
-    }
-
     @Override
-    public void frame(int type, int flags, int stream, ByteBuffer p) throws Broken {
-        if (!heard && (type != H2.SETTINGS || (flags & H2.ACK) != 0)) {
-            throw broken("it does not begin with settings");
-        }
-        if (block != null && (type != H2.CONTINUATION || stream != blockStream)) {
-            throw broken("a frame within a header block");
+    public void frame(int type, int flags, int stream, ByteBuffer payload) throws Broken {
+        if (!settingsReceived && (type != H2.SETTINGS || (flags & H2.ACK) != 0)) {
+            throw protocolError("it does not begin with settings");
         }
+        headerBlocks.checkNext(type, stream);
         switch (type) {
-            case H2.DATA -> data(flags, stream, p);
-            case H2.HEADERS -> headers(flags, stream, p);
-            case H2.PRIORITY -> {
-                useless();
-                if (stream == 0) {
-                    throw broken("a priority of stream 0");
-                }
-                if (p.remaining() != 5) {
-                    malformed(streams.get(stream), H2.Code.FRAME_SIZE_ERROR);
-                }
-            }
-            case H2.RST_STREAM -> reset(stream, p);
-            case H2.SETTINGS -> settings(flags, stream, p);
-            case H2.PUSH_PROMISE -> throw broken("a push that we have forbidden");
-            case H2.PING -> pinged(flags, stream, p);
-            case H2.GOAWAY -> leaves(stream, p);
-            case H2.WINDOW_UPDATE -> window(stream, p);
-            case H2.CONTINUATION -> {
-                if (block == null) {
-                    throw broken("a continuation of nothing");
-                }
-                if (++continuations > MOST_CONTINUATIONS) {
-                    throw new Broken(H2.Code.ENHANCE_YOUR_CALM, "so many continuations");
-                }
-                block(flags, p);
-            }
-            default -> useless(); // Unknown frames are passed over.
+            case H2.DATA -> dataFrame(flags, stream, payload);
+            case H2.HEADERS -> headersFrame(flags, stream, payload);
+            case H2.PRIORITY -> priorityFrame(stream, payload);
+            case H2.RST_STREAM -> resetFrame(stream, payload);
+            case H2.SETTINGS -> settingsFrame(flags, stream, payload);
+            case H2.PUSH_PROMISE -> throw protocolError("a push that we have forbidden");
+            case H2.PING -> pingFrame(flags, stream, payload);
+            case H2.GOAWAY -> goAwayFrame(stream, payload);
+            case H2.WINDOW_UPDATE -> windowUpdateFrame(stream, payload);
+            case H2.CONTINUATION -> headerBlock(headerBlocks.continuation(flags, payload));
+            default -> budget.spend(); // Unknown frames are passed over.
         }
     }
 
-    /** Danger: a flood of frames that cost the other side nothing and serve nobody. */
-    private void useless() throws Broken {
-        if (--idleFrames < 0) {
-            throw new Broken(H2.Code.ENHANCE_YOUR_CALM, "so many frames of no use");
-        }
+    private static Broken protocolError(String what) {
+        return new Broken(H2.Code.PROTOCOL_ERROR, what);
     }
 
-    /** An open stream; null for one that we have reset. Anything else can't be spoken of. */
-    private Stream known(int id) throws Broken {
-        Stream s = streams.get(id);
-        if (s != null || cancelled.contains(id)) {
-            return s;
-        }
-        if (id == 0 || id % 2 == 0 || nextId > 0 && id >= nextId) {
-            throw broken("stream " + id + " was never opened");
+    private static void checkSize(boolean fits, String what, ByteBuffer payload) throws Broken {
+        if (!fits) {
+            throw new Broken(
+                    H2.Code.FRAME_SIZE_ERROR, what + " of " + payload.remaining() + " bytes");
         }
-        throw new Broken(H2.Code.STREAM_CLOSED, "stream " + id + " is over");
     }
 
-    private static void unpad(int flags, ByteBuffer p) throws Broken {
-        if ((flags & H2.PADDED) != 0) {
-            int pad = p.hasRemaining() ? p.get() & 0xff : 256;
-            if (pad > p.remaining()) {
-                throw broken("padding longer than its frame");
-            }
-            p.limit(p.limit() - pad);
-        }
-    }
+    // ---- Answers. ----
 
-    private void data(int flags, int id, ByteBuffer p) throws Broken {
-        int length = p.remaining();
-        // The whole frame counts, with its padding, also of a stream that is given up.
-        takes -= length;
-        if (takes < 0) {
-            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "over the connection's window");
-        }
-        if (takes < OUR_WINDOW / 2) {
-            put(H2.WINDOW_UPDATE, 0, 0, four((int) (OUR_WINDOW - takes)));
-            takes = OUR_WINDOW;
-        }
-        Stream s = known(id);
-        unpad(flags, p);
-        if (s == null) {
-            useless();
+    private void dataFrame(int flags, int id, ByteBuffer payload) throws Broken {
+        int length = payload.remaining();
+        receiveWindow.received(length);
+        Stream stream = streams.getKnown(id);
+        removePadding(flags, payload);
+        if (stream == null) {
+            budget.spend();
             return;
         }
-        s.takes -= length;
-        if (s.takes < 0) {
-            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "over a stream's window");
-        }
-        if (s.status == 0) {
-            malformed(s, H2.Code.PROTOCOL_ERROR);
-            return;
-        }
-        boolean last = (flags & H2.END_STREAM) != 0;
-        if (!p.hasRemaining() && !last) {
-            useless();
-        }
-        if (s.value.size() + p.remaining() > Protocol.MOST_BODY
-                || s.declared >= 0 && s.value.size() + p.remaining() > s.declared) {
-            malformed(s, H2.Code.PROTOCOL_ERROR);
+        receiveWindow.received(stream, length);
+        advance(stream, responses.data(stream, payload, (flags & H2.END_STREAM) != 0));
+    }
+
+    private static void removePadding(int flags, ByteBuffer payload) throws Broken {
+        if ((flags & H2.PADDED) == 0) {
             return;
         }
-        s.value.write(p.array(), p.position(), p.remaining());
-        if (last) {
-            over(s);
+        int pad = payload.hasRemaining() ? payload.get() & 0xff : NO_PAD_LENGTH;
+        if (pad > payload.remaining()) {
+            throw protocolError("padding longer than its frame");
         }
+        payload.limit(payload.limit() - pad);
     }
 
-    private void headers(int flags, int id, ByteBuffer p) throws Broken {
-        known(id);
-        unpad(flags, p);
+    private void headersFrame(int flags, int id, ByteBuffer payload) throws Broken {
+        streams.getKnown(id);
+        removePadding(flags, payload);
         if ((flags & H2.WITH_PRIORITY) != 0) {
-            if (p.remaining() < 5) {
+            if (payload.remaining() < PRIORITY_BYTES) {
                 throw new Broken(H2.Code.FRAME_SIZE_ERROR, "a priority cut short");
             }
-            p.position(p.position() + 5);
+            payload.position(payload.position() + PRIORITY_BYTES);
         }
-        block = new ByteArrayOutputStream();
-        blockStream = id;
-        blockFlags = flags;
-        continuations = 0;
-        block(flags, p);
+        headerBlock(headerBlocks.headers(flags, id, payload));
     }
 
-    private void block(int flags, ByteBuffer p) throws Broken {
-        block.write(p.array(), p.position(), p.remaining());
-        if (block.size() > Headers.MOST_BLOCK) {
-            throw new Broken(H2.Code.ENHANCE_YOUR_CALM, "a header block that is too large");
-        }
-        if ((flags & H2.END_HEADERS) == 0) {
+    /** @param block null where more of it is to come */
+    private void headerBlock(Headers.Block block) throws Broken {
+        if (block == null) {
             return;
         }
-        Headers.Block b = headers.list(block.toByteArray());
-        block = null;
-        Stream s = streams.get(blockStream);
-        if (s == null) {
-            useless();
+        Stream stream = streams.get(headerBlocks.stream());
+        if (stream == null) {
+            budget.spend();
         } else {
-            message(s, b, (blockFlags & H2.END_STREAM) != 0);
+            advance(stream, responses.headers(stream, block, headerBlocks.endsStream()));
         }
     }
 
-    private void message(Stream s, Headers.Block b, boolean last) throws Broken {
-        String status = b.pseudo.get(":status");
-        boolean trailers = s.status != 0;
-        if (b.malformed != null || trailers != (status == null) || trailers && !last) {
-            malformed(s, H2.Code.PROTOCOL_ERROR);
-            return;
-        }
-        if (trailers) {
-            s.trailers.putAll(b.fields);
-            over(s);
-            return;
-        }
-        if (!status.matches("[1-9][0-9][0-9]")) {
-            malformed(s, H2.Code.PROTOCOL_ERROR);
-            return;
-        }
-        int code = Integer.parseInt(status);
-        if (code < 200) {
-            useless(); // An interim answer says nothing; what it announces is still to come.
-            if (last || code == 101) {
-                malformed(s, H2.Code.PROTOCOL_ERROR);
-            }
-            return;
-        }
-        s.status = code;
-        s.fields.putAll(b.fields);
-        String length = b.fields.get("content-length");
-        if (length != null && !length.matches("[0-9]{1,9}")) {
-            malformed(s, H2.Code.PROTOCOL_ERROR);
-            return;
-        }
-        s.declared = length == null ? -1 : Long.parseLong(length);
-        if (last) {
-            over(s);
+    private void advance(Stream stream, ResponseReader.Progress progress) {
+        switch (progress) {
+            case INCOMPLETE -> {}
+            case COMPLETE -> complete(stream);
+            case MALFORMED -> malformed(stream, H2.Code.PROTOCOL_ERROR);
         }
     }
 
-    /** It has ended in order, if it is as long as it said. */
-    private void over(Stream s) {
-        if (s.declared >= 0 && s.value.size() != s.declared) {
-            malformed(s, H2.Code.PROTOCOL_ERROR);
-            return;
-        }
-        streams.remove(s.id);
-        idleFrames = Math.min(IDLE_FRAMES, idleFrames + IDLE_FRAMES_PER_ANSWER);
-        if (!s.said()) {
-            reset(s.id, H2.Code.NO_ERROR); // Answered before the request was over: the rest is not
-            // wanted.
+    private void complete(Stream stream) {
+        streams.remove(stream);
+        budget.refill();
+        if (!stream.said()) {
+            // Answered before the request was over: the rest is not wanted.
+            resetStream(stream.id, H2.Code.NO_ERROR);
         }
-        owner.answered(s);
+        owner.answered(stream);
     }
 
-    private void malformed(Stream s, H2.Code code) {
-        if (s != null && streams.remove(s.id, s)) {
-            reset(s.id, code);
-            owner.reset(s, false, true);
+    private void malformed(Stream stream, H2.Code code) {
+        if (streams.remove(stream)) {
+            resetStream(stream.id, code);
+            owner.reset(stream, false, true);
         }
     }
 
-    private void reset(int id, ByteBuffer p) throws Broken {
-        if (p.remaining() != 4) {
-            throw new Broken(H2.Code.FRAME_SIZE_ERROR, "a reset of " + p.remaining() + " bytes");
+    private void priorityFrame(int id, ByteBuffer payload) throws Broken {
+        budget.spend();
+        if (id == 0) {
+            throw protocolError("a priority of stream 0");
         }
-        Stream s = known(id);
-        useless();
-        if (s != null) {
-            streams.remove(id);
-            cancelled(id); // Another reset of it says nothing more.
-            owner.reset(s, p.getInt() == H2.Code.REFUSED_STREAM.ordinal(), false);
+        Stream stream = streams.get(id);
+        if (payload.remaining() != PRIORITY_BYTES && stream != null) {
+            malformed(stream, H2.Code.FRAME_SIZE_ERROR);
         }
     }
 
-    private void settings(int flags, int stream, ByteBuffer p) throws Broken {
+    private void resetFrame(int id, ByteBuffer payload) throws Broken {
+        checkSize(payload.remaining() == RESET_BYTES, "a reset", payload);
+        Stream stream = streams.getKnown(id);
+        budget.spend();
+        if (stream != null) {
+            streams.remove(stream);
+            streams.rememberReset(id); // Another reset of it says nothing more.
+            owner.reset(stream, payload.getInt() == H2.Code.REFUSED_STREAM.ordinal(), false);
+        }
+    }
+
+    // ---- The connection. ----
+
+    private void settingsFrame(int flags, int stream, ByteBuffer payload) throws Broken {
         if (stream != 0) {
-            throw broken("settings of a stream");
+            throw protocolError("settings of a stream");
         }
         boolean ack = (flags & H2.ACK) != 0;
-        if (ack ? p.hasRemaining() : p.remaining() % 6 != 0) {
-            throw new Broken(H2.Code.FRAME_SIZE_ERROR, "settings of " + p.remaining() + " bytes");
-        }
+        checkSize(
+                payload.remaining() % SETTING_BYTES == 0 && !(ack && payload.hasRemaining()),
+                "settings",
+                payload);
         if (ack) {
-            if (acked) {
-                useless();
-            }
-            acked = true;
+            budget.spendUnless(!settingsAcked);
+            settingsAcked = true;
             return;
         }
-        if (heard) {
-            useless();
-        }
-        long streamsMay = heard ? -1 : H2.MOST_ID;
-        while (p.hasRemaining()) {
-            int key = p.getShort() & 0xffff;
-            long value = p.getInt() & 0xffffffffL;
-            switch (key) {
-                case H2.HEADER_TABLE_SIZE -> headers.table(value);
-                case H2.ENABLE_PUSH -> {
-                    if (value != 0) {
-                        throw broken("a server that lets itself be pushed to");
-                    }
-                }
-                case H2.MAX_CONCURRENT_STREAMS -> streamsMay = value;
-                case H2.INITIAL_WINDOW_SIZE -> firstWindow(value);
-                case H2.MAX_FRAME_SIZE -> {
-                    if (value < H2.LEAST_FRAME || value > H2.MOST_FRAME) {
-                        throw broken("frames of " + value + " bytes");
-                    }
-                    mostFrame = (int) Math.min(value, 4 * H2.LEAST_FRAME);
-                }
-                default -> {
-                    // The list size is advice that our few fields keep; unknown ones are passed
-                    // over.
-                }
+        budget.spendUnless(!settingsReceived);
+        long maxStreams = settingsReceived ? -1 : H2.MOST_ID;
+        while (payload.hasRemaining()) {
+            int key = payload.getShort() & 0xffff;
+            long value = payload.getInt() & 0xffffffffL;
+            if (key == H2.MAX_CONCURRENT_STREAMS) {
+                maxStreams = value;
+            } else {
+                apply(key, value);
             }
         }
-        heard = true;
-        put(H2.SETTINGS, H2.ACK, 0, new byte[0]);
-        if (streamsMay >= 0) {
-            owner.settled(streamsMay);
+        settingsReceived = true;
+        writer.settingsAck();
+        if (maxStreams >= 0) {
+            owner.settled(maxStreams);
         }
-        pushAll();
+        sendWindow.flushAll(streams.openStreams());
     }
 
-    private void firstWindow(long value) throws Broken {
-        if (value > H2.MOST_WINDOW) {
-            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "a window of " + value);
-        }
-        for (Stream s : streams.values()) {
-            s.window += value - firstWindow;
-            if (s.window > H2.MOST_WINDOW) {
-                throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "a window of " + s.window);
+    private void apply(int key, long value) throws Broken {
+        switch (key) {
+            case H2.HEADER_TABLE_SIZE -> headers.table(value);
+            case H2.ENABLE_PUSH -> {
+                if (value != 0) {
+                    throw protocolError("a server that lets itself be pushed to");
+                }
+            }
+            case H2.INITIAL_WINDOW_SIZE ->
+                sendWindow.initialStreamWindow(value, streams.openStreams());
+            case H2.MAX_FRAME_SIZE -> {
+                if (value < H2.LEAST_FRAME || value > H2.MOST_FRAME) {
+                    throw protocolError("frames of " + value + " bytes");
+                }
+                writer.maxFrameSize((int) Math.min(value, MOST_FRAME_WRITTEN));
+            }
+            default -> {
+                // The list size is advice that our few fields keep; unknown ones are passed over.
             }
         }
-        firstWindow = value;
     }
 
-    private void pinged(int flags, int stream, ByteBuffer p) throws Broken {
+    private void pingFrame(int flags, int stream, ByteBuffer payload) throws Broken {
         if (stream != 0) {
-            throw broken("a ping of a stream");
-        }
-        if (p.remaining() != 8) {
-            throw new Broken(H2.Code.FRAME_SIZE_ERROR, "a ping of " + p.remaining() + " bytes");
+            throw protocolError("a ping of a stream");
         }
-        byte[] what = new byte[8];
-        p.get(what);
+        checkSize(payload.remaining() == PING_BYTES, "a ping", payload);
+        byte[] opaque = new byte[PING_BYTES];
+        payload.get(opaque);
         if ((flags & H2.ACK) == 0) {
-            useless();
-            put(H2.PING, H2.ACK, 0, what);
+            budget.spend();
+            writer.pingAck(opaque);
         } else {
-            owner.ponged(ByteBuffer.wrap(what).getLong());
+            owner.ponged(ByteBuffer.wrap(opaque).getLong());
         }
     }
 
-    /** Danger: a last id that rises again would let what was said never to have run, run. */
-    private void leaves(int stream, ByteBuffer p) throws Broken {
+    private void goAwayFrame(int stream, ByteBuffer payload) throws Broken {
         if (stream != 0) {
-            throw broken("a goodbye of a stream");
+            throw protocolError("a goodbye of a stream");
         }
-        if (p.remaining() < 8) {
-            throw new Broken(H2.Code.FRAME_SIZE_ERROR, "a goodbye of " + p.remaining() + " bytes");
-        }
-        int last = p.getInt() & H2.MOST_ID;
-        if (last > lastId) {
-            throw broken("a goodbye that takes back the one before");
-        }
-        useless();
-        lastId = last;
-        List<Stream> above = List.copyOf(streams.tailMap(last, false).values());
-        streams.tailMap(last, false).clear();
-        owner.leaving(last, above);
+        checkSize(payload.remaining() >= LEAST_GOAWAY_BYTES, "a goodbye", payload);
+        int last = payload.getInt() & H2.MOST_ID;
+        streams.checkGoAway(last);
+        budget.spend();
+        owner.leaving(last, streams.closeAbove(last));
     }
 
-    private void window(int id, ByteBuffer p) throws Broken {
-        if (p.remaining() != 4) {
-            throw new Broken(
-                    H2.Code.FRAME_SIZE_ERROR, "a window update of " + p.remaining() + " bytes");
-        }
-        int more = p.getInt() & H2.MOST_ID;
+    private void windowUpdateFrame(int id, ByteBuffer payload) throws Broken {
+        checkSize(payload.remaining() == WINDOW_UPDATE_BYTES, "a window update", payload);
+        int bytes = payload.getInt() & H2.MOST_ID;
         if (id == 0) {
-            if (more == 0) {
-                throw broken("a window that does not grow");
-            }
-            window += more;
-            if (window > H2.MOST_WINDOW) {
-                throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "a window of " + window);
-            }
-            long before = pushed;
-            pushAll();
-            uselessUnless(pushed > before);
+            sendWindow.growConnection(bytes);
+            budget.spendUnless(sendWindow.flushAll(streams.openStreams()));
             return;
         }
         // Danger: an update for a stream that is over may have crossed its end, and is nobody's
         // fault.
-        Stream s = streams.get(id);
-        if (s == null) {
-            useless();
-            if (id % 2 == 0 || nextId > 0 && id >= nextId) {
-                throw broken("stream " + id + " was never opened");
-            }
+        Stream stream = streams.get(id);
+        if (stream == null) {
+            budget.spend();
+            streams.checkOpened(id);
             return;
         }
-        s.window += more;
-        if (more == 0 || s.window > H2.MOST_WINDOW) {
-            malformed(s, more == 0 ? H2.Code.PROTOCOL_ERROR : H2.Code.FLOW_CONTROL_ERROR);
+        stream.window += bytes;
+        if (bytes == 0 || stream.window > H2.MOST_WINDOW) {
+            malformed(stream, bytes == 0 ? H2.Code.PROTOCOL_ERROR : H2.Code.FLOW_CONTROL_ERROR);
             return;
         }
-        long before = pushed;
-        push(s);
-        uselessUnless(pushed > before);
-    }
-
-    private void uselessUnless(boolean useful) throws Broken {
-        if (!useful) {
-            useless();
-        }
+        budget.spendUnless(sendWindow.flush(stream));
     }
 
     /** The text of a field as it is said in a value. */
-    static String text(Stream s) {
-        return s.value.toString(StandardCharsets.UTF_8);
+    static String text(Stream stream) {
+        return stream.value.toString(StandardCharsets.UTF_8);
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/http2/ReceiveWindow.java
@@ -0,0 +1,46 @@
+package tinlink.http2;
+
+import tinlink.net.Protocol;
+
+/**
+ * Flow control of what the client receives (RFC 9113, section 5.2): the windows of the connection and of its
+ * streams.
+ */
+final class ReceiveWindow {
+    /** The connection's window is made this large at once, so that answers don't wait for each other's. */
+    private static final int CONNECTION_WINDOW = 1 << 20;
+    /** An answer of the largest size fits, and what is over is found out by its length. */
+    static final int STREAM_WINDOW = 2 * Protocol.MOST_BODY;
+
+    private final FrameWriter writer;
+    private long connectionWindow = CONNECTION_WINDOW;
+
+    ReceiveWindow(FrameWriter writer) {
+        this.writer = writer;
+    }
+
+    /** Widens the connection's window from its first size; follows the preface. */
+    void open() {
+        writer.connectionWindowUpdate(CONNECTION_WINDOW - H2.FIRST_WINDOW);
+    }
+
+    /** A whole DATA frame has come: it counts with its padding, also on a stream that is given up. */
+    void received(int length) throws Broken {
+        connectionWindow -= length;
+        if (connectionWindow < 0) {
+            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "over the connection's window");
+        }
+        if (connectionWindow < CONNECTION_WINDOW / 2) {
+            writer.connectionWindowUpdate((int) (CONNECTION_WINDOW - connectionWindow));
+            connectionWindow = CONNECTION_WINDOW;
+        }
+    }
+
+    /** The same frame, on its stream. */
+    void received(Stream stream, int length) throws Broken {
+        stream.takes -= length;
+        if (stream.takes < 0) {
+            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "over a stream's window");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -0,0 +1,29 @@
+package tinlink.http2;
+
+/** Bounds the frames that serve nobody. Danger: a flood of frames that cost the other side nothing. */
+final class UselessFrameBudget {
+    /** Frames of no use that may come at once, and for each answer besides. */
+    private static final int MAX_FRAMES = 256;
+
+    private static final int FRAMES_PER_ANSWER = 16;
+
+    private int left = MAX_FRAMES;
+
+    /** A frame of no use has come. */
+    void spend() throws Broken {
+        if (--left < 0) {
+            throw new Broken(H2.Code.ENHANCE_YOUR_CALM, "so many frames of no use");
+        }
+    }
+
+    void spendUnless(boolean useful) throws Broken {
+        if (!useful) {
+            spend();
+        }
+    }
+
+    /** An answer has come whole. */
+    void refill() {
+        left = Math.min(MAX_FRAMES, left + FRAMES_PER_ANSWER);
+    }
+}
