--- a/src/main/java/tinlink/gateway/choice/FarRouter.java
+++ b/src/main/java/tinlink/gateway/choice/FarRouter.java
@@ -1,6 +1,5 @@
 package tinlink.gateway.choice;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -8,19 +7,12 @@
 import java.util.function.Predicate;
 
 /**
- * What the near side decides about one router of another site: whether it may be used and for which
- * cells, on which of its lines a part leaves and when, what is asked about after a cut, when a line
- * is tried again. Inputs only update what is known; {@link #decide} is pulled until it says false.
- * No I/O, no clock, no chance of its own. Times are microseconds.
+ * What the near side decides about one router of another site: whether it may be used and for which cells, on
+ * which of its lines a part leaves and when, what is asked about after a cut, when a line is tried again.
+ * Inputs only update what is known; {@link #decide} is pulled until it says false. No I/O, no clock, no
+ * chance of its own. Times are microseconds.
  */
 public final class FarRouter {
-    /** The shortest wait before a line is tried again, in heartbeats, and the longest. */
-    private static final double FIRST_WAIT = 0.25;
-
-    private static final double LONGEST_WAIT = 8;
-    /** Heartbeats that are out at a time and measured; a line with more is dead long before. */
-    private static final int MOST_PINGS = 64;
-
     /** What decisions are carried out with. */
     public interface Hands {
         void connect(Lane lane);
@@ -38,9 +30,7 @@
         /** Asks on one line about all that is still of interest of another, or of its own. */
         void askFates(Lane on, Lane about);
 
-        /**
-         * The end of a part; the value and times, if any, came with the input that it follows from.
-         */
+        /** The end of a part; the value and times, if any, came with the input that it follows from. */
         void ended(Forwarded part, Fate fate);
 
         /** Which cells may be reached now, and what the line takes there and back. */
@@ -62,10 +52,10 @@
     }
 
     public final String name;
-    private final Patience patience;
     private final Elsewhere elsewhere;
     private final SplittableRandom random;
     public final List<Lane> lanes = new ArrayList<>();
+    private final ForwardedParts parts;
     /** Cells that it has said it serves. */
     private BitSet cells = new BitSet();
 
@@ -74,20 +64,10 @@
     private int window;
 
     private boolean leaving;
-    /** For a credit; bounded by the patience, each leaves by its credit or in time. */
-    private final ArrayDeque<Forwarded> waiting = new ArrayDeque<>();
-    /** What inputs have made of parts; emptied by the decisions of the turn. */
-    private final ArrayDeque<Forwarded> ended = new ArrayDeque<>();
-
-    private final ArrayDeque<Fate> fates = new ArrayDeque<>();
-    private final ArrayDeque<Forwarded> givenUp = new ArrayDeque<>();
-    private int out;
     private BitSet toldCells = new BitSet();
     private long toldLineUs;
     private long now;
     private long armed = Long.MAX_VALUE;
-    /** No part's time is over before; early by some, since parts leave in between. */
-    private long dueAt = Long.MAX_VALUE;
 
     public FarRouter(
             String name,
@@ -96,12 +76,12 @@
             Elsewhere elsewhere,
             SplittableRandom random) {
         this.name = name;
-        this.patience = patience;
         this.elsewhere = elsewhere;
         this.random = random;
         for (int i = 0; i < lanes; i++) {
             this.lanes.add(new Lane(this, i, patience.beatUs()));
         }
+        parts = new ForwardedParts(this.lanes, patience);
     }
 
     // ---- Inputs. ----
@@ -114,83 +94,60 @@
     }
 
     /**
-     * A line is up and its far end has proved who it is. Danger: a router with another incarnation
-     * has started anew; it knows nothing of what the one before it ran.
+     * A line is up and its far end has proved who it is. Danger: a router with another incarnation has
+     * started anew; it knows nothing of what the one before it ran.
      */
-    public void up(Lane l, long incarnation, long roundTripUs) {
+    public void up(Lane lane, long incarnation, long roundTripUs) {
         if (incarnation != this.incarnation) {
             this.incarnation = incarnation;
-            cells = new BitSet();
-            window = 0;
-            leaving = false;
-            for (Lane each : lanes) {
-                for (Forwarded p : List.copyOf(each.parts.values())) {
-                    p.died = true;
-                    end(p, Fate.MAY_HAVE_RUN);
-                }
-                each.stale = each != l;
+            startedAnew(lane);
+        }
+        lane.up(now, roundTripUs);
+    }
+
+    private void startedAnew(Lane lane) {
+        cells = new BitSet();
+        window = 0;
+        leaving = false;
+        for (Lane each : lanes) {
+            for (Forwarded part : List.copyOf(each.parts.values())) {
+                part.died = true;
+                parts.end(part, Fate.MAY_HAVE_RUN);
             }
+            each.stale = each != lane;
         }
-        l.ups++;
-        l.stale = false;
-        l.voice = l;
-        l.state = Lane.State.UP;
-        l.waitUs = 0;
-        l.roundTrip.sample(roundTripUs);
-        l.pulse.opened(now, roundTripUs);
-        l.pingAt = now;
-        l.pings.clear();
-        l.pongNumber = 0;
-        // Asked even where nothing is open: it fences off what may still be under way, and gives up
-        // the rest.
-        l.asks = true;
     }
 
     /** @param left whether the part's last byte had been handed to the kernel, or may have been */
-    public void lost(Lane l, Predicate<Forwarded> left) {
-        if (l.state == Lane.State.UP) {
-            l.pulse.failed(now);
-        }
-        l.state = Lane.State.DOWN;
-        long most = (long) (LONGEST_WAIT * patience.beatUs());
-        l.waitUs = Math.min(most, Math.max((long) (FIRST_WAIT * patience.beatUs()), 2 * l.waitUs));
-        // Danger: routers that lost the same line at once and all come back at once.
-        l.connectAt = now + l.waitUs / 2 + random.nextLong(l.waitUs);
-        for (Lane m : lanes) {
-            if (m.voice == l) {
-                m.voice = null;
-                unsure(m, p -> m != l || left.test(p));
+    public void lost(Lane lane, Predicate<Forwarded> left) {
+        lane.lost(now, random);
+        for (Lane each : lanes) {
+            if (each.voice == lane) {
+                each.voice = null;
+                unsure(each, part -> each != lane || left.test(part));
             }
         }
     }
 
     /** Nobody will say on its own any more what becomes of what is out on that line. */
-    private void unsure(Lane l, Predicate<Forwarded> left) {
-        for (Forwarded p : List.copyOf(l.parts.values())) {
+    private void unsure(Lane lane, Predicate<Forwarded> left) {
+        for (Forwarded part : List.copyOf(lane.parts.values())) {
             // Danger: what outlived one cut has left; its place in the stream was that of another
             // connection.
-            if (!p.wasUnsure() && !left.test(p)) {
-                end(p, Fate.NEVER_LEFT);
-            } else if (p.repeatable && elsewhere.serves(p.cell, this)) {
-                end(p, Fate.MAY_HAVE_RUN); // A second run does no harm and another router can
-                // begin now.
+            if (!part.wasUnsure() && !left.test(part)) {
+                parts.end(part, Fate.NEVER_LEFT);
+            } else if (part.repeatable && elsewhere.serves(part.cell, this)) {
+                // A second run does no harm and another router can begin now.
+                parts.end(part, Fate.MAY_HAVE_RUN);
             } else {
-                p.unsureSince = p.state == Forwarded.State.UNSURE ? p.unsureSince : now;
-                p.state = Forwarded.State.UNSURE;
-                due(p.unsureSince + patience.recoverUs());
-                l.asks = true;
+                parts.unsure(part, now);
+                lane.asks = true;
             }
         }
     }
 
-    public void ponged(Lane l, long number) {
-        Long sentAt = l.pings.remove(number);
-        if (l.state == Lane.State.UP && sentAt != null) {
-            l.roundTrip.sample(now - sentAt);
-            l.pulse.answered(now);
-            l.pongNumber = number;
-            l.pongedAt = now;
-        }
+    public void ponged(Lane lane, long number) {
+        lane.ponged(number, now);
     }
 
     public void serves(BitSet cells) {
@@ -202,80 +159,51 @@
     }
 
     /**
-     * It stops: of what left on that line, nothing past the last one that it names was begun or
-     * will be. It is trusted again as a new incarnation.
+     * It stops: of what left on that line, nothing past the last one that it names was begun or will be. It
+     * is trusted again as a new incarnation.
      */
-    public void leaves(Lane l, long lastBegun) {
+    public void leaves(Lane lane, long lastBegun) {
         leaving = true;
-        for (Forwarded p : List.copyOf(l.parts.tailMap(lastBegun, false).values())) {
-            end(p, Fate.NEVER_BEGUN);
+        for (Forwarded part : List.copyOf(lane.parts.tailMap(lastBegun, false).values())) {
+            parts.end(part, Fate.NEVER_BEGUN);
         }
     }
 
     /** A part that the module has sent here. */
-    public void part(Forwarded p) {
-        if (!mayServe(p.cell)) {
-            finish(p, Fate.NEVER_LEFT);
-        } else if (waiting.size() >= patience.waiting()) {
-            finish(p, Fate.REFUSED); // Its bound is reached: as good as turned away over there.
+    public void part(Forwarded part) {
+        if (mayServe(part.cell)) {
+            parts.add(part, now);
         } else {
-            p.waitsUntil = Math.min(p.until, now + patience.beatUs());
-            waiting.add(p);
-            due(p.waitsUntil);
+            parts.finish(part, Fate.NEVER_LEFT);
         }
     }
 
     /** The module has given a part up; its outcome is known, its run over there should end too. */
-    public void giveUp(Forwarded p) {
-        if (p.state == Forwarded.State.OUT && p.lane.state == Lane.State.UP) {
-            givenUp.add(p);
-        }
-        release(p);
+    public void giveUp(Forwarded part) {
+        parts.giveUp(part);
     }
 
     /** What the far router says of a part, on its own or asked. */
-    public void fate(Lane l, long number, Fate fate) {
-        Forwarded p = l.parts.get(number);
-        if (p == null) {
+    public void fate(Lane lane, long number, Fate fate) {
+        Forwarded part = lane.parts.get(number);
+        if (part == null) {
             return;
         }
         if (fate == Fate.RUNNING) {
-            p.state = Forwarded.State.OUT;
+            part.state = Forwarded.State.OUT;
         } else {
-            end(p, fate);
+            parts.end(part, fate);
         }
     }
 
     /** Whom an answer of that number is for; null where it is of no interest any more. */
-    public Forwarded open(Lane l, long number) {
-        return l.parts.get(number);
-    }
-
-    // ---- Bookkeeping. ----
-
-    private void end(Forwarded p, Fate fate) {
-        release(p);
-        finish(p, fate);
-    }
-
-    private void finish(Forwarded p, Fate fate) {
-        p.state = Forwarded.State.OVER;
-        ended.add(p);
-        fates.add(fate);
-    }
-
-    private void release(Forwarded p) {
-        if (p.state == Forwarded.State.WAITS) {
-            waiting.remove(p);
-        } else if (p.state != Forwarded.State.OVER && p.lane.parts.remove(p.number) != null) {
-            out--;
-        }
-        p.state = Forwarded.State.OVER;
+    public Forwarded open(Lane lane, long number) {
+        return lane.parts.get(number);
     }
 
     /** Parts that wait, and that are out or unsure. */
     public int held() {
-        return waiting.size() + out;
+        return parts.held();
     }
 
     public int window() {
@@ -295,13 +223,10 @@
         }
         Lane best = null;
         double least = Double.MAX_VALUE;
-        for (Lane l : lanes) {
-            if (l.state == Lane.State.UP && l.pulse.trusted(now)) {
-                double cost = (double) l.roundTrip.keptUs() * (l.parts.size() + 1);
-                if (cost < least) {
-                    best = l;
-                    least = cost;
-                }
+        for (Lane lane : lanes) {
+            if (lane.isTrusted(now) && lane.cost() < least) {
+                best = lane;
+                least = lane.cost();
             }
         }
         return best;
@@ -309,36 +234,25 @@
 
     /** A line that is up, the trusted one if there is one: to ask about another. */
     private Lane speaking(Lane about) {
-        if (about.state == Lane.State.UP) {
+        if (about.isUp()) {
             return about;
         }
         Lane best = trusted();
         return best != null
                 ? best
-                : lanes.stream()
-                        .filter(l -> l.state == Lane.State.UP)
-                        .findFirst()
-                        .orElse(null);
+                : lanes.stream().filter(Lane::isUp).findFirst().orElse(null);
     }
 
     public boolean decide(Hands h) {
-        if (!ended.isEmpty()) {
-            h.ended(ended.poll(), fates.poll());
-            return true;
-        }
-        if (!givenUp.isEmpty()) {
-            h.giveUp(givenUp.poll());
+        if (parts.tell(h)) {
             return true;
         }
-        for (Lane l : lanes) {
-            if (line(l, h)) {
+        for (Lane lane : lanes) {
+            if (tend(lane, h)) {
                 return true;
             }
         }
-        if (times()) {
-            return true;
-        }
-        if (sends(h) || tells(h)) {
+        if (parts.expire(now, part -> mayServe(part.cell)) || sends(h) || tells(h)) {
             return true;
         }
         long next = next();
@@ -350,130 +264,80 @@
         return false;
     }
 
-    private boolean line(Lane l, Hands h) {
-        if (l.state == Lane.State.DOWN && now >= l.connectAt) {
-            l.state = Lane.State.CONNECTING;
-            h.connect(l);
+    private boolean tend(Lane lane, Hands h) {
+        if (lane.connectDue(now)) {
+            lane.state = Lane.State.CONNECTING;
+            h.connect(lane);
             return true;
         }
-        if (l.state == Lane.State.UP && (l.stale || l.pulse.dead(now))) {
-            h.cut(l);
+        if (lane.cutDue(now)) {
+            h.cut(lane);
             return true;
         }
-        if (l.asks) {
-            Lane on = speaking(l);
-            if (on != null) {
-                l.asks = false;
-                l.voice = on;
-                h.askFates(on, l);
-                return true;
-            }
+        if (lane.asks && asksFates(lane, h)) {
+            return true;
         }
-        if (l.state == Lane.State.UP && now >= l.pingAt) {
-            l.pingAt = now + patience.beatUs();
-            if (l.pings.size() < MOST_PINGS) {
-                l.pings.put(++l.pingNumber, now);
-            }
-            h.ping(l, l.pingNumber, l.lowest());
+        if (lane.pingDue(now)) {
+            long number = lane.pinged(now);
+            h.ping(lane, number, lane.lowest());
             return true;
         }
         return false;
     }
 
-    /** What is out of time; true where something was. */
-    private boolean times() {
-        if (now < dueAt) {
+    private boolean asksFates(Lane about, Hands h) {
+        Lane on = speaking(about);
+        if (on == null) {
             return false;
         }
-        boolean any = false;
-        dueAt = Long.MAX_VALUE;
-        for (Forwarded p : List.copyOf(waiting)) {
-            if (now >= p.waitsUntil || !mayServe(p.cell)) {
-                end(p, now >= p.until || !mayServe(p.cell) ? Fate.NEVER_LEFT : Fate.REFUSED);
-                any = true;
-            } else {
-                due(p.waitsUntil);
-            }
-        }
-        for (Lane l : lanes) {
-            for (Forwarded p : List.copyOf(l.parts.values())) {
-                if (now >= p.until) {
-                    end(p, Fate.NO_ANSWER);
-                    any = true;
-                } else if (p.state == Forwarded.State.UNSURE
-                        && now >= p.unsureSince + patience.recoverUs()) {
-                    end(p, Fate.MAY_HAVE_RUN);
-                    any = true;
-                } else {
-                    due(p.until);
-                    due(
-                            p.state == Forwarded.State.UNSURE
-                                    ? p.unsureSince + patience.recoverUs()
-                                    : p.until);
-                }
-            }
-        }
-        return any;
-    }
-
-    private void due(long at) {
-        dueAt = Math.min(dueAt, at);
+        about.asks = false;
+        about.voice = on;
+        h.askFates(on, about);
+        return true;
     }
 
     private boolean sends(Hands h) {
-        if (waiting.isEmpty() || out >= window) {
+        if (!parts.hasWaiting() || parts.out() >= window) {
             return false;
         }
-        Lane l = trusted();
-        if (l == null) {
+        Lane lane = trusted();
+        if (lane == null) {
             return false;
         }
-        Forwarded p = waiting.poll();
-        if (leftFor(p, l) <= 0) {
-            finish(p, Fate.NEVER_LEFT);
+        Forwarded part = parts.pollWaiting();
+        if (leftFor(part, lane) <= 0) {
+            parts.finish(part, Fate.NEVER_LEFT);
             return true;
         }
-        p.lane = l;
-        p.number = l.nextNumber++;
-        p.state = Forwarded.State.OUT;
-        due(p.until);
-        l.parts.put(p.number, p);
-        out++;
-        h.send(p);
+        parts.leaves(part, lane);
+        h.send(part);
         return true;
     }
 
-    /**
-     * Of a part's time, what the far router may use: the rest is kept for the line, there and back.
-     */
-    public long leftFor(Forwarded p, Lane l) {
-        return p.until - now - l.roundTrip.keptUs();
+    /** Of a part's time, what the far router may use: the rest is kept for the line, there and back. */
+    public long leftFor(Forwarded part, Lane lane) {
+        return part.until - now - lane.keptUs();
     }
 
     private boolean tells(Hands h) {
-        Lane l = trusted();
-        BitSet may = l == null ? new BitSet() : cells;
+        Lane lane = trusted();
+        BitSet may = lane == null ? new BitSet() : cells;
         // Told again when it has moved by an eighth, not at each heartbeat.
-        long lineUs = l == null ? toldLineUs : Math.max(1, l.roundTrip.keptUs());
+        long lineUs = lane == null ? toldLineUs : Math.max(1, lane.keptUs());
         if (may.equals(toldCells) && Math.abs(lineUs - toldLineUs) <= toldLineUs / 8) {
             return false;
         }
         toldCells = (BitSet) may.clone();
         toldLineUs = lineUs;
-        dueAt = 0; // What waits may have nowhere to go now.
+        parts.dueNow(); // What waits may have nowhere to go now.
         h.serves(this, toldCells, lineUs);
         return true;
     }
 
     private long next() {
-        long next = dueAt;
-        for (Lane l : lanes) {
-            if (l.state == Lane.State.DOWN) {
-                next = Math.min(next, l.connectAt);
-            } else if (l.state == Lane.State.UP) {
-                next = Math.min(next, Math.min(l.pingAt, l.pulse.deadAt()));
-                next = l.pulse.trusted(now) ? Math.min(next, l.pulse.doubtAt()) : next;
-            }
+        long next = parts.dueAt();
+        for (Lane lane : lanes) {
+            next = Math.min(next, lane.dueAt(now));
         }
         return next;
     }
