--- a/src/main/java/tinlink/gateway/FarSession.java
+++ b/src/main/java/tinlink/gateway/FarSession.java
@@ -21,6 +21,7 @@
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private static final int MOST_PONGS = 64;
     private final Gateway gateway;
+    private final GatewayServer server;
     private byte[] hello;
     private byte[] challenge;
     private String keyId = "";
@@ -32,9 +33,10 @@
     /** When heartbeats were answered, by number; the newest. */
     private final LinkedHashMap<Long, Long> ponged = new LinkedHashMap<>();
 
-    FarSession(Gateway gateway) {
+    FarSession(Gateway gateway, GatewayServer server) {
         super(gateway.loop, gateway.times.handshakeUs(), Wire.MOST_BEFORE, Wire.MOST);
         this.gateway = gateway;
+        this.server = server;
     }
 
     @Override
@@ -46,17 +48,17 @@
         } else {
             switch (type) {
                 case Wire.PART -> part(in);
-                case Wire.GIVE_UP -> gateway.taker.givenUp(origin, in.getLong());
+                case Wire.GIVE_UP -> server.taker.givenUp(origin, in.getLong());
                 case Wire.FATES -> asked(in);
                 case Wire.PING -> {
                     long number = in.getLong();
-                    gateway.taker.lowest(origin, in.getLong());
+                    server.taker.lowest(origin, in.getLong());
                     send(Wire.PONG, new Wire.Out().eight(number).made());
                     ponged.put(number, gateway.loop.now());
                     if (ponged.size() > MOST_PONGS) {
                         ponged.remove(ponged.keySet().iterator().next());
                     }
-                    gateway.heard(this);
+                    server.heard(this);
                 }
                 default -> throw Wire.bad("a message of type " + type);
             }
@@ -113,7 +115,7 @@
         }
         sealed(gateway.keys.proof(keyId, "session", hello, challenge), false);
         ByteBuffer counts = ByteBuffer.wrap(next);
-        origin = gateway.taker.opened(
+        origin = server.taker.opened(
                 site + "/" + router, line, incarnation, counts.getLong(), counts.getLong(), this);
         if (origin == null) {
             throw Wire.bad("too many routers are connected");
@@ -122,7 +124,7 @@
         LOG.log(Level.INFO, "event=near_up site={0} router={1} line={2}", new Object[] {
             site, router, line
         });
-        gateway.opened(this);
+        server.proved(this);
     }
 
     private void part(ByteBuffer in) throws BadMessage {
@@ -150,7 +152,7 @@
         long now = gateway.loop.now();
         long ageUs = pongedAt == null ? Long.MAX_VALUE / 2 : Math.max(0, now - pongedAt - heldUs);
         long mayUs = Math.min(leftUs, effectUs) - ageUs;
-        gateway.taker.part(
+        server.taker.part(
                 origin,
                 new FarPart(
                         origin,
@@ -178,7 +180,7 @@
         for (int i = 0; i < count; i++) {
             numbers.add(in.getLong());
         }
-        gateway.taker.asked(origin, this, about, ups, fence, numbers);
+        server.taker.asked(origin, this, about, ups, fence, numbers);
     }
 
     void say(int about, long number, Fate fate, FarPart p) {
@@ -197,13 +199,13 @@
 
     @Override
     protected void over(Ending how) {
-        gateway.closed(this);
+        server.closed(this);
         if (origin != null) {
             LOG.log(
                     Level.INFO,
                     "event=near_down site={0} router={1} line={2} how={3}",
                     new Object[] {site, router, line, how});
-            gateway.taker.closed(origin, this);
+            server.taker.closed(origin, this);
         } else {
             gateway.counters.add("far_refused");
         }
--- a/src/main/java/tinlink/gateway/NearSession.java
+++ b/src/main/java/tinlink/gateway/NearSession.java
@@ -19,15 +19,17 @@
 final class NearSession extends Session {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private final Gateway gateway;
+    private final GatewayClient client;
     final Lane lane;
     private final String site;
     private String keyId;
     private byte[] hello;
     private long saidAt;
 
-    NearSession(Gateway gateway, Lane lane, String site) {
+    NearSession(Gateway gateway, GatewayClient client, Lane lane, String site) {
         super(gateway.loop, gateway.times.handshakeUs(), Wire.MOST_BEFORE, Wire.MOST);
         this.gateway = gateway;
+        this.client = client;
         this.lane = lane;
         this.site = site;
     }
@@ -133,7 +135,7 @@
 
     @Override
     protected void over(Ending how) {
-        boolean was = gateway.out(this);
+        boolean was = client.closed(this);
         LOG.log(
                 was ? Level.WARNING : Level.FINE,
                 "event=line_down site={0} router={1} line={2} how={3} open={4}",
