--- /dev/null
+++ b/src/main/java/tinlink/work/ControlConnection.java
@@ -0,0 +1,160 @@
+package tinlink.work;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.ObjectMapper;
+
+import tinlink.net.BadMessage;
+import tinlink.net.Ending;
+import tinlink.net.HttpReader;
+import tinlink.net.Link;
+import tinlink.net.Loop;
+import tinlink.net.Ring;
+import tinlink.start.BadInput;
+import tinlink.start.JsonFile;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.util.Map;
+
+/** One operator's connection: reads its request, checks its token, and writes the one answer. */
+final class ControlConnection implements Link.Owner, HttpReader.Sink {
+    static final int OK = 200;
+    static final int NOT_FOUND = 404;
+    static final int UNAVAILABLE = 503;
+    static final int BAD_REQUEST = 400;
+    private static final int UNAUTHORIZED = 401;
+    private static final int TOO_LARGE = 413;
+    /** Characters of a request's body. */
+    private static final int MAX_BODY = 1 << 18;
+
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    private final Control control;
+    private final HttpReader reader = HttpReader.ofRequests(this);
+    private final StringBuilder body = new StringBuilder();
+    private Link link;
+    private Loop.Timer limit;
+    private boolean authorized;
+    private boolean answered;
+
+    ControlConnection(Control control) {
+        this.control = control;
+    }
+
+    /** It is up, and has to be over within that time. */
+    void opened(Link up, long limitUs) {
+        link = up;
+        limit = control.loop.at(control.loop.now() + limitUs, () -> link.end(Ending.IDLE));
+    }
+
+    void end(Ending how) {
+        link.end(how);
+    }
+
+    @Override
+    public void arrived(Ring in) {
+        try {
+            while (in.size() > 0 && !answered) {
+                reader.read(in);
+            }
+        } catch (BadMessage e) {
+            answer(e.status, Map.of("said", e.getMessage()));
+        }
+    }
+
+    @Override
+    public void first(String method, String path, String version) throws BadMessage {
+        if (!method.equals("POST") || !path.equals("/work")) {
+            throw new BadMessage(NOT_FOUND, "POST /work is all there is");
+        }
+    }
+
+    @Override
+    public void field(String name, String value) {
+        // Danger: a comparison that ends at the first wrong byte tells how much of a guess was
+        // right.
+        authorized |= name.equals("authorization")
+                && MessageDigest.isEqual(
+                        control.token,
+                        value.replaceFirst("^Bearer ", "").getBytes(StandardCharsets.UTF_8));
+    }
+
+    @Override
+    public void headOver() throws BadMessage {
+        if (!authorized) {
+            throw new BadMessage(UNAUTHORIZED, "the token is not this router's");
+        }
+    }
+
+    @Override
+    public void body(ByteBuffer piece) throws BadMessage {
+        body.append(StandardCharsets.UTF_8.decode(piece));
+        if (body.length() > MAX_BODY) {
+            throw new BadMessage(TOO_LARGE, "it is too long");
+        }
+    }
+
+    @Override
+    public void over() throws BadMessage {
+        limitBy(() -> answer(
+                UNAVAILABLE,
+                Map.of("said", "it is not known to be agreed: ask again, here or elsewhere")));
+        try {
+            control.commands.execute(JsonFile.of("request", body.toString()), this);
+        } catch (BadInput | IllegalArgumentException e) {
+            throw new BadMessage(BAD_REQUEST, String.valueOf(e.getMessage()));
+        }
+    }
+
+    private void limitBy(Runnable then) {
+        control.loop.takeBack(limit);
+        limit = control.loop.at(control.loop.now() + control.answerUs, then);
+    }
+
+    /** The first answer counts; what follows it is dropped. */
+    void answer(int status, Map<String, ?> answer) {
+        if (answered) {
+            return;
+        }
+        answered = true;
+        byte[] json;
+        try {
+            json = JSON.writeValueAsBytes(answer);
+        } catch (JsonProcessingException e) {
+            throw new IllegalStateException(e);
+        }
+        link.out()
+                .put("HTTP/1.1 " + status + (status == OK ? " OK" : " No")
+                        + "\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: "
+                        + json.length + "\r\n\r\n")
+                .put(json);
+        link.later();
+        limitBy(() -> link.end(Ending.DONE));
+    }
+
+    /** Answers with what the vote came to. @param failure why that is not known; null where it is */
+    void answerAgreed(String said, String failure) {
+        answer(
+                failure == null ? OK : UNAVAILABLE,
+                Map.of(
+                        "said",
+                        failure == null
+                                ? said
+                                : "it is not known to be agreed (" + failure
+                                        + "): ask again, here or elsewhere"));
+    }
+
+    @Override
+    public void idle() {
+        if (answered) {
+            link.halfClose();
+        }
+    }
+
+    @Override
+    public void ended(Ending how) {
+        control.loop.takeBack(limit);
+        control.closed(this);
+    }
+}
