--- a/src/main/java/tinlink/net/FrameReader.java
+++ b/src/main/java/tinlink/net/FrameReader.java
@@ -44,7 +44,7 @@
     public void read(Ring in) throws BadMessage {
         while (in.size() > 0) {
             if (head < 4) {
-                length = length << 8 | in.take() & 0xff;
+                length = length << 8 | (in.take() & 0xff);
                 head++;
                 if (head == 4) {
                     if (length < 1 || length > 1 + Protocol.MOST_HEAD + Protocol.MOST_BODY) {
--- a/src/main/java/tinlink/net/HttpReader.java
+++ b/src/main/java/tinlink/net/HttpReader.java
@@ -176,7 +176,7 @@
         String value = text.substring(colon + 1).strip();
         if (name.equals("content-length")) {
             if (!LENGTH.matcher(value).matches()
-                    || lengthGiven && length != Long.parseLong(value)) {
+                    || (lengthGiven && length != Long.parseLong(value))) {
                 throw new BadMessage("Content-Length is no length");
             }
             length = Long.parseLong(value);
--- a/src/main/java/tinlink/net/JsonReader.java
+++ b/src/main/java/tinlink/net/JsonReader.java
@@ -51,7 +51,7 @@
 
     /** The value is whole; only blanks may follow. */
     public boolean isOver() {
-        return at == At.DONE || at == At.WORD && open.isEmpty();
+        return at == At.DONE || (at == At.WORD && open.isEmpty());
     }
 
     public void read(ByteBuffer piece) throws BadMessage {
@@ -90,9 +90,11 @@
             at = At.VALUE;
         } else if (at == At.COMMA_OR_END && b == ',') {
             at = inside(Map.class) ? At.NAME : At.VALUE;
-        } else if (b == '}' && (at == At.NAME_OR_END || at == At.COMMA_OR_END && inside(Map.class))
-                || b == ']'
-                        && (at == At.VALUE_OR_END || at == At.COMMA_OR_END && inside(List.class))) {
+        } else if ((b == '}'
+                        && (at == At.NAME_OR_END || (at == At.COMMA_OR_END && inside(Map.class))))
+                || (b == ']'
+                        && (at == At.VALUE_OR_END
+                                || (at == At.COMMA_OR_END && inside(List.class))))) {
             done(open.pop());
         } else if (b == '"' && at != At.COLON && at != At.COMMA_OR_END && at != At.DONE) {
             name = at == At.NAME || at == At.NAME_OR_END;
@@ -194,8 +196,8 @@
     private void word() throws BadMessage {
         String s = taken();
         switch (s) {
-            case "true" -> done(Boolean.TRUE);
-            case "false" -> done(Boolean.FALSE);
+            case "true" -> done(true);
+            case "false" -> done(false);
             case "null" -> done(null);
             default -> {
                 if (s.length() > 40 || !NUMBER.matcher(s).matches()) {
--- a/src/main/java/tinlink/sealed/FrameIn.java
+++ b/src/main/java/tinlink/sealed/FrameIn.java
@@ -41,7 +41,7 @@
     void read(Ring in) throws BadMessage {
         while (in.size() > 0) {
             if (head < 4) {
-                length = length << 8 | in.take() & 0xff;
+                length = length << 8 | (in.take() & 0xff);
                 if (++head == 4) {
                     if (length < 1 || length > most) {
                         throw Message.bad("a message of length " + length);
--- a/src/main/java/tinlink/sealed/Session.java
+++ b/src/main/java/tinlink/sealed/Session.java
@@ -142,7 +142,11 @@
         over(how);
     }
 
-    /** @param whole type and body, as they came */
+    /**
+     * A message has come from the proved other side.
+     *
+     * @param whole type and body, as they came
+     */
     protected abstract void said(byte type, ByteBuffer body, byte[] whole) throws BadMessage;
 
     protected abstract void over(Ending how);
--- a/src/test/java/tinlink/net/ParserPlayer.java
+++ b/src/test/java/tinlink/net/ParserPlayer.java
@@ -32,7 +32,7 @@
             }
         }
         byte[] all = in.toByteArray();
-        String kind = title.split(":")[0];
+        String kind = title.split(":", 0)[0];
         assertEquals(expected, run(kind, all, 0, 1), "byte by byte");
         for (int cut = 0; cut <= all.length; cut++) {
             assertEquals(expected, run(kind, all, cut, Integer.MAX_VALUE), "cut at " + cut);
