--- a/src/main/java/tinlink/gateway/FarSession.java
+++ b/src/main/java/tinlink/gateway/FarSession.java
@@ -4,6 +4,7 @@
 import tinlink.gateway.choice.Origin;
 import tinlink.net.BadMessage;
 import tinlink.net.Ending;
+import tinlink.sealed.Message;
 import tinlink.sealed.Session;
 
 import java.nio.ByteBuffer;
@@ -44,7 +45,7 @@
         if (hello == null) {
             greeted(type, in, whole);
         } else if (origin == null) {
-            proved(type, in, whole);
+            proved(type, in);
         } else {
             switch (type) {
                 case Wire.PART -> part(in);
@@ -82,7 +83,7 @@
             throw Wire.bad("a site or a key that is not known here: " + site + ", " + keyId);
         }
         hello = java.util.Arrays.copyOfRange(whole, 1, in.position());
-        challenge = new Wire.Out()
+        challenge = new Message.Out()
                 .two(Wire.VERSION)
                 .text(gateway.names.site())
                 .text(gateway.names.router())
@@ -95,13 +96,13 @@
         // is.
         send(
                 Wire.CHALLENGE,
-                new Wire.Out()
+                new Message.Out()
                         .bytes(challenge)
                         .bytes(gateway.keys.proof(keyId, "far proof", hello, challenge))
                         .made());
     }
 
-    private void proved(byte type, ByteBuffer in, byte[] whole) throws BadMessage {
+    private void proved(byte type, ByteBuffer in) throws BadMessage {
         if (type != Wire.PROOF) {
             throw Wire.bad("no proof");
         }
@@ -183,11 +184,12 @@
         server.taker.asked(origin, this, about, ups, fence, numbers);
     }
 
+    @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
     void say(int about, long number, Fate fate, FarPart p) {
         boolean value = p != null && fate == Fate.DONE;
         send(
                 Wire.SAY,
-                new Wire.Out()
+                new Message.Out()
                         .two(about)
                         .eight(number)
                         .byt(fate.ordinal())
--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -6,6 +6,7 @@
 import tinlink.net.Counters;
 import tinlink.net.Loop;
 import tinlink.net.Network;
+import tinlink.sealed.Message;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -30,7 +31,11 @@
     /** Who this router is, and which sites' routers it takes parts from. */
     public record Names(String site, String router, long incarnation, Set<String> accepts) {}
 
-    /** @param recoverUs how long a part is held for its fate after a cut; 0: not at all */
+    /**
+     * The times of a gateway, in microseconds.
+     *
+     * @param recoverUs how long a part is held for its fate after a cut; 0: not at all
+     */
     public record Times(long beatUs, long handshakeUs, long recoverUs, long longestUs) {}
 
     /** What other sites may have here, and what may wait for a credit of theirs. */
--- a/src/main/java/tinlink/gateway/NearPart.java
+++ b/src/main/java/tinlink/gateway/NearPart.java
@@ -27,7 +27,8 @@
     public long comeBackUs;
 
     /**
-     * @param cell where the near router's module wants it; @param repeatable a second run does no
+     * @param cell where the near router's module wants it
+     * @param repeatable a second run does no
      *     harm
      * @param effectUntil the end of its key's window; Long.MAX_VALUE where it has none
      */
--- a/src/main/java/tinlink/gateway/NearSession.java
+++ b/src/main/java/tinlink/gateway/NearSession.java
@@ -5,6 +5,7 @@
 import tinlink.gateway.choice.Lane;
 import tinlink.net.BadMessage;
 import tinlink.net.Ending;
+import tinlink.sealed.Message;
 import tinlink.sealed.Session;
 
 import java.nio.ByteBuffer;
@@ -37,7 +38,7 @@
     @Override
     public void up() {
         keyId = gateway.keys.use();
-        hello = new Wire.Out()
+        hello = new Message.Out()
                 .two(Wire.VERSION)
                 .text(keyId)
                 .text(gateway.names.site())
@@ -91,10 +92,10 @@
             gateway.counters.add("near_wrong_proof");
             throw Wire.bad("a wrong proof");
         }
-        byte[] next = new Wire.Out().eight(lane.ups() + 1).eight(lane.next()).made();
+        byte[] next = new Message.Out().eight(lane.ups() + 1).eight(lane.next()).made();
         send(
                 Wire.PROOF,
-                new Wire.Out()
+                new Message.Out()
                         .bytes(next)
                         .bytes(gateway.keys.proof(keyId, "near proof", hello, challenge, next))
                         .made());
@@ -108,6 +109,7 @@
         lane.router.up(lane, incarnation, gateway.loop.now() - saidAt);
     }
 
+    @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
     private void fate(ByteBuffer in) throws BadMessage {
         int line = in.getShort();
         long number = in.getLong();
--- a/src/main/java/tinlink/gateway/choice/FarRouter.java
+++ b/src/main/java/tinlink/gateway/choice/FarRouter.java
@@ -20,7 +20,11 @@
         /** Ends the line's connection; {@link FarRouter#lost} follows. */
         void cut(Lane lane);
 
-        /** @param lowest parts under this number are of no interest any more */
+        /**
+         * Sends a heartbeat.
+         *
+         * @param lowest parts under this number are of no interest any more
+         */
         void ping(Lane lane, long number, long lowest);
 
         void send(Forwarded part);
@@ -40,6 +44,8 @@
     }
 
     /**
+     * How long and for how many parts the near side waits.
+     *
      * @param beatUs between two heartbeats
      * @param waiting parts that may wait for a credit at a time
      * @param recoverUs how long after a cut a part is held for its fate
--- a/src/main/java/tinlink/gateway/choice/Taker.java
+++ b/src/main/java/tinlink/gateway/choice/Taker.java
@@ -32,6 +32,8 @@
     }
 
     /**
+     * How much of other sites' work is taken and remembered.
+     *
      * @param running parts of other sites that may run here at a time
      * @param kept ended ones that are remembered, and of how many bytes together
      * @param keepUs how long an origin without a connection is remembered: no client waits for
@@ -163,7 +165,7 @@
         }
         o.lastBegun = p.number;
         o.parts.put(p.number, p);
-        if (leaving || !inTime || running >= bounds.running() || o.running >= windowOf(o)) {
+        if (leaving || !inTime || running >= bounds.running() || o.running >= window()) {
             refused |= running >= bounds.running();
             finish(p, leaving ? Fate.NEVER_BEGUN : Fate.REFUSED, 0);
             return;
@@ -298,7 +300,7 @@
 
     // ---- Decisions. ----
 
-    private int windowOf(Origin o) {
+    private int window() {
         int connected = 0;
         for (Origin each : origins.values()) {
             connected += each.session != null ? 1 : 0;
@@ -323,7 +325,7 @@
             refused = false;
         }
         for (Origin o : origins.values()) {
-            int window = windowOf(o);
+            int window = window();
             if (o.session != null && told.getOrDefault(o.session, 0) != window) {
                 told.put(o.session, window);
                 h.window(o.session, window);
--- a/src/test/java/tinlink/gateway/PeerTest.java
+++ b/src/test/java/tinlink/gateway/PeerTest.java
@@ -14,6 +14,7 @@
 import tinlink.gateway.choice.Fate;
 import tinlink.net.Loop;
 import tinlink.net.Network;
+import tinlink.sealed.Message;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -118,8 +119,8 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        Keys.Seal out;
-        Keys.Seal back;
+        tinlink.sealed.Keys.Seal out;
+        tinlink.sealed.Keys.Seal back;
         int version = Wire.VERSION;
         long incarnation = 5;
         long ups = 1;
@@ -156,7 +157,7 @@
         }
 
         void greets() throws IOException {
-            hello = new Wire.Out()
+            hello = new Message.Out()
                     .two(version)
                     .text(keyId)
                     .text(site)
@@ -175,8 +176,8 @@
         }
 
         byte[] proof() {
-            byte[] next = new Wire.Out().eight(ups).eight(1).made();
-            return new Wire.Out()
+            byte[] next = new Message.Out().eight(ups).eight(1).made();
+            return new Message.Out()
                     .bytes(next)
                     .bytes(keys.proof(keyId, "near proof", hello, challenge, next))
                     .made();
@@ -186,8 +187,8 @@
             greets();
             send(Wire.PROOF, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            out = new Keys.Seal(Keys.mac(secret, "to the far side"));
-            back = new Keys.Seal(Keys.mac(secret, "to the near side"));
+            out = new tinlink.sealed.Keys.Seal(Keys.mac(secret, "to the far side"));
+            back = new tinlink.sealed.Keys.Seal(Keys.mac(secret, "to the near side"));
             awaits(Wire.WINDOW);
         }
 
@@ -205,12 +206,12 @@
         }
 
         void ping(long number) throws IOException {
-            send(Wire.PING, new Wire.Out().eight(number).eight(1).made());
+            send(Wire.PING, new Message.Out().eight(number).eight(1).made());
             assertEquals(number, awaits(Wire.PONG).getLong());
         }
 
         byte[] partBody(long number, int shard, long leftUs, long pong) {
-            return new Wire.Out()
+            return new Message.Out()
                     .eight(number)
                     .eight(leftUs)
                     .eight(Long.MAX_VALUE)
@@ -229,6 +230,7 @@
         }
 
         /** The fate that comes next, which must be of that number, and its value. */
+        @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
         String value(long number) throws IOException {
             ByteBuffer b = awaits(Wire.SAY);
             b.getShort();
@@ -264,7 +266,7 @@
         Peer old = new Peer(KEYS, "k0", "east");
         old.send(
                 Wire.HELLO,
-                new Wire.Out()
+                new Message.Out()
                         .two(1)
                         .text("k0")
                         .text("east")
@@ -281,7 +283,7 @@
         for (int i = 0; i < 3; i++) {
             Peer p = new Peer(KEYS, "k1", i == 0 ? "north" : "east");
             p.version = i == 1 ? 2 : 1;
-            p.hello = new Wire.Out()
+            p.hello = new Message.Out()
                     .two(p.version)
                     .text("k1")
                     .text(p.site)
@@ -400,14 +402,14 @@
     @Test
     void messagesThatDoNotFitEndTheLine() throws Exception {
         ByteArrayOutputStream many = new ByteArrayOutputStream();
-        many.writeBytes(new Wire.Out().two(0).eight(1).eight(1).two(60_000).made());
+        many.writeBytes(new Message.Out().two(0).eight(1).eight(1).two(60_000).made());
         byte[][] bodies = {
-            many.toByteArray(), new byte[3], new Wire.Out().eight(-1).made()
+            many.toByteArray(), new byte[3], new Message.Out().eight(-1).made()
         };
         byte[] types = {Wire.FATES, Wire.PART, (byte) 99};
         for (int i = 0; i < bodies.length; i++) {
             Peer p = new Peer(KEYS, "k1", "east");
-            p.ups = 3 + i;
+            p.ups = 3L + i;
             p.shakes();
             p.send(types[i], bodies[i]);
             p.refused();
--- a/src/test/java/tinlink/gateway/choice/ChoicePlayer.java
+++ b/src/test/java/tinlink/gateway/choice/ChoicePlayer.java
@@ -140,7 +140,7 @@
     }
 
     private void pull() {
-        while (far != null && far.decide(this) || taker != null && taker.decide(this)) {
+        while ((far != null && far.decide(this)) || (taker != null && taker.decide(this))) {
             // Each has been noted.
         }
     }
--- a/src/test/java/tinlink/gateway/choice/LossyLinesTest.java
+++ b/src/test/java/tinlink/gateway/choice/LossyLinesTest.java
@@ -30,7 +30,6 @@
         private int effects;
         private Fate fate;
         private boolean givenUp;
-        private long endedAt;
 
         Part(long until, boolean repeatable) {
             super(until, 0, repeatable);
@@ -136,7 +135,7 @@
         public void connect(Lane lane) {
             Conn c = new Conn(lane);
             event(now + 2 * delay(), () -> {
-                if (c.at != taker || !quiet && random.nextInt(4) == 0) {
+                if (c.at != taker || (!quiet && random.nextInt(4) == 0)) {
                     far.lost(lane, p -> true);
                     return;
                 }
@@ -222,7 +221,6 @@
     private void end(Part p, Fate fate) {
         p.ends++;
         p.fate = fate;
-        p.endedAt = now;
         assertEquals(1, p.ends, "a second end: " + fate);
         assertTrue(now <= p.until, "an end after its time");
     }
