--- a/src/main/java/tinlink/http2/Engine.java
+++ b/src/main/java/tinlink/http2/Engine.java
@@ -35,6 +35,8 @@
         void answered(Stream s);
 
         /**
+         * A stream has ended without an answer.
+         *
          * @param never the other side has said that it did not process any of it
          * @param ours what came of it was malformed, and we have ended it
          */
--- a/src/main/java/tinlink/http2/FrameParser.java
+++ b/src/main/java/tinlink/http2/FrameParser.java
@@ -32,7 +32,7 @@
                 if (headRead < H2.HEAD) {
                     continue;
                 }
-                int length = (head[0] & 0xff) << 16 | (head[1] & 0xff) << 8 | head[2] & 0xff;
+                int length = (head[0] & 0xff) << 16 | (head[1] & 0xff) << 8 | (head[2] & 0xff);
                 if (length > H2.LEAST_FRAME) {
                     throw new Broken(H2.Code.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
                 }
--- a/src/main/java/tinlink/http2/H2.java
+++ b/src/main/java/tinlink/http2/H2.java
@@ -43,7 +43,19 @@
         CONNECT_ERROR,
         ENHANCE_YOUR_CALM,
         INADEQUATE_SECURITY,
-        HTTP_1_1_REQUIRED
+        HTTP_1_1_REQUIRED;
+
+        /** As RFC 9113 numbers it; the codes stand here in the order of section 7. */
+        @SuppressWarnings("EnumOrdinal") // The numbers are those of the order, by the protocol.
+        int number() {
+            return ordinal();
+        }
+
+        /** The code of that number. */
+        @SuppressWarnings("EnumOrdinal") // As above.
+        static Code of(int number) {
+            return values()[number];
+        }
     }
 
     static final byte[] PREFACE =
--- a/src/main/java/tinlink/http2/NodeStreams.java
+++ b/src/main/java/tinlink/http2/NodeStreams.java
@@ -77,7 +77,11 @@
         pool.call(r);
     }
 
-    /** Its outcome is known. @param say the node should hear that it is given up */
+    /**
+     * Its outcome is known.
+     *
+     * @param say the node should hear that it is given up
+     */
     public void cancel(PartRequest r, boolean say) {
         touch();
         r.over = true;
--- a/src/main/java/tinlink/http2/choice/Pool.java
+++ b/src/main/java/tinlink/http2/choice/Pool.java
@@ -26,6 +26,8 @@
         void ping(Conn c, long number);
 
         /**
+         * Closes a connection.
+         *
          * @param silent it has answered nothing; else it is not needed any more, and nothing is out
          *     on it
          */
@@ -35,6 +37,8 @@
     }
 
     /**
+     * The bounds of a pool, times in microseconds.
+     *
      * @param connections at a time
      * @param firstStreams that a connection which is coming up is taken to have room for
      * @param waiting calls that wait at a time
@@ -229,7 +233,7 @@
         boolean dead = c.ping > 0 && now >= c.pingAt + bounds.pingUs();
         boolean unused = c.open == 0
                 && (c.state == Conn.State.LEAVING
-                        || c.state == Conn.State.UP && now >= c.usedAt + bounds.idleUs());
+                        || (c.state == Conn.State.UP && now >= c.usedAt + bounds.idleUs()));
         if (unsettled || dead || unused) {
             h.close(c, !unused);
             return true;
@@ -268,7 +272,7 @@
         int alive = 0;
         for (Conn c : conns) {
             boolean comes =
-                    c.state == Conn.State.CONNECTING || c.state == Conn.State.UP && !c.settled;
+                    c.state == Conn.State.CONNECTING || (c.state == Conn.State.UP && !c.settled);
             coming += comes ? Math.min(usualLimit, bounds.firstStreams()) : 0;
             alive += c.state == Conn.State.LEAVING ? 0 : 1;
         }
@@ -293,7 +297,7 @@
     private boolean waits(Hands h) {
         boolean full = conns.stream().anyMatch(c -> c.settled && c.state == Conn.State.UP);
         for (Waiting w : waiting) {
-            if (now >= w.until || full && now >= w.waitsUntil) {
+            if (now >= w.until || (full && now >= w.waitsUntil)) {
                 waiting.remove(w);
                 over(h, w, Over.FULL);
                 return true;
