--- a/src/main/java/tinlink/peers/Agreement.java
+++ b/src/main/java/tinlink/peers/Agreement.java
@@ -200,15 +200,17 @@
             return new Entry.Reached(m.getTerm(), a.getLastLogIndex());
         }
         boolean kept = m instanceof VoteRequest
-                || m instanceof VoteResponse v && v.isGranted()
+                || (m instanceof VoteResponse v && v.isGranted())
                 || m instanceof AppendEntriesRequest;
         return kept ? new Entry.Reached(m.getTerm(), 0) : null;
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // What a node reports is looked at by tend.
     public void start() {
         node.start();
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // Nothing follows its end.
     public void end() {
         ends = true;
         node.terminate();
@@ -225,6 +227,7 @@
      * seeded play: no vote was asked for in thirty seconds without a leader), and a group of such
      * followers never gets another leader. Such a one is made anew from what is kept.
      */
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
     public void tend() {
         RaftNode n = node;
         if (anew || ends || RaftNodeStatus.isTerminal(n.getStatus())) {
@@ -265,6 +268,9 @@
                 && silent > DEAF * 1000L * SILENT_S;
     }
 
+    @SuppressWarnings(
+            "FutureReturnValueIgnored") // The callback hears of failures; tend looks after the new
+    // one.
     private void again(RaftNode n) {
         if (anew || ends || n != node) {
             return;
@@ -317,6 +323,7 @@
      * @param told what is said to it once it is agreed, with null for why; or why it is not known
      *     whether it is, or that it is not. On the executor's thread
      */
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
     public void propose(String line, BiConsumer<String, Throwable> told) {
         node.<String>replicate(line)
                 .whenComplete((o, e) -> told.accept(o == null ? null : o.getResult(), e));
@@ -325,6 +332,7 @@
     /**
      * Once all that was agreed before this call has been played here; only the leader can say so.
      */
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
     public void settled(BiConsumer<Long, Throwable> told) {
         node.query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.<Duration>empty())
                 .whenComplete((o, e) -> told.accept(o == null ? null : o.getCommitIndex(), e));
@@ -353,6 +361,7 @@
     }
 
     /** One change at a time; on the leader. */
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
     public void change(Voter who, boolean in, BiConsumer<String, Throwable> told) {
         node.changeMembership(
                         who,
--- a/src/main/java/tinlink/peers/Pace.java
+++ b/src/main/java/tinlink/peers/Pace.java
@@ -45,6 +45,7 @@
         }
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // A task that is scheduled is never taken back.
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
--- a/src/main/java/tinlink/peers/PeerLinks.java
+++ b/src/main/java/tinlink/peers/PeerLinks.java
@@ -37,6 +37,8 @@
     private static final long MOST_WAITING_BYTES = 4L << 20;
 
     /**
+     * The times of links, in microseconds.
+     *
      * @param idleUs a link with nothing said for so long is closed
      * @param againUs an address where nobody answered is left alone for so long
      */
@@ -50,10 +52,16 @@
 
     /** What hears what peers say. */
     public interface Hears {
-        /** @param from proved by its key; that it is the one router of that name is not */
+        /**
+         * A message has come.
+         *
+         * @param from proved by its key; that it is the one router of that name is not
+         */
         void heard(Life from, byte type, ByteBuffer body) throws BadMessage;
     }
 
+    @SuppressWarnings(
+            "ArrayRecordComponent") // Waits are never compared; the bytes go out as they are.
     private record Waits(byte type, byte[] body) {}
 
     /** One address that is spoken to. */
--- a/src/main/java/tinlink/peers/PeerWire.java
+++ b/src/main/java/tinlink/peers/PeerWire.java
@@ -45,6 +45,7 @@
         return new Life(name, in.getLong(), in.getLong());
     }
 
+    @SuppressWarnings("EnumOrdinal") // Standings are numbered in their order.
     static void rumors(Out o, List<Rumor> all) {
         o.byt(all.size());
         for (Rumor r : all) {
@@ -53,6 +54,7 @@
         }
     }
 
+    @SuppressWarnings("EnumOrdinal") // As above.
     static List<Rumor> rumors(ByteBuffer in) throws BadMessage {
         int n = in.get();
         if (n < 0 || n > MOST_RUMORS) {
--- a/src/main/java/tinlink/peers/Peers.java
+++ b/src/main/java/tinlink/peers/Peers.java
@@ -43,16 +43,26 @@
 public final class Peers implements Membership.Hands, PeerLinks.Hears, Agreement.Hears, Loop.Turn {
     private static final Logger LOG = Logger.getLogger("tinlink.peers");
 
-    /** Which cluster, and who we are in it. @param at where others reach us */
+    /**
+     * Which cluster, and who we are in it.
+     *
+     * @param at where others reach us
+     */
     public record Names(String cluster, String router, InetSocketAddress listen, String at) {}
 
     /**
+     * The other routers, as configured.
+     *
      * @param known by router where it is reached from here; others are reached where they say
      * @param voters who agrees at the very first start of the cluster
      */
     public record Others(Map<String, String> known, Set<String> voters) {}
 
-    /** @param secondUs one beat of the agreement; a leader is missed after four of them */
+    /**
+     * The paces of membership, agreement and links, in microseconds.
+     *
+     * @param secondUs one beat of the agreement; a leader is missed after four of them
+     */
     public record Pacing(long roundUs, int helpers, long secondUs, long handshakeUs, long idleUs) {}
 
     /**
@@ -100,9 +110,8 @@
     private final Membership membership;
     private final SplittableRandom random;
     private final Pace pace;
-    private final Agreed book;
     private final Shown shown;
-    /** As the agreement's thread has it; the loop's copy is {@link #book}. */
+    /** As the agreement's thread has it; the loop's copy is with {@link #shown}. */
     private final Agreed voted;
 
     private final Counters counters;
@@ -145,7 +154,8 @@
     private boolean over;
 
     /**
-     * @param book what is agreed on, as the loop has it; @param voted the same once more, for the
+     * @param book what is agreed on, as the loop has it
+     * @param voted the same once more, for the
      *     agreement's thread
      * @throws IOException where the folder can't be used
      */
@@ -167,7 +177,6 @@
         this.others = others;
         this.pacing = pacing;
         this.bounds = bounds;
-        this.book = book;
         this.voted = voted;
         identity = new Identity(folder, names.router());
         records = new DiskRecords(folder, bounds.diskBytes());
--- a/src/main/java/tinlink/peers/RaftCodec.java
+++ b/src/main/java/tinlink/peers/RaftCodec.java
@@ -109,7 +109,11 @@
         return o.byt(type).text(m.getSender().toString()).four(m.getTerm());
     }
 
-    /** @throws BadMessage where it is none; a buffer that is too short throws its own */
+    /**
+     * Reads a message.
+     *
+     * @throws BadMessage where it is none; a buffer that is too short throws its own
+     */
     public static RaftMessage message(ByteBuffer in) throws BadMessage {
         int type = in.get();
         Voter from = voter(in);
@@ -298,6 +302,7 @@
                 .build();
     }
 
+    @SuppressWarnings("EnumOrdinal") // Modes are numbered in their order.
     private static void operation(Message.Out o, Object what) {
         if (what instanceof UpdateRaftGroupMembersOp u) {
             o.byt(1);
@@ -309,6 +314,7 @@
         }
     }
 
+    @SuppressWarnings("EnumOrdinal") // As above.
     private static Object operation(ByteBuffer in) throws BadMessage {
         if (in.get() == 0) {
             return Message.longText(in, MOST_TEXT);
--- a/src/main/java/tinlink/peers/Voter.java
+++ b/src/main/java/tinlink/peers/Voter.java
@@ -21,7 +21,11 @@
         return names != 0 ? names : Long.compare(disk, o.disk);
     }
 
-    /** @throws IllegalArgumentException where the text is none */
+    /**
+     * Reads a voter from its text.
+     *
+     * @throws IllegalArgumentException where the text is none
+     */
     public static Voter of(String text) {
         int at = text.lastIndexOf('/');
         if (at < 1) {
--- a/src/main/java/tinlink/peers/choice/Entry.java
+++ b/src/main/java/tinlink/peers/choice/Entry.java
@@ -28,18 +28,19 @@
     /**
      * How far a disk has been heard to be.
      *
-     * @param term the highest in which it said something; @param confirmed the end of the log that
+     * @param term the highest in which it said something
+     * @param confirmed the end of the log that
      *     it confirmed in that term
      */
     public record Reached(int term, long confirmed) {
         /** Whether a disk that is there can have said this. */
         boolean within(Reached disk) {
-            return term < disk.term || term == disk.term && confirmed <= disk.confirmed;
+            return term < disk.term || (term == disk.term && confirmed <= disk.confirmed);
         }
 
         /** Both heard. */
         public Reached with(Reached o) {
-            return o.term > term || o.term == term && o.confirmed > confirmed ? o : this;
+            return o.term > term || (o.term == term && o.confirmed > confirmed) ? o : this;
         }
     }
 
@@ -109,8 +110,8 @@
         if (other == Life.Other.TWIN && !empty) {
             may = May.TWIN;
         } else if (other == Life.Other.LATER
-                || empty && known != null && other != Life.Other.SAME
-                || heard != null && !heard.within(disk)) {
+                || (empty && known != null && other != Life.Other.SAME)
+                || (heard != null && !heard.within(disk))) {
             may = May.OLD;
             laterStarts = known == null ? 1 : known.starts();
         } else {
@@ -134,8 +135,8 @@
         boolean floor = answered.size() >= need();
         if (may == May.NOT_KNOWN
                 && (answered.size() == others.size()
-                        || floor && now >= since + graceUs
-                        || answered.size() >= group / 2 && now >= since + 5 * graceUs)) {
+                        || (floor && now >= since + graceUs)
+                        || (answered.size() >= group / 2 && now >= since + 5 * graceUs))) {
             may = May.VOTE;
         }
         return may;
--- a/src/main/java/tinlink/peers/choice/Floor.java
+++ b/src/main/java/tinlink/peers/choice/Floor.java
@@ -15,14 +15,16 @@
  * <p>Source: the argument is that of quorums which meet (D. Ongaro and J. Ousterhout, 2014, section
  * 5.4), with the one who asks left out of the count.
  *
- * @param term the latest that one of them was in; @param lastTerm and lastIndex the end of a log
+ * @param term the latest that one of them was in
+ * @param lastTerm and lastIndex the end of a log
  */
 public record Floor(int term, int lastTerm, long lastIndex) {
     /** Holds nobody to anything. */
     public static final Floor NONE = new Floor(0, 0, 0);
 
     /**
-     * @param others where the disks of other voters are, in any order; @param need how many of them
+     * @param others where the disks of other voters are, in any order
+     * @param need how many of them
      *     suffice: those least far, so that one that is far ahead and gone again binds nobody
      */
     static Floor of(Collection<Floor> others, int need) {
@@ -37,12 +39,12 @@
     }
 
     private boolean isWithin(int ofTerm, long ofIndex) {
-        return ofTerm > lastTerm || ofTerm == lastTerm && ofIndex >= lastIndex;
+        return ofTerm > lastTerm || (ofTerm == lastTerm && ofIndex >= lastIndex);
     }
 
     /** Whether whoever asks for a vote in that term, with a log that ends there, may get it. */
     public boolean mayGrant(int inTerm, int logTerm, long logIndex) {
-        return equals(NONE) || inTerm > term && isWithin(logTerm, logIndex);
+        return equals(NONE) || (inTerm > term && isWithin(logTerm, logIndex));
     }
 
     /**
--- a/src/main/java/tinlink/peers/choice/Membership.java
+++ b/src/main/java/tinlink/peers/choice/Membership.java
@@ -51,6 +51,8 @@
     private static final int SEED_EVERY = 4;
 
     /**
+     * The pace of probes.
+     *
      * @param roundUs between two probes; an answer is awaited for half of it, then others are asked
      * @param helpers who are asked to probe a silent one
      * @param most members that are known at a time
@@ -59,7 +61,11 @@
 
     /** What becomes of decisions. */
     public interface Hands {
-        /** @param at where it is reached; the word goes there whoever answers */
+        /**
+         * Sends a probe.
+         *
+         * @param at where it is reached; the word goes there whoever answers
+         */
         void probe(String at, long number, List<Rumor> rumors);
 
         void answer(String at, long number, List<Rumor> rumors);
@@ -269,8 +275,8 @@
             }
             case SAME -> {
                 boolean over = r.incarnation() > m.incarnation
-                        || r.incarnation() == m.incarnation
-                                && r.standing().compareTo(m.standing) > 0;
+                        || (r.incarnation() == m.incarnation
+                                && r.standing().compareTo(m.standing) > 0);
                 // Danger: a dead life stays dead; what returns says a higher incarnation of its
                 // own.
                 if (over && (m.standing != Standing.LEFT || r.incarnation() > m.incarnation)) {
@@ -441,7 +447,7 @@
                 ? 1
                 : Math.log(Math.max(0, m.accusers.size() - 1) + 1.0) / Math.log(want + 1.0);
         double most = UNCONFIRMED * least;
-        return (long) Math.max(least, most - (most - least) * confirmed) * (1 + doubt);
+        return ((long) Math.max(least, most - (most - least) * confirmed)) * (1 + doubt);
     }
 
     private boolean suspicionsDue() {
