--- a/src/main/java/tinlink/policy/Policy.java
+++ b/src/main/java/tinlink/policy/Policy.java
@@ -129,7 +129,7 @@
         Absent absent = changes().inForce().absent();
         Change open = changes().open();
         boolean fences = absent.rule() == Absent.Rule.FENCE
-                || open != null && open.absent().rule() == Absent.Rule.FENCE;
+                || (open != null && open.absent().rule() == Absent.Rule.FENCE);
         if (fences) {
             long asked = loop.now();
             peers.confirm(index -> {
@@ -169,7 +169,11 @@
         }
     }
 
-    /** @param told what is said to it, or why that is not known */
+    /**
+     * Proposes a change, for an operator.
+     *
+     * @param told what is said to it, or why that is not known
+     */
     public void propose(
             String id,
             long against,
--- a/src/main/java/tinlink/policy/PolicyTerms.java
+++ b/src/main/java/tinlink/policy/PolicyTerms.java
@@ -14,7 +14,11 @@
  * routers that are absent. All else in it is for each router's own checks.
  */
 public record PolicyTerms(String digest, Absent absent) {
-    /** @throws tinlink.start.BadInput naming the key that is wrong */
+    /**
+     * Reads the terms from a policy's text.
+     *
+     * @throws tinlink.start.BadInput naming the key that is wrong
+     */
     public static PolicyTerms of(String text) {
         JsonFile a = JsonFile.of("policy", text).object("absent");
         String rule = a.text("rule", "withdraw");
--- a/src/main/java/tinlink/policy/choice/Changes.java
+++ b/src/main/java/tinlink/policy/choice/Changes.java
@@ -40,7 +40,10 @@
 
     private Change open;
 
-    /** @param kept ended changes that are remembered; @param most routers */
+    /**
+     * @param kept ended changes that are remembered
+     * @param most routers
+     */
     public Changes(int kept, int most, Absent first) {
         this.kept = kept;
         this.most = most;
@@ -328,7 +331,11 @@
         return ChangesSnapshot.write(this);
     }
 
-    /** @throws IllegalArgumentException where these are no lines of changes */
+    /**
+     * Reads changes from their lines.
+     *
+     * @throws IllegalArgumentException where these are no lines of changes
+     */
     public static Changes of(int kept, int most, Absent first, List<List<String>> lines) {
         Changes all = new Changes(kept, most, first);
         ChangesSnapshot.read(all, lines);
--- a/src/main/java/tinlink/work/Work.java
+++ b/src/main/java/tinlink/work/Work.java
@@ -56,6 +56,8 @@
     }
 
     /**
+     * The figures of a router's work.
+     *
      * @param zone this router's
      * @param sites by zone; a zone that is not named is a site of its own
      * @param bounds for the first start of a fleet; later the ones agreed on hold
@@ -150,7 +152,9 @@
     };
 
     /**
-     * From now on it takes its part. @param whenKnown runs once this router's start is agreed on
+     * From now on it takes its part.
+     *
+     * @param whenKnown runs once this router's start is agreed on
      */
     public void start(Runnable whenKnown) {
         this.whenKnown = whenKnown;
@@ -299,7 +303,11 @@
         });
     }
 
-    /** For an operator. @param told what is said to it, or why that is not known */
+    /**
+     * For an operator.
+     *
+     * @param told what is said to it, or why that is not known
+     */
     public void propose(String line, BiConsumer<String, String> told) {
         peers.propose(line, told);
     }
--- a/src/main/java/tinlink/work/choice/Holder.java
+++ b/src/main/java/tinlink/work/choice/Holder.java
@@ -113,8 +113,8 @@
                 // Only by an order that knows of this start: one from before it is history.
                 boolean taken =
                         isKnown(order) && (p.state() == State.OUT || p.state() == State.OVERDUE);
-                go |= taken || begun && p.state() != State.RETURNING;
-                if (p.state() == State.GRANTED || p.state() == State.DRAINING && !begun) {
+                go |= taken || (begun && p.state() != State.RETURNING);
+                if (p.state() == State.GRANTED || (p.state() == State.DRAINING && !begun)) {
                     lines.add(Order.beginWords(router, p.fence(), life));
                 } else if (p.state() == State.RETURNING && !gone && !p.here()) {
                     lines.add(Order.servesWords(router, life));
--- a/src/main/java/tinlink/work/choice/Lead.java
+++ b/src/main/java/tinlink/work/choice/Lead.java
@@ -104,7 +104,11 @@
         return Words.of("left", life);
     }
 
-    /** @param from proved by its key; it speaks for itself alone */
+    /**
+     * Hears a report from another router.
+     *
+     * @param from proved by its key; it speaks for itself alone
+     */
     public void told(String from, String line) {
         List<String> w = Words.in(line);
         try {
@@ -149,7 +153,9 @@
 
     /** One beat's lines; false where there is nothing to put now. */
     public boolean decide(Order order, Hands h) {
-        if (!leads || now < beatAt || awaited > 0 && now - awaitedSince < AWAITED_BEATS * beatUs) {
+        if (!leads
+                || now < beatAt
+                || (awaited > 0 && now - awaitedSince < AWAITED_BEATS * beatUs)) {
             return false;
         }
         beatAt = now + beatUs;
--- a/src/main/java/tinlink/work/choice/Order.java
+++ b/src/main/java/tinlink/work/choice/Order.java
@@ -106,6 +106,7 @@
     }
 
     /** Whether bounds have been agreed on. */
+    @SuppressWarnings("ReferenceEquality") // Equal figures may have been agreed on.
     public boolean isBounded() {
         return bounds != Bounds.NONE;
     }
@@ -211,7 +212,11 @@
         return b.words();
     }
 
-    /** @param passedUs since the last one, on the leader's monotonic clock */
+    /**
+     * The command for a step of time.
+     *
+     * @param passedUs since the last one, on the leader's monotonic clock
+     */
     public static String tickWords(long passedUs) {
         return Words.of("tick", passedUs);
     }
@@ -256,7 +261,12 @@
         return Words.of("serves", router, life);
     }
 
-    /** @param machine empty for all of the request; @param lost it will not come back */
+    /**
+     * The command that ends work on a machine.
+     *
+     * @param machine empty for all of the request
+     * @param lost it will not come back
+     */
     public static String doneWords(String request, String machine, boolean lost) {
         return Words.of("done", request, machine, lost ? "lost" : "back");
     }
@@ -433,7 +443,7 @@
         if (p == null
                 || p.fence != fence
                 || !lives(router, life)
-                || p.state != State.GRANTED && p.state != State.DRAINING) {
+                || (p.state != State.GRANTED && p.state != State.DRAINING)) {
             return "that grant is over";
         }
         if (p.state == State.GRANTED) {
@@ -487,7 +497,7 @@
                 ends(p, State.OVERDUE, "given up by its operator: the machine does not come back");
                 gone(p.machine);
                 lives.remove(p.machine);
-            } else if (p.state == State.OUT || p.state == State.OVERDUE && p.away()) {
+            } else if (p.state == State.OUT || (p.state == State.OVERDUE && p.away())) {
                 stands(p, State.RETURNING);
             } else if (!p.over() && p.state != State.RETURNING) {
                 early = "not out yet: " + p.machine;
@@ -622,7 +632,7 @@
         return new Tally(
                         bounds,
                         machines.values(),
-                        x -> x.equals(m) || sound(x.id()) && away(x.id()) == null)
+                        x -> x.equals(m) || (sound(x.id()) && away(x.id()) == null))
                 .without(m);
     }
 
@@ -635,7 +645,7 @@
             // those that
             // have said that they serve nobody, and have not been started again since.
             Piece own = away(router);
-            boolean serves = m != null && m.isRouter()
+            boolean serves = (m != null && m.isRouter())
                     ? router.equals(p.machine)
                     : own == null
                             || own.state == State.RETURNING
@@ -725,7 +735,11 @@
         return all;
     }
 
-    /** @throws IllegalArgumentException where these are no lines of an order */
+    /**
+     * Reads an order from its lines.
+     *
+     * @throws IllegalArgumentException where these are no lines of an order
+     */
     public static Order of(List<String> lines) {
         Order o = new Order();
         Request r = null;
--- a/src/main/java/tinlink/work/choice/Sight.java
+++ b/src/main/java/tinlink/work/choice/Sight.java
@@ -33,7 +33,8 @@
     private final ListVotes differences;
 
     /**
-     * @param oldUs a word counts for so long; @param most machines and routers that are looked at
+     * @param oldUs a word counts for so long
+     * @param most machines and routers that are looked at
      */
     public Sight(long oldUs, int most) {
         this.oldUs = oldUs;
@@ -64,7 +65,11 @@
         }
     }
 
-    /** A router's list as it has it now. @param site the router's own */
+    /**
+     * A router's list as it has it now.
+     *
+     * @param site the router's own
+     */
     public void listed(String router, String site, Collection<Machine> nodes, long now) {
         if (lists.size() < most || lists.containsKey(router)) {
             differences.forget(router);
@@ -94,7 +99,7 @@
             boolean sound = order.sound(m.id());
             // Danger: one router that is cut off would count half the fleet out, or count a dead
             // machine in.
-            if (sound && ill > well || !sound && well > ill) {
+            if ((sound && ill > well) || (!sound && well > ill)) {
                 all.add(Order.soundWords(m.id(), !sound));
             }
         }
--- a/src/test/java/tinlink/work/choice/OrderPlayer.java
+++ b/src/test/java/tinlink/work/choice/OrderPlayer.java
@@ -94,7 +94,7 @@
 
     /** As "q1" for its one piece, or "q1/n1". */
     private Piece piece(String name) {
-        String[] w = name.split("/");
+        String[] w = name.split("/", 0);
         return order.request(w[0]).stream()
                 .filter(p -> w.length == 1 || p.machine().equals(w[1]))
                 .findFirst()
