--- a/src/main/java/tinlink/cli/Commands.java
+++ b/src/main/java/tinlink/cli/Commands.java
@@ -42,7 +42,7 @@
         this.serves = serves;
     }
 
-    /** @return the exit status: 0 done, 1 failed or rules broken, 2 not understood */
+    /** Returns the exit status: 0 done, 1 failed or rules broken, 2 not understood. */
     public static int run(Serves serves, String... args) {
         CommandLine line = new CommandLine(new Commands(serves));
         line.setExecutionExceptionHandler((e, cmd, result) -> {
--- a/src/main/java/tinlink/cli/PolicyCommands.java
+++ b/src/main/java/tinlink/cli/PolicyCommands.java
@@ -193,7 +193,7 @@
                 why));
         ControlClient.Said last = say(what);
         while (System.nanoTime() < end) {
-            if (last.status() == 200 && !last.said().isEmpty() || last.status() == 400) {
+            if ((last.status() == 200 && !last.said().isEmpty()) || last.status() == 400) {
                 return other(last);
             }
             ControlClient.Said s = say(Map.of("do", "policy-status", "id", id));
--- a/src/main/java/tinlink/router/Carried.java
+++ b/src/main/java/tinlink/router/Carried.java
@@ -10,6 +10,10 @@
     /** Its limit has passed without an answer. */
     void unanswered(Sent s);
 
-    /** Its outcome is known. @param giveUp it should be taken off its node */
+    /**
+     * Its outcome is known.
+     *
+     * @param giveUp it should be taken off its node
+     */
     void over(Sent s, boolean giveUp);
 }
--- a/src/main/java/tinlink/router/PartSends.java
+++ b/src/main/java/tinlink/router/PartSends.java
@@ -13,7 +13,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
@@ -34,9 +33,9 @@
     /** Null where nobody wants to know. */
     private BiConsumer<String, Outcome> told;
     /** Nodes on the list, and those off it with connections; each leaves when it is neither. */
-    private final Map<DataNode, Target> targets = new IdentityHashMap<>();
+    private final IdentityHashMap<DataNode, Target> targets = new IdentityHashMap<>();
     /** This turn's frames; emptied at its end. */
-    private final Map<PartCall.Shared, Bundle> bundles = new IdentityHashMap<>();
+    private final IdentityHashMap<PartCall.Shared, Bundle> bundles = new IdentityHashMap<>();
 
     private final List<Bundle> leaving = new ArrayList<>();
 
@@ -206,7 +205,7 @@
             } else if (l.calls() < links.callsPerLink()
                     && l.isTrusted()
                     && b.sent.stream().noneMatch(l::confuses)
-                    && (best == null || l.isUp() && !best.isUp())) {
+                    && (best == null || (l.isUp() && !best.isUp()))) {
                 best = l;
             }
         }
--- a/src/main/java/tinlink/router/Query.java
+++ b/src/main/java/tinlink/router/Query.java
@@ -8,7 +8,11 @@
     interface Asker {
         void answered(Query q, boolean whole);
 
-        /** @param comeBackUs 0 for no advice */
+        /**
+         * The lookup is refused.
+         *
+         * @param comeBackUs 0 for no advice
+         */
         void nacked(Query q, long comeBackUs);
 
         void aborted(Query q);
--- a/src/main/java/tinlink/router/QueryReader.java
+++ b/src/main/java/tinlink/router/QueryReader.java
@@ -75,7 +75,7 @@
         }
         boolean keyed = index.effect == Index.Effect.FINGERPRINTED;
         if (!PART_ID.matcher(p.id).matches()
-                || keyed && (p.key == null || !KEY.matcher(p.key).matches())) {
+                || (keyed && (p.key == null || !KEY.matcher(p.key).matches()))) {
             throw new BadMessage(400, "id or key: not of its form");
         }
         Query q = new Query(id, p.text, keyed ? p.key : null, asker);
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -316,7 +316,7 @@
     }
 
     private void endWhenEmpty(long last) {
-        if (intake.isEmpty() && (sites == null || sites.gateway().isEmpty())
+        if ((intake.isEmpty() && (sites == null || sites.gateway().isEmpty()))
                 || loop.now() >= last) {
             if (work == null) {
                 loop.end();
--- a/src/main/java/tinlink/router/SiteLinks.java
+++ b/src/main/java/tinlink/router/SiteLinks.java
@@ -38,11 +38,11 @@
     private final Gateway gateway;
     private final int cells;
     /** Names of indexes; the module knows them as objects. */
-    private final Map<Index, String> names = new IdentityHashMap<>();
+    private final IdentityHashMap<Index, String> names = new IdentityHashMap<>();
     /**
      * Of each far router by cell, made as it first serves one: as many as the settings have cells.
      */
-    private final Map<FarRouter, DataNode[]> nodes = new IdentityHashMap<>();
+    private final IdentityHashMap<FarRouter, DataNode[]> nodes = new IdentityHashMap<>();
 
     private long begun;
 
--- a/src/main/java/tinlink/router/StreamSends.java
+++ b/src/main/java/tinlink/router/StreamSends.java
@@ -27,7 +27,6 @@
     private Predicate<DataNode> offers = n -> false;
     private Pool.Bounds bounds;
     private Counters counters;
-    private Host host;
     /** Nodes with decisions to pull; emptied each turn. */
     private Set<NodeStreams> touched = new LinkedHashSet<>();
 
--- a/src/main/java/tinlink/start/Figures.java
+++ b/src/main/java/tinlink/start/Figures.java
@@ -20,10 +20,14 @@
         this.from = from;
     }
 
-    /** @param from what the messages call the place that the figures come from */
+    /**
+     * Reads figures from pairs of key=value, parted by spaces.
+     *
+     * @param from what the messages call the place that the figures come from
+     */
     public static Figures ofPairs(String from, String text) {
         Figures f = new Figures(from);
-        for (String pair : text.split(" ")) {
+        for (String pair : text.split(" ", 0)) {
             int eq = pair.indexOf('=');
             if (eq > 0) {
                 f.pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
--- a/src/main/java/tinlink/start/JsonFile.java
+++ b/src/main/java/tinlink/start/JsonFile.java
@@ -41,7 +41,11 @@
         this.node = node;
     }
 
-    /** @throws BadInput where it can't be read, or is no JSON object */
+    /**
+     * Reads a file of JSON.
+     *
+     * @throws BadInput where it can't be read, or is no JSON object
+     */
     public static JsonFile of(String file) {
         try {
             if (Files.size(Path.of(file)) > MOST_BYTES) {
--- a/src/main/java/tinlink/start/PolicyDoc.java
+++ b/src/main/java/tinlink/start/PolicyDoc.java
@@ -39,7 +39,7 @@
                         "is no index of this router's: "
                                 + String.join(", ", start.lookups.indexes().keySet()));
             }
-            indexes.put(name, index(all.object(name), own, start));
+            indexes.put(name, index(all.object(name), own));
         }
         openCap = f.whole("open_cap", start.lookups.openCap(), 1, start.mostOpen);
         JsonFile a = f.object("absent"); // Of the change itself, and read by whoever proposes it.
@@ -50,7 +50,7 @@
         f.nothingElse();
     }
 
-    private static Index index(JsonFile f, Index own, RouterStart start) {
+    private static Index index(JsonFile f, Index own) {
         Index x = new Index();
         x.effect = own.effect;
         x.windowUs = own.windowUs;
--- a/src/main/java/tinlink/store/Store.java
+++ b/src/main/java/tinlink/store/Store.java
@@ -215,7 +215,7 @@
                         at,
                         "record " + next + " is spoilt and others stand behind it");
             }
-            torn = all.length - at;
+            torn = (long) all.length - at;
         }
         if (at < all.length || !whole) {
             try (FileChannel c = FileChannel.open(file, StandardOpenOption.WRITE)) {
