--- a/src/main/java/tinlink/emulator/EmulatedClient.java
+++ b/src/main/java/tinlink/emulator/EmulatedClient.java
@@ -22,7 +22,11 @@
  * when all are busy.
  */
 public final class EmulatedClient {
-    /** @param key null where the index needs none */
+    /**
+     * What a client asks for.
+     *
+     * @param key null where the index needs none
+     */
     public record Ask(
             String id,
             String index,
@@ -32,9 +36,10 @@
             String key) {}
 
     /**
+     * What a client was answered.
+     *
      * @param status 0 where the connection ended without a whole answer
      * @param comeBackUs 0 where it has no Retry-After
-     * @param after an answer came after the final one
      */
     public record Answer(int status, String body, long atUs, long comeBackUs) {
         /** The values by shard; empty where there are none. */
@@ -88,7 +93,11 @@
         void leave();
     }
 
-    /** @param hears of the end, once, on the emulator's thread; never after the asker has left */
+    /**
+     * Sends a lookup.
+     *
+     * @param hears of the end, once, on the emulator's thread; never after the asker has left
+     */
     public Asked ask(Ask a, Consumer<Answer> hears) {
         return ground.on(() -> {
             Conn c = idle.poll();
--- a/src/main/java/tinlink/emulator/EmulatedDiscovery.java
+++ b/src/main/java/tinlink/emulator/EmulatedDiscovery.java
@@ -46,12 +46,20 @@
         return listening.address();
     }
 
-    /** @param state in_service, terminating or terminated */
+    /**
+     * Tells the state of a node at its own address.
+     *
+     * @param state in_service, terminating or terminated
+     */
     public void tell(EmulatedNode n, String zone, String state) {
         tell(n, n.address(), zone, state);
     }
 
-    /** @param at where the node is reached by whoever is told */
+    /**
+     * Tells the state of a node at some address.
+     *
+     * @param at where the node is reached by whoever is told
+     */
     public void tell(EmulatedNode n, InetSocketAddress at, String zone, String state) {
         tell(n.uid, n.cell, at, zone, state);
     }
--- a/src/main/java/tinlink/emulator/EmulatedFleet.java
+++ b/src/main/java/tinlink/emulator/EmulatedFleet.java
@@ -36,7 +36,11 @@
             }
         }
 
-        /** @param state as discovery says it */
+        /**
+         * Tells the state of a node.
+         *
+         * @param state as discovery says it
+         */
         public void tell(String uid, String state) {
             discovery.tell(
                     nodes.get(uid), toNodes.get(uid).address(), spots.get(uid).zone(), state);
--- a/src/main/java/tinlink/emulator/EmulatedLine.java
+++ b/src/main/java/tinlink/emulator/EmulatedLine.java
@@ -23,7 +23,12 @@
  * byte.
  */
 public final class EmulatedLine {
-    /** @param jitterUs is added evenly from 0 to this; @param bytesPerS 0 for no bound */
+    /**
+     * One direction of a line.
+     *
+     * @param jitterUs is added evenly from 0 to this
+     * @param bytesPerS 0 for no bound
+     */
     public record Way(long delayUs, long jitterUs, long bytesPerS) {}
 
     private final Ground ground;
--- a/src/main/java/tinlink/emulator/EmulatedNode.java
+++ b/src/main/java/tinlink/emulator/EmulatedNode.java
@@ -34,7 +34,11 @@
         REFUSING
     }
 
-    /** @param medianUs of the time that a part takes; sigma of its logarithm */
+    /**
+     * How a node works off its parts.
+     *
+     * @param medianUs of the time that a part takes; sigma of its logarithm
+     */
     public record Work(int cores, int queue, double medianUs, double sigma) {}
 
     public final String uid;
@@ -298,7 +302,7 @@
         public void arrived(Ring in) {
             while (in.size() > 0 && !link.isOver()) {
                 if (head < 4) {
-                    length = length << 8 | in.take() & 0xff;
+                    length = length << 8 | (in.take() & 0xff);
                     if (++head == 4) {
                         if (length < 1 || length > 64 * (Protocol.MOST_HEAD + Protocol.MOST_BODY)) {
                             unusable("a length of " + length);
@@ -341,7 +345,9 @@
             while (lf < f.limit() && f.get(lf) != '\n') {
                 lf++;
             }
-            String[] w = new String(f.array(), from, lf - from, StandardCharsets.UTF_8).split(" ");
+            String head = new String(
+                    f.array(), f.arrayOffset() + from, lf - from, StandardCharsets.UTF_8);
+            String[] w = head.split(" ", 0);
             if (lf == f.limit()
                     || w.length != 4
                     || !w[1].matches("[0-9]{1,9}")
@@ -358,7 +364,7 @@
                     this,
                     w[0],
                     at < 0 ? null : w[2].substring(at + 2),
-                    new String(f.array(), lf + 1, n, StandardCharsets.UTF_8)));
+                    new String(f.array(), f.arrayOffset() + lf + 1, n, StandardCharsets.UTF_8)));
             f.position(lf + 1 + n);
             return true;
         }
--- a/src/main/java/tinlink/emulator/EmulatedSite.java
+++ b/src/main/java/tinlink/emulator/EmulatedSite.java
@@ -12,7 +12,11 @@
 
 /** One site: its data nodes and discovery, and the files that its routers are started with. */
 public final class EmulatedSite {
-    /** @param settings of a router, as JSON: what its configuration has under that key */
+    /**
+     * What a site is made of.
+     *
+     * @param settings of a router, as JSON: what its configuration has under that key
+     */
     public record Plan(
             String name, List<Integer> cells, EmulatedNode.Work work, String settings, long seed) {}
 
--- a/src/main/java/tinlink/emulator/Http2Caller.java
+++ b/src/main/java/tinlink/emulator/Http2Caller.java
@@ -121,7 +121,7 @@
                             ? null
                             : ByteBuffer.allocate((head[0] & 0xff) << 16
                                     | (head[1] & 0xff) << 8
-                                    | head[2] & 0xff);
+                                    | (head[2] & 0xff));
                 }
                 if (payload != null) {
                     payload.put(in.takeRun(payload.remaining()));
@@ -143,7 +143,7 @@
             case 0 -> {
                 Request r = open.get(stream);
                 if (r != null) {
-                    r.body.write(p.array(), p.position(), p.remaining());
+                    r.body.write(p.array(), p.arrayOffset() + p.position(), p.remaining());
                 }
                 if (node.http2.givesBack && p.hasRemaining()) {
                     frame(8, 0, p.remaining());
@@ -160,7 +160,8 @@
                 r.window = clientFirstWindow;
                 lastSeen = stream;
                 decoder.decode(
-                        new ByteArrayInputStream(p.array(), p.position(), p.remaining()),
+                        new ByteArrayInputStream(
+                                p.array(), p.arrayOffset() + p.position(), p.remaining()),
                         (n, v, s) -> r.fields.put(
                                 new String(n, StandardCharsets.UTF_8),
                                 new String(v, StandardCharsets.UTF_8)));
@@ -191,7 +192,12 @@
             }
             case 6 -> {
                 if ((flags & 1) == 0 && !node.isSilent()) {
-                    frame(6, 1, 0, java.util.Arrays.copyOf(p.array(), 8));
+                    frame(
+                            6,
+                            1,
+                            0,
+                            java.util.Arrays.copyOfRange(
+                                    p.array(), p.arrayOffset(), p.arrayOffset() + 8));
                 }
             }
             case 8 -> {
