--- a/src/main/java/tinlink/lab/GatewayLab.java
+++ b/src/main/java/tinlink/lab/GatewayLab.java
@@ -123,7 +123,7 @@
                 seed));
     }
 
-    /** @return whether the rules were kept and all that must be shown was shown */
+    /** Returns whether the rules were kept and all that must be shown was shown. */
     public boolean run() throws IOException, InterruptedException {
         LOG.setLevel(Level.SEVERE); // Lines that go down are the purpose here.
         Side calm = side("calm", seconds / 4, false, true);
--- a/src/main/java/tinlink/lab/Load.java
+++ b/src/main/java/tinlink/lab/Load.java
@@ -28,7 +28,11 @@
 
         List<Integer> far();
 
-        /** @param hears of the end, once, on the emulation's thread */
+        /**
+         * Sends a lookup.
+         *
+         * @param hears of the end, once, on the emulation's thread
+         */
         void ask(Asked a, Consumer<Answer> hears);
     }
 
--- a/src/main/java/tinlink/lab/PolicySimLab.java
+++ b/src/main/java/tinlink/lab/PolicySimLab.java
@@ -37,6 +37,7 @@
         this.out = out;
     }
 
+    @SuppressWarnings("EnumOrdinal") // The rules take turns, schedule by schedule.
     private PolicyPlay.Size size(int i) {
         return new PolicyPlay.Size(
                 routers, Absent.Rule.values()[i % Absent.Rule.values().length], planted);
@@ -47,6 +48,7 @@
     }
 
     /** Whether the rules were kept. */
+    @SuppressWarnings("EnumOrdinal") // As above: schedules are counted by whose turn it was.
     public boolean run() throws IOException {
         long from = System.nanoTime();
         PolicyPlay.Outcome[] came = new PolicyPlay.Outcome[schedules];
--- a/src/main/java/tinlink/lab/Rules.java
+++ b/src/main/java/tinlink/lab/Rules.java
@@ -72,7 +72,7 @@
             }
         }
         double share = (double) values.size() / a.ask.shards().size();
-        if (a.answer.whole() && share < 1 - 1e-6 || share < a.kind.floor() - 1e-6) {
+        if ((a.answer.whole() && share < 1 - 1e-6) || share < a.kind.floor() - 1e-6) {
             dishonest.add(a.ask.id() + " has too few parts");
         }
     }
--- a/src/main/java/tinlink/lab/TwoSites.java
+++ b/src/main/java/tinlink/lab/TwoSites.java
@@ -27,7 +27,10 @@
  */
 public final class TwoSites implements AutoCloseable {
     /**
-     * @param cells of each site, by its name; @param lines from each router to each of the other
+     * What two sites are made of.
+     *
+     * @param cells of each site, by its name
+     * @param lines from each router to each of the other
      *     site's
      * @param http2 keys of each router's http2 file, as JSON5; empty: data nodes are served by
      *     frames
--- a/src/main/java/tinlink/lab/plays/BestOrder.java
+++ b/src/main/java/tinlink/lab/plays/BestOrder.java
@@ -49,7 +49,11 @@
         }
     }
 
-    /** @param pieces of work; all orders of them are tried, so 8 at most */
+    /**
+     * Waits under the order that was chosen and under the best one.
+     *
+     * @param pieces of work; all orders of them are tried, so 8 at most
+     */
     public static Waits of(long seed, int pieces) {
         BestOrder o = new BestOrder(seed, pieces);
         o.search(new ArrayList<>(), new boolean[pieces], new long[pieces], 0);
--- a/src/main/java/tinlink/lab/plays/MembershipPlay.java
+++ b/src/main/java/tinlink/lab/plays/MembershipPlay.java
@@ -101,6 +101,7 @@
             send(at, "", rumors, t -> t.probed(name, number));
         }
 
+        @SuppressWarnings("ReferenceEquality") // The same start of a process, not an equal one.
         @Override
         public void answer(String at, long number, List<Rumor> rumors) {
             Life to = routers.get(at) == null ? null : routers.get(at).life;
@@ -142,6 +143,7 @@
             toldOfSelf.add(how + " " + other);
         }
 
+        @SuppressWarnings("ReferenceEquality") // As above.
         @Override
         public void wake(long atUs) {
             Life mine = life;
@@ -176,6 +178,8 @@
     }
 
     /**
+     * Plays one schedule of faults.
+     *
      * @param faults how many befall the fleet, one after the other; then all is healed
      * @param twin a router is also started a second time from a copy of its folder, and ended again
      */
--- a/src/main/java/tinlink/lab/plays/PolicyPlay.java
+++ b/src/main/java/tinlink/lab/plays/PolicyPlay.java
@@ -27,7 +27,11 @@
     private static final long REST = 10 * SEC;
     private static final int MOST_WAITING = 2000;
 
-    /** @param planted routers go on by the old policy for as long as they know of no other */
+    /**
+     * The size of a play.
+     *
+     * @param planted routers go on by the old policy for as long as they know of no other
+     */
     public record Size(int routers, Absent.Rule rule, boolean planted) {}
 
     /** What came of a play. @param fencedShare of the routers' time in which they ran and took no lookups */
--- a/src/main/java/tinlink/lab/processes/Faults.java
+++ b/src/main/java/tinlink/lab/processes/Faults.java
@@ -29,7 +29,10 @@
     }
 
     /**
-     * @param who a router or node; @param other the second router of a cut; empty where there is
+     * One fault, at its time.
+     *
+     * @param who a router or node
+     * @param other the second router of a cut; empty where there is
      *     none
      */
     public record Fault(long atMs, Kind kind, String who, String other, long forMs) {
@@ -46,7 +49,7 @@
         }
 
         public static Fault of(String line) {
-            String[] w = line.strip().split("\\s+");
+            String[] w = line.strip().split("\\s+", 0);
             if (w.length != 5) {
                 throw new IllegalArgumentException("no fault as 'ms KIND who other ms': " + line);
             }
--- a/src/main/java/tinlink/lab/processes/Fleet.java
+++ b/src/main/java/tinlink/lab/processes/Fleet.java
@@ -34,6 +34,8 @@
  */
 public final class Fleet implements AutoCloseable {
     /**
+     * What a fleet is made of.
+     *
      * @param zones nodes and routers are dealt out among them in turn; the first half are one site,
      *     the rest another
      * @param bounds keys of work.json5's bounds, as JSON5
@@ -61,7 +63,11 @@
         }
     }
 
-    /** A router's answer to an operator. @param status 0 where nobody answered */
+    /**
+     * A router's answer to an operator.
+     *
+     * @param status 0 where nobody answered
+     */
     public record Told(int status, JsonNode body) {
         public String said() {
             return body.path("said").asText();
--- a/src/main/java/tinlink/lab/processes/Front.java
+++ b/src/main/java/tinlink/lab/processes/Front.java
@@ -4,6 +4,7 @@
 import tinlink.emulator.EmulatedClient.Answer;
 import tinlink.lab.Load;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -34,7 +35,8 @@
         this.fleet = fleet;
         this.home = home;
         this.cells = cells;
-        clients = new EmulatedClient(fleet.ground, new InetSocketAddress("127.0.0.1", 1));
+        clients = new EmulatedClient(
+                fleet.ground, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
     }
 
     /** Where its router serves from now on. */
--- a/src/main/java/tinlink/lab/processes/History.java
+++ b/src/main/java/tinlink/lab/processes/History.java
@@ -20,7 +20,11 @@
         HEALED
     }
 
-    /** @param request empty for a fault */
+    /**
+     * Something that happened, at its time.
+     *
+     * @param request empty for a fault
+     */
     public record Event(long atUs, What what, String machine, String request) {}
 
     private final List<Event> events = new ArrayList<>();
--- a/src/main/java/tinlink/lab/processes/Operators.java
+++ b/src/main/java/tinlink/lab/processes/Operators.java
@@ -125,7 +125,7 @@
                 String state = m.path("state").asText();
                 states.add(machine + " " + state + " " + m.path("why").asText());
                 boolean out = state.equals("out")
-                        || state.equals("overdue") && m.path("away").asBoolean();
+                        || (state.equals("overdue") && m.path("away").asBoolean());
                 if (out && !takenAt.containsKey(machine)) {
                     takenAt.put(machine, System.nanoTime());
                     take(machine, id);
--- a/src/main/java/tinlink/lab/processes/PolicyLab.java
+++ b/src/main/java/tinlink/lab/processes/PolicyLab.java
@@ -16,6 +16,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -86,7 +87,7 @@
                 + "clock_error_ms: 20}}";
     }
 
-    /** @return whether the rules were kept and nothing was left unsettled */
+    /** Returns whether the rules were kept and nothing was left unsettled. */
     public boolean run() throws IOException, InterruptedException {
         Logger.getLogger("tinlink")
                 .setLevel(Level.SEVERE); // Lines that go down are the purpose here.
@@ -241,7 +242,7 @@
         final Set<Long> mixed = new TreeSet<>();
     }
 
-    private static Seen seen(List<Load.Asked> all, Runs runs, TreeMap<Long, Boolean> holds) {
+    private static Seen seen(List<Load.Asked> all, Runs runs, NavigableMap<Long, Boolean> holds) {
         Seen s = new Seen();
         Map<Long, Set<Boolean>> windows = new TreeMap<>();
         for (Load.Asked a : all) {
@@ -249,9 +250,9 @@
                 String part = a.ask.id() + "." + shard;
                 List<Runs.Run> ran = runs.of(part);
                 long waits = runs.waitOf(part);
-                Boolean other = waits > ONE_MS && waits <= OTHER_MS && waits > OTHER_MS - 100
+                Boolean other = (waits > ONE_MS && waits <= OTHER_MS && waits > OTHER_MS - 100)
                         ? Boolean.TRUE
-                        : waits <= ONE_MS && waits > ONE_MS - 60 ? Boolean.FALSE : null;
+                        : (waits <= ONE_MS && waits > ONE_MS - 60) ? Boolean.FALSE : null;
                 if (ran.isEmpty()
                         || other == null
                         || ran.get(0).atUs() - a.dueUs > SOON_US
--- a/src/main/java/tinlink/lab/processes/WorkChecks.java
+++ b/src/main/java/tinlink/lab/processes/WorkChecks.java
@@ -22,7 +22,10 @@
     public record Spot(String id, int cell, String zone, String site, boolean voter) {}
 
     /**
-     * @param holders that each block keeps; @param share of its nodes, and of its routers, that
+     * What has to be left while machines are away.
+     *
+     * @param holders that each block keeps
+     * @param share of its nodes, and of its routers, that
      *     each zone and each site keeps
      * @param knownUs a machine that has failed for less is nobody's fault
      */
@@ -82,7 +85,7 @@
                 belowFloor.add(s.id() + " taken: " + left + " of " + others + " holders left");
             }
             if (spots.values().stream()
-                            .anyMatch(o -> o != s
+                            .anyMatch(o -> !o.id().equals(s.id())
                                     && o.cell() == s.cell()
                                     && taken.containsKey(o.id())
                                     && !takenDead.contains(o.id()))
--- a/src/main/java/tinlink/lab/processes/WorkLab.java
+++ b/src/main/java/tinlink/lab/processes/WorkLab.java
@@ -57,7 +57,7 @@
         this.folder = folder;
     }
 
-    /** @return whether the rules were kept and nothing was stuck */
+    /** Returns whether the rules were kept and nothing was stuck. */
     public boolean run() throws IOException, InterruptedException {
         Logger.getLogger("tinlink")
                 .setLevel(Level.SEVERE); // Lines that go down are the purpose here.
--- a/src/test/java/tinlink/lab/SitesTest.java
+++ b/src/test/java/tinlink/lab/SitesTest.java
@@ -56,7 +56,7 @@
         try (SitesPlayer p = new SitesPlayer()) {
             p.line("start".split(" "));
             for (int at = 0; at < 260; at += 26) {
-                p.line(("joined").split(" "));
+                p.line("joined".split(" "));
                 p.line(("line e1>.* after " + way + " " + at).split(" "));
                 p.line(("ask q" + at + " " + kind + " 900 0,4 e1").split(" "));
                 p.line(("q" + at + " < any").split(" "));
--- a/src/test/java/tinlink/lab/processes/WorkProcessesTest.java
+++ b/src/test/java/tinlink/lab/processes/WorkProcessesTest.java
@@ -196,6 +196,7 @@
         assertTrue(all.stream().filter(Load.Asked::satisfied).count() > all.size() / 2);
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // What the routers hold is asserted below.
     @Test
     void twoRequestsForBothHoldersInOneInstantAtTwoRoutersGoOneAfterTheOther() throws Exception {
         ExecutorService two = Executors.newFixedThreadPool(2);
@@ -485,6 +486,7 @@
         fleet.around.tell("n1-0", "in_service");
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // What the routers hold is asserted below.
     @Test
     void aThousandRequestsAtOnceAreAllKnownAndOneOfABlockGoes() throws Exception {
         ExecutorService many = Executors.newFixedThreadPool(16);
