--- a/src/test/java/tinlink/Player.java
+++ b/src/test/java/tinlink/Player.java
@@ -15,6 +15,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeSet;
 
@@ -86,7 +87,7 @@
                 }
                 module().nodes(Aggregator.News.FULL);
             }
-            case "list" -> module().nodes(Aggregator.News.valueOf(w[1].toUpperCase()));
+            case "list" -> module().nodes(Aggregator.News.valueOf(w[1].toUpperCase(Locale.ROOT)));
             case "lookup" -> {
                 Lookup lk = new Lookup();
                 lk.index = indexes.get(w[2]);
@@ -101,7 +102,7 @@
             }
             case "more" -> takeParts(lookups.get(w[1]), w);
             case "gone" -> module().clientGone(lookups.get(w[1]));
-            default -> end(Outcome.valueOf(w[0].toUpperCase().replace('-', '_')), w[1]);
+            default -> end(Outcome.valueOf(w[0].toUpperCase(Locale.ROOT).replace('-', '_')), w[1]);
         }
     }
 
@@ -138,7 +139,7 @@
     private static List<Integer> shards(String[] w) {
         List<Integer> all = new ArrayList<>();
         for (String s : after(w, "shards")) {
-            String[] ends = s.split("-");
+            String[] ends = s.split("-", 0);
             for (int i = Integer.parseInt(ends[0]);
                     i <= Integer.parseInt(ends[ends.length - 1]);
                     i++) {
@@ -188,7 +189,7 @@
         after(w, "second").forEach(n -> x.secondStep = Integer.parseInt(n));
         x.lateGain = Arrays.asList(w).contains("late") ? 0.3 : 0;
         for (Index.Effect e : Index.Effect.values()) {
-            if (Arrays.asList(w).contains(e.name().toLowerCase().replace('_', '-'))) {
+            if (Arrays.asList(w).contains(e.name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
                 x.effect = e;
             }
         }
--- a/src/test/java/tinlink/RouterPlayer.java
+++ b/src/test/java/tinlink/RouterPlayer.java
@@ -223,7 +223,7 @@
                         "too late");
             }
             case "node" -> {
-                StandIn s = new StandIn(w[1], Integer.parseInt(rest.split(" ")[0]));
+                StandIn s = new StandIn(w[1], Integer.parseInt(rest.split(" ", 0)[0]));
                 standIns.put(w[1], s);
                 if (rest.endsWith(" full")) {
                     s.fill();
@@ -735,7 +735,7 @@
             try {
                 InputStream in = s.getInputStream();
                 if (this == discovery || this == other) {
-                    String path = head(in).split(" ")[1];
+                    String path = head(in).split(" ", 0)[1];
                     asks = s;
                     while (!path.contains("watch=") && !hangs) {
                         s.getOutputStream()
@@ -743,7 +743,7 @@
                                                 + "\r\n\r\n" + whole())
                                         .getBytes(StandardCharsets.UTF_8));
                         heard.add(path);
-                        path = head(in).split(" ")[1];
+                        path = head(in).split(" ", 0)[1];
                     }
                     if (!hangs) {
                         watched(s);
@@ -763,7 +763,7 @@
                 heard.add("closed");
             } catch (IOException | InterruptedException e) {
                 if (s == asks
-                        || this != discovery && this != other
+                        || (this != discovery && this != other)
                         || !(e instanceof EOFException)) {
                     heard.add("closed");
                 }
@@ -772,7 +772,7 @@
 
         private void watched(Socket s) throws IOException, InterruptedException {
             s.getOutputStream()
-                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             .getBytes(StandardCharsets.UTF_8));
             Thread.sleep(firstAfterMs);
             if (!first.isEmpty()) {
@@ -813,7 +813,7 @@
             List<String> parts = new ArrayList<>();
             for (int at = 1; at < frame.length(); ) {
                 int lf = frame.indexOf('\n', at);
-                String[] w = frame.substring(at, lf).split(" ");
+                String[] w = frame.substring(at, lf).split(" ", 0);
                 at = lf + 1 + Integer.parseInt(w[3]);
                 from.put(w[0], s);
                 waits.put(w[0], Integer.parseInt(w[2].replaceAll("^d=|,.*", "")));
@@ -923,7 +923,7 @@
 
         /** NODE STATE [BOOT]: one change of the list. */
         private String change(String rest) {
-            String[] w = rest.split(" ");
+            String[] w = rest.split(" ", 0);
             String entry = standIns.get(w[0]).entry(w[1], w.length > 2 ? Long.parseLong(w[2]) : 0);
             return "{\"rev\":50,\"all\":false,\"targets\":[" + entry + "]}";
         }
@@ -1063,7 +1063,7 @@
         void line(String what, String rest) throws Exception {
             connect();
             switch (what) {
-                case "asks" -> write(request(rest.split(" ")));
+                case "asks" -> write(request(rest.split(" ", 0)));
                 case ">" -> socket.getOutputStream().write(ParserPlayer.bytes(rest));
                 case "slowly" ->
                     byteByByte(socket, request(rest.split(" ")).getBytes(StandardCharsets.UTF_8));
@@ -1122,7 +1122,7 @@
             int at = head.indexOf("content-length: ") + 16;
             int length = Integer.parseInt(head.substring(at, head.indexOf('\r', at)));
             String body = new String(in.readNBytes(length), StandardCharsets.UTF_8).strip();
-            String status = head.split(" ")[1];
+            String status = head.split(" ", 0)[1];
             return status
                     + (head.contains("connection: close") ? " close" : "")
                     + (head.contains("retry-after: ") ? " again" : "")
--- a/src/test/java/tinlink/Scenarios.java
+++ b/src/test/java/tinlink/Scenarios.java
@@ -22,7 +22,7 @@
     public static List<Arguments> sections(String ending) throws IOException {
         List<Arguments> all = new ArrayList<>();
         for (String file : files(ending)) {
-            for (String one : Files.readString(DIR.resolve(file)).split("(?m)^== ")) {
+            for (String one : Files.readString(DIR.resolve(file)).split("(?m)^== ", 0)) {
                 if (!one.isBlank()) {
                     String title = one.lines().findFirst().orElse("");
                     all.add(arguments(
@@ -58,7 +58,7 @@
         for (String raw : script) {
             no++;
             try {
-                for (String one : raw.replaceAll("(^|\\s)#\\s.*", "").split(between)) {
+                for (String one : raw.replaceAll("(^|\\s)#\\s.*", "").split(between, 0)) {
                     if (!one.isBlank()) {
                         step.take(one.trim().split(" +"));
                     }
--- a/src/test/java/tinlink/decision/ColdSumTest.java
+++ b/src/test/java/tinlink/decision/ColdSumTest.java
@@ -10,7 +10,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
@@ -94,7 +93,7 @@
     /** One router: its module, and what it asks for carried out at once. */
     private final class One implements Host {
         private final Aggregator module;
-        private final Map<DataNode, Node> known = new IdentityHashMap<>();
+        private final IdentityHashMap<DataNode, Node> known = new IdentityHashMap<>();
 
         /**
          * @param coldUs for how long nodes are cold to it; of the number of routers it is told too
