--- a/src/main/java/tinlink/lab/processes/Child.java
+++ b/src/main/java/tinlink/lab/processes/Child.java
@@ -1,7 +1,5 @@
 package tinlink.lab.processes;
 
-import tinlink.Main;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URISyntaxException;
@@ -37,6 +35,12 @@
             "-XX:MaxMetaspaceSize=40m",
             "-XX:ReservedCodeCacheSize=24m");
 
+    /**
+     * The program's entry, by name: a process is started with it, this one never loads it. A test
+     * holds the two together.
+     */
+    static final String MAIN_CLASS = "tinlink.Main";
+
     private static final Pattern SERVES = Pattern.compile(" serves at [^/]*/([0-9.]+:[0-9]+) ");
     private static final Pattern LISTENS = Pattern.compile(
             "event=work_listens peers=[^/]*/([0-9.]+:[0-9]+) " + "control=(?:[^/]*/)?([0-9.:-]+)");
@@ -81,7 +85,7 @@
         all.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         all.addAll(BOUNDS);
         try {
-            Path from = Path.of(Main.class
+            Path from = Path.of(Child.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
@@ -91,7 +95,7 @@
             } else {
                 String path = System.getProperty(
                         "surefire.test.class.path", System.getProperty("java.class.path"));
-                all.addAll(List.of("-cp", path, Main.class.getName()));
+                all.addAll(List.of("-cp", path, MAIN_CLASS));
             }
         } catch (URISyntaxException e) {
             throw new IllegalStateException(e);
@@ -101,6 +105,7 @@
     }
 
     /** Starts it; what it listens at is known by {@link #awaitServes}. */
+    @SuppressWarnings("FutureReturnValueIgnored") // The process itself is what is waited for.
     public void start() throws IOException {
         if (isUp()) {
             throw new IllegalStateException(name + " runs already");
@@ -137,7 +142,7 @@
      * Reads what it has said of itself so far. @return whether its peers and operators can reach it
      */
     boolean look() throws IOException {
-        if (log == null || serves != null && control != null) {
+        if (log == null || (serves != null && control != null)) {
             return control != null;
         }
         for (String line : Files.readAllLines(log, StandardCharsets.UTF_8)) {
--- a/src/test/java/tinlink/RoomsTest.java
+++ b/src/test/java/tinlink/RoomsTest.java
@@ -33,6 +33,8 @@
                 .definedBy("tinlink.cli")
                 .layer("lab")
                 .definedBy("tinlink.lab")
+                .layer("processes")
+                .definedBy("tinlink.lab.processes")
                 .layer("emulator")
                 .definedBy("tinlink.emulator")
                 .layer("router")
@@ -72,9 +74,11 @@
                 .whereLayer("cli")
                 .mayOnlyBeAccessedByLayers("main")
                 .whereLayer("lab")
+                .mayOnlyBeAccessedByLayers("cli", "processes")
+                .whereLayer("processes")
                 .mayOnlyBeAccessedByLayers("cli")
                 .whereLayer("emulator")
-                .mayOnlyBeAccessedByLayers("lab")
+                .mayOnlyBeAccessedByLayers("lab", "processes")
                 .whereLayer("router")
                 .mayOnlyBeAccessedByLayers("main", "lab")
                 .whereLayer("benchlink")
@@ -112,6 +116,18 @@
         slices().matching("tinlink.(*)..").should().beFreeOfCycles().check(ALL);
     }
 
+    /** Experiments, in whichever package of theirs, know neither the command line nor the program's entry. */
+    @Test
+    void experimentsDoNotPointUp() {
+        noClasses()
+                .that()
+                .resideInAPackage("tinlink.lab..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("tinlink", "tinlink.cli..")
+                .check(ALL);
+    }
+
     /**
      * Clocks that step: what is agreed on by routers must not read one; changes of policy get
      * theirs given.
