--- a/Makefile
+++ b/Makefile
@@ -24,7 +24,7 @@
 test:
 	mvn -B verify
 
-# Format, warnings of javac and Error Prone, lines over 110 characters: each is an error.
+# Format, warnings of javac and Error Prone, Checkstyle, lines over 110 characters: each is an error.
 lint:
 	mvn -q -B -Plint -DskipTests clean verify
 	.ci/line-length
