--- a/src/main/java/tinlink/http2/H2.java
+++ b/src/main/java/tinlink/http2/H2.java
@@ -53,7 +53,7 @@
 
         /** The code of that number. */
         @SuppressWarnings("EnumOrdinal") // As above.
-        static Code of(int number) {
+        static Code numbered(int number) {
             return values()[number];
         }
     }
--- a/src/test/java/tinlink/http2/EnginePlayer.java
+++ b/src/test/java/tinlink/http2/EnginePlayer.java
@@ -209,11 +209,13 @@
                     case 0 -> "data " + stream + " " + length + end;
                     case 1, 9 -> "headers " + stream + " " + names(p, flags) + end;
                     case 3 ->
-                        "reset " + stream + " " + H2.Code.of(ByteBuffer.wrap(p).getInt());
+                        "reset " + stream + " "
+                                + H2.Code.numbered(ByteBuffer.wrap(p).getInt());
                     case 4 -> (flags & 1) != 0 ? "ack" : "settings";
                     case 6 ->
                         "ping " + ByteBuffer.wrap(p).getLong() + ((flags & 1) != 0 ? " ack" : "");
-                    case 7 -> "goaway " + H2.Code.of(ByteBuffer.wrap(p, 4, 4).getInt());
+                    case 7 ->
+                        "goaway " + H2.Code.numbered(ByteBuffer.wrap(p, 4, 4).getInt());
                     case 8 -> "update " + stream + " " + ByteBuffer.wrap(p).getInt();
                     default -> "frame " + type;
                 });
