--- a/src/main/java/tinlink/peers/DiskRecords.java
+++ b/src/main/java/tinlink/cluster/DiskRecordLog.java
@@ -1,4 +1,4 @@
-package tinlink.peers;
+package tinlink.cluster;
 
 import tinlink.store.Store;
 
@@ -6,18 +6,18 @@
 import java.nio.file.Path;
 
 /** What a voter keeps, on a disk. */
-final class DiskRecords implements Kept.Records, java.io.Closeable {
+final class DiskRecordLog implements RaftStateStore.RecordLog, java.io.Closeable {
     private final Store store;
 
-    DiskRecords(Path folder, long mostBytes) throws IOException {
-        store = new Store(folder.resolve("agreement"), mostBytes);
+    DiskRecordLog(Path folder, long maxBytes) throws IOException {
+        store = new Store(folder.resolve("agreement"), maxBytes);
     }
 
     /** As it was found. */
-    Kept kept() throws IOException {
-        Kept k = new Kept(this, store.snapshot(), store.records());
+    RaftStateStore openStateStore() throws IOException {
+        RaftStateStore stateStore = new RaftStateStore(this, store.snapshot(), store.records());
         store.read();
-        return k;
+        return stateStore;
     }
 
     @Override
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public void all(byte[] state) throws IOException {
+    public void compactTo(byte[] state) throws IOException {
         store.snapshot(state);
     }
 
--- /dev/null
+++ b/src/main/java/tinlink/cluster/PeerConnections.java
@@ -0,0 +1,323 @@
+package tinlink.cluster;
+
+import tinlink.net.BadMessage;
+import tinlink.net.Counters;
+import tinlink.net.Ending;
+import tinlink.net.Link;
+import tinlink.net.Loop;
+import tinlink.net.Network;
+import tinlink.cluster.membership.Incarnation;
+import tinlink.sealed.Keys;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.security.SecureRandom;
+import java.util.ArrayDeque;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * Sealed links with other routers of a cluster, opened when there is something to say and closed
+ * when there has been nothing for a while. What is said may get lost, with its link or where too
+ * much waits; whoever speaks here says again what matters. Runs on the loop's thread.
+ */
+public final class PeerConnections implements Network.Door {
+    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+    /** Connections that have not proved themselves, where nothing else is stated. */
+    static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
+    /** What may wait for one link to come up. */
+    private static final int MAX_QUEUED_MESSAGES = 64;
+
+    private static final long MAX_QUEUED_BYTES = 4L << 20;
+
+    /**
+     * The times of links, in microseconds.
+     *
+     * @param idleUs a link with nothing said for so long is closed
+     * @param retryDelayUs an address where nobody answered is left alone for so long
+     */
+    public record Timeouts(long handshakeUs, long idleUs, long retryDelayUs) {}
+
+    /**
+     * @param connections out, and as many in
+     * @param unauthenticated that have called and not proved themselves; the oldest gives way
+     */
+    public record Limits(int connections, int unauthenticated) {}
+
+    /** What hears what peers say. */
+    public interface MessageHandler {
+        /**
+         * A message has come.
+         *
+         * @param sender proved by its key; that it is the one router of that name is not
+         */
+        void onMessage(Incarnation sender, byte type, ByteBuffer body) throws BadMessage;
+    }
+
+    @SuppressWarnings(
+            "ArrayRecordComponent") // Waits are never compared; the bytes go out as they are.
+    private record QueuedMessage(byte type, byte[] body) {}
+
+    /** One address that is spoken to. */
+    private static final class Destination {
+        PeerSession session;
+        boolean isUp;
+        /** Emptied as the link comes up, or does not. */
+        final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
+
+        long queuedBytes;
+        long retryAtUs;
+    }
+
+    final Loop loop;
+    final String cluster;
+    final Incarnation self;
+    final Timeouts timeouts;
+    final Counters counters = new Counters();
+    final TrafficCounters traffic = new TrafficCounters();
+    Keys keys;
+    private final Network network;
+    private final MessageHandler handler;
+    private final Limits limits;
+    private final SecureRandom secureRandom = new SecureRandom();
+    private Network.Listening listening;
+    /** Least used first, bounded. */
+    private final Map<String, Destination> destinations = new LinkedHashMap<>(16, 0.75f, true);
+    /** Those who have called: not yet proved, and proved. Each leaves as its link ends. */
+    private final Set<PeerSession> unauthenticatedConnections = new LinkedHashSet<>();
+
+    private final Set<PeerSession> inboundSessions = new LinkedHashSet<>();
+
+    public PeerConnections(
+            Loop loop,
+            Network network,
+            String cluster,
+            Incarnation self,
+            Keys keys,
+            Timeouts timeouts,
+            Limits limits,
+            MessageHandler handler) {
+        this.loop = loop;
+        this.network = network;
+        this.cluster = cluster;
+        this.self = self;
+        this.keys = keys;
+        this.timeouts = timeouts;
+        this.limits = limits;
+        this.handler = handler;
+    }
+
+    public void listen(InetSocketAddress address) throws IOException {
+        listening = network.listening(address);
+        listening.accept(this);
+        loop.at(loop.now() + timeouts.idleUs(), this::closeIdleSessions);
+    }
+
+    public InetSocketAddress address() throws IOException {
+        return listening.address();
+    }
+
+    public Counters counters() {
+        return counters;
+    }
+
+    public TrafficCounters traffic() {
+        return traffic;
+    }
+
+    /** Open at the moment: called, calling, and those that have not proved themselves yet. */
+    public int connectionCount() {
+        int outbound = (int) destinations.values().stream().filter(destination -> destination.session != null).count();
+        return outbound + inboundSessions.size() + unauthenticatedConnections.size();
+    }
+
+    /** From now on these are the keys; links that are up stay. */
+    public void keys(Keys newKeys) {
+        keys = newKeys;
+    }
+
+    byte[] nonce() {
+        byte[] nonce = new byte[PeerProtocol.NONCE_BYTES];
+        secureRandom.nextBytes(nonce);
+        return nonce;
+    }
+
+    /** Says it there, if it can be said. */
+    public void send(String address, byte type, byte[] body) {
+        Destination destination = destinations.get(address);
+        if (destination == null) {
+            evictLeastRecentlyUsed();
+            destination = new Destination();
+            destinations.put(address, destination);
+        }
+        if (destination.isUp) {
+            // Danger: a peer that stands still reads nothing, and all that is said to it would be
+            // held here.
+            if (destination.session.backlog() > MAX_QUEUED_BYTES) {
+                counters.add("peers_not_sent");
+                destination.session.end(Ending.SILENT);
+                return;
+            }
+            destination.session.lastUsedUs = loop.now();
+            destination.session.send(type, body);
+            return;
+        }
+        if (destination.session == null && loop.now() < destination.retryAtUs) {
+            counters.add("peers_not_sent");
+            return;
+        }
+        destination.queue.add(new QueuedMessage(type, body));
+        destination.queuedBytes += body.length;
+        while (destination.queue.size() > MAX_QUEUED_MESSAGES || destination.queuedBytes > MAX_QUEUED_BYTES) {
+            destination.queuedBytes -= destination.queue.poll().body().length;
+            counters.add("peers_not_sent");
+        }
+        if (destination.session == null) {
+            connect(address, destination);
+        }
+    }
+
+    private void connect(String address, Destination destination) {
+        PeerSession session = new PeerSession(this, address);
+        destination.session = session;
+        try {
+            session.on(network.connect(address(address), session), timeouts.handshakeUs());
+        } catch (IOException | RuntimeException e) {
+            LOG.log(Level.FINE, "event=peer_connect_failed address=" + address, e);
+            connectionFailed(destination);
+        }
+    }
+
+    private static InetSocketAddress address(String address) {
+        int colon = address.lastIndexOf(':');
+        return new InetSocketAddress(
+                address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+    }
+
+    private void connectionFailed(Destination destination) {
+        destination.session = null;
+        destination.isUp = false;
+        destination.retryAtUs = loop.now() + timeouts.retryDelayUs();
+        for (int i = 0; i < destination.queue.size(); i++) {
+            counters.add("peers_not_sent");
+        }
+        destination.queue.clear();
+        destination.queuedBytes = 0;
+    }
+
+    /**
+     * Danger: a cluster larger than was meant would hold all descriptors; who was spoken to least
+     * gives way.
+     */
+    private void evictLeastRecentlyUsed() {
+        while (destinations.size() >= limits.connections()) {
+            Iterator<Destination> iterator = destinations.values().iterator();
+            Destination destination = iterator.next();
+            iterator.remove();
+            if (destination.session != null) {
+                destination.session.end(Ending.IDLE);
+            }
+        }
+    }
+
+    private void closeIdleSessions() {
+        for (Destination destination : Set.copyOf(destinations.values())) {
+            if (destination.isUp && loop.now() - destination.session.lastUsedUs > timeouts.idleUs()) {
+                destination.session.end(Ending.IDLE);
+            }
+        }
+        loop.at(loop.now() + timeouts.idleUs(), this::closeIdleSessions);
+    }
+
+    void opened(PeerSession session) {
+        Destination destination = destinations.get(session.dialedAddress);
+        if (destination == null || destination.session != session) {
+            session.end(Ending.DONE);
+            return;
+        }
+        destination.isUp = true;
+        session.lastUsedUs = loop.now();
+        counters.add("peers_links_up");
+        while (!destination.queue.isEmpty()) {
+            QueuedMessage queued = destination.queue.poll();
+            session.send(queued.type(), queued.body());
+        }
+        destination.queuedBytes = 0;
+    }
+
+    void sessionClosed(PeerSession session) {
+        if (session.dialedAddress == null) {
+            unauthenticatedConnections.remove(session);
+            inboundSessions.remove(session);
+            return;
+        }
+        Destination destination = destinations.get(session.dialedAddress);
+        if (destination != null && destination.session == session) {
+            boolean wasUp = destination.isUp;
+            connectionFailed(destination);
+            destination.retryAtUs = wasUp
+                    ? 0
+                    : destination.retryAtUs; // It was there a moment ago: called again as there is need.
+        }
+    }
+
+    /** It has proved itself. */
+    void sessionAuthenticated(PeerSession session) {
+        unauthenticatedConnections.remove(session);
+        inboundSessions.add(session);
+        if (inboundSessions.size() > limits.connections()) {
+            inboundSessions.iterator().next().end(Ending.IDLE);
+        }
+    }
+
+    void dispatch(Incarnation sender, byte type, ByteBuffer body) throws BadMessage {
+        handler.onMessage(sender, type, body);
+    }
+
+    @Override
+    public Link.Owner owner() {
+        return new PeerSession(this, null);
+    }
+
+    /**
+     * Danger: connections that never prove themselves would hold all room; the oldest gives way.
+     */
+    @Override
+    public void opened(Link link, Link.Owner owner) {
+        PeerSession session = (PeerSession) owner;
+        session.on(link, timeouts.handshakeUs());
+        unauthenticatedConnections.add(session);
+        if (unauthenticatedConnections.size() > limits.unauthenticated()) {
+            unauthenticatedConnections.iterator().next().end(Ending.DONE);
+        }
+    }
+
+    @Override
+    public boolean mayOpen() {
+        return true;
+    }
+
+    @Override
+    public void acceptFailed(Throwable failure) {
+        LOG.log(Level.WARNING, "event=accept_failed", failure);
+        loop.at(loop.now() + timeouts.retryDelayUs(), () -> listening.accept(this));
+    }
+
+    /** Ends all links. */
+    public void close() {
+        listening.close();
+        Set.copyOf(inboundSessions).forEach(session -> session.end(Ending.DONE));
+        Set.copyOf(unauthenticatedConnections).forEach(session -> session.end(Ending.DONE));
+        for (Destination destination : Set.copyOf(destinations.values())) {
+            if (destination.session != null) {
+                destination.session.end(Ending.DONE);
+            }
+        }
+    }
+}
--- a/src/main/java/tinlink/peers/PeerKeys.java
+++ b/src/main/java/tinlink/cluster/PeerKeys.java
@@ -1,4 +1,4 @@
-package tinlink.peers;
+package tinlink.cluster;
 
 import tinlink.sealed.Keys;
 
--- a/src/main/java/tinlink/peers/Pace.java
+++ b/src/main/java/tinlink/cluster/RaftExecutor.java
@@ -1,4 +1,4 @@
-package tinlink.peers;
+package tinlink.cluster;
 
 import io.microraft.executor.RaftNodeExecutor;
 
@@ -14,21 +14,21 @@
  * The agreement's own thread and clock. The library counts in whole seconds; here one of its
  * seconds is as long as is stated. The clock only goes on, whatever the wall clock does.
  */
-final class Pace extends Clock implements RaftNodeExecutor {
-    private final double second;
-    private final ScheduledThreadPoolExecutor thread;
-    private final long from = System.nanoTime();
+final class RaftExecutor extends Clock implements RaftNodeExecutor {
+    private final double secondScale;
+    private final ScheduledThreadPoolExecutor executor;
+    private final long startNanos = System.nanoTime();
 
-    /** @param secondUs how long one of the library's seconds is */
-    Pace(long secondUs) {
-        second = secondUs / 1e6;
-        thread = new ScheduledThreadPoolExecutor(1, r -> {
-            Thread t = new Thread(r, "agreement");
-            t.setDaemon(true);
-            return t;
+    /** @param librarySecondUs how long one of the library's seconds is */
+    RaftExecutor(long librarySecondUs) {
+        secondScale = librarySecondUs / 1e6;
+        executor = new ScheduledThreadPoolExecutor(1, task -> {
+            Thread thread = new Thread(task, "agreement");
+            thread.setDaemon(true);
+            return thread;
         });
-        thread.setRemoveOnCancelPolicy(true);
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
     @Override
@@ -39,7 +39,7 @@
     @Override
     public void submit(Runnable task) {
         try {
-            thread.execute(task);
+            executor.execute(task);
         } catch (RejectedExecutionException e) {
             // It has ended; nothing of it matters any more.
         }
@@ -49,17 +49,17 @@
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
-            thread.schedule(task, (long) (unit.toMicros(delay) * second), TimeUnit.MICROSECONDS);
+            executor.schedule(task, (long) (unit.toMicros(delay) * secondScale), TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
             // As above.
         }
     }
 
     /** What runs now is waited for, since it may be writing; a second at most. */
-    void end() {
-        thread.shutdown();
+    void shutdown() {
+        executor.shutdown();
         try {
-            thread.awaitTermination(1, TimeUnit.SECONDS);
+            executor.awaitTermination(1, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -82,6 +82,6 @@
 
     @Override
     public long millis() {
-        return (long) ((System.nanoTime() - from) / 1e6 / second);
+        return (long) ((System.nanoTime() - startNanos) / 1e6 / secondScale);
     }
 }
--- a/src/main/java/tinlink/peers/Agreed.java
+++ b/src/main/java/tinlink/cluster/ReplicatedStateMachine.java
@@ -1,4 +1,4 @@
-package tinlink.peers;
+package tinlink.cluster;
 
 import java.util.List;
 
@@ -6,16 +6,16 @@
  * What is agreed on: lines in one order, the same for all. What stands after them is the same for
  * all too, and can be written as lines of its own.
  */
-public interface Agreed {
+public interface ReplicatedStateMachine {
     /**
      * Plays one line. @return what is said to whoever proposed it; empty where there is nothing to
      * say
      */
-    String play(String line);
+    String apply(String line);
 
     /** All of it, for who starts from here. */
-    List<String> lines();
+    List<String> snapshot();
 
     /** Starts from there. */
-    void from(List<String> lines);
+    void restore(List<String> lines);
 }
--- a/src/main/java/tinlink/peers/Traffic.java
+++ b/src/main/java/tinlink/cluster/TrafficCounters.java
@@ -1,4 +1,4 @@
-package tinlink.peers;
+package tinlink.cluster;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -9,7 +9,7 @@
  * are those of whole frames, length and seal counted, without TCP's own. One entry a kind, so the
  * table is bounded; it belongs to the loop's thread.
  */
-public final class Traffic {
+public final class TrafficCounters {
     /** What a message is for; each is named in {@code docs/protocol-peers.md}. */
     public enum Kind {
         HANDSHAKE,
@@ -35,7 +35,7 @@
         OTHER
     }
 
-    private static final Kind[] MEMBER_KINDS = {
+    private static final Kind[] MEMBERSHIP_KINDS = {
         Kind.OTHER, Kind.PROBE, Kind.PROBE_ANSWER, Kind.PROBE_REQUEST, Kind.PROBE_FAILURE
     };
     private static final Kind[] RAFT_KINDS = {
@@ -51,7 +51,7 @@
         Kind.ELECTION,
         Kind.ELECTION
     };
-    private static final Kind[] WORD_KINDS = {
+    private static final Kind[] NODE_KINDS = {
         Kind.OTHER,
         Kind.LEARN,
         Kind.LEARNED,
@@ -70,11 +70,11 @@
     private final Map<Kind, long[]> counts = new EnumMap<>(Kind.class);
 
     /** @param body of the message, from that place on */
-    void in(byte type, byte[] body, int from, int frameBytes) {
-        add(kind(type, body, from), 0, frameBytes);
+    void countReceived(byte type, byte[] body, int offset, int frameBytes) {
+        add(kind(type, body, offset), 0, frameBytes);
     }
 
-    void out(byte type, byte[] body, int frameBytes) {
+    void countSent(byte type, byte[] body, int frameBytes) {
         add(kind(type, body, 0), 2, frameBytes);
     }
 
@@ -84,24 +84,24 @@
         count[column + 1] += frameBytes;
     }
 
-    private static Kind kind(byte type, byte[] body, int from) {
+    private static Kind kind(byte type, byte[] body, int offset) {
         return switch (type) {
-            case PeerWire.HELLO, PeerWire.CHALLENGE, PeerWire.PROOF -> Kind.HANDSHAKE;
-            case PeerWire.MEMBER -> numbered(MEMBER_KINDS, body, from);
+            case PeerProtocol.HELLO, PeerProtocol.CHALLENGE, PeerProtocol.PROOF -> Kind.HANDSHAKE;
+            case PeerProtocol.MEMBERSHIP -> kindAt(MEMBERSHIP_KINDS, body, offset);
             // The voter that it is for comes first, as a text of up to 255 bytes.
-            case PeerWire.RAFT ->
-                from < body.length
-                        ? numbered(RAFT_KINDS, body, from + 1 + (body[from] & 0xff))
+            case PeerProtocol.RAFT ->
+                offset < body.length
+                        ? kindAt(RAFT_KINDS, body, offset + 1 + (body[offset] & 0xff))
                         : Kind.OTHER;
-            case PeerWire.WORD -> numbered(WORD_KINDS, body, from);
+            case PeerProtocol.NODE -> kindAt(NODE_KINDS, body, offset);
             default -> Kind.OTHER;
         };
     }
 
     /** Danger: this is read before the message is; a spoilt one may hold any number, or end before it. */
-    private static Kind numbered(Kind[] kinds, byte[] body, int at) {
-        int number = at < body.length ? body[at] : 0;
-        return number > 0 && number < kinds.length ? kinds[number] : Kind.OTHER;
+    private static Kind kindAt(Kind[] kinds, byte[] body, int offset) {
+        int code = offset < body.length ? body[offset] : 0;
+        return code > 0 && code < kinds.length ? kinds[code] : Kind.OTHER;
     }
 
     /** By kind: messages in, bytes in, messages out, bytes out, since the start. */
--- a/src/main/java/tinlink/peers/choice/Words.java
+++ b/src/main/java/tinlink/cluster/membership/LineCodec.java
@@ -1,4 +1,4 @@
-package tinlink.peers.choice;
+package tinlink.cluster.membership;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,18 +7,18 @@
  * Words in a line, as they are agreed on and kept: parted by tabs, with tabs, ends of lines and \
  * escaped.
  */
-public final class Words {
-    private Words() {}
+public final class LineCodec {
+    private LineCodec() {}
 
-    public static String of(Object... words) {
+    public static String encode(Object... fields) {
         StringBuilder line = new StringBuilder();
-        for (int i = 0; i < words.length; i++) {
+        for (int i = 0; i < fields.length; i++) {
             if (i > 0) {
                 line.append('\t');
             }
-            String w = String.valueOf(words[i]);
-            for (int j = 0; j < w.length(); j++) {
-                char c = w.charAt(j);
+            String field = String.valueOf(fields[i]);
+            for (int j = 0; j < field.length(); j++) {
+                char c = field.charAt(j);
                 switch (c) {
                     case '\\' -> line.append("\\\\");
                     case '\t' -> line.append("\\t");
@@ -31,22 +31,22 @@
         return line.toString();
     }
 
-    public static List<String> in(String line) {
-        List<String> all = new ArrayList<>();
-        StringBuilder word = new StringBuilder();
+    public static List<String> decode(String line) {
+        List<String> fields = new ArrayList<>();
+        StringBuilder field = new StringBuilder();
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
             if (c == '\t') {
-                all.add(word.toString());
-                word.setLength(0);
+                fields.add(field.toString());
+                field.setLength(0);
             } else if (c == '\\' && i + 1 < line.length()) {
-                char n = line.charAt(++i);
-                word.append(n == 't' ? '\t' : n == 'n' ? '\n' : n == 'r' ? '\r' : n);
+                char escaped = line.charAt(++i);
+                field.append(escaped == 't' ? '\t' : escaped == 'n' ? '\n' : escaped == 'r' ? '\r' : escaped);
             } else {
-                word.append(c);
+                field.append(c);
             }
         }
-        all.add(word.toString());
-        return all;
+        fields.add(field.toString());
+        return fields;
     }
 }
--- a/src/main/java/tinlink/peers/choice/Standing.java
+++ b/src/main/java/tinlink/cluster/membership/MemberState.java
@@ -1,7 +1,7 @@
-package tinlink.peers.choice;
+package tinlink.cluster.membership;
 
-/** What a router holds of another's life; each outdoes those before it at one incarnation. */
-public enum Standing {
+/** What a router holds of another's incarnation; each outdoes those before it at one refutation count. */
+public enum MemberState {
     ALIVE,
     /** It has not answered, and may yet say that it lives. */
     SUSPECT,
@@ -10,7 +10,7 @@
     /** It has said itself that it ends. */
     LEFT;
 
-    public boolean serves() {
+    public boolean isServing() {
         return this == ALIVE || this == SUSPECT;
     }
 }
--- a/src/main/java/tinlink/peers/choice/Floor.java
+++ b/src/main/java/tinlink/cluster/membership/RecoveryFloor.java
@@ -1,4 +1,4 @@
-package tinlink.peers.choice;
+package tinlink.cluster.membership;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,33 +18,33 @@
  * @param term the latest that one of them was in
  * @param lastTerm and lastIndex the end of a log
  */
-public record Floor(int term, int lastTerm, long lastIndex) {
+public record RecoveryFloor(int term, int lastTerm, long lastIndex) {
     /** Holds nobody to anything. */
-    public static final Floor NONE = new Floor(0, 0, 0);
+    public static final RecoveryFloor NONE = new RecoveryFloor(0, 0, 0);
 
     /**
-     * @param others where the disks of other voters are, in any order
-     * @param need how many of them
+     * @param answers where the disks of other voters are, in any order
+     * @param quorum how many of them
      *     suffice: those least far, so that one that is far ahead and gone again binds nobody
      */
-    static Floor of(Collection<Floor> others, int need) {
-        if (need == 0 || others.size() < need) {
+    static RecoveryFloor fromAnswers(Collection<RecoveryFloor> answers, int quorum) {
+        if (quorum == 0 || answers.size() < quorum) {
             return NONE;
         }
-        List<Floor> all = new ArrayList<>(others);
-        all.sort(Comparator.comparingInt(Floor::lastTerm).thenComparingLong(Floor::lastIndex));
-        Floor log = all.get(need - 1);
-        int term = all.stream().mapToInt(Floor::term).max().orElse(0);
-        return new Floor(term, log.lastTerm, log.lastIndex);
+        List<RecoveryFloor> sorted = new ArrayList<>(answers);
+        sorted.sort(Comparator.comparingInt(RecoveryFloor::lastTerm).thenComparingLong(RecoveryFloor::lastIndex));
+        RecoveryFloor quorumPosition = sorted.get(quorum - 1);
+        int latestTerm = sorted.stream().mapToInt(RecoveryFloor::term).max().orElse(0);
+        return new RecoveryFloor(latestTerm, quorumPosition.lastTerm, quorumPosition.lastIndex);
     }
 
-    private boolean isWithin(int ofTerm, long ofIndex) {
-        return ofTerm > lastTerm || (ofTerm == lastTerm && ofIndex >= lastIndex);
+    private boolean isReachedBy(int logTerm, long logIndex) {
+        return logTerm > lastTerm || (logTerm == lastTerm && logIndex >= lastIndex);
     }
 
     /** Whether whoever asks for a vote in that term, with a log that ends there, may get it. */
-    public boolean mayGrant(int inTerm, int logTerm, long logIndex) {
-        return equals(NONE) || (inTerm > term && isWithin(logTerm, logIndex));
+    public boolean mayGrant(int requestTerm, int logTerm, long logIndex) {
+        return equals(NONE) || (requestTerm > term && isReachedBy(logTerm, logIndex));
     }
 
     /**
@@ -52,17 +52,17 @@
      * that is behind in terms alone learns of the later term by that answer; unanswered, it would
      * ask in its own for ever.
      */
-    public boolean mayAnswer(int logTerm, long logIndex) {
-        return isWithin(logTerm, logIndex);
+    public boolean mayAnswerPreVote(int logTerm, long logIndex) {
+        return isReachedBy(logTerm, logIndex);
     }
 
     /** Whether who leads in that term may be followed. */
-    public boolean mayFollow(int inTerm) {
-        return inTerm >= term;
+    public boolean mayFollow(int requestTerm) {
+        return requestTerm >= term;
     }
 
     /** Whether a voter whose own log ends there may ask for votes. */
-    public boolean mayStand(int logTerm, long logIndex) {
-        return isWithin(logTerm, logIndex);
+    public boolean mayCampaign(int logTerm, long logIndex) {
+        return isReachedBy(logTerm, logIndex);
     }
 }
--- a/src/main/java/tinlink/lab/plays/AgreementGroup.java
+++ b/src/main/java/tinlink/lab/plays/AgreementGroup.java
@@ -1,6 +1,6 @@
 package tinlink.lab.plays;
 
-import tinlink.peers.Agreed;
+import tinlink.cluster.ReplicatedStateMachine;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -30,14 +30,14 @@
     /** By name, in the order of their numbers. */
     final Map<String, SimulatedMember> members = new LinkedHashMap<>();
     /** Makes a replica of the agreed state as it is before the first line. */
-    final Supplier<Agreed> replicas;
+    final Supplier<ReplicatedStateMachine> replicas;
     /** Old copies of disks that were found out before they voted. */
     int oldDisksFound;
 
     private List<SimulatedMember> voters = List.of();
 
     AgreementGroup(
-            Play play, SimulatedNetwork network, Settings settings, Supplier<Agreed> replicas) {
+            Play play, SimulatedNetwork network, Settings settings, Supplier<ReplicatedStateMachine> replicas) {
         this.play = play;
         this.network = network;
         this.settings = settings;
--- a/src/main/java/tinlink/lab/plays/ChangesMachine.java
+++ b/src/main/java/tinlink/lab/plays/ChangesMachine.java
@@ -1,6 +1,6 @@
 package tinlink.lab.plays;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.choice.Absent;
 import tinlink.policy.choice.Changes;
 import tinlink.policy.choice.PolicyCommandCodec;
@@ -30,17 +30,17 @@
 
     @Override
     public String play(Changes state, String line) {
-        return state.apply(PolicyCommandCodec.decode(Words.in(line))).message();
+        return state.apply(PolicyCommandCodec.decode(LineCodec.decode(line))).message();
     }
 
     @Override
     public List<String> lines(Changes state) {
-        return state.lines().stream().map(words -> Words.of(words.toArray())).toList();
+        return state.lines().stream().map(words -> LineCodec.encode(words.toArray())).toList();
     }
 
     @Override
     public Changes of(List<String> lines) {
         return Changes.of(
-                KEPT, MOST_ROUTERS, first, lines.stream().map(Words::in).toList());
+                KEPT, MOST_ROUTERS, first, lines.stream().map(LineCodec::decode).toList());
     }
 }
--- a/src/main/java/tinlink/lab/plays/ControlFleet.java
+++ b/src/main/java/tinlink/lab/plays/ControlFleet.java
@@ -3,8 +3,8 @@
 import static tinlink.lab.plays.Play.MS;
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.peers.Agreed;
-import tinlink.peers.choice.Life;
+import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.membership.Incarnation;
 import tinlink.policy.choice.Absent;
 import tinlink.policy.choice.Changes;
 import tinlink.work.choice.Bounds;
@@ -83,7 +83,7 @@
         routers.values().forEach(router -> order.play(Order.machineWords(router.machine)));
         routers.keySet()
                 .forEach(name -> order.play(Order.lifeWords(
-                        name, new Life(name, 1, play.random.nextLong()).toString())));
+                        name, new Incarnation(name, 1, play.random.nextLong()).toString())));
         nodes.forEach(node -> watch(node.id()));
         routers.keySet().forEach(this::watch);
     }
@@ -140,7 +140,7 @@
     ControlRouter leader() {
         return routers.values().stream()
                 .filter(r -> r.up && r.leads())
-                .max(Comparator.comparingInt(r -> r.agreement.term()))
+                .max(Comparator.comparingInt(r -> r.raft.term()))
                 .orElse(null);
     }
 
@@ -158,19 +158,19 @@
     }
 
     /** A shared replica as that which is agreed on. */
-    record SharedAgreed(SharedReplicas<Changes>.Replica replica) implements Agreed {
+    record SharedAgreed(SharedReplicas<Changes>.Replica replica) implements ReplicatedStateMachine {
         @Override
-        public String play(String line) {
+        public String apply(String line) {
             return replica.play(line);
         }
 
         @Override
-        public List<String> lines() {
+        public List<String> snapshot() {
             return replica.lines();
         }
 
         @Override
-        public void from(List<String> lines) {
+        public void restore(List<String> lines) {
             replica.from(lines);
         }
     }
--- a/src/main/java/tinlink/lab/plays/ControlPlay.java
+++ b/src/main/java/tinlink/lab/plays/ControlPlay.java
@@ -3,7 +3,7 @@
 import static tinlink.lab.plays.Play.MS;
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.choice.Absent;
 import tinlink.policy.choice.Change;
 import tinlink.policy.choice.PolicyCommand;
@@ -216,7 +216,7 @@
         List<ControlRouter> all = fleet.those(there);
         ControlRouter asked = all.get(play.random.nextInt(all.size()));
         long epoch = asked.changes().inForce().epoch();
-        String line = Words.of(PolicyCommandCodec.encode(new PolicyCommand.Propose(
+        String line = LineCodec.encode(PolicyCommandCodec.encode(new PolicyCommand.Propose(
                         id, epoch, "0".repeat(64), DOCUMENT, "operator", "a reason", FENCE))
                 .toArray());
         long nextAsk = play.now();
--- a/src/main/java/tinlink/lab/plays/ControlRouter.java
+++ b/src/main/java/tinlink/lab/plays/ControlRouter.java
@@ -3,7 +3,7 @@
 import static tinlink.lab.plays.Play.MS;
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.choice.Absent;
 import tinlink.policy.choice.Change;
 import tinlink.policy.choice.Changes;
@@ -59,7 +59,7 @@
         replica = fleet.states.replica();
         startMember(new ControlFleet.SharedAgreed(replica));
         participant =
-                new Participant(name, life.toString(), life.starts(), REPORT_US, change -> "");
+                new Participant(name, incarnation.toString(), incarnation.startCount(), REPORT_US, change -> "");
         coordinator = new Coordinator(REPORT_US);
         listToldAt = Long.MIN_VALUE / 2;
         confirmed = -1;
@@ -125,7 +125,7 @@
         }
         long askedAt = play.now();
         if (leads()) {
-            agreement.settled((index, failure) -> leaseConfirmed(askedAt, index, failure));
+            raft.confirmCommitIndex((index, failure) -> leaseConfirmed(askedAt, index, failure));
             return;
         }
         tellLeader(MessageKind.CONFIRM, WireSize.LONG, () -> leaderConfirms(askedAt));
@@ -135,7 +135,7 @@
     private void leaderConfirms(long askedAt) {
         ControlRouter leader = fleet.routers.get(leaderHint);
         if (leader != null && leader.leads()) {
-            leader.agreement.settled(
+            leader.raft.confirmCommitIndex(
                     (index, failure) -> leader.confirm(this, askedAt, index, failure));
         }
     }
@@ -165,7 +165,7 @@
     void agreedMore() {
         Changes changes = changes();
         participant.clock(play.now(), play.now());
-        if (confirmed >= 0 && shown.index() >= confirmed) {
+        if (confirmed >= 0 && learnerLog.index() >= confirmed) {
             participant.leased(confirmedAskedAt, changes.inForce().absent().leaseUs());
             confirmed = -1;
         }
@@ -177,7 +177,7 @@
     }
 
     private void propose(PolicyCommand command) {
-        propose(Words.of(PolicyCommandCodec.encode(command).toArray()));
+        propose(LineCodec.encode(PolicyCommandCodec.encode(command).toArray()));
     }
 
     /** Notes when it first takes lookups by a version; one that is to come is looked for at its time. */
--- a/src/main/java/tinlink/lab/plays/MembershipPlay.java
+++ b/src/main/java/tinlink/lab/plays/MembershipPlay.java
@@ -1,10 +1,10 @@
 package tinlink.lab.plays;
 
-import tinlink.peers.choice.Life;
-import tinlink.peers.choice.Member;
-import tinlink.peers.choice.Membership;
-import tinlink.peers.choice.Rumor;
-import tinlink.peers.choice.Standing;
+import tinlink.cluster.membership.Incarnation;
+import tinlink.cluster.membership.Member;
+import tinlink.cluster.membership.Membership;
+import tinlink.cluster.membership.Rumor;
+import tinlink.cluster.membership.MemberState;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -35,9 +35,9 @@
     /** What came of a play. */
     public record Outcome(long steps, long digest, int falseDeaths, List<String> violations) {}
 
-    private final class Router extends SimulatedProcess implements Membership.Hands {
-        Life life;
-        Membership m;
+    private final class Router extends SimulatedProcess implements Membership.Handler {
+        Incarnation incarnation;
+        Membership membership;
         /** Starts with its folder; an old copy has fewer. */
         long starts;
         /** The newest life that it has held of each. */
@@ -51,14 +51,14 @@
 
         void start(long starts) {
             this.starts = starts;
-            life = new Life(name, starts, play.random.nextLong(1, Long.MAX_VALUE));
+            incarnation = new Incarnation(name, starts, play.random.nextLong(1, Long.MAX_VALUE));
             List<String> seeds =
                     new ArrayList<>(routers.keySet()).subList(0, Math.min(3, routers.size()));
-            m = new Membership(
-                    life,
+            membership = new Membership(
+                    incarnation,
                     name,
                     seeds,
-                    new Membership.Pace(roundUs, 3, 4 * routers.size() + 8),
+                    new Membership.Settings(roundUs, 3, 4 * routers.size() + 8),
                     play.random.split());
             newest.clear();
             begin();
@@ -67,14 +67,14 @@
 
         @Override
         void perform(Runnable action) {
-            m.clock(play.now());
+            membership.advanceClock(play.now());
             action.run();
             turn();
         }
 
         private void turn() {
-            m.clock(play.now());
-            while (m.decide(this)) {
+            membership.advanceClock(play.now());
+            while (membership.decide(this)) {
                 // Each has been carried out.
             }
         }
@@ -83,8 +83,8 @@
             Router to = routers.get(at);
             if (to != null) {
                 Runnable arrives = () -> {
-                    Membership its = to.m;
-                    its.heard(rumors);
+                    Membership its = to.membership;
+                    its.onRumors(rumors);
                     what.accept(its);
                 };
                 net.send(
@@ -97,58 +97,58 @@
         }
 
         @Override
-        public void probe(String at, long number, List<Rumor> rumors) {
-            send(at, "", rumors, t -> t.probed(name, number));
+        public void sendProbe(String at, long number, List<Rumor> rumors) {
+            send(at, "", rumors, t -> t.onProbe(name, number));
         }
 
         @SuppressWarnings("ReferenceEquality") // The same start of a process, not an equal one.
         @Override
-        public void answer(String at, long number, List<Rumor> rumors) {
-            Life to = routers.get(at) == null ? null : routers.get(at).life;
+        public void sendAck(String at, long number, List<Rumor> rumors) {
+            Incarnation to = routers.get(at) == null ? null : routers.get(at).incarnation;
             send(at, "", rumors, t -> {
-                if (routers.get(at).life == to) {
-                    t.answered(
+                if (routers.get(at).incarnation == to) {
+                    t.onAck(
                             number); // A link ends with its process; so do the numbers said on it.
                 }
             });
         }
 
         @Override
-        public void probeFor(String at, long number, String target, List<Rumor> rumors) {
-            send(at, target, rumors, t -> t.probeAsked(name, number, target));
+        public void sendProbeRequest(String at, long number, String target, List<Rumor> rumors) {
+            send(at, target, rumors, t -> t.onProbeRequest(name, number, target));
         }
 
         @Override
-        public void noAnswer(String at, long number, List<Rumor> rumors) {
-            send(at, "", rumors, t -> t.helperAnswered(number));
+        public void sendNack(String at, long number, List<Rumor> rumors) {
+            send(at, "", rumors, t -> t.onNack(number));
         }
 
         @Override
-        public void changed(Member member) {
-            play.note(name + " holds " + member.life() + " " + member.standing());
-            Long before = newest.put(member.name(), member.life().starts());
-            if (before != null && before > member.life().starts()) {
-                violations.add(name + " went back to an earlier life of " + member.name());
+        public void onMemberChanged(Member member) {
+            play.note(name + " holds " + member.incarnation() + " " + member.state());
+            Long before = newest.put(member.router(), member.incarnation().startCount());
+            if (before != null && before > member.incarnation().startCount()) {
+                violations.add(name + " went back to an earlier life of " + member.router());
             }
-            Router r = routers.get(member.name());
+            Router r = routers.get(member.router());
             boolean well =
-                    r != null && r.up && !r.paused && r.life.equals(member.life()) && !troubled;
-            if (member.standing() == Standing.DEAD && well) {
+                    r != null && r.up && !r.paused && r.incarnation.equals(member.incarnation()) && !troubled;
+            if (member.state() == MemberState.DEAD && well) {
                 falseDeaths++;
             }
         }
 
         @Override
-        public void self(Life.Other how, Life other) {
-            toldOfSelf.add(how + " " + other);
+        public void onSelfConflict(Incarnation.Relation relation, Incarnation other) {
+            toldOfSelf.add(relation + " " + other);
         }
 
         @SuppressWarnings("ReferenceEquality") // As above.
         @Override
-        public void wake(long atUs) {
-            Life mine = life;
+        public void scheduleWakeUp(long atUs) {
+            Incarnation mine = incarnation;
             play.at(atUs, () -> {
-                if (life == mine) {
+                if (incarnation == mine) {
                     takes(() -> {});
                 }
             });
@@ -270,11 +270,11 @@
                 if (o == r) {
                     continue;
                 }
-                Member m = r.m.member(o.name);
-                if (m == null || m.standing() != Standing.ALIVE || !m.life().equals(o.life)) {
+                Member m = r.membership.member(o.name);
+                if (m == null || m.state() != MemberState.ALIVE || !m.incarnation().equals(o.incarnation)) {
                     return r.name + " holds " + o.name + " for "
-                            + (m == null ? "unknown" : m.standing() + " " + m.life()) + ", it is "
-                            + o.life;
+                            + (m == null ? "unknown" : m.state() + " " + m.incarnation()) + ", it is "
+                            + o.incarnation;
                 }
             }
         }
@@ -339,18 +339,18 @@
         Router twin = new Router("r0");
         // It is reached at the same name here, so that what others answer goes to the first of the
         // two.
-        twin.life = new Life("r0", r.starts, r.life.word() + 1);
+        twin.incarnation = new Incarnation("r0", r.starts, r.incarnation.nonce() + 1);
         Router seen = routers.get("r1");
         if (!seen.up) {
             seen.start(seen.starts + 1);
             play.run(play.now() + 60 * ROUND);
         }
-        seen.takes(() -> seen.m.heard(new Rumor(twin.life, 1, Standing.ALIVE, "r0", "")));
+        seen.takes(() -> seen.membership.onRumors(new Rumor(twin.incarnation, 1, MemberState.ALIVE, "r0", "")));
         play.run(play.now() + 60 * ROUND);
         if (r.toldOfSelf.stream().noneMatch(s -> s.startsWith("TWIN"))) {
             violations.add("r0 was not told of its twin");
         }
-        if (seen.m.member("r0").twin() == null) {
+        if (seen.membership.member("r0").duplicate() == null) {
             violations.add("r1 has not kept the twin of r0");
         }
     }
--- a/src/main/java/tinlink/lab/plays/SimulatedDisk.java
+++ b/src/main/java/tinlink/lab/plays/SimulatedDisk.java
@@ -1,12 +1,12 @@
 package tinlink.lab.plays;
 
-import tinlink.peers.Kept;
+import tinlink.cluster.RaftStateStore;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** A voter's disk in simulated time: what was written but not synced is lost with its process. */
-final class SimulatedDisk implements Kept.Records {
+final class SimulatedDisk implements RaftStateStore.RecordLog {
     byte[] state;
     List<byte[]> records = new ArrayList<>();
     /** How often a process has been started with this disk. */
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void all(byte[] whole) {
+    public void compactTo(byte[] whole) {
         state = whole;
         records = new ArrayList<>();
         unsynced.clear();
--- a/src/main/java/tinlink/lab/plays/SimulatedMember.java
+++ b/src/main/java/tinlink/lab/plays/SimulatedMember.java
@@ -4,15 +4,15 @@
 import io.microraft.model.message.RaftMessage;
 
 import tinlink.net.BadMessage;
-import tinlink.peers.Agreed;
-import tinlink.peers.Agreement;
-import tinlink.peers.Kept;
-import tinlink.peers.RaftCodec;
-import tinlink.peers.Shown;
-import tinlink.peers.Voter;
-import tinlink.peers.choice.Entry;
-import tinlink.peers.choice.Floor;
-import tinlink.peers.choice.Life;
+import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.RaftReplica;
+import tinlink.cluster.RaftStateStore;
+import tinlink.cluster.RaftCodec;
+import tinlink.cluster.LearnerLog;
+import tinlink.cluster.Voter;
+import tinlink.cluster.membership.VoterAdmission;
+import tinlink.cluster.membership.RecoveryFloor;
+import tinlink.cluster.membership.Incarnation;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -30,7 +30,7 @@
  * disk, and finds out before it votes whether its disk is an old copy; the others learn from voters.
  */
 abstract class SimulatedMember extends SimulatedProcess
-        implements RaftNodeExecutor, Agreement.Hears {
+        implements RaftNodeExecutor, RaftReplica.Listener {
     /** Between a task that is handed over and its run, on the agreement's own thread. */
     private static final long HAND_OVER_US = 20;
 
@@ -44,17 +44,17 @@
     /** It was found out that its disk is an old copy: it never votes by it. */
     boolean hasOldDisk;
 
-    Life life;
-    Shown shown;
-    Agreement agreement;
+    Incarnation incarnation;
+    LearnerLog learnerLog;
+    RaftReplica raft;
     String leaderHint = "";
     /** Lives of routers that have reported here. */
-    final Map<String, Life> livesKnown = new HashMap<>();
+    final Map<String, Incarnation> livesKnown = new HashMap<>();
 
-    private Entry entry;
-    private Kept kept;
+    private VoterAdmission voterAdmission;
+    private RaftStateStore stateStore;
     /** How far others' disks have been heard to be; lost with the process. */
-    private final Map<Voter, Entry.Reached> heard = new HashMap<>();
+    private final Map<Voter, VoterAdmission.LogPosition> heard = new HashMap<>();
 
     SimulatedMember(AgreementGroup group, String name, boolean voter) {
         super(group.play, name, MOST_WAITING);
@@ -74,21 +74,21 @@
     }
 
     final boolean leads() {
-        return agreement != null && agreement.leads();
+        return raft != null && raft.isLeader();
     }
 
     // ---- Starts and ends. ----
 
     /** Starts the process with its disk; @param replica of the agreed state, as before the first line */
-    final void startMember(Agreed replica) {
+    final void startMember(ReplicatedStateMachine replica) {
         begin();
         heard.clear();
         disk.crash();
         disk.starts++;
-        life = new Life(name, disk.starts, random().nextLong() | 1);
-        shown = new Shown(replica, group.settings.linesKept());
-        agreement = null;
-        entry = null;
+        incarnation = new Incarnation(name, disk.starts, random().nextLong() | 1);
+        learnerLog = new LearnerLog(replica, group.settings.linesKept());
+        raft = null;
+        voterAdmission = null;
     }
 
     /** Votes at once at the very first start, and else once the others have been asked about its disk. */
@@ -96,25 +96,25 @@
         if (!voter) {
             return;
         }
-        kept = openDisk();
+        stateStore = openDisk();
         if (disk.isEmpty()) {
             vote();
         } else {
-            long[] reached = kept.reached();
-            entry = new Entry(
-                    life, new Entry.Reached((int) reached[0], reached[1]), group.otherVoters(name));
+            long[] reached = stateStore.lastPosition();
+            voterAdmission = new VoterAdmission(
+                    incarnation, new VoterAdmission.LogPosition((int) reached[0], reached[1]), group.otherVoters(name));
         }
     }
 
     @Override
     void kill() {
         super.kill();
-        agreement = null;
+        raft = null;
     }
 
-    private Kept openDisk() {
+    private RaftStateStore openDisk() {
         try {
-            return new Kept(disk, disk.state, disk.records);
+            return new RaftStateStore(disk, disk.state, disk.records);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -123,26 +123,26 @@
     private void vote() {
         SimulatedClock clock = new SimulatedClock(play, group.settings.libraryMillisecondUs());
         List<Voter> first = group.voters().stream().map(SimulatedMember::self).toList();
-        agreement = new Agreement(
+        raft = new RaftReplica(
                 self(),
                 first,
-                kept,
+                stateStore,
                 group.replicas.get(),
                 this,
-                new Agreement.Ground(
+                new RaftReplica.Environment(
                         this,
                         clock,
                         new Random(random().nextLong()),
                         this::sendAgreement,
                         v -> true),
                 group.settings.snapshotEvery());
-        agreement.start();
+        raft.start();
     }
 
     // ---- Messages of the agreement. ----
 
     private void sendAgreement(Voter to, RaftMessage message) {
-        byte[] bytes = RaftCodec.bytes(message);
+        byte[] bytes = RaftCodec.encode(message);
         SimulatedMember target = group.members.get(to.router());
         if (target == null) {
             return;
@@ -157,32 +157,32 @@
     }
 
     private void hearAgreement(Voter from, Voter to, byte[] bytes) {
-        if (agreement == null || !self().equals(to)) {
+        if (raft == null || !self().equals(to)) {
             return;
         }
         try {
-            RaftMessage message = RaftCodec.message(ByteBuffer.wrap(bytes));
-            Entry.Reached reached = Agreement.shows(message);
-            if (reached != null) {
-                heard.merge(from, reached, Entry.Reached::with);
+            RaftMessage message = RaftCodec.decode(ByteBuffer.wrap(bytes));
+            VoterAdmission.LogPosition position = RaftReplica.confirmedPosition(message);
+            if (position != null) {
+                heard.merge(from, position, VoterAdmission.LogPosition::max);
             }
-            agreement.heard(message);
+            raft.receive(message);
         } catch (BadMessage e) {
             group.violations.add("a message can't be read again: " + e.getMessage());
         }
     }
 
     @Override
-    public void played(long index, String line) {
+    public void onApplied(long index, String line) {
         group.log.record(index, line);
-        if (shown.played(index, line)) {
+        if (learnerLog.append(index, line)) {
             agreedMore();
         }
     }
 
     @Override
-    public void from(long index, List<String> lines) {
-        if (shown.from(index, lines)) {
+    public void onRestored(long index, List<String> lines) {
+        if (learnerLog.restore(index, lines)) {
             agreedMore();
         }
     }
@@ -208,27 +208,27 @@
 
     /** Goes on with entering the group, and learns where it does not vote. */
     final void tendAgreement() {
-        if (entry != null && agreement == null) {
+        if (voterAdmission != null && raft == null) {
             askAboutDisk();
             enterIfMay();
-        } else if (entry != null) {
-            if (leaderHint.isEmpty() && !agreement.isAsFar()) {
+        } else if (voterAdmission != null) {
+            if (leaderHint.isEmpty() && !raft.hasReachedFloor()) {
                 askAboutDisk();
             }
-            agreement.holdsTo(entry.floor());
+            raft.setFloor(voterAdmission.floor());
         }
-        if (agreement != null) {
-            leaderHint = agreement.leader() == null ? "" : agreement.leader().router();
+        if (raft != null) {
+            leaderHint = raft.leader() == null ? "" : raft.leader().router();
         }
-        if (!voter || agreement == null) {
+        if (!voter || raft == null) {
             learn();
         } else {
-            agreement.tend();
+            raft.restartIfStuck();
         }
     }
 
     private void askAboutDisk() {
-        for (String other : entry.asks()) {
+        for (String other : voterAdmission.votersToAsk()) {
             SimulatedMember asked = group.members.get(other);
             Voter self = self();
             group.network.send(
@@ -237,31 +237,31 @@
     }
 
     private void tellAboutDisk(SimulatedMember asker, Voter disk) {
-        Entry.Reached reached = heard.get(disk);
-        Life known = livesKnown.get(asker.name);
-        Floor end = kept == null ? Floor.NONE : kept.end();
+        VoterAdmission.LogPosition position = heard.get(disk);
+        Incarnation knownIncarnation = livesKnown.get(asker.name);
+        RecoveryFloor logEnd = stateStore == null ? RecoveryFloor.NONE : stateStore.logEnd();
         group.network.send(
                 name,
                 asker.name,
-                () -> asker.takes(() -> asker.hearAboutDisk(name, known, reached, end)));
+                () -> asker.takes(() -> asker.hearAboutDisk(name, knownIncarnation, position, logEnd)));
     }
 
-    private void hearAboutDisk(String from, Life known, Entry.Reached reached, Floor end) {
-        if (entry != null) {
-            entry.answered(from, known, reached, end, play.now());
+    private void hearAboutDisk(String from, Incarnation knownIncarnation, VoterAdmission.LogPosition position, RecoveryFloor logEnd) {
+        if (voterAdmission != null) {
+            voterAdmission.answered(from, knownIncarnation, position, logEnd, play.now());
         }
     }
 
     private void enterIfMay() {
-        switch (entry.at(play.now(), group.settings.entryUs())) {
-            case VOTE -> {
+        switch (voterAdmission.decide(play.now(), group.settings.entryUs())) {
+            case ADMITTED -> {
                 vote();
-                agreement.holdsTo(entry.floor());
+                raft.setFloor(voterAdmission.floor());
             }
-            case OLD -> {
+            case STALE_DISK -> {
                 group.oldDisksFound++;
                 // It never votes by this disk; an operator gives it a new one, here at the end.
-                entry = null;
+                voterAdmission = null;
                 hasOldDisk = true;
             }
             default -> {}
@@ -271,7 +271,7 @@
     private void learn() {
         List<SimulatedMember> voters = group.voters();
         SimulatedMember asked = voters.get(random().nextInt(voters.size()));
-        long after = shown.index();
+        long after = learnerLog.index();
         group.network.send(
                 name,
                 asked.name,
@@ -281,25 +281,25 @@
     }
 
     private void teach(SimulatedMember learner, long after) {
-        Shown.Piece piece = shown.after(after);
+        LearnerLog.Batch batch = learnerLog.batchAfter(after);
         String leader = leaderHint;
         group.network.send(
                 name,
                 learner.name,
                 MessageKind.LEARNED,
-                () -> learnedBytes(leader, piece),
-                () -> learner.takes(() -> learner.learned(leader, after, piece)));
+                () -> learnedBytes(leader, batch),
+                () -> learner.takes(() -> learner.learned(leader, after, batch)));
     }
 
-    private int learnedBytes(String leader, Shown.Piece piece) {
+    private int learnedBytes(String leader, LearnerLog.Batch batch) {
         int body = WireSize.text(leader) + WireSize.LONG + 1;
         return WireSize.word(
-                name, piece == null ? body : body + WireSize.LONG + WireSize.lines(piece.lines()));
+                name, batch == null ? body : body + WireSize.LONG + WireSize.lines(batch.lines()));
     }
 
-    private void learned(String leader, long after, Shown.Piece piece) {
+    private void learned(String leader, long after, LearnerLog.Batch batch) {
         leaderHint = leader.isEmpty() ? leaderHint : leader;
-        if (piece != null && shown.learned(after, piece)) {
+        if (batch != null && learnerLog.appendBatch(after, batch)) {
             agreedMore();
         }
     }
@@ -307,8 +307,8 @@
     /** Says a line to whoever leads, as far as is known; it may get lost. */
     public void propose(String line) {
         SimulatedMember leader = group.members.get(leaderHint);
-        if (leader == this && agreement != null) {
-            agreement.propose(line, IGNORED);
+        if (leader == this && raft != null) {
+            raft.propose(line, IGNORED);
         } else if (leader != null) {
             group.network.send(
                     name,
@@ -321,7 +321,7 @@
 
     private void proposedBy(SimulatedMember from, String line) {
         if (leads()) {
-            agreement.propose(line, (said, failure) -> answerProposal(from, said, failure));
+            raft.propose(line, (said, failure) -> answerProposal(from, said, failure));
         } else {
             answerProposal(from, null, NOT_LEADER);
         }
@@ -337,10 +337,10 @@
         return name
                 + (up ? "" : " down")
                 + (hasOldDisk ? " old disk" : "")
-                + (entry == null ? "" : " " + entry.may() + " " + entry.floor())
-                + (agreement == null
+                + (voterAdmission == null ? "" : " " + voterAdmission.decision() + " " + voterAdmission.floor())
+                + (raft == null
                         ? ""
-                        : " leader " + agreement.leader() + " term " + agreement.term() + " end "
-                                + kept.end());
+                        : " leader " + raft.leader() + " term " + raft.term() + " end "
+                                + stateStore.logEnd());
     }
 }
--- a/src/main/java/tinlink/lab/plays/SimulatedRouter.java
+++ b/src/main/java/tinlink/lab/plays/SimulatedRouter.java
@@ -73,7 +73,7 @@
         pongs.clear();
         clients = 0;
         lettingGo = false;
-        holder = new Holder(name, life.toString(), SAY_AGAIN_US);
+        holder = new Holder(name, incarnation.toString(), SAY_AGAIN_US);
         lead = new Lead(WorkFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
         enterGroup();
         long run = generation;
@@ -120,7 +120,7 @@
         lead.leads(leads());
         lead.seated(seated);
         while (lead.decide(
-                order(), line -> agreement.propose(line, (said, failure) -> lead.answered()))) {
+                order(), line -> raft.propose(line, (said, failure) -> lead.answered()))) {
             // Each has been put to the vote.
         }
     }
@@ -181,7 +181,7 @@
                     name,
                     leaderHint,
                     () -> leader.takes(() -> {
-                        leader.livesKnown.put(name, life);
+                        leader.livesKnown.put(name, incarnation);
                         lines.forEach(line -> leader.lead.told(name, line));
                     }));
         }
--- a/src/main/java/tinlink/lab/plays/WireSize.java
+++ b/src/main/java/tinlink/lab/plays/WireSize.java
@@ -1,6 +1,6 @@
 package tinlink.lab.plays;
 
-import tinlink.peers.choice.Rumor;
+import tinlink.cluster.membership.Rumor;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -58,8 +58,8 @@
     static int membership(String target, List<Rumor> rumors) {
         int bytes = FRAME + 1 + LONG + text(target) + 1;
         for (Rumor rumor : rumors) {
-            bytes += text(rumor.life().name()) + LIFE_NUMBERS + LONG + 1;
-            bytes += text(rumor.at()) + ADDRESS + text(rumor.by());
+            bytes += text(rumor.incarnation().router()) + LIFE_NUMBERS + LONG + 1;
+            bytes += text(rumor.address()) + ADDRESS + text(rumor.suspectedBy());
         }
         return bytes;
     }
--- a/src/main/java/tinlink/lab/plays/WorkFleet.java
+++ b/src/main/java/tinlink/lab/plays/WorkFleet.java
@@ -101,7 +101,7 @@
     /** The order as it stands by all that any router has found agreed. */
     Order truth() {
         group.log.after(truthIndex).forEach((index, line) -> {
-            truth.play(line);
+            truth.apply(line);
             truthIndex = index;
         });
         return truth.order();
--- a/src/main/java/tinlink/lab/plays/WorkReplica.java
+++ b/src/main/java/tinlink/lab/plays/WorkReplica.java
@@ -1,6 +1,6 @@
 package tinlink.lab.plays;
 
-import tinlink.peers.Agreed;
+import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.work.WorkBook;
 import tinlink.work.choice.Bounds;
 import tinlink.work.choice.Order;
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** One router's replica of the order of work. */
-interface WorkReplica extends Agreed {
+interface WorkReplica extends ReplicatedStateMachine {
     Order order();
 
     /** The replica is not used any more. */
@@ -33,18 +33,18 @@
         }
 
         @Override
-        public String play(String line) {
-            return book.play(line);
+        public String apply(String line) {
+            return book.apply(line);
         }
 
         @Override
-        public List<String> lines() {
-            return book.lines();
+        public List<String> snapshot() {
+            return book.snapshot();
         }
 
         @Override
-        public void from(List<String> lines) {
-            book.from(lines);
+        public void restore(List<String> lines) {
+            book.restore(lines);
         }
     }
 
@@ -67,17 +67,17 @@
         }
 
         @Override
-        public String play(String line) {
+        public String apply(String line) {
             return replica.play(line);
         }
 
         @Override
-        public List<String> lines() {
+        public List<String> snapshot() {
             return replica.lines();
         }
 
         @Override
-        public void from(List<String> lines) {
+        public void restore(List<String> lines) {
             replica.from(lines);
         }
     }
--- a/src/main/java/tinlink/lab/scale/HollowRouter.java
+++ b/src/main/java/tinlink/lab/scale/HollowRouter.java
@@ -2,10 +2,10 @@
 
 import tinlink.net.Loop;
 import tinlink.net.Network;
-import tinlink.peers.Books;
-import tinlink.peers.PeerKeys;
-import tinlink.peers.Peers;
-import tinlink.peers.choice.Standing;
+import tinlink.cluster.CompositeStateMachine;
+import tinlink.cluster.PeerKeys;
+import tinlink.cluster.ClusterNode;
+import tinlink.cluster.membership.MemberState;
 import tinlink.policy.Policy;
 import tinlink.policy.PolicyBook;
 import tinlink.policy.PolicyTerms;
@@ -54,7 +54,7 @@
     private final CompletableFuture<InetSocketAddress> opened = new CompletableFuture<>();
     private final Loop loop = new Loop();
     private Network network;
-    private Peers peers;
+    private ClusterNode clusterNode;
     private Work work;
     private Policy policy;
     private boolean joined;
@@ -82,7 +82,7 @@
         try {
             network = new Network(loop);
             open();
-            opened.complete(peers.address());
+            opened.complete(clusterNode.address());
         } catch (IOException | RuntimeException e) {
             opened.completeExceptionally(e);
             return;
@@ -97,18 +97,18 @@
         Files.createDirectories(p.folder);
         WorkBook orders = new WorkBook();
         PolicyBook changes = new PolicyBook();
-        peers = new Peers(
+        clusterNode = new ClusterNode(
                 loop,
                 network.apart(),
-                new Peers.Names(p.cluster, p.router, p.listen, p.at),
-                new Peers.Others(p.peers, p.voters),
+                new ClusterNode.LocalRouter(p.cluster, p.router, p.listen, p.at),
+                new ClusterNode.KnownRouters(p.peers, p.voters),
                 new PeerKeys(p.keys, p.useKey),
-                new Peers.Pacing(p.roundUs, p.helpers, p.secondUs, p.handshakeUs, p.idleUs),
-                new Peers.Bounds(p.most, p.strangers, p.diskBytes, p.lines),
+                new ClusterNode.Timing(p.roundUs, p.helpers, p.secondUs, p.handshakeUs, p.idleUs),
+                new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
                 p.folder,
                 start.seed,
-                new Books(orders, Map.of(PolicyBook.WORD, changes)),
-                new Books(new WorkBook(), Map.of(PolicyBook.WORD, new PolicyBook())));
+                new CompositeStateMachine(orders, Map.of(PolicyBook.WORD, changes)),
+                new CompositeStateMachine(new WorkBook(), Map.of(PolicyBook.WORD, new PolicyBook())));
         Bounds bounds = new Bounds(
                 w.holders,
                 w.zoneShare,
@@ -121,7 +121,7 @@
         work = new Work(
                 loop,
                 network.apart(),
-                peers,
+                clusterNode,
                 orders,
                 this,
                 new Work.Figures(
@@ -136,7 +136,7 @@
                 p.folder);
         policy = new Policy(
                 loop,
-                peers,
+                clusterNode,
                 changes,
                 c -> refusal(c.text()),
                 HollowRouter::sharedClockUs,
@@ -201,22 +201,22 @@
             HollowState s = new HollowState();
             s.name = group.getName();
             s.known = known;
-            s.leader = peers.leader();
-            s.leads = peers.leads();
+            s.leader = clusterNode.leader();
+            s.leads = clusterNode.isLeader();
             s.alive = 1
-                    + (int) peers.membership().members().stream()
-                            .filter(m -> m.standing() == Standing.ALIVE)
+                    + (int) clusterNode.membership().members().stream()
+                            .filter(m -> m.state() == MemberState.ALIVE)
                             .count();
             s.machines = work.order().machines().size();
             s.enrolled = policy.changes().enrolled().size();
             s.epoch = policy.changes().inForce().epoch();
-            s.heardUpTo = peers.heardUpTo();
+            s.heardUpTo = clusterNode.learnedIndex();
             s.openChange = policy.changes().open() == null
                     ? ""
                     : policy.changes().open().id();
             s.tookOldTooLate = tookOldTooLate;
-            s.connections = peers.connections();
-            s.traffic = peers.traffic().byKind();
+            s.connections = clusterNode.connectionCount();
+            s.traffic = clusterNode.traffic().byKind();
             s.threadCpuNs = threadCpuNs();
             return s;
         });
--- a/src/main/java/tinlink/policy/Policy.java
+++ b/src/main/java/tinlink/policy/Policy.java
@@ -1,7 +1,7 @@
 package tinlink.policy;
 
 import tinlink.net.Loop;
-import tinlink.peers.Peers;
+import tinlink.cluster.ClusterNode;
 import tinlink.policy.choice.Absent;
 import tinlink.policy.choice.Change;
 import tinlink.policy.choice.Changes;
@@ -27,7 +27,7 @@
 public final class Policy implements Loop.Turn {
     private static final Logger LOG = Logger.getLogger("tinlink.policy");
     private final Loop loop;
-    private final Peers peers;
+    private final ClusterNode clusterNode;
     private final PolicyBook book;
     private final Participant participant;
     private final Coordinator coordinator;
@@ -47,20 +47,20 @@
      */
     public Policy(
             Loop loop,
-            Peers peers,
+            ClusterNode clusterNode,
             PolicyBook book,
             Function<Change, String> check,
             LongSupplier shared,
             long againUs) {
         this.loop = loop;
-        this.peers = peers;
+        this.clusterNode = clusterNode;
         this.book = book;
         this.shared = shared;
         this.againUs = againUs;
         participant = new Participant(
-                peers.life().name(),
-                peers.life().toString(),
-                peers.life().starts(),
+                clusterNode.incarnation().router(),
+                clusterNode.incarnation().toString(),
+                clusterNode.incarnation().startCount(),
                 againUs,
                 check);
         coordinator = new Coordinator(againUs);
@@ -112,13 +112,13 @@
         }
         long now = loop.now();
         participant.clock(shared.getAsLong(), now);
-        if (confirmed >= 0 && peers.heardUpTo() >= confirmed) {
+        if (confirmed >= 0 && clusterNode.learnedIndex() >= confirmed) {
             participant.leased(confirmedAsked, changes().inForce().absent().leaseUs());
             confirmed = -1;
         }
         participant.decide(changes(), this::propose);
         coordinator.clock(now, shared.getAsLong());
-        coordinator.leads(peers.leads());
+        coordinator.leads(clusterNode.isLeader());
         coordinator.decide(changes(), this::propose);
     }
 
@@ -132,7 +132,7 @@
                 || (open != null && open.absent().rule() == Absent.Rule.FENCE);
         if (fences) {
             long asked = loop.now();
-            peers.confirm(index -> {
+            clusterNode.confirmCommitIndex(index -> {
                 if (confirmed < 0) {
                     confirmed = index;
                     confirmedAsked = asked;
@@ -144,7 +144,7 @@
     }
 
     private void propose(PolicyCommand command) {
-        peers.propose(PolicyBook.line(command), (said, e) -> {
+        clusterNode.propose(PolicyBook.line(command), (said, e) -> {
             if (e != null || !said.isEmpty()) {
                 LOG.log(Level.FINE, "event=not_taken command={0} said={1}", new Object[] {
                     command.getClass().getSimpleName(), e == null ? said : e
@@ -156,7 +156,7 @@
     /** Nothing is taken any more. */
     public void leave() {
         ends = true;
-        propose(new PolicyCommand.Leave(peers.life().name(), peers.life().toString()));
+        propose(new PolicyCommand.Leave(clusterNode.incarnation().router(), clusterNode.incarnation().toString()));
     }
 
     // ---- For operators. ----
@@ -183,14 +183,14 @@
             String reason,
             Absent absent,
             BiConsumer<String, String> told) {
-        peers.propose(
+        clusterNode.propose(
                 PolicyBook.line(new PolicyCommand.Propose(
                         id, against, digest, text, author, reason, absent)),
                 told);
     }
 
     public void withdraw(String id, String reason, BiConsumer<String, String> told) {
-        peers.propose(PolicyBook.line(new PolicyCommand.Abort(id, reason)), told);
+        clusterNode.propose(PolicyBook.line(new PolicyCommand.Abort(id, reason)), told);
     }
 
     /** How this router stands. */
--- a/src/main/java/tinlink/policy/PolicyBook.java
+++ b/src/main/java/tinlink/policy/PolicyBook.java
@@ -1,7 +1,7 @@
 package tinlink.policy;
 
-import tinlink.peers.Agreed;
-import tinlink.peers.choice.Words;
+import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.choice.Absent;
 import tinlink.policy.choice.Changes;
 import tinlink.policy.choice.PolicyCommand;
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /** Changes of policy, as that which is agreed on. */
-public final class PolicyBook implements Agreed {
+public final class PolicyBook implements ReplicatedStateMachine {
     /** The first word of all its lines. */
     public static final String WORD = PolicyCommandCodec.SUBJECT;
 
@@ -32,22 +32,22 @@
     }
 
     private static String line(List<String> words) {
-        return Words.of(words.toArray());
+        return LineCodec.encode(words.toArray());
     }
 
     @Override
-    public String play(String line) {
-        return changes.apply(PolicyCommandCodec.decode(Words.in(line))).message();
+    public String apply(String line) {
+        return changes.apply(PolicyCommandCodec.decode(LineCodec.decode(line))).message();
     }
 
     @Override
-    public List<String> lines() {
+    public List<String> snapshot() {
         return changes.lines().stream().map(PolicyBook::line).toList();
     }
 
     @Override
-    public void from(List<String> lines) {
+    public void restore(List<String> lines) {
         changes = Changes.of(
-                KEPT, MOST_ROUTERS, FIRST, lines.stream().map(Words::in).toList());
+                KEPT, MOST_ROUTERS, FIRST, lines.stream().map(LineCodec::decode).toList());
     }
 }
--- a/src/main/java/tinlink/router/PolicyLinks.java
+++ b/src/main/java/tinlink/router/PolicyLinks.java
@@ -3,7 +3,7 @@
 import tinlink.decision.Index;
 import tinlink.net.BadMessage;
 import tinlink.net.Loop;
-import tinlink.peers.Peers;
+import tinlink.cluster.ClusterNode;
 import tinlink.policy.Policy;
 import tinlink.policy.PolicyBook;
 import tinlink.policy.choice.Version;
@@ -23,12 +23,12 @@
     /** As the newest versions have them: two at a time, the one in force and the one before it. */
     private final Map<Long, PolicyDoc> docs = new java.util.TreeMap<>();
 
-    PolicyLinks(Loop loop, Peers peers, PolicyBook book, RouterStart start) {
+    PolicyLinks(Loop loop, ClusterNode clusterNode, PolicyBook book, RouterStart start) {
         this.start = start;
         // The one clock that all machines read; nothing else in the router asks it.
         policy = new Policy(
                 loop,
-                peers,
+                clusterNode,
                 book,
                 c -> refuses(c.text()),
                 () -> System.currentTimeMillis() * 1000,
--- a/src/main/java/tinlink/router/WorkLinks.java
+++ b/src/main/java/tinlink/router/WorkLinks.java
@@ -3,10 +3,10 @@
 import tinlink.decision.Outcome;
 import tinlink.net.Loop;
 import tinlink.net.Network;
-import tinlink.peers.Agreed;
-import tinlink.peers.Books;
-import tinlink.peers.PeerKeys;
-import tinlink.peers.Peers;
+import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.CompositeStateMachine;
+import tinlink.cluster.PeerKeys;
+import tinlink.cluster.ClusterNode;
 import tinlink.policy.PolicyBook;
 import tinlink.start.PeersStart;
 import tinlink.start.RouterStart;
@@ -67,14 +67,14 @@
                 start.most);
         WorkBook book = new WorkBook();
         PolicyBook changes = new PolicyBook();
-        Peers peers = new Peers(
+        ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network.apart(),
-                new Peers.Names(p.cluster, p.router, p.listen, p.at),
-                new Peers.Others(p.peers, p.voters),
+                new ClusterNode.LocalRouter(p.cluster, p.router, p.listen, p.at),
+                new ClusterNode.KnownRouters(p.peers, p.voters),
                 new PeerKeys(p.keys, p.useKey),
-                new Peers.Pacing(p.roundUs, p.helpers, p.secondUs, p.handshakeUs, p.idleUs),
-                new Peers.Bounds(p.most, p.strangers, p.diskBytes, p.lines),
+                new ClusterNode.Timing(p.roundUs, p.helpers, p.secondUs, p.handshakeUs, p.idleUs),
+                new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
                 p.folder,
                 from.seed,
                 books(book, changes),
@@ -82,7 +82,7 @@
         work = new Work(
                 loop,
                 network.apart(),
-                peers,
+                clusterNode,
                 book,
                 this,
                 new Work.Figures(
@@ -95,11 +95,11 @@
                         start.oldUs,
                         start.reportUs),
                 p.folder);
-        policy = start.policy ? new PolicyLinks(loop, peers, changes, from) : null;
+        policy = start.policy ? new PolicyLinks(loop, clusterNode, changes, from) : null;
     }
 
-    private static Agreed books(WorkBook work, PolicyBook policy) {
-        return new Books(work, Map.of(PolicyBook.WORD, policy));
+    private static ReplicatedStateMachine books(WorkBook work, PolicyBook policy) {
+        return new CompositeStateMachine(work, Map.of(PolicyBook.WORD, policy));
     }
 
     /**
--- a/src/main/java/tinlink/work/ControlCommands.java
+++ b/src/main/java/tinlink/work/ControlCommands.java
@@ -145,7 +145,7 @@
         String from = request.text("from");
         String by = request.text("to");
         request.nothingElse();
-        work.peers().replace(from, by);
+        work.peers().replaceVoter(from, by);
         // Whoever leads does it as soon as that is safe; it is heard by asking who votes.
         String said = work.peers().leader().isEmpty() ? "nobody is known to lead: ask again" : "";
         to.answer(ControlConnection.OK, views.withLeader(Map.of("said", said)));
--- a/src/main/java/tinlink/work/ControlViews.java
+++ b/src/main/java/tinlink/work/ControlViews.java
@@ -28,7 +28,7 @@
     Map<String, Object> withLeader(Map<String, ?> answer) {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("said", "");
-        all.put("router", work.peers().life().name());
+        all.put("router", work.peers().incarnation().router());
         all.put("leader", work.peers().leader());
         if (work.peers().leader().isEmpty()) {
             all.put(
--- a/src/main/java/tinlink/work/LeftOut.java
+++ b/src/main/java/tinlink/work/LeftOut.java
@@ -1,7 +1,7 @@
 package tinlink.work;
 
 import tinlink.net.Loop;
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -40,7 +40,7 @@
         this.loop = loop;
         file = folder.resolve("left-out");
         written = Files.exists(file)
-                ? new TreeSet<>(Words.in(Files.readString(file)))
+                ? new TreeSet<>(LineCodec.decode(Files.readString(file)))
                 : new TreeSet<>();
         written.remove("");
         disk = Executors.newSingleThreadExecutor(r -> {
@@ -78,7 +78,7 @@
         Set<String> some = new TreeSet<>(now);
         disk.execute(() -> {
             try {
-                keep(Words.of(some.toArray()));
+                keep(LineCodec.encode(some.toArray()));
                 loop.ready(() -> {
                     written = some;
                     writes = false;
--- a/src/main/java/tinlink/work/Work.java
+++ b/src/main/java/tinlink/work/Work.java
@@ -6,9 +6,9 @@
 import tinlink.net.Loop;
 import tinlink.net.Network;
 import tinlink.net.Ring;
-import tinlink.peers.Peers;
-import tinlink.peers.choice.Member;
-import tinlink.peers.choice.Standing;
+import tinlink.cluster.ClusterNode;
+import tinlink.cluster.membership.Member;
+import tinlink.cluster.membership.MemberState;
 import tinlink.work.choice.Bounds;
 import tinlink.work.choice.Holder;
 import tinlink.work.choice.Lead;
@@ -78,7 +78,7 @@
 
     private final Loop loop;
     private final Network network;
-    private final Peers peers;
+    private final ClusterNode clusterNode;
     private final WorkBook book;
     private final Serves serves;
     private final Figures figures;
@@ -102,40 +102,40 @@
     public Work(
             Loop loop,
             Network network,
-            Peers peers,
+            ClusterNode clusterNode,
             WorkBook book,
             Serves serves,
             Figures figures,
             Path folder)
             throws IOException {
-        this(loop, network, peers, book, serves, figures, new LeftOut(loop, folder));
+        this(loop, network, clusterNode, book, serves, figures, new LeftOut(loop, folder));
     }
 
     private Work(
             Loop loop,
             Network network,
-            Peers peers,
+            ClusterNode clusterNode,
             WorkBook book,
             Serves serves,
             Figures figures,
             LeftOut leftOut) {
         this.loop = loop;
         this.network = network;
-        this.peers = peers;
+        this.clusterNode = clusterNode;
         this.book = book;
         this.serves = serves;
         this.figures = figures;
-        String name = peers.life().name();
+        String name = clusterNode.incarnation().router();
         this.leftOut = leftOut;
-        holder = new Holder(name, peers.life().toString(), figures.reportUs(), leftOut.before());
+        holder = new Holder(name, clusterNode.incarnation().toString(), figures.reportUs(), leftOut.before());
         watch = new Watch(name, figures.watchers(), figures.probeUs(), figures.misses());
         lead = new Lead(
                 figures.bounds(),
                 figures.reportUs() / 2,
                 figures.oldUs(),
                 figures.bounds().most());
-        peers.whenPlayed(() -> moved = true);
-        peers.whenTold(lead::told);
+        clusterNode.setAppliedListener(() -> moved = true);
+        clusterNode.setReportListener(lead::told);
     }
 
     /** What is not written down yet counts as open: it would be forgotten by a stop. */
@@ -158,10 +158,10 @@
      */
     public void start(Runnable whenKnown) {
         this.whenKnown = whenKnown;
-        peers.start();
+        clusterNode.start();
         report();
         LOG.log(Level.INFO, "event=work_on router={0} life={1}", new Object[] {
-            peers.life().name(), peers.life()
+            clusterNode.incarnation().router(), clusterNode.incarnation()
         });
     }
 
@@ -169,8 +169,8 @@
         return book.order();
     }
 
-    public Peers peers() {
-        return peers;
+    public ClusterNode peers() {
+        return clusterNode;
     }
 
     public Counters counters() {
@@ -185,7 +185,7 @@
 
     @Override
     public void begins(long nowUs) {
-        peers.begins(nowUs);
+        clusterNode.begins(nowUs);
         holder.clock(nowUs);
         watch.clock(nowUs);
         lead.clock(nowUs);
@@ -194,7 +194,7 @@
     @Override
     public void decides() {
         if (ends) {
-            peers.decides();
+            clusterNode.decides();
             return;
         }
         // What is open here changes with each call that ends; nothing else tells, so it is looked
@@ -214,14 +214,14 @@
         while (watch.decide(this)) {
             // Each has been sent.
         }
-        boolean leads = peers.leads();
+        boolean leads = clusterNode.isLeader();
         lead.leads(leads);
         if (leads) {
-            lead.seated(peers.seated());
+            lead.seated(clusterNode.voters());
         }
         while (lead.decide(
                 order(),
-                line -> peers.propose(line, (said, why) -> {
+                line -> clusterNode.propose(line, (said, why) -> {
                     lead.answered();
                     if (why != null) {
                         counters.add("work_not_agreed");
@@ -229,7 +229,7 @@
                 }))) {
             // Each has been put to the vote.
         }
-        peers.decides();
+        clusterNode.decides();
     }
 
     /** Says to whoever leads what is seen from here, again and again. */
@@ -237,10 +237,10 @@
         if (ends) {
             return;
         }
-        List<String> alive = new ArrayList<>(List.of(peers.life().name()));
-        for (Member m : peers.membership().members()) {
-            if (m.standing() == Standing.ALIVE) {
-                alive.add(m.name());
+        List<String> alive = new ArrayList<>(List.of(clusterNode.incarnation().router()));
+        for (Member m : clusterNode.membership().members()) {
+            if (m.state() == MemberState.ALIVE) {
+                alive.add(m.router());
             }
         }
         List<Machine> list = new ArrayList<>();
@@ -257,24 +257,24 @@
             reached.put(n.id(), n.at());
         }
         List<String> members =
-                peers.membership().members().stream().map(Member::name).toList();
+                clusterNode.membership().members().stream().map(Member::router).toList();
         watch.share(alive, members, reached.keySet());
         Map<String, Boolean> saw = watch.sees();
-        for (Member m : peers.membership().members()) {
-            if (watch.watches(m.name())) {
-                saw.put(m.name(), m.standing() == Standing.ALIVE && m.twin() == null);
+        for (Member m : clusterNode.membership().members()) {
+            if (watch.watches(m.router())) {
+                saw.put(m.router(), m.state() == MemberState.ALIVE && m.duplicate() == null);
             }
         }
         String site = figures.site(figures.zone());
-        peers.tellLeader(Lead.selfWords(new Machine(
-                peers.life().name(),
+        clusterNode.reportToLeader(Lead.selfWords(new Machine(
+                clusterNode.incarnation().router(),
                 Machine.Kind.ROUTER,
                 -1,
                 figures.zone(),
                 site,
                 "router",
-                peers.seated().contains(peers.life().name()))));
-        peers.tellLeader(Lead.sawWords(saw));
+                clusterNode.voters().contains(clusterNode.incarnation().router()))));
+        clusterNode.reportToLeader(Lead.sawWords(saw));
         reportList(ListDifference.between(site, list, order().agreedNodes()));
         moved = true; // What was said and got lost is said again.
         loop.at(loop.now() + figures.reportUs(), this::report);
@@ -286,7 +286,7 @@
         if (changed || loop.now() - listTold > figures.oldUs() / 3) {
             told = difference;
             listTold = loop.now();
-            peers.tellLeader(difference.line());
+            clusterNode.reportToLeader(difference.line());
         }
     }
 
@@ -294,7 +294,7 @@
 
     @Override
     public void propose(String line) {
-        peers.propose(line, (said, why) -> {
+        clusterNode.propose(line, (said, why) -> {
             if (why != null || !said.isEmpty()) {
                 LOG.log(Level.FINE, "event=not_taken line={0} said={1}", new Object[] {
                     line, why == null ? said : why
@@ -309,7 +309,7 @@
      * @param told what is said to it, or why that is not known
      */
     public void propose(String line, BiConsumer<String, String> told) {
-        peers.propose(line, told);
+        clusterNode.propose(line, told);
     }
 
     @Override
@@ -399,8 +399,8 @@
 
     /** Its last client has gone: nobody need wait for a word of it any more. */
     public void leave() {
-        peers.tellLeader(Lead.leftWords(peers.life().toString()));
-        peers.leave();
+        clusterNode.reportToLeader(Lead.leftWords(clusterNode.incarnation().toString()));
+        clusterNode.leave();
         ends = true;
     }
 
@@ -408,7 +408,7 @@
         ends = true;
         leftOut.close();
         try {
-            peers.close();
+            clusterNode.close();
         } catch (IOException e) {
             LOG.log(Level.WARNING, "event=folder_not_closed", e);
         }
@@ -417,17 +417,17 @@
     /** How this router stands, for an operator. */
     public Map<String, Object> shown() {
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("router", peers.life().name());
-        all.put("life", peers.life().toString());
-        all.put("leader", peers.leader());
+        all.put("router", clusterNode.incarnation().router());
+        all.put("life", clusterNode.incarnation().toString());
+        all.put("leader", clusterNode.leader());
         all.put("known", known);
-        all.put("old_disk", peers.isOld());
-        all.put("voters", List.copyOf(peers.seated()));
+        all.put("old_disk", clusterNode.hasStaleDisk());
+        all.put("voters", List.copyOf(clusterNode.voters()));
         Map<String, String> standing = new TreeMap<>();
-        peers.membership()
+        clusterNode.membership()
                 .members()
                 .forEach(m -> standing.put(
-                        m.name(), m.standing().name().toLowerCase(java.util.Locale.ROOT)));
+                        m.router(), m.state().name().toLowerCase(java.util.Locale.ROOT)));
         all.put("peers", standing);
         return all;
     }
--- a/src/main/java/tinlink/work/WorkBook.java
+++ b/src/main/java/tinlink/work/WorkBook.java
@@ -1,13 +1,13 @@
 package tinlink.work;
 
-import tinlink.peers.Agreed;
+import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.work.choice.Bounds;
 import tinlink.work.choice.Order;
 
 import java.util.List;
 
 /** The order of work, as that which is agreed on. */
-public final class WorkBook implements Agreed {
+public final class WorkBook implements ReplicatedStateMachine {
     private Order order;
 
     /** Of a fleet that has agreed on nothing yet. */
@@ -25,17 +25,17 @@
     }
 
     @Override
-    public String play(String line) {
+    public String apply(String line) {
         return order.play(line);
     }
 
     @Override
-    public List<String> lines() {
+    public List<String> snapshot() {
         return order.lines();
     }
 
     @Override
-    public void from(List<String> lines) {
+    public void restore(List<String> lines) {
         order = Order.of(lines);
     }
 }
--- a/src/main/java/tinlink/work/choice/Bounds.java
+++ b/src/main/java/tinlink/work/choice/Bounds.java
@@ -1,6 +1,6 @@
 package tinlink.work.choice;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.List;
 
@@ -28,7 +28,7 @@
     static final Bounds NONE = new Bounds(0, 0, 0, 1, 1, 1, 0, 1 << 14);
 
     String words() {
-        return Words.of(
+        return LineCodec.encode(
                 "bounds", holders, zoneShare, siteShare, warmUs, beginUs, agingUs, kept, most);
     }
 
--- a/src/main/java/tinlink/work/choice/Lead.java
+++ b/src/main/java/tinlink/work/choice/Lead.java
@@ -1,6 +1,6 @@
 package tinlink.work.choice;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -84,24 +84,24 @@
             w.add(m);
             w.add(sound);
         });
-        return Words.of(w.toArray());
+        return LineCodec.encode(w.toArray());
     }
 
     /** The speaker's own list of data nodes, whole: what routers of before {@link ListDifference} say. */
     public static String listWords(String site, Collection<Machine> nodes) {
         List<Object> w = new ArrayList<>(List.of("list", site));
         nodes.forEach(m -> w.add(m.words()));
-        return Words.of(w.toArray());
+        return LineCodec.encode(w.toArray());
     }
 
     /** The speaker itself. */
     public static String selfWords(Machine router) {
-        return Words.of("self", router.words());
+        return LineCodec.encode("self", router.words());
     }
 
     /** The speaker has let its last client go, and ends. */
     public static String leftWords(String life) {
-        return Words.of("left", life);
+        return LineCodec.encode("left", life);
     }
 
     /**
@@ -110,7 +110,7 @@
      * @param from proved by its key; it speaks for itself alone
      */
     public void told(String from, String line) {
-        List<String> w = Words.in(line);
+        List<String> w = LineCodec.decode(line);
         try {
             switch (w.get(0)) {
                 case "saw" -> {
@@ -121,13 +121,13 @@
                 case "list" -> {
                     List<Machine> all = new ArrayList<>();
                     for (String m : w.subList(2, w.size())) {
-                        all.add(Machine.of(Words.in(m)));
+                        all.add(Machine.of(LineCodec.decode(m)));
                     }
                     sight.listed(from, w.get(1), all, now);
                 }
                 case ListDifference.KIND -> sight.differs(from, ListDifference.of(w), now);
                 case "self" -> {
-                    Machine m = Machine.of(Words.in(w.get(1)));
+                    Machine m = Machine.of(LineCodec.decode(w.get(1)));
                     if (m.isRouter()
                             && m.id().equals(from)
                             && (routers.size() < most || routers.containsKey(from))) {
--- a/src/main/java/tinlink/work/choice/ListDifference.java
+++ b/src/main/java/tinlink/work/choice/ListDifference.java
@@ -1,6 +1,6 @@
 package tinlink.work.choice;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -79,7 +79,7 @@
         words.add(added.size());
         added.forEach(node -> words.add(node.words()));
         words.addAll(missing.stream().sorted().toList());
-        return Words.of(words.toArray());
+        return LineCodec.encode(words.toArray());
     }
 
     /**
@@ -97,7 +97,7 @@
         }
         List<Machine> added = new ArrayList<>();
         for (String node : words.subList(FIXED_WORDS, FIXED_WORDS + addedNodes)) {
-            added.add(Machine.of(Words.in(node)));
+            added.add(Machine.of(LineCodec.decode(node)));
         }
         return new ListDifference(
                 words.get(1),
--- a/src/main/java/tinlink/work/choice/Machine.java
+++ b/src/main/java/tinlink/work/choice/Machine.java
@@ -1,6 +1,6 @@
 package tinlink.work.choice;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.List;
 
@@ -34,7 +34,7 @@
     }
 
     String words() {
-        return Words.of("machine", id, kind, cell, zone, site, model, voter);
+        return LineCodec.encode("machine", id, kind, cell, zone, site, model, voter);
     }
 
     static Machine of(List<String> w) {
--- a/src/main/java/tinlink/work/choice/Order.java
+++ b/src/main/java/tinlink/work/choice/Order.java
@@ -1,6 +1,6 @@
 package tinlink.work.choice;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -185,7 +185,7 @@
      * asked
      */
     public String play(String line) {
-        List<String> w = Words.in(line);
+        List<String> w = LineCodec.decode(line);
         try {
             return switch (w.get(0)) {
                 case "bounds" -> bounds(Bounds.of(w));
@@ -218,7 +218,7 @@
      * @param passedUs since the last one, on the leader's monotonic clock
      */
     public static String tickWords(long passedUs) {
-        return Words.of("tick", passedUs);
+        return LineCodec.encode("tick", passedUs);
     }
 
     public static String machineWords(Machine m) {
@@ -226,19 +226,19 @@
     }
 
     public static String goneWords(String machine) {
-        return Words.of("gone", machine);
+        return LineCodec.encode("gone", machine);
     }
 
     public static String soundWords(String machine, boolean sound) {
-        return Words.of("sound", machine, sound);
+        return LineCodec.encode("sound", machine, sound);
     }
 
     public static String lifeWords(String router, String life) {
-        return Words.of("life", router, life);
+        return LineCodec.encode("life", router, life);
     }
 
     public static String endedWords(String router, String life) {
-        return Words.of("ended", router, life);
+        return LineCodec.encode("ended", router, life);
     }
 
     public static String askWords(Request r) {
@@ -246,19 +246,19 @@
     }
 
     public static String callOffWords(String request, String why) {
-        return Words.of("call-off", request, why);
+        return LineCodec.encode("call-off", request, why);
     }
 
     public static String beginWords(String router, long fence, String life) {
-        return Words.of("begin", router, fence, life);
+        return LineCodec.encode("begin", router, fence, life);
     }
 
     public static String clearWords(String machine, long fence, String router, String life) {
-        return Words.of("clear", machine, fence, router, life);
+        return LineCodec.encode("clear", machine, fence, router, life);
     }
 
     public static String servesWords(String router, String life) {
-        return Words.of("serves", router, life);
+        return LineCodec.encode("serves", router, life);
     }
 
     /**
@@ -268,7 +268,7 @@
      * @param lost it will not come back
      */
     public static String doneWords(String request, String machine, boolean lost) {
-        return Words.of("done", request, machine, lost ? "lost" : "back");
+        return LineCodec.encode("done", request, machine, lost ? "lost" : "back");
     }
 
     /**
@@ -720,14 +720,14 @@
     /** All of it, a line each; {@link #of} makes the same from them. */
     public List<String> lines() {
         List<String> all = new ArrayList<>();
-        all.add(Words.of("order", 1, now, fences, asked));
+        all.add(LineCodec.encode("order", 1, now, fences, asked));
         if (isBounded()) {
             all.add(bounds.words());
         }
         machines.values().forEach(m -> all.add(m.words()));
-        unsound.forEach((m, at) -> all.add(Words.of("unsound", m, at)));
-        soundSince.forEach((m, at) -> all.add(Words.of("since", m, at)));
-        lives.forEach((r, life) -> all.add(Words.of("life", r, life)));
+        unsound.forEach((m, at) -> all.add(LineCodec.encode("unsound", m, at)));
+        soundSince.forEach((m, at) -> all.add(LineCodec.encode("since", m, at)));
+        lives.forEach((r, life) -> all.add(LineCodec.encode("life", r, life)));
         for (List<Piece> some : requests.values()) {
             all.add(some.get(0).request.words());
             some.forEach(p -> all.add(p.words()));
@@ -744,7 +744,7 @@
         Order o = new Order();
         Request r = null;
         for (String line : lines) {
-            List<String> w = Words.in(line);
+            List<String> w = LineCodec.decode(line);
             switch (w.get(0)) {
                 case "order" -> {
                     if (!w.get(1).equals("1")) {
--- a/src/main/java/tinlink/work/choice/Piece.java
+++ b/src/main/java/tinlink/work/choice/Piece.java
@@ -1,6 +1,6 @@
 package tinlink.work.choice;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -122,7 +122,7 @@
     }
 
     String words() {
-        return Words.of(
+        return LineCodec.encode(
                 "piece",
                 request.id(),
                 machine,
--- a/src/main/java/tinlink/work/choice/Request.java
+++ b/src/main/java/tinlink/work/choice/Request.java
@@ -1,6 +1,6 @@
 package tinlink.work.choice;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.List;
 
@@ -32,7 +32,7 @@
     }
 
     String words() {
-        return Words.of(
+        return LineCodec.encode(
                 "request", id, String.join(",", machines), forUs, withinUs, urgency, author, why);
     }
 
--- a/src/test/java/tinlink/RoomsTest.java
+++ b/src/test/java/tinlink/RoomsTest.java
@@ -47,10 +47,10 @@
                 .definedBy("tinlink.gateway.choice")
                 .layer("sealed")
                 .definedBy("tinlink.sealed")
-                .layer("peers")
-                .definedBy("tinlink.peers")
-                .layer("peers choice")
-                .definedBy("tinlink.peers.choice")
+                .layer("cluster")
+                .definedBy("tinlink.cluster")
+                .layer("cluster membership")
+                .definedBy("tinlink.cluster.membership")
                 .layer("work")
                 .definedBy("tinlink.work")
                 .layer("work choice")
@@ -92,12 +92,12 @@
                 .whereLayer("http2 choice")
                 .mayOnlyBeAccessedByLayers("http2", "router")
                 .whereLayer("sealed")
-                .mayOnlyBeAccessedByLayers("gateway", "peers")
-                .whereLayer("peers")
+                .mayOnlyBeAccessedByLayers("gateway", "cluster")
+                .whereLayer("cluster")
                 .mayOnlyBeAccessedByLayers("work", "policy", "router", "plays")
-                .whereLayer("peers choice")
+                .whereLayer("cluster membership")
                 .mayOnlyBeAccessedByLayers(
-                        "peers", "work", "work choice", "policy", "router", "plays")
+                        "cluster", "work", "work choice", "policy", "router", "plays")
                 .whereLayer("work")
                 .mayOnlyBeAccessedByLayers("router", "plays")
                 .whereLayer("work choice")
@@ -107,7 +107,7 @@
                 .whereLayer("policy")
                 .mayOnlyBeAccessedByLayers("router", "work", "cli")
                 .whereLayer("store")
-                .mayOnlyBeAccessedByLayers("peers", "router")
+                .mayOnlyBeAccessedByLayers("cluster", "router")
                 .whereLayer("plays")
                 .mayOnlyBeAccessedByLayers("lab")
                 .whereLayer("decision")
@@ -136,7 +136,7 @@
     void nothingThatRoutersAgreeByReadsAClockThatCanStep() {
         noClasses()
                 .that()
-                .resideInAnyPackage("tinlink.peers..", "tinlink.work..", "tinlink.policy..")
+                .resideInAnyPackage("tinlink.cluster..", "tinlink.work..", "tinlink.policy..")
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
                 .check(ALL);
@@ -150,7 +150,7 @@
                         "tinlink.decision",
                         "tinlink.gateway.choice",
                         "tinlink.http2.choice",
-                        "tinlink.peers.choice",
+                        "tinlink.cluster.membership",
                         "tinlink.work.choice",
                         "tinlink.policy.choice")
                 .should()
--- /dev/null
+++ b/src/test/java/tinlink/cluster/ClusterNodeTest.java
@@ -0,0 +1,288 @@
+package tinlink.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+import tinlink.net.Loop;
+import tinlink.net.Network;
+import tinlink.cluster.membership.Member;
+import tinlink.cluster.membership.MemberState;
+import tinlink.sealed.Keys;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import java.util.stream.Stream;
+
+/**
+ * Peers on loopback sockets and real folders: agreeing through restarts, old copies, lost disks,
+ * wrong keys.
+ */
+@Timeout(60)
+class ClusterNodeTest {
+    private static final Keys KEYS =
+            new Keys(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k");
+
+    @TempDir
+    Path folder;
+
+    private final Map<String, String> addresses = new LinkedHashMap<>();
+    private final Map<String, TestNode> nodes = new LinkedHashMap<>();
+
+    /** Lines in the order in which they were agreed. */
+    private static final class RecordingStateMachine implements ReplicatedStateMachine {
+        private final List<String> lines = new ArrayList<>();
+
+        @Override
+        public synchronized String apply(String line) {
+            lines.add(line);
+            return "no. " + lines.size();
+        }
+
+        @Override
+        public synchronized List<String> snapshot() {
+            return List.copyOf(lines);
+        }
+
+        @Override
+        public synchronized void restore(List<String> from) {
+            lines.clear();
+            lines.addAll(from);
+        }
+    }
+
+    private final class TestNode {
+        final Loop loop = new Loop();
+        final Network network;
+        final RecordingStateMachine stateMachine = new RecordingStateMachine();
+        final ClusterNode clusterNode;
+        final Thread thread;
+
+        TestNode(String name, Keys keys, int voters, Path where) throws IOException {
+            network = new Network(loop);
+            int port = Integer.parseInt(addresses.get(name).substring(addresses.get(name).indexOf(':') + 1));
+            clusterNode = new ClusterNode(
+                    loop,
+                    network,
+                    new ClusterNode.LocalRouter(
+                            "test",
+                            name,
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                            addresses.get(name)),
+                    new ClusterNode.KnownRouters(
+                            addresses, new TreeSet<>(addresses.keySet().stream().limit(voters).toList())),
+                    keys,
+                    new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
+                    new ClusterNode.Limits(64, 8 << 20, 20),
+                    where,
+                    name.hashCode(),
+                    stateMachine,
+                    new RecordingStateMachine());
+            thread = new Thread(() -> loop.run(clusterNode), name);
+            thread.setDaemon(true);
+            loop.ready(clusterNode::start);
+            thread.start();
+        }
+
+        <T> T callOnLoop(Supplier<T> what) {
+            return loop.ask(what);
+        }
+
+        void close() {
+            CompletableFuture<Void> done = new CompletableFuture<>();
+            loop.ready(() -> {
+                try {
+                    clusterNode.close();
+                } catch (IOException e) {
+                    done.completeExceptionally(e);
+                }
+                network.close();
+                loop.end();
+                done.complete(null);
+            });
+            done.join();
+        }
+    }
+
+    private void reserveAddresses(int count) throws IOException {
+        List<ServerSocket> sockets = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+            sockets.add(socket);
+            addresses.put("r" + i, "127.0.0.1:" + socket.getLocalPort());
+        }
+        for (ServerSocket socket : sockets) {
+            socket.close();
+        }
+    }
+
+    private TestNode start(String name, int voters) throws IOException {
+        TestNode node = new TestNode(name, KEYS, voters, folder.resolve(name));
+        nodes.put(name, node);
+        return node;
+    }
+
+    @AfterEach
+    void closeNodes() {
+        nodes.values().forEach(TestNode::close);
+    }
+
+    private static void waitUntil(String description, Supplier<Boolean> condition) throws InterruptedException {
+        for (int i = 0; i < 1000; i++) {
+            if (Boolean.TRUE.equals(condition.get())) {
+                return;
+            }
+            Thread.sleep(20);
+        }
+        throw new AssertionError("waited for 20 s: " + description);
+    }
+
+    /** Says it until it is agreed, as whoever asks for something does. */
+    private void proposeUntilAgreed(TestNode node, String line) throws Exception {
+        for (int i = 0; i < 100; i++) {
+            CompletableFuture<String> reply = new CompletableFuture<>();
+            node.loop.ready(() -> node.clusterNode.propose(line, (text, e) -> reply.complete(text)));
+            String text = reply.completeOnTimeout(null, 2, TimeUnit.SECONDS).get();
+            if (text != null) {
+                assertTrue(text.startsWith("no. "), text);
+                return;
+            }
+            Thread.sleep(50);
+        }
+        throw new AssertionError("not agreed: " + line);
+    }
+
+    private void waitUntilAllEqual(String description) throws InterruptedException {
+        List<TestNode> running = new ArrayList<>(nodes.values());
+        waitUntil(
+                description,
+                () -> running.stream().map(node -> node.callOnLoop(node.stateMachine::snapshot)).distinct().count() == 1
+                        && !running.get(0).stateMachine.snapshot().isEmpty());
+    }
+
+    private MemberState stateOf(TestNode node, String router) {
+        return node.callOnLoop(() -> {
+            Member member = node.clusterNode.membership().member(router);
+            return member == null ? null : member.state();
+        });
+    }
+
+    private static void copyFolder(Path from, Path to) throws IOException {
+        try (Stream<Path> files = Files.walk(from)) {
+            for (Path source : files.toList()) {
+                Path target = to.resolve(from.relativize(source).toString());
+                if (Files.isDirectory(source)) {
+                    Files.createDirectories(target);
+                } else {
+                    Files.copy(source, target);
+                }
+            }
+        }
+    }
+
+    @Test
+    void routersAgreeThroughRestartsAndCatchUp() throws Exception {
+        reserveAddresses(5);
+        for (String router : addresses.keySet()) {
+            start(router, 3);
+        }
+        for (int i = 0; i < 30; i++) {
+            proposeUntilAgreed(nodes.get("r" + i % 5), "line " + i);
+        }
+        waitUntilAllEqual("all hear the same, also who does not vote");
+        String leader = nodes.get("r4").callOnLoop(() -> nodes.get("r4").clusterNode.leader());
+        nodes.remove(leader).close();
+        proposeUntilAgreed(nodes.get("r4"), "without " + leader);
+        TestNode restarted = start(leader, 3);
+        waitUntil("it is back", () -> stateOf(nodes.get("r4"), leader) == MemberState.ALIVE);
+        proposeUntilAgreed(restarted, "with it again");
+        waitUntilAllEqual("who was away has all of it");
+        assertTrue(nodes.get("r3").stateMachine.snapshot().size() >= 32);
+    }
+
+    @Test
+    void noRouterVotesWithAStaleOrLostDisk() throws Exception {
+        reserveAddresses(3);
+        for (String router : addresses.keySet()) {
+            start(router, 3);
+        }
+        proposeUntilAgreed(nodes.get("r0"), "first");
+        nodes.remove("r1").close();
+        copyFolder(folder.resolve("r1"), folder.resolve("copy"));
+        TestNode r1 = start("r1", 3);
+        for (int i = 0; i < 10; i++) {
+            proposeUntilAgreed(r1, "more " + i);
+        }
+        nodes.remove("r1").close();
+        TestNode stale = new TestNode("r1", KEYS, 3, folder.resolve("copy"));
+        nodes.put("r1", stale);
+        waitUntil("the old copy is found out", () -> stale.callOnLoop(stale.clusterNode::hasStaleDisk));
+        nodes.remove("r1").close();
+        TestNode lost = new TestNode("r1", KEYS, 3, folder.resolve("nothing"));
+        nodes.put("r1", lost);
+        waitUntil("the lost disk is found out", () -> lost.callOnLoop(lost.clusterNode::hasStaleDisk));
+        proposeUntilAgreed(nodes.get("r0"), "the two others go on");
+    }
+
+    @Test
+    void aRouterWithAWrongKeyIsRejected() throws Exception {
+        reserveAddresses(3);
+        start("r0", 1);
+        start("r1", 1);
+        proposeUntilAgreed(nodes.get("r1"), "a line");
+        nodes.put(
+                "r2",
+                new TestNode(
+                        "r2",
+                        new Keys(
+                                Map.of(
+                                        "k",
+                                        "another key......".getBytes(StandardCharsets.US_ASCII)),
+                                "k"),
+                        1,
+                        folder.resolve("r2")));
+        waitUntil(
+                "it was refused",
+                () -> nodes.get("r0").callOnLoop(() -> nodes.get("r0").clusterNode.counters().of("peers_wrong_proof"))
+                                + nodes.get("r2")
+                                        .callOnLoop(() -> nodes.get("r2")
+                                                .clusterNode
+                                                .counters()
+                                                .of("peers_wrong_proof"))
+                        > 0);
+        assertNull(stateOf(nodes.get("r0"), "r2"));
+        assertEquals(List.of(), nodes.get("r2").stateMachine.snapshot());
+        nodes.remove("r2").close();
+    }
+
+    @Test
+    void aFolderBelongsToOneRouter() throws Exception {
+        reserveAddresses(2);
+        start("r0", 1).close();
+        nodes.clear();
+        try {
+            new TestNode("r1", KEYS, 1, folder.resolve("r0"));
+            throw new AssertionError("it took the folder of r0");
+        } catch (IOException e) {
+            assertTrue(e.getMessage().contains("belongs to router r0"), e.getMessage());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/tinlink/cluster/TrafficCountersTest.java
@@ -0,0 +1,40 @@
+package tinlink.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+import tinlink.sealed.Message;
+
+class TrafficCountersTest {
+    private static final byte APPEND = 1;
+    private static final byte PRESENCE = 8;
+    private final TrafficCounters traffic = new TrafficCounters();
+
+    @Test
+    void eachKindAndDirectionIsCountedSeparately() {
+        byte[] presence = new Message.Out().byt(PRESENCE).text("r1").made();
+        traffic.countSent(PeerProtocol.NODE, presence, 100);
+        traffic.countSent(PeerProtocol.NODE, presence, 100);
+        traffic.countReceived(
+                PeerProtocol.NODE, new Message.Out().byt(PeerProtocol.NODE).bytes(presence).made(), 1, 70);
+        assertArrayEquals(new long[] {1, 70, 2, 200}, traffic.byKind().get("seat"));
+        assertEquals(1, traffic.byKind().size());
+    }
+
+    @Test
+    void aRaftMessageIsClassifiedByTheByteAfterItsVoter() {
+        traffic.countSent(PeerProtocol.RAFT, new Message.Out().text("r1/0").byt(APPEND).made(), 50);
+        assertArrayEquals(new long[] {0, 0, 1, 50}, traffic.byKind().get("append"));
+    }
+
+    @Test
+    void aCorruptMessageCountsAsOther() {
+        traffic.countReceived(PeerProtocol.NODE, new byte[] {PeerProtocol.NODE}, 1, 5);
+        traffic.countReceived(PeerProtocol.NODE, new byte[] {PeerProtocol.NODE, -1}, 1, 6);
+        traffic.countReceived(PeerProtocol.RAFT, new byte[] {PeerProtocol.RAFT, (byte) 255, 1}, 1, 7);
+        traffic.countReceived((byte) 99, new byte[] {99}, 1, 5);
+        assertArrayEquals(new long[] {4, 23, 0, 0}, traffic.byKind().get("other"));
+    }
+}
--- a/src/test/java/tinlink/lab/processes/OldDiskTest.java
+++ b/src/test/java/tinlink/lab/processes/OldDiskTest.java
@@ -17,7 +17,7 @@
 class OldDiskTest {
     private static boolean votes(Child c) {
         try {
-            return c.said().contains("event=votes");
+            return c.said().contains("event=voter_started");
         } catch (java.io.IOException e) {
             return false;
         }
@@ -75,7 +75,7 @@
                             .body()
                             .path("old_disk")
                             .asBoolean());
-            assertFalse(c.said().contains("event=votes"), c.said());
+            assertFalse(c.said().contains("event=voter_started"), c.said());
             assertEquals(
                     200,
                     Fleet.say(
@@ -104,7 +104,7 @@
                             .body()
                             .path("old_disk")
                             .asBoolean());
-            assertFalse(none.said().contains("event=votes"), none.said());
+            assertFalse(none.said().contains("event=voter_started"), none.said());
             assertNotEquals(null, fleet.leader());
             assertEquals(
                     200,
@@ -127,7 +127,7 @@
             Fleet.until(20_000, "it votes with its new disk", () -> votes(none));
             assertTrue(
                     none.said()
-                            .matches("(?s).*event=votes router=" + none.name + " .*as=" + none.name
+                            .matches("(?s).*event=voter_started router=" + none.name + " .*as=" + none.name
                                     + "/[0-9a-f]{8,}.*"),
                     none.said());
             // The other one gets an empty folder, and is found out with it as well before it votes
--- a/src/test/java/tinlink/policy/FirstFormatTest.java
+++ b/src/test/java/tinlink/policy/FirstFormatTest.java
@@ -8,9 +8,9 @@
 
 import tinlink.net.Loop;
 import tinlink.net.Network;
-import tinlink.peers.Books;
-import tinlink.peers.Peers;
-import tinlink.peers.choice.Words;
+import tinlink.cluster.CompositeStateMachine;
+import tinlink.cluster.ClusterNode;
+import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.choice.PolicyCommand;
 import tinlink.policy.choice.PolicyCommandCodec;
 import tinlink.sealed.Keys;
@@ -53,23 +53,23 @@
         List<String> said = lines("said.txt");
         for (int i = 0; i < log.size(); i++) {
             String line = log.get(i);
-            assertEquals(said.get(i), book.play(line), line);
-            PolicyCommand command = PolicyCommandCodec.decode(Words.in(line));
+            assertEquals(said.get(i), book.apply(line), line);
+            PolicyCommand command = PolicyCommandCodec.decode(LineCodec.decode(line));
             if (!(command instanceof PolicyCommand.NotUnderstood)) {
                 assertEquals(line, PolicyBook.line(command));
             }
         }
-        assertEquals(lines("snapshot-all.txt"), book.lines());
+        assertEquals(lines("snapshot-all.txt"), book.snapshot());
     }
 
     @Test
     void aSnapshotIsReadAndTheRestOfTheLogPlayedAfterIt() throws IOException {
         PolicyBook book = new PolicyBook();
-        book.from(lines("snapshot-10.txt"));
-        assertEquals(lines("snapshot-10.txt"), book.lines());
+        book.restore(lines("snapshot-10.txt"));
+        assertEquals(lines("snapshot-10.txt"), book.snapshot());
         List<String> log = lines("log.txt");
-        log.subList(BEFORE_SNAPSHOT, log.size()).forEach(book::play);
-        assertEquals(lines("snapshot-all.txt"), book.lines());
+        log.subList(BEFORE_SNAPSHOT, log.size()).forEach(book::apply);
+        assertEquals(lines("snapshot-all.txt"), book.snapshot());
     }
 
     @Test
@@ -81,38 +81,38 @@
                 Files.copy(file, to);
             }
         }
-        Books books = books();
+        CompositeStateMachine books = books();
         Loop loop = new Loop();
         Network network = new Network(loop);
-        Peers peers = new Peers(
+        ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network,
-                new Peers.Names(
+                new ClusterNode.LocalRouter(
                         "test",
                         "r0",
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ""),
-                new Peers.Others(Map.of(), Set.of("r0")),
+                new ClusterNode.KnownRouters(Map.of(), Set.of("r0")),
                 new Keys(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
-                new Peers.Pacing(50_000, 2, 50_000, 500_000, 2_000_000),
-                new Peers.Bounds(64, 8 << 20, 20),
+                new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
+                new ClusterNode.Limits(64, 8 << 20, 20),
                 folder,
                 1,
                 books,
                 books());
         CompletableFuture<List<String>> stands = new CompletableFuture<>();
-        peers.whenPlayed(() -> {
+        clusterNode.setAppliedListener(() -> {
             // Its own line is the last one: all that was kept has been played by then.
-            if (books.lines().stream().anyMatch(l -> l.startsWith("life\tz\t"))) {
-                stands.complete(books.lines());
+            if (books.snapshot().stream().anyMatch(l -> l.startsWith("life\tz\t"))) {
+                stands.complete(books.snapshot());
             }
         });
-        Thread thread = new Thread(() -> loop.run(peers), "first-format");
+        Thread thread = new Thread(() -> loop.run(clusterNode), "first-format");
         thread.setDaemon(true);
         thread.start();
         try {
-            loop.ready(peers::start);
-            loop.ready(() -> proposeUntilTaken(loop, peers));
+            loop.ready(clusterNode::start);
+            loop.ready(() -> proposeUntilTaken(loop, clusterNode));
             List<String> without = stands.get(30, TimeUnit.SECONDS).stream()
                     .filter(l -> !l.startsWith("life\tz\t"))
                     .toList();
@@ -121,7 +121,7 @@
             CompletableFuture<Void> closed = new CompletableFuture<>();
             loop.ready(() -> {
                 try {
-                    peers.close();
+                    clusterNode.close();
                 } catch (IOException e) {
                     closed.completeExceptionally(e);
                 }
@@ -133,14 +133,14 @@
         }
     }
 
-    private static Books books() {
-        return new Books(new WorkBook(), Map.of(PolicyBook.WORD, new PolicyBook()));
+    private static CompositeStateMachine books() {
+        return new CompositeStateMachine(new WorkBook(), Map.of(PolicyBook.WORD, new PolicyBook()));
     }
 
-    private static void proposeUntilTaken(Loop loop, Peers peers) {
-        peers.propose("life\tz\tz#1.0", (said, why) -> {
+    private static void proposeUntilTaken(Loop loop, ClusterNode clusterNode) {
+        clusterNode.propose("life\tz\tz#1.0", (said, why) -> {
             if (why != null) {
-                loop.at(loop.now() + 50_000, () -> proposeUntilTaken(loop, peers));
+                loop.at(loop.now() + 50_000, () -> proposeUntilTaken(loop, clusterNode));
             }
         });
     }
--- a/src/test/java/tinlink/work/choice/ListReportsTest.java
+++ b/src/test/java/tinlink/work/choice/ListReportsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -85,7 +85,7 @@
         ListDifference difference = ListDifference.between("s0", listed, agreed);
         assertEquals(List.of(node("a", "s0", 1), node("b", "s0", 2)), difference.added());
         assertEquals(Set.of("c"), difference.missing());
-        assertEquals(difference, ListDifference.of(Words.in(difference.line())));
+        assertEquals(difference, ListDifference.of(LineCodec.decode(difference.line())));
     }
 
     @Test
--- a/src/test/java/tinlink/work/choice/OrderPlayer.java
+++ b/src/test/java/tinlink/work/choice/OrderPlayer.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import tinlink.Scenarios;
-import tinlink.peers.choice.Words;
+import tinlink.cluster.membership.LineCodec;
 
 import java.util.Arrays;
 import java.util.List;
@@ -80,7 +80,7 @@
                 assertTrue(
                         said.contains(rest(w, 1)) && said.isEmpty() == (w.length == 1), () -> said);
             case "fence" -> assertEquals(w[2], Long.toString(piece(w[1]).fence()));
-            default -> says(Words.of((Object[]) w));
+            default -> says(LineCodec.encode((Object[]) w));
         }
     }
 
