--- a/src/main/java/tinlink/cli/PolicyCommands.java
+++ b/src/main/java/tinlink/cli/PolicyCommands.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-import tinlink.policy.PolicyTerms;
+import tinlink.policy.ProposalTerms;
 import tinlink.start.PolicyDoc;
 import tinlink.start.RouterStart;
 
@@ -72,7 +72,7 @@
                     String config)
             throws IOException {
         String text = Files.readString(file);
-        PolicyTerms terms = PolicyTerms.of(text);
+        ProposalTerms terms = ProposalTerms.parse(text);
         new PolicyDoc(text, new RouterStart(Map.of("NODE_CONFIG", config)));
         out("good for " + config + ", digest " + terms.digest());
         return 0;
--- a/src/main/java/tinlink/lab/PolicySimLab.java
+++ b/src/main/java/tinlink/lab/PolicySimLab.java
@@ -3,7 +3,7 @@
 import tinlink.lab.plays.PolicyEvent;
 import tinlink.lab.plays.PolicyPlay;
 import tinlink.lab.plays.PolicySchedule;
-import tinlink.policy.choice.Absent;
+import tinlink.policy.rollout.AbsencePolicy;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -40,7 +40,7 @@
     @SuppressWarnings("EnumOrdinal") // The rules take turns, schedule by schedule.
     private PolicyPlay.Size size(int i) {
         return new PolicyPlay.Size(
-                routers, Absent.Rule.values()[i % Absent.Rule.values().length], planted);
+                routers, AbsencePolicy.Rule.values()[i % AbsencePolicy.Rule.values().length], planted);
     }
 
     private List<PolicyEvent> schedule(int i) {
@@ -60,7 +60,7 @@
         long digest = 0;
         int violations = 0;
         int first = -1;
-        int[][] ends = new int[Absent.Rule.values().length][2];
+        int[][] ends = new int[AbsencePolicy.Rule.values().length][2];
         double[] fenced = new double[ends.length];
         for (int i = 0; i < schedules; i++) {
             steps += came[i].steps();
@@ -82,7 +82,7 @@
                 CHANGES,
                 FAULTS,
                 60 * schedules / seconds));
-        for (Absent.Rule rule : Absent.Rule.values()) {
+        for (AbsencePolicy.Rule rule : AbsencePolicy.Rule.values()) {
             int at = rule.ordinal();
             int plays = (schedules + ends.length - 1 - at) / ends.length;
             report.add(String.format(
--- a/src/main/java/tinlink/lab/plays/ChangesMachine.java
+++ b/src/main/java/tinlink/lab/plays/ChangesMachine.java
@@ -1,46 +1,46 @@
 package tinlink.lab.plays;
 
 import tinlink.cluster.membership.LineCodec;
-import tinlink.policy.choice.Absent;
-import tinlink.policy.choice.Changes;
-import tinlink.policy.choice.PolicyCommandCodec;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChanges;
+import tinlink.policy.rollout.PolicyCommandCodec;
 
 import java.util.List;
 
 /** Changes of policy as a state machine whose states replicas can share. */
-final class ChangesMachine implements SharedReplicas.StateMachine<Changes> {
+final class ChangesMachine implements SharedReplicas.StateMachine<PolicyChanges> {
     private static final int KEPT = 100;
     private static final int MOST_ROUTERS = 4096;
-    private final Absent first;
+    private final AbsencePolicy first;
 
     /** @param first what is done about absent routers until a first change says otherwise */
-    ChangesMachine(Absent first) {
+    ChangesMachine(AbsencePolicy first) {
         this.first = first;
     }
 
     @Override
-    public Changes initial() {
-        return new Changes(KEPT, MOST_ROUTERS, first);
+    public PolicyChanges initial() {
+        return new PolicyChanges(KEPT, MOST_ROUTERS, first);
     }
 
     @Override
-    public Changes copy(Changes state) {
+    public PolicyChanges copy(PolicyChanges state) {
         return of(lines(state));
     }
 
     @Override
-    public String play(Changes state, String line) {
+    public String play(PolicyChanges state, String line) {
         return state.apply(PolicyCommandCodec.decode(LineCodec.decode(line))).message();
     }
 
     @Override
-    public List<String> lines(Changes state) {
-        return state.lines().stream().map(words -> LineCodec.encode(words.toArray())).toList();
+    public List<String> lines(PolicyChanges state) {
+        return state.snapshot().stream().map(words -> LineCodec.encode(words.toArray())).toList();
     }
 
     @Override
-    public Changes of(List<String> lines) {
-        return Changes.of(
+    public PolicyChanges of(List<String> lines) {
+        return PolicyChanges.fromSnapshot(
                 KEPT, MOST_ROUTERS, first, lines.stream().map(LineCodec::decode).toList());
     }
 }
--- a/src/main/java/tinlink/lab/plays/ControlFleet.java
+++ b/src/main/java/tinlink/lab/plays/ControlFleet.java
@@ -5,8 +5,8 @@
 
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.cluster.membership.Incarnation;
-import tinlink.policy.choice.Absent;
-import tinlink.policy.choice.Changes;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChanges;
 import tinlink.work.choice.Bounds;
 import tinlink.work.choice.Lead;
 import tinlink.work.choice.ListDifference;
@@ -42,14 +42,14 @@
     private static final SimulatedNetwork.Path BETWEEN_REGIONS =
             new SimulatedNetwork.Path(15 * MS, 40 * MS, 0.005, 0);
     /** Until a first change says otherwise; as in service. */
-    private static final Absent FIRST = new Absent(Absent.Rule.WITHDRAW, 10 * SEC, SEC, 0, 50 * MS);
+    private static final AbsencePolicy FIRST = new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10 * SEC, SEC, 0, 50 * MS);
 
     final Play play;
     final SimulatedNetwork network;
     final TrafficMeter meter = new TrafficMeter();
     final AgreementGroup group;
     final Map<String, ControlRouter> routers = new LinkedHashMap<>();
-    final SharedReplicas<Changes> states = new SharedReplicas<>(new ChangesMachine(FIRST));
+    final SharedReplicas<PolicyChanges> states = new SharedReplicas<>(new ChangesMachine(FIRST));
     /** What each router reports as its list of data nodes: it is the same for all of a region. */
     private final List<String> nodeLists = new ArrayList<>();
 
@@ -118,7 +118,7 @@
     /** All that is agreed, as a router that starts anew fetches it. */
     List<String> stateLines() {
         List<String> all = new ArrayList<>(order.lines());
-        SharedReplicas<Changes>.Replica replica = leader().replica();
+        SharedReplicas<PolicyChanges>.Replica replica = leader().replica();
         all.addAll(replica.lines());
         return all;
     }
@@ -158,7 +158,7 @@
     }
 
     /** A shared replica as that which is agreed on. */
-    record SharedAgreed(SharedReplicas<Changes>.Replica replica) implements ReplicatedStateMachine {
+    record SharedAgreed(SharedReplicas<PolicyChanges>.Replica replica) implements ReplicatedStateMachine {
         @Override
         public String apply(String line) {
             return replica.play(line);
--- a/src/main/java/tinlink/lab/plays/ControlPlay.java
+++ b/src/main/java/tinlink/lab/plays/ControlPlay.java
@@ -4,10 +4,10 @@
 import static tinlink.lab.plays.Play.SEC;
 
 import tinlink.cluster.membership.LineCodec;
-import tinlink.policy.choice.Absent;
-import tinlink.policy.choice.Change;
-import tinlink.policy.choice.PolicyCommand;
-import tinlink.policy.choice.PolicyCommandCodec;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyCommand;
+import tinlink.policy.rollout.PolicyCommandCodec;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -97,8 +97,8 @@
     private static final long STEP_US = 100 * MS;
     private static final long ASK_AGAIN_US = 500 * MS;
     /** Absent routers are left behind once their leases have run out. */
-    private static final Absent FENCE =
-            new Absent(Absent.Rule.FENCE, 30 * SEC, SEC, 3 * SEC, 50 * MS);
+    private static final AbsencePolicy FENCE =
+            new AbsencePolicy(AbsencePolicy.Rule.FENCE, 30 * SEC, SEC, 3 * SEC, 50 * MS);
     /** As long as a document with figures for four indexes. */
     private static final String DOCUMENT = "x".repeat(1000);
 
@@ -228,7 +228,7 @@
             }
             play.run(play.now() + 10 * MS);
         }
-        Change known = asked.changes().change(id);
+        PolicyChange known = asked.changes().change(id);
         if (known == null) {
             violations.add(id + " was not heard of");
         }
--- a/src/main/java/tinlink/lab/plays/ControlRouter.java
+++ b/src/main/java/tinlink/lab/plays/ControlRouter.java
@@ -4,14 +4,14 @@
 import static tinlink.lab.plays.Play.SEC;
 
 import tinlink.cluster.membership.LineCodec;
-import tinlink.policy.choice.Absent;
-import tinlink.policy.choice.Change;
-import tinlink.policy.choice.Changes;
-import tinlink.policy.choice.Coordinator;
-import tinlink.policy.choice.Participant;
-import tinlink.policy.choice.PolicyCommand;
-import tinlink.policy.choice.PolicyCommandCodec;
-import tinlink.policy.choice.Version;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyChanges;
+import tinlink.policy.rollout.ChangeCoordinator;
+import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.PolicyCommand;
+import tinlink.policy.rollout.PolicyCommandCodec;
+import tinlink.policy.rollout.PolicyVersion;
 import tinlink.work.choice.Lead;
 import tinlink.work.choice.Machine;
 
@@ -37,9 +37,9 @@
     final Map<Long, Long> inForceAt = new HashMap<>();
 
     private final ControlFleet fleet;
-    private SharedReplicas<Changes>.Replica replica;
-    private Participant participant;
-    private Coordinator coordinator;
+    private SharedReplicas<PolicyChanges>.Replica replica;
+    private ChangeParticipant participant;
+    private ChangeCoordinator coordinator;
     private long listToldAt;
     private long confirmed;
     private long confirmedAskedAt;
@@ -59,8 +59,8 @@
         replica = fleet.states.replica();
         startMember(new ControlFleet.SharedAgreed(replica));
         participant =
-                new Participant(name, incarnation.toString(), incarnation.startCount(), REPORT_US, change -> "");
-        coordinator = new Coordinator(REPORT_US);
+                new ChangeParticipant(name, incarnation.toString(), incarnation.startCount(), REPORT_US, change -> "");
+        coordinator = new ChangeCoordinator(REPORT_US);
         listToldAt = Long.MIN_VALUE / 2;
         confirmed = -1;
         awaitedEpoch = -1;
@@ -71,11 +71,11 @@
         every(run, LEASE_US, this::renewLease);
     }
 
-    Changes changes() {
+    PolicyChanges changes() {
         return replica.state();
     }
 
-    SharedReplicas<Changes>.Replica replica() {
+    SharedReplicas<PolicyChanges>.Replica replica() {
         return replica;
     }
 
@@ -117,9 +117,9 @@
     // ---- Leases. ----
 
     private void renewLease() {
-        Change open = changes().open();
-        boolean leased = changes().inForce().absent().rule() == Absent.Rule.FENCE
-                || open != null && open.absent().rule() == Absent.Rule.FENCE;
+        PolicyChange open = changes().openChange();
+        boolean leased = changes().inForce().absencePolicy().rule() == AbsencePolicy.Rule.FENCE
+                || open != null && open.absencePolicy().rule() == AbsencePolicy.Rule.FENCE;
         if (!leased) {
             return;
         }
@@ -163,15 +163,15 @@
 
     @Override
     void agreedMore() {
-        Changes changes = changes();
-        participant.clock(play.now(), play.now());
+        PolicyChanges changes = changes();
+        participant.updateClocks(play.now(), play.now());
         if (confirmed >= 0 && learnerLog.index() >= confirmed) {
-            participant.leased(confirmedAskedAt, changes.inForce().absent().leaseUs());
+            participant.leaseGranted(confirmedAskedAt, changes.inForce().absencePolicy().leaseUs());
             confirmed = -1;
         }
         participant.decide(changes, this::propose);
-        coordinator.clock(play.now(), play.now());
-        coordinator.leads(leads());
+        coordinator.updateClocks(play.now(), play.now());
+        coordinator.setLeader(leads());
         coordinator.decide(changes, this::propose);
         lookAtPolicy(changes);
     }
@@ -181,23 +181,23 @@
     }
 
     /** Notes when it first takes lookups by a version; one that is to come is looked for at its time. */
-    private void lookAtPolicy(Changes changes) {
-        Version newest = changes.inForce();
+    private void lookAtPolicy(PolicyChanges changes) {
+        PolicyVersion newest = changes.inForce();
         if (inForceAt.containsKey(newest.epoch())) {
             return;
         }
-        if (participant.takes(changes).epoch() == newest.epoch()) {
+        if (participant.effectivePolicy(changes).epoch() == newest.epoch()) {
             inForceAt.put(newest.epoch(), play.now());
         } else if (awaitedEpoch != newest.epoch()) {
             awaitedEpoch = newest.epoch();
-            later(Math.max(0, newest.atUs() - play.now()), this::agreedMore);
+            later(Math.max(0, newest.effectiveAtUs() - play.now()), this::agreedMore);
         }
     }
 
     /** Whether lookups are taken here by that epoch, or none are. */
     long takesBy() {
-        participant.clock(play.now(), play.now());
-        return participant.takes(changes()).epoch();
+        participant.updateClocks(play.now(), play.now());
+        return participant.effectivePolicy(changes()).epoch();
     }
 
     @Override
--- a/src/main/java/tinlink/lab/plays/PolicyChecks.java
+++ b/src/main/java/tinlink/lab/plays/PolicyChecks.java
@@ -1,7 +1,7 @@
 package tinlink.lab.plays;
 
-import tinlink.policy.choice.Change;
-import tinlink.policy.choice.PolicyCommand;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyCommand;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -56,8 +56,8 @@
     }
 
     /** An operator was told how that change has ended. */
-    void told(Change change) {
-        String how = change.state() + " " + change.epoch() + " " + change.atUs();
+    void told(PolicyChange change) {
+        String how = change.state() + " " + change.epoch() + " " + change.effectiveAtUs();
         String before = outcomes.putIfAbsent(change.id(), how);
         if (before != null && !before.equals(how)) {
             violated("flipped: " + change.id() + " " + before + " / " + how);
@@ -100,8 +100,8 @@
     private Optional<Long> settledAt(String change, long time) {
         return commands.stream()
                 .filter(agreed -> agreed.command() instanceof PolicyCommand.Commit commit
-                        && commit.change().equals(change)
-                        && commit.atUs() == time)
+                        && commit.changeId().equals(change)
+                        && commit.effectiveAtUs() == time)
                 .map(Agreed::atUs)
                 .findFirst();
     }
--- a/src/main/java/tinlink/lab/plays/PolicyPlay.java
+++ b/src/main/java/tinlink/lab/plays/PolicyPlay.java
@@ -3,13 +3,13 @@
 import static tinlink.lab.plays.Play.MS;
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.policy.choice.Absent;
-import tinlink.policy.choice.Change;
-import tinlink.policy.choice.Changes;
-import tinlink.policy.choice.Coordinator;
-import tinlink.policy.choice.Participant;
-import tinlink.policy.choice.PolicyCommand;
-import tinlink.policy.choice.PolicyCommandCodec;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyChanges;
+import tinlink.policy.rollout.ChangeCoordinator;
+import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.PolicyCommand;
+import tinlink.policy.rollout.PolicyCommandCodec;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -32,7 +32,7 @@
      *
      * @param planted routers go on by the old policy for as long as they know of no other
      */
-    public record Size(int routers, Absent.Rule rule, boolean planted) {}
+    public record Size(int routers, AbsencePolicy.Rule rule, boolean planted) {}
 
     /** What came of a play. @param fencedShare of the routers' time in which they ran and took no lookups */
     public record Outcome(
@@ -51,9 +51,9 @@
         int life;
         long skew;
         int index;
-        Changes view;
-        Participant participant;
-        Coordinator coordinator;
+        PolicyChanges view;
+        ChangeParticipant participant;
+        ChangeCoordinator coordinator;
         long askedAt = -1;
         int mustKnow = -1;
 
@@ -69,9 +69,9 @@
             askedAt = -1;
             mustKnow = -1;
             view = fresh();
-            participant = new Participant(
-                    name, "l" + life, life, 150 * MS, c -> refuses ? "it is too small" : "");
-            coordinator = new Coordinator(150 * MS);
+            participant = new ChangeParticipant(
+                    name, "l" + life, life, 150 * MS, change -> refuses ? "it is too small" : "");
+            coordinator = new ChangeCoordinator(150 * MS);
             long run = generation;
             every(run, 50 * MS, this::beat);
             every(run, 10 * MS, this::take);
@@ -84,10 +84,10 @@
 
         void beat() {
             learn();
-            participant.clock(shared(), play.now());
+            participant.updateClocks(shared(), play.now());
             participant.decide(view, this::propose);
-            coordinator.clock(play.now(), shared());
-            coordinator.leads(leader == this);
+            coordinator.updateClocks(play.now(), shared());
+            coordinator.setLeader(leader == this);
             coordinator.decide(view, this::propose);
             told();
         }
@@ -143,15 +143,15 @@
                 });
             }
             if (askedAt >= 0 && index >= mustKnow) {
-                participant.leased(askedAt, view.inForce().absent().leaseUs());
+                participant.leaseGranted(askedAt, view.inForce().absencePolicy().leaseUs());
                 askedAt = -1;
             }
         }
 
         void take() {
-            participant.clock(shared(), play.now());
-            Participant.Takes t = participant.takes(view);
-            long epoch = size.planted() ? view.inForce().epoch() : t.epoch();
+            participant.updateClocks(shared(), play.now());
+            ChangeParticipant.EffectivePolicy effectivePolicy = participant.effectivePolicy(view);
+            long epoch = size.planted() ? view.inForce().epoch() : effectivePolicy.epoch();
             if (epoch >= 0) {
                 checks.taken(play.now(), epoch, number);
             } else {
@@ -161,8 +161,8 @@
 
         /** What an operator who asks it is told. */
         void told() {
-            for (Change change : view.history()) {
-                if (change.state() != Change.State.OPEN) {
+            for (PolicyChange change : view.history()) {
+                if (change.state() != PolicyChange.State.OPEN) {
                     checks.told(change);
                 }
             }
@@ -189,21 +189,21 @@
         leader = routers.get(0);
     }
 
-    private Absent absent() {
-        return new Absent(
+    private AbsencePolicy absent() {
+        return new AbsencePolicy(
                 size.rule(),
                 3 * SEC,
                 600 * MS,
-                size.rule() == Absent.Rule.FENCE ? 1500 * MS : 0,
+                size.rule() == AbsencePolicy.Rule.FENCE ? 1500 * MS : 0,
                 ERROR);
     }
 
-    private Changes fresh() {
-        return new Changes(50, 1000, absent());
+    private PolicyChanges fresh() {
+        return new PolicyChanges(50, 1000, absent());
     }
 
-    private Changes again(Changes c) {
-        return Changes.of(50, 1000, absent(), c.lines());
+    private PolicyChanges again(PolicyChanges changes) {
+        return PolicyChanges.fromSnapshot(50, 1000, absent(), changes.snapshot());
     }
 
     private long delay() {
@@ -254,13 +254,13 @@
     /** With all healed no change is open, and every router takes lookups. */
     private void checkSettled() {
         for (Router r : routers) {
-            Change open = r.view.open();
-            Participant.Takes takes = r.participant.takes(r.view);
-            if (open != null || !takes.any()) {
-                checks.violated("unsettled: " + r.name + " " + takes.why()
+            PolicyChange open = r.view.openChange();
+            ChangeParticipant.EffectivePolicy effectivePolicy = r.participant.effectivePolicy(r.view);
+            if (open != null || !effectivePolicy.isPresent()) {
+                checks.violated("unsettled: " + r.name + " " + effectivePolicy.unavailableReason()
                         + (open == null
                                 ? ""
-                                : ", " + open.id() + " is open, owing " + r.view.owing()));
+                                : ", " + open.id() + " is open, owing " + r.view.pendingRouters()));
             }
         }
     }
--- a/src/main/java/tinlink/lab/scale/HollowRouter.java
+++ b/src/main/java/tinlink/lab/scale/HollowRouter.java
@@ -6,10 +6,10 @@
 import tinlink.cluster.PeerKeys;
 import tinlink.cluster.ClusterNode;
 import tinlink.cluster.membership.MemberState;
-import tinlink.policy.Policy;
-import tinlink.policy.PolicyBook;
-import tinlink.policy.PolicyTerms;
-import tinlink.policy.choice.Version;
+import tinlink.policy.PolicyRolloutService;
+import tinlink.policy.PolicyStateMachine;
+import tinlink.policy.ProposalTerms;
+import tinlink.policy.rollout.PolicyVersion;
 import tinlink.start.BadInput;
 import tinlink.start.PeersStart;
 import tinlink.start.PolicyDoc;
@@ -56,7 +56,7 @@
     private Network network;
     private ClusterNode clusterNode;
     private Work work;
-    private Policy policy;
+    private PolicyRolloutService policyRollout;
     private boolean joined;
     private boolean letGo;
     private volatile boolean known;
@@ -96,7 +96,7 @@
         WorkStart w = start.work;
         Files.createDirectories(p.folder);
         WorkBook orders = new WorkBook();
-        PolicyBook changes = new PolicyBook();
+        PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         clusterNode = new ClusterNode(
                 loop,
                 network.apart(),
@@ -107,8 +107,8 @@
                 new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
                 p.folder,
                 start.seed,
-                new CompositeStateMachine(orders, Map.of(PolicyBook.WORD, changes)),
-                new CompositeStateMachine(new WorkBook(), Map.of(PolicyBook.WORD, new PolicyBook())));
+                new CompositeStateMachine(orders, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine)),
+                new CompositeStateMachine(new WorkBook(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine())));
         Bounds bounds = new Bounds(
                 w.holders,
                 w.zoneShare,
@@ -134,11 +134,11 @@
                         w.oldUs,
                         w.reportUs),
                 p.folder);
-        policy = new Policy(
+        policyRollout = new PolicyRolloutService(
                 loop,
                 clusterNode,
-                changes,
-                c -> refusal(c.text()),
+                policyStateMachine,
+                change -> refusal(change.text()),
                 HollowRouter::sharedClockUs,
                 w.reportUs);
     }
@@ -170,22 +170,22 @@
             joined = true;
             voters.forEach((name, at) -> start.peers.peers.replace(name, at));
             work.start(() -> known = true);
-            policy.start();
+            policyRollout.start();
         });
     }
 
     /** Proposes a change; it may get lost, which is seen by its state. */
     void propose(String id, String text) {
         loop.ready(() -> {
-            PolicyTerms terms = PolicyTerms.of(text);
-            policy.propose(
+            ProposalTerms terms = ProposalTerms.parse(text);
+            policyRollout.propose(
                     id,
-                    policy.changes().inForce().epoch(),
+                    policyRollout.changes().inForce().epoch(),
                     terms.digest(),
                     text,
                     "lab",
                     "measured",
-                    terms.absent(),
+                    terms.absencePolicy(),
                     (said, why) -> {});
         });
     }
@@ -208,12 +208,12 @@
                             .filter(m -> m.state() == MemberState.ALIVE)
                             .count();
             s.machines = work.order().machines().size();
-            s.enrolled = policy.changes().enrolled().size();
-            s.epoch = policy.changes().inForce().epoch();
+            s.enrolled = policyRollout.changes().enrolledRouters().size();
+            s.epoch = policyRollout.changes().inForce().epoch();
             s.heardUpTo = clusterNode.learnedIndex();
-            s.openChange = policy.changes().open() == null
+            s.openChange = policyRollout.changes().openChange() == null
                     ? ""
-                    : policy.changes().open().id();
+                    : policyRollout.changes().openChange().id();
             s.tookOldTooLate = tookOldTooLate;
             s.connections = clusterNode.connectionCount();
             s.traffic = clusterNode.traffic().byKind();
@@ -263,12 +263,12 @@
     @Override
     public void begins(long nowUs) {
         work.begins(nowUs);
-        policy.begins(nowUs);
+        policyRollout.begins(nowUs);
     }
 
     @Override
     public void decides() {
-        policy.decides();
+        policyRollout.decides();
         work.decides();
         noteEpoch();
     }
@@ -276,17 +276,17 @@
     /** As a lookup that comes in this turn would be taken. */
     private void noteEpoch() {
         long clockUs = sharedClockUs();
-        Version newest = policy.changes().inForce();
+        PolicyVersion newest = policyRollout.changes().inForce();
         if (newest.epoch() != newestEpoch) {
             newestEpoch = newest.epoch();
             if (tookLast < newestEpoch
-                    && tookLastAtUs > newest.atUs() + newest.absent().errorUs()) {
+                    && tookLastAtUs > newest.effectiveAtUs() + newest.absencePolicy().maxClockErrorUs()) {
                 tookOldTooLate++;
             }
             // So that there is a turn as its time comes.
-            loop.at(loop.now() + Math.max(0, newest.atUs() - clockUs) + CLOCK_STEP_US, () -> {});
+            loop.at(loop.now() + Math.max(0, newest.effectiveAtUs() - clockUs) + CLOCK_STEP_US, () -> {});
         }
-        Version taken = policy.takes();
+        PolicyVersion taken = policyRollout.effectiveVersion();
         if (taken != null) {
             tookLast = taken.epoch();
             tookLastAtUs = clockUs;
--- /dev/null
+++ b/src/main/java/tinlink/policy/PolicyStateMachine.java
@@ -0,0 +1,53 @@
+package tinlink.policy;
+
+import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.membership.LineCodec;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChanges;
+import tinlink.policy.rollout.PolicyCommand;
+import tinlink.policy.rollout.PolicyCommandCodec;
+
+import java.util.List;
+
+/** Changes of policy, as that which is agreed on. */
+public final class PolicyStateMachine implements ReplicatedStateMachine {
+    /** The first word of all its lines. */
+    public static final String SUBJECT = PolicyCommandCodec.SUBJECT;
+
+    private static final int MAX_SETTLED_CHANGES = 100;
+    private static final int MAX_ROUTERS = 4096;
+    /** Until a first change says otherwise: the same in all routers, whatever their files say. */
+    private static final AbsencePolicy INITIAL_ABSENCE_POLICY =
+            new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10_000_000, 1_000_000, 0, 50_000);
+
+    private PolicyChanges changes = new PolicyChanges(MAX_SETTLED_CHANGES, MAX_ROUTERS, INITIAL_ABSENCE_POLICY);
+
+    public PolicyChanges changes() {
+        return changes;
+    }
+
+    /** A command as it is put to the agreed log. */
+    static String encode(PolicyCommand command) {
+        return encode(PolicyCommandCodec.encode(command));
+    }
+
+    private static String encode(List<String> fields) {
+        return LineCodec.encode(fields.toArray());
+    }
+
+    @Override
+    public String apply(String line) {
+        return changes.apply(PolicyCommandCodec.decode(LineCodec.decode(line))).message();
+    }
+
+    @Override
+    public List<String> snapshot() {
+        return changes.snapshot().stream().map(PolicyStateMachine::encode).toList();
+    }
+
+    @Override
+    public void restore(List<String> lines) {
+        changes = PolicyChanges.fromSnapshot(
+                MAX_SETTLED_CHANGES, MAX_ROUTERS, INITIAL_ABSENCE_POLICY, lines.stream().map(LineCodec::decode).toList());
+    }
+}
--- a/src/main/java/tinlink/policy/PolicyTerms.java
+++ b/src/main/java/tinlink/policy/ProposalTerms.java
@@ -1,6 +1,6 @@
 package tinlink.policy;
 
-import tinlink.policy.choice.Absent;
+import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.start.JsonFile;
 
 import java.nio.charset.StandardCharsets;
@@ -13,26 +13,26 @@
  * What a policy document says of its own change: the digest that names it, and what is done about
  * routers that are absent. All else in it is for each router's own checks.
  */
-public record PolicyTerms(String digest, Absent absent) {
+public record ProposalTerms(String digest, AbsencePolicy absencePolicy) {
     /**
      * Reads the terms from a policy's text.
      *
      * @throws tinlink.start.BadInput naming the key that is wrong
      */
-    public static PolicyTerms of(String text) {
-        JsonFile a = JsonFile.of("policy", text).object("absent");
-        String rule = a.text("rule", "withdraw");
+    public static ProposalTerms parse(String text) {
+        JsonFile absentObject = JsonFile.of("policy", text).object("absent");
+        String rule = absentObject.text("rule", "withdraw");
         if (!rule.matches("wait|withdraw|fence")) {
-            throw a.bad("rule", "is none of wait, withdraw, fence: " + rule);
+            throw absentObject.bad("rule", "is none of wait, withdraw, fence: " + rule);
         }
-        return new PolicyTerms(
+        return new ProposalTerms(
                 digest(text),
-                new Absent(
-                        Absent.Rule.valueOf(rule.toUpperCase(Locale.ROOT)),
-                        a.micros("wait_ms", 10_000, 100, 3_600_000),
-                        a.micros("hold_ms", 1000, 100, 60_000),
-                        rule.equals("fence") ? a.micros("lease_ms", 30_000, 500, 3_600_000) : 0,
-                        a.micros("clock_error_ms", 50, 0, 10_000)));
+                new AbsencePolicy(
+                        AbsencePolicy.Rule.valueOf(rule.toUpperCase(Locale.ROOT)),
+                        absentObject.micros("wait_ms", 10_000, 100, 3_600_000),
+                        absentObject.micros("hold_ms", 1000, 100, 60_000),
+                        rule.equals("fence") ? absentObject.micros("lease_ms", 30_000, 500, 3_600_000) : 0,
+                        absentObject.micros("clock_error_ms", 50, 0, 10_000)));
     }
 
     /** SHA-256 of the text, in hex. */
--- a/src/main/java/tinlink/policy/choice/Outcome.java
+++ b/src/main/java/tinlink/policy/rollout/CommandOutcome.java
@@ -1,9 +1,9 @@
-package tinlink.policy.choice;
+package tinlink.policy.rollout;
 
 /** What came of a command, the same in all routers. */
-public sealed interface Outcome {
+public sealed interface CommandOutcome {
     /** Why a command was refused. */
-    enum Reason {
+    enum RejectionReason {
         ID_TAKEN,
         INVALID_PROPOSAL,
         ANOTHER_CHANGE_OPEN,
@@ -15,11 +15,11 @@
         COMMIT_TOO_EARLY,
         LATER_INCARNATION_ENROLLED,
         TOO_MANY_ROUTERS,
-        NOT_UNDERSTOOD
+        UNKNOWN_COMMAND
     }
 
     /** The command was carried out, or had been before. */
-    record Accepted() implements Outcome {
+    record Accepted() implements CommandOutcome {
         @Override
         public String message() {
             return "";
@@ -27,14 +27,14 @@
     }
 
     /** Nothing was changed. @param message for whoever proposed it */
-    record Refused(Reason reason, String message) implements Outcome {}
+    record Rejected(RejectionReason reason, String message) implements CommandOutcome {}
 
-    static Outcome accepted() {
+    static CommandOutcome accepted() {
         return new Accepted();
     }
 
-    static Outcome refused(Reason reason, String message) {
-        return new Refused(reason, message);
+    static CommandOutcome rejected(RejectionReason reason, String message) {
+        return new Rejected(reason, message);
     }
 
     default boolean isAccepted() {
--- a/src/main/java/tinlink/policy/choice/WordReader.java
+++ b/src/main/java/tinlink/policy/rollout/FieldReader.java
@@ -1,30 +1,30 @@
-package tinlink.policy.choice;
+package tinlink.policy.rollout;
 
 import java.util.List;
 
 /** Reads the words of a line one after the other. Words past those that are asked for are passed over. */
-final class WordReader {
-    private final List<String> words;
+final class FieldReader {
+    private final List<String> fields;
     private int next;
 
-    WordReader(List<String> words) {
-        this.words = words;
+    FieldReader(List<String> fields) {
+        this.fields = fields;
     }
 
     /** @throws IllegalArgumentException where there is no further word */
-    String text() {
-        if (next >= words.size()) {
+    String nextText() {
+        if (next >= fields.size()) {
             throw new IllegalArgumentException("word " + next + " is missing");
         }
-        return words.get(next++);
+        return fields.get(next++);
     }
 
     /** @throws IllegalArgumentException where the next word is no number */
-    long number() {
-        return Long.parseLong(text());
+    long nextLong() {
+        return Long.parseLong(nextText());
     }
 
-    boolean flag() {
-        return Boolean.parseBoolean(text());
+    boolean nextBoolean() {
+        return Boolean.parseBoolean(nextText());
     }
 }
--- a/src/main/java/tinlink/policy/choice/Change.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChange.java
@@ -1,10 +1,10 @@
-package tinlink.policy.choice;
+package tinlink.policy.rollout;
 
 import java.util.Map;
 import java.util.TreeMap;
 
 /** One proposed change of policy. Nothing of it changes but by what all have agreed on. */
-public final class Change {
+public final class PolicyChange {
     /** How it stands; the last two are for ever. */
     public enum State {
         OPEN,
@@ -13,45 +13,45 @@
     }
 
     /** A router's word: it holds the text and is bound by it, or says no. */
-    record Vote(String life, boolean yes, long untilUs, String why) {}
+    record Vote(String incarnation, boolean accepts, long boundUntilUs, String reason) {}
 
     final String id;
-    final long against;
+    final long baseEpoch;
     final String digest;
     final String text;
     final String author;
-    final String why;
-    final Absent absent;
+    final String reason;
+    final AbsencePolicy absencePolicy;
     State state = State.OPEN;
     /** Why it was withdrawn. */
-    String said = "";
+    String withdrawalReason = "";
     /** The epoch that it made, and from when on; 0 before. */
     long epoch;
 
-    long atUs;
+    long effectiveAtUs;
     /**
      * A leader's clock once it had seen the proposal agreed; 0 before. Leases from before it are
      * older.
      */
-    long seenUs;
+    long confirmedAtUs;
     /** By router, the newest word of each; emptied as it is settled. */
     final Map<String, Vote> votes = new TreeMap<>();
 
-    Change(
+    PolicyChange(
             String id,
-            long against,
+            long baseEpoch,
             String digest,
             String text,
             String author,
-            String why,
-            Absent absent) {
+            String reason,
+            AbsencePolicy absencePolicy) {
         this.id = id;
-        this.against = against;
+        this.baseEpoch = baseEpoch;
         this.digest = digest;
         this.text = text;
         this.author = author;
-        this.why = why;
-        this.absent = absent;
+        this.reason = reason;
+        this.absencePolicy = absencePolicy;
     }
 
     public String id() {
@@ -74,17 +74,17 @@
         return author;
     }
 
-    public String why() {
-        return why;
+    public String reason() {
+        return reason;
     }
 
-    public Absent absent() {
-        return absent;
+    public AbsencePolicy absencePolicy() {
+        return absencePolicy;
     }
 
     /** Why it was withdrawn; empty where it was not. */
-    public String said() {
-        return said;
+    public String withdrawalReason() {
+        return withdrawalReason;
     }
 
     /** The epoch that it made; 0 where it made none. */
@@ -93,18 +93,18 @@
     }
 
     /** From when on it is in force; 0 where it is not. */
-    public long atUs() {
-        return atUs;
+    public long effectiveAtUs() {
+        return effectiveAtUs;
     }
 
-    /** Until when that life of that router has bound itself; 0 where it has not. */
-    public long boundUntil(String router, String life) {
-        Vote v = votes.get(router);
-        return v == null || !v.yes || !v.life.equals(life) ? 0 : v.untilUs;
+    /** Until when that incarnation of that router has bound itself; 0 where it has not. */
+    public long boundUntilUs(String router, String incarnation) {
+        Vote vote = votes.get(router);
+        return vote == null || !vote.accepts || !vote.incarnation.equals(incarnation) ? 0 : vote.boundUntilUs;
     }
 
-    boolean hasSaidNo(String router) {
-        Vote v = votes.get(router);
-        return v != null && !v.yes;
+    boolean isRejectedBy(String router) {
+        Vote vote = votes.get(router);
+        return vote != null && !vote.accepts;
     }
 }
--- a/src/main/java/tinlink/router/PolicyLinks.java
+++ b/src/main/java/tinlink/router/PolicyLinks.java
@@ -4,9 +4,9 @@
 import tinlink.net.BadMessage;
 import tinlink.net.Loop;
 import tinlink.cluster.ClusterNode;
-import tinlink.policy.Policy;
-import tinlink.policy.PolicyBook;
-import tinlink.policy.choice.Version;
+import tinlink.policy.PolicyRolloutService;
+import tinlink.policy.PolicyStateMachine;
+import tinlink.policy.rollout.PolicyVersion;
 import tinlink.start.BadInput;
 import tinlink.start.PolicyDoc;
 import tinlink.start.RouterStart;
@@ -19,24 +19,24 @@
  */
 final class PolicyLinks {
     private final RouterStart start;
-    private final Policy policy;
+    private final PolicyRolloutService policyRollout;
     /** As the newest versions have them: two at a time, the one in force and the one before it. */
     private final Map<Long, PolicyDoc> docs = new java.util.TreeMap<>();
 
-    PolicyLinks(Loop loop, ClusterNode clusterNode, PolicyBook book, RouterStart start) {
+    PolicyLinks(Loop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterStart start) {
         this.start = start;
         // The one clock that all machines read; nothing else in the router asks it.
-        policy = new Policy(
+        policyRollout = new PolicyRolloutService(
                 loop,
                 clusterNode,
-                book,
-                c -> refuses(c.text()),
+                policyStateMachine,
+                change -> refuses(change.text()),
                 () -> System.currentTimeMillis() * 1000,
                 start.work.reportUs);
     }
 
-    Policy policy() {
-        return policy;
+    PolicyRolloutService policy() {
+        return policyRollout;
     }
 
     /** This router's own start checks of a text: why it can't be used, or empty. */
@@ -50,15 +50,15 @@
     }
 
     private PolicyDoc doc() {
-        Version v = policy.takes();
-        if (v == null || v.epoch() == 0) {
+        PolicyVersion version = policyRollout.effectiveVersion();
+        if (version == null || version.epoch() == 0) {
             return null;
         }
-        PolicyDoc known = docs.get(v.epoch());
+        PolicyDoc known = docs.get(version.epoch());
         if (known == null) {
-            docs.keySet().removeIf(old -> old < v.epoch() - 1);
-            known = new PolicyDoc(v.text(), start);
-            docs.put(v.epoch(), known);
+            docs.keySet().removeIf(old -> old < version.epoch() - 1);
+            known = new PolicyDoc(version.text(), start);
+            docs.put(version.epoch(), known);
         }
         return known;
     }
@@ -69,8 +69,8 @@
      */
     Map<String, Index> indexes() throws BadMessage {
         PolicyDoc d = doc();
-        if (d == null && !policy.why().isEmpty()) {
-            throw new BadMessage(503, "no lookups are taken: " + policy.why());
+        if (d == null && !policyRollout.unavailableReason().isEmpty()) {
+            throw new BadMessage(503, "no lookups are taken: " + policyRollout.unavailableReason());
         }
         return d == null ? start.lookups.indexes() : d.indexes;
     }
@@ -82,7 +82,7 @@
 
     /** Why clients are to go elsewhere; empty where they are served. */
     String why() {
-        policy.takes();
-        return policy.why();
+        policyRollout.effectiveVersion();
+        return policyRollout.unavailableReason();
     }
 }
--- a/src/main/java/tinlink/router/WorkLinks.java
+++ b/src/main/java/tinlink/router/WorkLinks.java
@@ -7,7 +7,7 @@
 import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.PeerKeys;
 import tinlink.cluster.ClusterNode;
-import tinlink.policy.PolicyBook;
+import tinlink.policy.PolicyStateMachine;
 import tinlink.start.PeersStart;
 import tinlink.start.RouterStart;
 import tinlink.start.WorkStart;
@@ -66,7 +66,7 @@
                 start.kept,
                 start.most);
         WorkBook book = new WorkBook();
-        PolicyBook changes = new PolicyBook();
+        PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network.apart(),
@@ -77,8 +77,8 @@
                 new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
                 p.folder,
                 from.seed,
-                books(book, changes),
-                books(new WorkBook(), new PolicyBook()));
+                books(book, policyStateMachine),
+                books(new WorkBook(), new PolicyStateMachine()));
         work = new Work(
                 loop,
                 network.apart(),
@@ -95,11 +95,11 @@
                         start.oldUs,
                         start.reportUs),
                 p.folder);
-        policy = start.policy ? new PolicyLinks(loop, clusterNode, changes, from) : null;
+        policy = start.policy ? new PolicyLinks(loop, clusterNode, policyStateMachine, from) : null;
     }
 
-    private static ReplicatedStateMachine books(WorkBook work, PolicyBook policy) {
-        return new CompositeStateMachine(work, Map.of(PolicyBook.WORD, policy));
+    private static ReplicatedStateMachine books(WorkBook work, PolicyStateMachine policyStateMachine) {
+        return new CompositeStateMachine(work, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine));
     }
 
     /**
@@ -145,7 +145,7 @@
     /** Nothing is in hand any more. */
     void leave() {
         if (policy != null) {
-            policy.policy().leave();
+            policy.policy().stop();
         }
         work.leave();
     }
--- a/src/main/java/tinlink/work/Control.java
+++ b/src/main/java/tinlink/work/Control.java
@@ -4,7 +4,7 @@
 import tinlink.net.Link;
 import tinlink.net.Loop;
 import tinlink.net.Network;
-import tinlink.policy.Policy;
+import tinlink.policy.PolicyRolloutService;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -33,14 +33,14 @@
     private final Set<ControlConnection> connections = new LinkedHashSet<>();
 
     /**
-     * @param policy null where it is off
+     * @param policyRollout null where it is off
      * @param answerUs an operator hears by then whether something is known to be agreed
      */
     public Control(
             Loop loop,
             Network network,
             Work work,
-            Policy policy,
+            PolicyRolloutService policyRollout,
             InetSocketAddress at,
             String token,
             long answerUs)
@@ -48,7 +48,7 @@
         this.loop = loop;
         this.token = token.getBytes(StandardCharsets.UTF_8);
         this.answerUs = answerUs;
-        commands = new ControlCommands(work, policy);
+        commands = new ControlCommands(work, policyRollout);
         listening = network.listening(at);
         listening.accept(this);
     }
--- a/src/main/java/tinlink/work/ControlCommands.java
+++ b/src/main/java/tinlink/work/ControlCommands.java
@@ -1,6 +1,6 @@
 package tinlink.work;
 
-import tinlink.policy.Policy;
+import tinlink.policy.PolicyRolloutService;
 import tinlink.start.JsonFile;
 import tinlink.work.choice.Machine;
 import tinlink.work.choice.Order;
@@ -27,14 +27,14 @@
     /** Null where policy is off. */
     private final PolicyControlCommands policyCommands;
 
-    private final Policy policy;
+    private final PolicyRolloutService policyRollout;
 
-    /** @param policy null where it is off */
-    ControlCommands(Work work, Policy policy) {
+    /** @param policyRollout null where it is off */
+    ControlCommands(Work work, PolicyRolloutService policyRollout) {
         this.work = work;
-        this.policy = policy;
+        this.policyRollout = policyRollout;
         views = new ControlViews(work);
-        policyCommands = policy == null ? null : new PolicyControlCommands(policy, views);
+        policyCommands = policyRollout == null ? null : new PolicyControlCommands(policyRollout, views);
     }
 
     /** @throws tinlink.start.BadInput where the request can't be understood; it names the field */
@@ -130,8 +130,8 @@
         String router = request.text("router");
         request.nothingElse();
         String life = order().life(router);
-        if (policy != null) {
-            policy.ended(router);
+        if (policyRollout != null) {
+            policyRollout.removeRouter(router);
         }
         if (life == null) {
             to.answer(ControlConnection.OK, Map.of("said", ""));
--- a/src/main/java/tinlink/work/PolicyControlCommands.java
+++ b/src/main/java/tinlink/work/PolicyControlCommands.java
@@ -1,7 +1,7 @@
 package tinlink.work;
 
-import tinlink.policy.Policy;
-import tinlink.policy.PolicyTerms;
+import tinlink.policy.PolicyRolloutService;
+import tinlink.policy.ProposalTerms;
 import tinlink.start.JsonFile;
 
 import java.util.Map;
@@ -10,11 +10,11 @@
 final class PolicyControlCommands {
     static final String PREFIX = "policy-";
 
-    private final Policy policy;
+    private final PolicyRolloutService policyRollout;
     private final ControlViews views;
 
-    PolicyControlCommands(Policy policy, ControlViews views) {
-        this.policy = policy;
+    PolicyControlCommands(PolicyRolloutService policyRollout, ControlViews views) {
+        this.policyRollout = policyRollout;
         this.views = views;
     }
 
@@ -23,13 +23,13 @@
         switch (command) {
             case "policy-show" -> {
                 request.nothingElse();
-                to.answer(ControlConnection.OK, views.withLeader(policy.shown()));
+                to.answer(ControlConnection.OK, views.withLeader(policyRollout.status()));
             }
             case "policy-history" -> {
                 request.nothingElse();
                 to.answer(
                         ControlConnection.OK,
-                        views.withLeader(Map.of("changes", policy.history())));
+                        views.withLeader(Map.of("changes", policyRollout.history())));
             }
             case "policy-status" -> status(request, to);
             case "policy-withdraw" -> withdraw(request, to);
@@ -41,7 +41,7 @@
     private void status(JsonFile request, ControlConnection to) {
         String id = request.text("id");
         request.nothingElse();
-        Map<String, Object> change = policy.shown(id);
+        Map<String, Object> change = policyRollout.status(id);
         if (change == null) {
             to.answer(
                     ControlConnection.NOT_FOUND,
@@ -56,7 +56,7 @@
         String id = request.text("id");
         String why = request.text("why", "withdrawn by its operator");
         request.nothingElse();
-        policy.withdraw(id, why, to::answerAgreed);
+        policyRollout.withdraw(id, why, to::answerAgreed);
     }
 
     private void propose(JsonFile request, ControlConnection to) {
@@ -66,8 +66,8 @@
         String author = request.text("author", "unknown");
         String why = request.text("why", "");
         request.nothingElse();
-        PolicyTerms terms = PolicyTerms.of(text);
-        policy.propose(
-                id, against, terms.digest(), text, author, why, terms.absent(), to::answerAgreed);
+        ProposalTerms terms = ProposalTerms.parse(text);
+        policyRollout.propose(
+                id, against, terms.digest(), text, author, why, terms.absencePolicy(), to::answerAgreed);
     }
 }
--- a/src/test/java/tinlink/RoomsTest.java
+++ b/src/test/java/tinlink/RoomsTest.java
@@ -57,8 +57,8 @@
                 .definedBy("tinlink.work.choice")
                 .layer("policy")
                 .definedBy("tinlink.policy")
-                .layer("policy choice")
-                .definedBy("tinlink.policy.choice")
+                .layer("policy rollout")
+                .definedBy("tinlink.policy.rollout")
                 .layer("store")
                 .definedBy("tinlink.store")
                 .layer("plays")
@@ -102,7 +102,7 @@
                 .mayOnlyBeAccessedByLayers("router", "plays")
                 .whereLayer("work choice")
                 .mayOnlyBeAccessedByLayers("work", "router", "plays")
-                .whereLayer("policy choice")
+                .whereLayer("policy rollout")
                 .mayOnlyBeAccessedByLayers("policy", "router", "plays", "lab")
                 .whereLayer("policy")
                 .mayOnlyBeAccessedByLayers("router", "work", "cli")
@@ -152,7 +152,7 @@
                         "tinlink.http2.choice",
                         "tinlink.cluster.membership",
                         "tinlink.work.choice",
-                        "tinlink.policy.choice")
+                        "tinlink.policy.rollout")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
--- a/src/test/java/tinlink/lab/plays/PolicyPlaysTest.java
+++ b/src/test/java/tinlink/lab/plays/PolicyPlaysTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-import tinlink.policy.choice.Absent;
+import tinlink.policy.rollout.AbsencePolicy;
 
 import java.util.List;
 import java.util.stream.LongStream;
@@ -25,8 +25,8 @@
      * Seed 683 once had a router go on by the old policy: it had forgotten one of its own words.
      */
     @ParameterizedTest
-    @EnumSource(Absent.Rule.class)
-    void aChangeTakesHoldEverywhereOrNowhereThroughFaults(Absent.Rule rule) {
+    @EnumSource(AbsencePolicy.Rule.class)
+    void aChangeTakesHoldEverywhereOrNowhereThroughFaults(AbsencePolicy.Rule rule) {
         PolicyPlay.Size size = new PolicyPlay.Size(7, rule, false);
         int inForce = LongStream.concat(
                         LongStream.rangeClosed(1, 100), LongStream.of(683, 764, 1897))
@@ -42,9 +42,9 @@
 
     @Test
     void theSameSeedIsTheSamePlayAndAPlantedFaultIsFoundAndMadeSmall() {
-        PolicyPlay.Size size = new PolicyPlay.Size(5, Absent.Rule.FENCE, false);
+        PolicyPlay.Size size = new PolicyPlay.Size(5, AbsencePolicy.Rule.FENCE, false);
         assertEquals(play(4, size), play(4, size));
-        PolicyPlay.Size planted = new PolicyPlay.Size(5, Absent.Rule.FENCE, true);
+        PolicyPlay.Size planted = new PolicyPlay.Size(5, AbsencePolicy.Rule.FENCE, true);
         List<PolicyEvent> s = PolicySchedule.of(4, planted, 8, 6, OVER);
         assertFalse(PolicyPlay.play(4, planted, s).violations().isEmpty());
         assertEquals(1, PolicyPlay.shrink(4, planted, s).size(), "one change is enough");
--- a/src/test/java/tinlink/policy/FirstFormatTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -11,8 +11,8 @@
 import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.ClusterNode;
 import tinlink.cluster.membership.LineCodec;
-import tinlink.policy.choice.PolicyCommand;
-import tinlink.policy.choice.PolicyCommandCodec;
+import tinlink.policy.rollout.PolicyCommand;
+import tinlink.policy.rollout.PolicyCommandCodec;
 import tinlink.sealed.Keys;
 import tinlink.work.WorkBook;
 
@@ -34,51 +34,51 @@
  * then. The files under {@code policy-v1} were written by that build.
  */
 @Timeout(60)
-class FirstFormatTest {
-    private static final Path FILES = Path.of("src/test/resources/policy-v1");
+class PolicyFormatCompatibilityTest {
+    private static final Path RESOURCES = Path.of("src/test/resources/policy-v1");
     /** Lines of the log before the first snapshot. */
-    private static final int BEFORE_SNAPSHOT = 10;
+    private static final int ENTRIES_BEFORE_SNAPSHOT = 10;
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private static List<String> lines(String name) throws IOException {
-        return Files.readAllLines(FILES.resolve(name));
+        return Files.readAllLines(RESOURCES.resolve(name));
     }
 
     @Test
-    void aLogIsPlayedAsItWasAndEachOfItsLinesIsWrittenAsItWas() throws IOException {
-        PolicyBook book = new PolicyBook();
+    void version1LogIsAppliedAndEachCommandIsEncodedUnchanged() throws IOException {
+        PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         List<String> log = lines("log.txt");
-        List<String> said = lines("said.txt");
+        List<String> expectedResults = lines("said.txt");
         for (int i = 0; i < log.size(); i++) {
             String line = log.get(i);
-            assertEquals(said.get(i), book.apply(line), line);
+            assertEquals(expectedResults.get(i), policyStateMachine.apply(line), line);
             PolicyCommand command = PolicyCommandCodec.decode(LineCodec.decode(line));
-            if (!(command instanceof PolicyCommand.NotUnderstood)) {
-                assertEquals(line, PolicyBook.line(command));
+            if (!(command instanceof PolicyCommand.UnknownCommand)) {
+                assertEquals(line, PolicyStateMachine.encode(command));
             }
         }
-        assertEquals(lines("snapshot-all.txt"), book.snapshot());
+        assertEquals(lines("snapshot-all.txt"), policyStateMachine.snapshot());
     }
 
     @Test
-    void aSnapshotIsReadAndTheRestOfTheLogPlayedAfterIt() throws IOException {
-        PolicyBook book = new PolicyBook();
-        book.restore(lines("snapshot-10.txt"));
-        assertEquals(lines("snapshot-10.txt"), book.snapshot());
+    void version1SnapshotIsRestoredAndTheRestOfTheLogApplied() throws IOException {
+        PolicyStateMachine policyStateMachine = new PolicyStateMachine();
+        policyStateMachine.restore(lines("snapshot-10.txt"));
+        assertEquals(lines("snapshot-10.txt"), policyStateMachine.snapshot());
         List<String> log = lines("log.txt");
-        log.subList(BEFORE_SNAPSHOT, log.size()).forEach(book::apply);
-        assertEquals(lines("snapshot-all.txt"), book.snapshot());
+        log.subList(ENTRIES_BEFORE_SNAPSHOT, log.size()).forEach(policyStateMachine::apply);
+        assertEquals(lines("snapshot-all.txt"), policyStateMachine.snapshot());
     }
 
     @Test
-    void aVotersFolderIsReadAndItGoesOn() throws Exception {
-        try (Stream<Path> files = Files.walk(FILES.resolve("voter"))) {
+    void version1VoterDirectoryIsRestoredAndTheVoterContinues() throws Exception {
+        try (Stream<Path> files = Files.walk(RESOURCES.resolve("voter"))) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
-                Path to = folder.resolve(FILES.resolve("voter").relativize(file).toString());
-                Files.createDirectories(to.getParent());
-                Files.copy(file, to);
+                Path target = directory.resolve(RESOURCES.resolve("voter").relativize(file).toString());
+                Files.createDirectories(target.getParent());
+                Files.copy(file, target);
             }
         }
         CompositeStateMachine books = books();
@@ -96,15 +96,15 @@
                 new Keys(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
                 new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
                 new ClusterNode.Limits(64, 8 << 20, 20),
-                folder,
+                directory,
                 1,
                 books,
                 books());
-        CompletableFuture<List<String>> stands = new CompletableFuture<>();
+        CompletableFuture<List<String>> restoredLines = new CompletableFuture<>();
         clusterNode.setAppliedListener(() -> {
             // Its own line is the last one: all that was kept has been played by then.
-            if (books.snapshot().stream().anyMatch(l -> l.startsWith("life\tz\t"))) {
-                stands.complete(books.snapshot());
+            if (books.snapshot().stream().anyMatch(line -> line.startsWith("life\tz\t"))) {
+                restoredLines.complete(books.snapshot());
             }
         });
         Thread thread = new Thread(() -> loop.run(clusterNode), "first-format");
@@ -112,11 +112,11 @@
         thread.start();
         try {
             loop.ready(clusterNode::start);
-            loop.ready(() -> proposeUntilTaken(loop, clusterNode));
-            List<String> without = stands.get(30, TimeUnit.SECONDS).stream()
-                    .filter(l -> !l.startsWith("life\tz\t"))
+            loop.ready(() -> proposeUntilAccepted(loop, clusterNode));
+            List<String> linesBeforeRestart = restoredLines.get(30, TimeUnit.SECONDS).stream()
+                    .filter(line -> !line.startsWith("life\tz\t"))
                     .toList();
-            assertEquals(lines("voter/expected-lines.txt"), without);
+            assertEquals(lines("voter/expected-lines.txt"), linesBeforeRestart);
         } finally {
             CompletableFuture<Void> closed = new CompletableFuture<>();
             loop.ready(() -> {
@@ -134,13 +134,13 @@
     }
 
     private static CompositeStateMachine books() {
-        return new CompositeStateMachine(new WorkBook(), Map.of(PolicyBook.WORD, new PolicyBook()));
+        return new CompositeStateMachine(new WorkBook(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine()));
     }
 
-    private static void proposeUntilTaken(Loop loop, ClusterNode clusterNode) {
-        clusterNode.propose("life\tz\tz#1.0", (said, why) -> {
-            if (why != null) {
-                loop.at(loop.now() + 50_000, () -> proposeUntilTaken(loop, clusterNode));
+    private static void proposeUntilAccepted(Loop loop, ClusterNode clusterNode) {
+        clusterNode.propose("life\tz\tz#1.0", (result, failure) -> {
+            if (failure != null) {
+                loop.at(loop.now() + 50_000, () -> proposeUntilAccepted(loop, clusterNode));
             }
         });
     }
--- /dev/null
+++ b/src/test/java/tinlink/policy/rollout/PolicyChangesTest.java
@@ -0,0 +1,172 @@
+package tinlink.policy.rollout;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * What routers agree on about a change of policy, and by what one of them takes lookups; times in
+ * us.
+ */
+class PolicyChangesTest {
+    private static final AbsencePolicy WAIT = new AbsencePolicy(AbsencePolicy.Rule.WAIT, 3000, 600, 0, 20);
+    private static final AbsencePolicy FENCE = new AbsencePolicy(AbsencePolicy.Rule.FENCE, 3000, 600, 1500, 20);
+    private PolicyChanges changes = new PolicyChanges(3, 10, WAIT);
+
+    /** Plays it, writes all of it and reads it again. */
+    private String apply(PolicyCommand command) {
+        PolicyCommand decoded = PolicyCommandCodec.decode(PolicyCommandCodec.encode(command));
+        assertEquals(command, decoded, "written and read again");
+        String message = changes.apply(decoded).message();
+        List<List<String>> lines = changes.snapshot();
+        changes = PolicyChanges.fromSnapshot(3, 10, WAIT, lines);
+        assertEquals(lines, changes.snapshot(), "written and read again");
+        return message;
+    }
+
+    private String propose(String id, long baseEpoch, AbsencePolicy absencePolicy) {
+        return apply(new PolicyCommand.Propose(
+                id, baseEpoch, "d" + id, "text of " + id, "op", "why", absencePolicy));
+    }
+
+    private void enrol(String... routers) {
+        for (String router : routers) {
+            assertEquals("", apply(new PolicyCommand.Enrol(router, router + ".1", 1)));
+        }
+    }
+
+    private String voteYes(String id, String router, long boundUntilUs) {
+        return apply(new PolicyCommand.VoteYes(id, router, router + ".1", boundUntilUs));
+    }
+
+    private String commit(String id, long effectiveAtUs) {
+        apply(new PolicyCommand.ConfirmProposal(id, 1000));
+        return apply(new PolicyCommand.Commit(id, effectiveAtUs));
+    }
+
+    @Test
+    void commitsOnceAllRoutersAcceptAndNoEarlierThanTheirVotesBind() {
+        enrol("a", "b");
+        assertEquals("", propose("c1", 0, WAIT));
+        assertEquals("", voteYes("c1", "a", 5000));
+        assertEquals("it may not take hold then", commit("c1", 9000));
+        assertEquals(List.of("b"), changes.pendingRouters());
+        assertEquals("", voteYes("c1", "b", 5600));
+        assertEquals("it may not take hold then", commit("c1", 5619));
+        assertEquals("", commit("c1", 5620));
+        assertEquals(1, changes.inForce().epoch());
+        assertEquals("that change is settled", apply(new PolicyCommand.Commit("c1", 9000)));
+        assertEquals(
+                "it is in force: undo it by another change",
+                apply(new PolicyCommand.Abort("c1", "no")));
+        assertEquals(5620, changes.change("c1").effectiveAtUs());
+    }
+
+    @Test
+    void withdrawalIsFinalAndProposingTwiceIsIdempotent() {
+        enrol("a");
+        assertEquals("", propose("c1", 0, WAIT));
+        assertEquals("", propose("c1", 0, WAIT));
+        assertTrue(apply(new PolicyCommand.Propose("c1", 0, "other", "x", "op", "why", WAIT))
+                .contains("that id"));
+        assertEquals("another change is open: c1", propose("c2", 0, WAIT));
+        assertEquals("", apply(new PolicyCommand.VoteNo("c1", "a", "a.1", "too small")));
+        assertEquals("a: too small", changes.firstRejection());
+        assertEquals("it may not take hold then", commit("c1", 99_000));
+        assertEquals("", apply(new PolicyCommand.Abort("c1", "refused")));
+        assertEquals("that change is settled", voteYes("c1", "a", 5000));
+        assertEquals("", propose("c1", 0, WAIT), "it is known, and stays as it ended");
+        assertEquals(PolicyChange.State.WITHDRAWN, changes.change("c1").state());
+        assertEquals("it is written against epoch 4, and 0 is in force", propose("c2", 4, WAIT));
+    }
+
+    @Test
+    void
+            restartedRouterIsUnboundAndLateVotesOfItsEarlierIncarnationAreRejected() {
+        enrol("a");
+        propose("c1", 0, WAIT);
+        voteYes("c1", "a", 5000);
+        assertEquals("", apply(new PolicyCommand.Enrol("a", "a.2", 2)));
+        assertEquals("it may not take hold then", commit("c1", 9000));
+        assertEquals(
+                "a later life of that router is enrolled",
+                apply(new PolicyCommand.Enrol("a", "a.1", 1)));
+        assertEquals("that router is not enrolled", voteYes("c1", "a", 7000));
+        assertEquals("", apply(new PolicyCommand.VoteYes("c1", "a", "a.2", 7000)));
+        assertEquals("", commit("c1", 7020));
+    }
+
+    @Test
+    void absentRoutersBlockTheCommitUntilTheirLeasesHaveExpired() {
+        changes = new PolicyChanges(3, 10, FENCE);
+        enrol("a", "gone");
+        propose("c1", 0, FENCE);
+        voteYes("c1", "a", 1100);
+        assertEquals("it may not take hold then", commit("c1", 2519));
+        assertEquals(
+                "", commit("c1", 2520), "seen at 1000, a lease of 1500, clocks that differ by 20");
+        // The next one waits until that one has come.
+        propose("c2", 1, FENCE);
+        voteYes("c2", "a", 3000);
+        apply(new PolicyCommand.Leave("gone", "gone.1"));
+        assertEquals("it may not take hold then", commit("c2", 9000));
+        apply(new PolicyCommand.ConfirmProposal("c2", 2540));
+        assertEquals("", apply(new PolicyCommand.Commit("c2", 9000)));
+    }
+
+    private final List<PolicyCommand> sentCommands = new ArrayList<>();
+
+    private ChangeParticipant.EffectivePolicy effectivePolicy(ChangeParticipant participant, long sharedTimeUs, long localTimeUs) {
+        participant.updateClocks(sharedTimeUs, localTimeUs);
+        participant.decide(changes, sentCommands::add);
+        return participant.effectivePolicy(changes);
+    }
+
+    @Test
+    void routerIsBoundByItsFirstVoteUntilALaterOneIsKnown() {
+        ChangeParticipant participant = new ChangeParticipant("a", "a.1", 1, 100, change -> "");
+        assertFalse(effectivePolicy(participant, 0, 0).isPresent(), "it is not enrolled yet");
+        enrol("a");
+        assertEquals(0, effectivePolicy(participant, 100, 100).epoch());
+        propose("c1", 0, WAIT);
+        assertEquals(0, effectivePolicy(participant, 1000, 1000).epoch());
+        assertEquals(0, effectivePolicy(participant, 1500, 1500).epoch());
+        assertFalse(effectivePolicy(participant, 1600, 1600).isPresent(), "what it said at 1000 may have been agreed on");
+        apply(sentCommands.get(sentCommands.size() - 1));
+        assertTrue(effectivePolicy(participant, 1650, 1650).isPresent(), "a later word of it is known to be agreed");
+        assertFalse(effectivePolicy(participant, 900, 2300).isPresent(), "the shared clock has gone back, its own has not");
+        apply(new PolicyCommand.ConfirmProposal("c1", 3000));
+        assertEquals("", apply(new PolicyCommand.Commit("c1", 4000)));
+        assertEquals(0, effectivePolicy(participant, 3990, 3990).epoch());
+        assertEquals(1, effectivePolicy(participant, 4000, 4000).epoch());
+        assertEquals(1, effectivePolicy(participant, 3000, 4010).epoch(), "it has come, wherever the clock is set to");
+    }
+
+    @Test
+    void routerServesNothingWithoutALeaseNorByAPolicyItCannotUse() {
+        changes = new PolicyChanges(3, 10, FENCE);
+        enrol("a");
+        ChangeParticipant participant = new ChangeParticipant(
+                "a", "a.1", 1, 100, change -> change.id().equals("big") ? "too large for this machine" : "");
+        assertFalse(effectivePolicy(participant, 0, 0).isPresent());
+        participant.leaseGranted(0, 1500);
+        assertTrue(effectivePolicy(participant, 1499, 1499).isPresent());
+        assertFalse(effectivePolicy(participant, 1500, 1500).isPresent());
+        propose("big", 0, FENCE);
+        effectivePolicy(participant, 1500, 1500);
+        assertInstanceOf(PolicyCommand.VoteNo.class, sentCommands.get(sentCommands.size() - 1));
+        apply(new PolicyCommand.ConfirmProposal("big", 1500));
+        apply(new PolicyCommand.Commit(
+                "big", 3020)); // Without its word: its lease has run out by then.
+        participant.leaseGranted(3000, 1500);
+        assertTrue(
+                effectivePolicy(participant, 3020, 3020).unavailableReason().contains("too large"),
+                effectivePolicy(participant, 3020, 3020).unavailableReason());
+    }
+}
