--- a/src/main/java/tinlink/lab/plays/BestOrder.java
+++ b/src/main/java/tinlink/lab/plays/BestOrder.java
@@ -1,11 +1,11 @@
 package tinlink.lab.plays;
 
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Piece;
-import tinlink.work.choice.Request;
-import tinlink.work.choice.State;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceTask;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.maintenance.scheduling.TaskState;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,8 +27,8 @@
     private static final long WARM = 500_000;
     private static final int HOLDERS = 3;
     private static final int BLOCKS = 3;
-    private static final Bounds BOUNDS =
-            new Bounds(2, 0.5, 0.5, WARM, 10_000_000, 3_600_000_000L, 100, 100);
+    private static final DisruptionLimits BOUNDS =
+            new DisruptionLimits(2, 0.5, 0.5, WARM, 10_000_000, 3_600_000_000L, 100, 100);
     private final List<Machine> machines = new ArrayList<>();
     private final List<Machine> asked = new ArrayList<>();
     private final List<Long> forUs = new ArrayList<>();
@@ -69,10 +69,10 @@
 
     /** What the order itself does with them. */
     private long granted() {
-        Order o = new Order(BOUNDS);
-        machines.forEach(m -> o.play(Order.machineWords(m)));
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
+        machines.forEach(machine -> stateMachine.apply(MaintenanceStateMachine.machineLine(machine)));
         IntStream.range(0, asked.size())
-                .forEach(i -> o.play(Order.askWords(new Request(
+                .forEach(i -> stateMachine.apply(MaintenanceStateMachine.requestLine(new MaintenanceRequest(
                         "q" + i,
                         List.of(asked.get(i).id()),
                         forUs.get(i),
@@ -82,17 +82,17 @@
                         "work"))));
         Map<String, Long> since = new HashMap<>();
         long waits = 0;
-        for (long now = 0; !o.open().isEmpty(); now += STEP) {
-            for (Piece p : o.open()) {
-                if (p.state() == State.OUT) {
-                    Long from = since.putIfAbsent(p.machine(), now);
+        for (long now = 0; !stateMachine.openTasks().isEmpty(); now += STEP) {
+            for (MaintenanceTask task : stateMachine.openTasks()) {
+                if (task.state() == TaskState.OUT) {
+                    Long from = since.putIfAbsent(task.machine(), now);
                     waits += from == null ? now : 0;
-                    if (now - since.get(p.machine()) >= p.request().forUs()) {
-                        o.play(Order.doneWords(p.request().id(), "", false));
+                    if (now - since.get(task.machine()) >= task.request().durationUs()) {
+                        stateMachine.apply(MaintenanceStateMachine.doneLine(task.request().id(), "", false));
                     }
                 }
             }
-            o.play(Order.tickWords(STEP));
+            stateMachine.apply(MaintenanceStateMachine.tickLine(STEP));
         }
         return waits;
     }
@@ -158,17 +158,17 @@
     }
 
     private boolean holds(List<Machine> away) {
-        for (Machine m : away) {
-            if (here(away, o -> o.cell() == m.cell()) < BOUNDS.holders()
-                    || here(away, o -> o.zone().equals(m.zone()))
-                            < Math.ceil(BOUNDS.zoneShare()
+        for (Machine machine : away) {
+            if (here(away, o -> o.cell() == machine.cell()) < BOUNDS.minReplicas()
+                    || here(away, o -> o.zone().equals(machine.zone()))
+                            < Math.ceil(BOUNDS.minZoneShare()
                                     * machines.stream()
-                                            .filter(o -> o.zone().equals(m.zone()))
+                                            .filter(o -> o.zone().equals(machine.zone()))
                                             .count())
-                    || here(away, o -> o.site().equals(m.site()))
-                            < Math.ceil(BOUNDS.siteShare()
+                    || here(away, o -> o.site().equals(machine.site()))
+                            < Math.ceil(BOUNDS.minSiteShare()
                                     * machines.stream()
-                                            .filter(o -> o.site().equals(m.site()))
+                                            .filter(o -> o.site().equals(machine.site()))
                                             .count())) {
                 return false;
             }
@@ -177,6 +177,6 @@
     }
 
     private long here(List<Machine> away, java.util.function.Predicate<Machine> where) {
-        return machines.stream().filter(where).filter(m -> !away.contains(m)).count();
+        return machines.stream().filter(where).filter(machine -> !away.contains(machine)).count();
     }
 }
--- a/src/main/java/tinlink/lab/plays/ControlFleet.java
+++ b/src/main/java/tinlink/lab/plays/ControlFleet.java
@@ -7,12 +7,12 @@
 import tinlink.cluster.membership.Incarnation;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyChanges;
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.ListDifference;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Watch;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.NodeListDifference;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MachineFailureDetector;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -55,7 +55,7 @@
 
     private final Map<String, Map<String, Boolean>> watched = new HashMap<>();
     /** The order of work with all machines and routers and no work in hand: held by every router too. */
-    private final Order order = new Order(new Bounds(1, 0.5, 0.5, SEC, SEC, SEC, 1000, 4096));
+    private final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(new DisruptionLimits(1, 0.5, 0.5, SEC, SEC, SEC, 1000, 4096));
 
     ControlFleet(long seed, int routerCount, int voterCount, int nodeCount) {
         play = new Play(seed);
@@ -75,14 +75,14 @@
             nodes.add(machine(
                     "node-" + i, Machine.Kind.NODE, i / HOLDERS, i % REGION_OF_ZONE.length, false));
         }
-        nodes.forEach(node -> order.play(Order.machineWords(node)));
+        nodes.forEach(node -> stateMachine.apply(MaintenanceStateMachine.machineLine(node)));
         for (int region = 0; region < REGIONS; region++) {
-            nodeLists.add(ListDifference.between("region-" + region, nodes, order.agreedNodes())
-                    .line());
+            nodeLists.add(NodeListDifference.between("region-" + region, nodes, stateMachine.agreedNodes())
+                    .encode());
         }
-        routers.values().forEach(router -> order.play(Order.machineWords(router.machine)));
+        routers.values().forEach(router -> stateMachine.apply(MaintenanceStateMachine.machineLine(router.machine)));
         routers.keySet()
-                .forEach(name -> order.play(Order.lifeWords(
+                .forEach(name -> stateMachine.apply(MaintenanceStateMachine.routerLine(
                         name, new Incarnation(name, 1, play.random.nextLong()).toString())));
         nodes.forEach(node -> watch(node.id()));
         routers.keySet().forEach(this::watch);
@@ -101,7 +101,7 @@
     }
 
     private void watch(String machine) {
-        for (String watcher : Watch.watchers(routers.keySet(), machine, WATCHERS)) {
+        for (String watcher : MachineFailureDetector.watchers(routers.keySet(), machine, WATCHERS)) {
             watched.computeIfAbsent(watcher, w -> new HashMap<>()).put(machine, true);
         }
     }
@@ -117,7 +117,7 @@
 
     /** All that is agreed, as a router that starts anew fetches it. */
     List<String> stateLines() {
-        List<String> all = new ArrayList<>(order.lines());
+        List<String> all = new ArrayList<>(stateMachine.snapshot());
         SharedReplicas<PolicyChanges>.Replica replica = leader().replica();
         all.addAll(replica.lines());
         return all;
@@ -129,7 +129,7 @@
 
     /** What that router reports of machines that it watches. */
     String soundness(String router) {
-        return Lead.sawWords(watched.getOrDefault(router, Map.of()));
+        return MaintenanceCoordinator.healthReportLine(watched.getOrDefault(router, Map.of()));
     }
 
     int watchedBy(String router) {
--- a/src/main/java/tinlink/lab/plays/ControlRouter.java
+++ b/src/main/java/tinlink/lab/plays/ControlRouter.java
@@ -12,8 +12,8 @@
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyCommandCodec;
 import tinlink.policy.rollout.PolicyVersion;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.Machine;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.Machine;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -102,7 +102,7 @@
     }
 
     private void report() {
-        report(MessageKind.REPORT, Lead.selfWords(machine));
+        report(MessageKind.REPORT, MaintenanceCoordinator.selfReportLine(machine));
         report(MessageKind.REPORT, fleet.soundness(name));
         if (play.now() - listToldAt > REPORT_COUNTS_US / 3) {
             listToldAt = play.now();
--- a/src/main/java/tinlink/lab/plays/OrderMachine.java
+++ b/src/main/java/tinlink/lab/plays/OrderMachine.java
@@ -1,40 +1,40 @@
 package tinlink.lab.plays;
 
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Order;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.List;
 
 /** The order of work as a state machine whose states replicas can share. */
-final class OrderMachine implements SharedReplicas.StateMachine<Order> {
-    private final Bounds bounds;
+final class OrderMachine implements SharedReplicas.StateMachine<MaintenanceStateMachine> {
+    private final DisruptionLimits limits;
 
-    OrderMachine(Bounds bounds) {
-        this.bounds = bounds;
+    OrderMachine(DisruptionLimits limits) {
+        this.limits = limits;
     }
 
     @Override
-    public Order initial() {
-        return new Order(bounds);
+    public MaintenanceStateMachine initial() {
+        return new MaintenanceStateMachine(limits);
     }
 
     @Override
-    public Order copy(Order state) {
+    public MaintenanceStateMachine copy(MaintenanceStateMachine state) {
         return state.copy();
     }
 
     @Override
-    public String play(Order state, String line) {
-        return state.play(line);
+    public String play(MaintenanceStateMachine state, String line) {
+        return state.apply(line);
     }
 
     @Override
-    public List<String> lines(Order state) {
-        return state.lines();
+    public List<String> lines(MaintenanceStateMachine state) {
+        return state.snapshot();
     }
 
     @Override
-    public Order of(List<String> lines) {
-        return Order.of(lines);
+    public MaintenanceStateMachine of(List<String> lines) {
+        return MaintenanceStateMachine.restore(lines);
     }
 }
--- a/src/main/java/tinlink/lab/plays/SimulatedDataNode.java
+++ b/src/main/java/tinlink/lab/plays/SimulatedDataNode.java
@@ -1,6 +1,6 @@
 package tinlink.lab.plays;
 
-import tinlink.work.choice.Machine;
+import tinlink.maintenance.scheduling.Machine;
 
 /** A data node in simulated time: it is up, down, or out because an operator works on it. */
 final class SimulatedDataNode {
--- a/src/main/java/tinlink/lab/plays/SimulatedRouter.java
+++ b/src/main/java/tinlink/lab/plays/SimulatedRouter.java
@@ -3,10 +3,10 @@
 import static tinlink.lab.plays.Play.MS;
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.work.choice.Holder;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
+import tinlink.maintenance.scheduling.DrainController;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,10 +18,11 @@
 import java.util.stream.Collectors;
 
 /**
- * A router that takes part in work on machines: it carries out what {@link Holder} and {@link Lead} decide,
- * watches machines, reports them to whoever leads, and serves clients by data nodes that are not left out.
+ * A router that takes part in work on machines: it carries out what {@link DrainController} and {@link
+ * MaintenanceCoordinator} decide, watches machines, reports them to whoever leads, and serves clients by data
+ * nodes that are not left out.
  */
-final class SimulatedRouter extends SimulatedMember implements Holder.Hands, Holder.Hold {
+final class SimulatedRouter extends SimulatedMember implements DrainController.DrainHandler, DrainController.InFlightCounts {
     private static final long BEAT_US = 200 * MS;
     private static final long SERVE_US = 150 * MS;
     private static final long WATCH_US = 500 * MS;
@@ -40,14 +41,14 @@
     long since;
 
     boolean lettingGo;
-    Holder holder;
+    DrainController drainController;
 
     private final WorkFleet fleet;
     private final Map<String, Integer> openCalls = new TreeMap<>();
     private final Set<String> leftOut = new TreeSet<>();
     private final Map<String, Long> pongs = new HashMap<>();
     private WorkReplica replica;
-    private Lead lead;
+    private MaintenanceCoordinator coordinator;
     private int clients;
     /** What it watches; settled at its first look, the fleet does not change. */
     private List<SimulatedDataNode> watchedNodes;
@@ -73,8 +74,8 @@
         pongs.clear();
         clients = 0;
         lettingGo = false;
-        holder = new Holder(name, incarnation.toString(), SAY_AGAIN_US);
-        lead = new Lead(WorkFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
+        drainController = new DrainController(name, incarnation.toString(), SAY_AGAIN_US);
+        coordinator = new MaintenanceCoordinator(WorkFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
         enterGroup();
         long run = generation;
         every(run, BEAT_US, this::beat);
@@ -89,7 +90,7 @@
         openCalls.clear();
     }
 
-    Order order() {
+    MaintenanceStateMachine order() {
         return replica.order();
     }
 
@@ -99,8 +100,8 @@
     }
 
     private void decide() {
-        holder.clock(play.now());
-        while (holder.decide(order(), this, this)) {
+        drainController.setTime(play.now());
+        while (drainController.decide(order(), this, this)) {
             // Each has been carried out.
         }
     }
@@ -108,7 +109,7 @@
     private void beat() {
         tendAgreement();
         decide();
-        lead.clock(play.now());
+        coordinator.setTime(play.now());
         report();
         lead();
     }
@@ -117,10 +118,10 @@
         if (seated == null) {
             seated = group.voters().stream().map(v -> v.name).collect(Collectors.toSet());
         }
-        lead.leads(leads());
-        lead.seated(seated);
-        while (lead.decide(
-                order(), line -> raft.propose(line, (said, failure) -> lead.answered()))) {
+        coordinator.setLeader(leads());
+        coordinator.setVoters(seated);
+        while (coordinator.decide(
+                order(), line -> raft.propose(line, (said, failure) -> coordinator.onProposalCompleted()))) {
             // Each has been put to the vote.
         }
     }
@@ -170,19 +171,19 @@
     /** To whoever leads, as far as is known; it may get lost, and is said again. */
     private void report() {
         List<String> lines = List.of(
-                Lead.selfWords(machine),
-                Lead.sawWords(soundness()),
+                MaintenanceCoordinator.selfReportLine(machine),
+                MaintenanceCoordinator.healthReportLine(soundness()),
                 fleet.nodeList(machine.site()));
         SimulatedRouter leader = leads() ? this : fleet.routers.get(leaderHint);
         if (leader == this) {
-            lines.forEach(line -> lead.told(name, line));
+            lines.forEach(line -> coordinator.onReport(name, line));
         } else if (leader != null) {
             fleet.network.send(
                     name,
                     leaderHint,
                     () -> leader.takes(() -> {
                         leader.livesKnown.put(name, incarnation);
-                        lines.forEach(line -> leader.lead.told(name, line));
+                        lines.forEach(line -> leader.coordinator.onReport(name, line));
                     }));
         }
     }
@@ -190,7 +191,7 @@
     // ---- What it serves. ----
 
     private void serve() {
-        if (!holder.isKnown(order())) {
+        if (!drainController.isRegistered(order())) {
             return; // In service it waits for a bounded time.
         }
         if (lettingGo) {
@@ -225,19 +226,19 @@
     }
 
     @Override
-    public int open(String node) {
+    public int partsInFlight(String node) {
         return fleet.size.planted() ? 0 : callsOpen(node);
     }
 
     @Override
-    public int clients() {
+    public int clientsInFlight() {
         return clients + openCalls.size();
     }
 
     // ---- What is decided. ----
 
     @Override
-    public void leaveOut(String node, boolean out) {
+    public void setCordoned(String node, boolean out) {
         if (out) {
             leftOut.add(node);
         } else {
@@ -246,16 +247,16 @@
     }
 
     @Override
-    public void letGo(boolean go) {
+    public void setDraining(boolean go) {
         lettingGo = go;
         // What it has played may be behind what was agreed; what it does by it must be counted for.
-        if (go && fleet.truth().away(name) == null) {
+        if (go && fleet.truth().activeTask(name) == null) {
             group.violations.add(name + " lets its clients go by a grant that is over");
         }
     }
 
     @Override
-    public void wake(long atUs) {
+    public void wakeAt(long atUs) {
         later(Math.max(0, atUs - play.now()), this::decide);
     }
 
--- a/src/main/java/tinlink/lab/plays/WorkChecks.java
+++ b/src/main/java/tinlink/lab/plays/WorkChecks.java
@@ -2,8 +2,8 @@
 
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.work.choice.Piece;
-import tinlink.work.choice.Request;
+import tinlink.maintenance.scheduling.MaintenanceTask;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
 
 /**
  * What must hold when an operator takes a machine, by what machines and calls are, not by what routers say of
@@ -32,7 +32,7 @@
         if (router.stoppedForWork) {
             violated(router.name + " is taken twice");
         }
-        if (router.up && !router.lettingGo && router.holder.isKnown(router.order())) {
+        if (router.up && !router.lettingGo && router.drainController.isRegistered(router.order())) {
             violated(router.name + " is taken while it serves");
         }
         long left = fleet.voters().stream()
@@ -43,9 +43,9 @@
         }
     }
 
-    void taken(SimulatedDataNode node, Request request, Piece piece) {
+    void taken(SimulatedDataNode node, MaintenanceRequest request, MaintenanceTask task) {
         if (node.takenBy != null) {
-            violated(piece.machine() + " is taken twice, for " + node.takenBy + " and "
+            violated(task.machine() + " is taken twice, for " + node.takenBy + " and "
                     + request.id());
         }
         long left = fleet.nodes.values().stream()
@@ -56,12 +56,12 @@
         // yet.
         boolean dead = !node.up || isRecent(node.since);
         if (left < LEAST_HOLDERS && !dead) {
-            violated(piece.machine() + " is taken and leaves " + left + " holders of block "
+            violated(task.machine() + " is taken and leaves " + left + " holders of block "
                     + node.machine.cell());
         }
         for (SimulatedRouter router : fleet.routers.values()) {
-            if (router.up && router.callsOpen(piece.machine()) > 0) {
-                violated(piece.machine() + " is taken while " + router.name
+            if (router.up && router.callsOpen(task.machine()) > 0) {
+                violated(task.machine() + " is taken while " + router.name
                         + " has calls open there");
             }
         }
--- a/src/main/java/tinlink/lab/plays/WorkFleet.java
+++ b/src/main/java/tinlink/lab/plays/WorkFleet.java
@@ -3,12 +3,12 @@
 import static tinlink.lab.plays.Play.MS;
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.work.WorkBook;
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Watch;
+import tinlink.maintenance.ReplicatedMaintenance;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MachineFailureDetector;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
 
 /** The machines of one play of work, and what is agreed among its routers. */
 final class WorkFleet {
-    static final Bounds BOUNDS = new Bounds(2, 0.5, 0.5, SEC, 4 * SEC, 20 * SEC, 2000, 4000);
+    static final DisruptionLimits BOUNDS = new DisruptionLimits(2, 0.5, 0.5, SEC, 4 * SEC, 20 * SEC, 2000, 4000);
     private static final int WATCHERS = 3;
     private static final AgreementGroup.Settings SETTINGS =
             new AgreementGroup.Settings(MS, 64, 40, 2 * SEC);
@@ -40,14 +40,14 @@
     /** By site, what its routers report as their list of data nodes. */
     private final Map<String, String> nodeLists = new HashMap<>();
 
-    private final WorkBook truth = new WorkBook(BOUNDS);
+    private final ReplicatedMaintenance truth = new ReplicatedMaintenance(BOUNDS);
     private long truthIndex;
 
     WorkFleet(long seed, WorkPlay.Size size, boolean sharesState) {
         this.size = size;
         play = new Play(seed);
         network = new SimulatedNetwork(play, PATH);
-        SharedReplicas<Order> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
         replicas = sharesState
                 ? () -> new WorkReplica.Shared(shared.replica())
                 : () -> new WorkReplica.Own(BOUNDS);
@@ -99,24 +99,24 @@
     }
 
     /** The order as it stands by all that any router has found agreed. */
-    Order truth() {
+    MaintenanceStateMachine truth() {
         group.log.after(truthIndex).forEach((index, line) -> {
             truth.apply(line);
             truthIndex = index;
         });
-        return truth.order();
+        return truth.stateMachine();
     }
 
     /** Routers that look after that machine. */
     List<String> watchers(String machine) {
         return watchers.computeIfAbsent(
-                machine, m -> Watch.watchers(routers.keySet(), m, WATCHERS));
+                machine, m -> MachineFailureDetector.watchers(routers.keySet(), m, WATCHERS));
     }
 
     String nodeList(String site) {
         return nodeLists.computeIfAbsent(
                 site,
-                s -> Lead.listWords(
+                s -> MaintenanceCoordinator.nodeListLine(
                         s, nodes.values().stream().map(n -> n.machine).toList()));
     }
 
--- a/src/main/java/tinlink/lab/plays/WorkOperators.java
+++ b/src/main/java/tinlink/lab/plays/WorkOperators.java
@@ -3,10 +3,10 @@
 import static tinlink.lab.plays.Play.MS;
 import static tinlink.lab.plays.Play.SEC;
 
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Piece;
-import tinlink.work.choice.Request;
-import tinlink.work.choice.State;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceTask;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.maintenance.scheduling.TaskState;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -51,7 +51,7 @@
     void ask(String id, List<String> machines) {
         int urgency = fleet.play.random.nextInt(10);
         asked.add(id);
-        tend(new Request(id, machines, WORK_US, Long.MAX_VALUE, urgency, "op", "work"));
+        tend(new MaintenanceRequest(id, machines, WORK_US, Long.MAX_VALUE, urgency, "op", "work"));
     }
 
     void callOff(String id) {
@@ -62,15 +62,15 @@
 
     /** Requests that nobody has heard of. */
     List<String> lost() {
-        return asked.stream().filter(id -> fleet.truth().request(id).isEmpty()).toList();
+        return asked.stream().filter(id -> fleet.truth().tasksOf(id).isEmpty()).toList();
     }
 
     boolean allOver() {
-        return fleet.truth().open().isEmpty()
-                && asked.stream().noneMatch(id -> fleet.truth().request(id).isEmpty());
+        return fleet.truth().openTasks().isEmpty()
+                && asked.stream().noneMatch(id -> fleet.truth().tasksOf(id).isEmpty());
     }
 
-    private void tend(Request request) {
+    private void tend(MaintenanceRequest request) {
         SimulatedRouter router = fleet.anyRunning();
         if (router != null && isOver(request, router)) {
             return;
@@ -80,47 +80,47 @@
     }
 
     /** Looks at that router and acts; @return whether all of the request is over by what it says */
-    private boolean isOver(Request request, SimulatedRouter router) {
-        List<Piece> pieces = router.order().request(request.id());
+    private boolean isOver(MaintenanceRequest request, SimulatedRouter router) {
+        List<MaintenanceTask> pieces = router.order().tasksOf(request.id());
         if (pieces.isEmpty()) {
-            router.propose(Order.askWords(request));
-        } else if (pieces.stream().allMatch(Piece::over)) {
+            router.propose(MaintenanceStateMachine.requestLine(request));
+        } else if (pieces.stream().allMatch(MaintenanceTask::isFinished)) {
             finished +=
-                    (int) pieces.stream().filter(p -> p.state() == State.BACK).count();
+                    (int) pieces.stream().filter(task -> task.state() == TaskState.BACK).count();
             return true;
         }
         if (calledOff.contains(request.id())
                 && pieces.stream().anyMatch(WorkOperators::mayBeCalledOff)) {
-            router.propose(Order.callOffWords(request.id(), "called off"));
+            router.propose(MaintenanceStateMachine.cancelLine(request.id(), "called off"));
         }
-        pieces.forEach(piece -> tend(request, piece, router));
+        pieces.forEach(task -> tend(request, task, router));
         return false;
     }
 
-    private static boolean mayBeCalledOff(Piece piece) {
-        return piece.state() == State.WAITING
-                || piece.state() == State.GRANTED
-                || piece.state() == State.DRAINING;
+    private static boolean mayBeCalledOff(MaintenanceTask task) {
+        return task.state() == TaskState.WAITING
+                || task.state() == TaskState.GRANTED
+                || task.state() == TaskState.DRAINING;
     }
 
-    private void tend(Request request, Piece piece, SimulatedRouter router) {
-        String key = request.id() + "/" + piece.machine();
-        boolean out = piece.state() == State.OUT || piece.state() == State.OVERDUE && piece.away();
+    private void tend(MaintenanceRequest request, MaintenanceTask task, SimulatedRouter router) {
+        String key = request.id() + "/" + task.machine();
+        boolean out = task.state() == TaskState.OUT || task.state() == TaskState.OVERDUE && task.isActive();
         if (!out) {
             return;
         }
         Long since = takenAt.putIfAbsent(key, fleet.play.now());
         if (since == null) {
             taken++;
-            takeOut(request, piece);
-        } else if (fleet.play.now() - since > request.forUs() / 2) {
-            giveBack(request, piece);
-            router.propose(Order.doneWords(request.id(), piece.machine(), false));
+            takeOut(request, task);
+        } else if (fleet.play.now() - since > request.durationUs() / 2) {
+            giveBack(request, task);
+            router.propose(MaintenanceStateMachine.doneLine(request.id(), task.machine(), false));
         }
     }
 
-    private void takeOut(Request request, Piece piece) {
-        SimulatedRouter router = fleet.routers.get(piece.machine());
+    private void takeOut(MaintenanceRequest request, MaintenanceTask task) {
+        SimulatedRouter router = fleet.routers.get(task.machine());
         if (router != null) {
             checks.taken(router);
             router.stoppedForWork = true;
@@ -129,15 +129,15 @@
             }
             return;
         }
-        SimulatedDataNode node = fleet.nodes.get(piece.machine());
-        checks.taken(node, request, piece);
+        SimulatedDataNode node = fleet.nodes.get(task.machine());
+        checks.taken(node, request, task);
         node.takenBy = request.id();
         node.up = false;
         node.since = fleet.play.now();
     }
 
-    private void giveBack(Request request, Piece piece) {
-        SimulatedRouter router = fleet.routers.get(piece.machine());
+    private void giveBack(MaintenanceRequest request, MaintenanceTask task) {
+        SimulatedRouter router = fleet.routers.get(task.machine());
         if (router != null) {
             if (router.stoppedForWork) {
                 router.stoppedForWork = false;
@@ -145,7 +145,7 @@
             }
             return;
         }
-        SimulatedDataNode node = fleet.nodes.get(piece.machine());
+        SimulatedDataNode node = fleet.nodes.get(task.machine());
         if (request.id().equals(node.takenBy)) {
             node.takenBy = null;
             node.up = true;
--- a/src/main/java/tinlink/lab/plays/WorkPlay.java
+++ b/src/main/java/tinlink/lab/plays/WorkPlay.java
@@ -88,8 +88,8 @@
                 && !(operators.allOver() && play.now() > last + SEC)
                 && play.now() < last + MOST_AFTER_LAST_US) {
             play.run(play.now() + SEC);
-            String now = fleet.truth().open().stream()
-                    .map(p -> p.machine() + p.state())
+            String now = fleet.truth().openTasks().stream()
+                    .map(task -> task.machine() + task.state())
                     .toList()
                     .toString();
             if (!now.equals(before)) {
@@ -100,8 +100,8 @@
     }
 
     private String stuck() {
-        List<String> open = fleet.truth().open().stream()
-                .map(p -> p.request().id() + " " + p.machine() + " " + p.state() + " " + p.why())
+        List<String> open = fleet.truth().openTasks().stream()
+                .map(task -> task.request().id() + " " + task.machine() + " " + task.state() + " " + task.reason())
                 .toList();
         List<String> voters =
                 fleet.voters().stream().map(SimulatedRouter::standing).toList();
--- a/src/main/java/tinlink/lab/plays/WorkReplica.java
+++ b/src/main/java/tinlink/lab/plays/WorkReplica.java
@@ -1,30 +1,30 @@
 package tinlink.lab.plays;
 
 import tinlink.cluster.ReplicatedStateMachine;
-import tinlink.work.WorkBook;
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Order;
+import tinlink.maintenance.ReplicatedMaintenance;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.List;
 
 /** One router's replica of the order of work. */
 interface WorkReplica extends ReplicatedStateMachine {
-    Order order();
+    MaintenanceStateMachine order();
 
     /** The replica is not used any more. */
     void release();
 
     /** A replica with a state of its own, as in a router that serves. */
     final class Own implements WorkReplica {
-        private final WorkBook book;
+        private final ReplicatedMaintenance replicatedState;
 
-        Own(Bounds bounds) {
-            book = new WorkBook(bounds);
+        Own(DisruptionLimits limits) {
+            replicatedState = new ReplicatedMaintenance(limits);
         }
 
         @Override
-        public Order order() {
-            return book.order();
+        public MaintenanceStateMachine order() {
+            return replicatedState.stateMachine();
         }
 
         @Override
@@ -34,30 +34,30 @@
 
         @Override
         public String apply(String line) {
-            return book.apply(line);
+            return replicatedState.apply(line);
         }
 
         @Override
         public List<String> snapshot() {
-            return book.snapshot();
+            return replicatedState.snapshot();
         }
 
         @Override
         public void restore(List<String> lines) {
-            book.restore(lines);
+            replicatedState.restore(lines);
         }
     }
 
     /** A replica that has its state in common with all that have heard the same lines. */
     final class Shared implements WorkReplica {
-        private final SharedReplicas<Order>.Replica replica;
+        private final SharedReplicas<MaintenanceStateMachine>.Replica replica;
 
-        Shared(SharedReplicas<Order>.Replica replica) {
+        Shared(SharedReplicas<MaintenanceStateMachine>.Replica replica) {
             this.replica = replica;
         }
 
         @Override
-        public Order order() {
+        public MaintenanceStateMachine order() {
             return replica.state();
         }
 
--- a/src/main/java/tinlink/lab/scale/HollowMain.java
+++ b/src/main/java/tinlink/lab/scale/HollowMain.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 import tinlink.start.RouterStart;
-import tinlink.work.Work;
+import tinlink.maintenance.MaintenanceService;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -33,7 +33,7 @@
 
     private final Map<String, HollowRouter> routers = new LinkedHashMap<>();
     private final Map<String, Map<String, String>> files = new LinkedHashMap<>();
-    private List<Work.Listed> nodes = List.of();
+    private List<MaintenanceService.ListedNode> nodes = List.of();
     private Map<String, String> voters = Map.of();
 
     private HollowMain() {}
@@ -89,10 +89,10 @@
         return "127.0.0.1:" + at.getPort();
     }
 
-    private static List<Work.Listed> nodes(JsonNode told) {
-        List<Work.Listed> all = new ArrayList<>();
+    private static List<MaintenanceService.ListedNode> nodes(JsonNode told) {
+        List<MaintenanceService.ListedNode> all = new ArrayList<>();
         for (JsonNode n : told) {
-            all.add(new Work.Listed(
+            all.add(new MaintenanceService.ListedNode(
                     n.path("id").asText(),
                     n.path("block").asInt(),
                     n.path("zone").asText(),
--- a/src/main/java/tinlink/lab/scale/HollowRouter.java
+++ b/src/main/java/tinlink/lab/scale/HollowRouter.java
@@ -15,9 +15,9 @@
 import tinlink.start.PolicyDoc;
 import tinlink.start.RouterStart;
 import tinlink.start.WorkStart;
-import tinlink.work.Work;
-import tinlink.work.WorkBook;
-import tinlink.work.choice.Bounds;
+import tinlink.maintenance.MaintenanceService;
+import tinlink.maintenance.ReplicatedMaintenance;
+import tinlink.maintenance.scheduling.DisruptionLimits;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -41,7 +41,7 @@
  * share one process; each has a thread group of its own, so that its processor time can be told
  * from that of the others.
  */
-final class HollowRouter implements Loop.Turn, Work.Serves, AutoCloseable {
+final class HollowRouter implements Loop.Turn, MaintenanceService.DataPlane, AutoCloseable {
     private static final long ANSWER_SECONDS = 20;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int MOST_THREADS = 64;
@@ -49,13 +49,13 @@
     private static final long CLOCK_STEP_US = 1000;
 
     private final RouterStart start;
-    private final List<Work.Listed> nodes;
+    private final List<MaintenanceService.ListedNode> nodes;
     private final ThreadGroup group;
     private final CompletableFuture<InetSocketAddress> opened = new CompletableFuture<>();
     private final Loop loop = new Loop();
     private Network network;
     private ClusterNode clusterNode;
-    private Work work;
+    private MaintenanceService maintenance;
     private PolicyRolloutService policyRollout;
     private boolean joined;
     private boolean letGo;
@@ -69,7 +69,7 @@
     /** Versions that had taken hold while lookups were still taken here by the one before. */
     private int tookOldTooLate;
 
-    HollowRouter(RouterStart start, List<Work.Listed> nodes) {
+    HollowRouter(RouterStart start, List<MaintenanceService.ListedNode> nodes) {
         this.start = start;
         this.nodes = nodes;
         group = new ThreadGroup(start.peers.router);
@@ -95,7 +95,7 @@
         PeersStart p = start.peers;
         WorkStart w = start.work;
         Files.createDirectories(p.folder);
-        WorkBook orders = new WorkBook();
+        ReplicatedMaintenance replicatedState = new ReplicatedMaintenance();
         PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         clusterNode = new ClusterNode(
                 loop,
@@ -107,9 +107,9 @@
                 new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
                 p.folder,
                 start.seed,
-                new CompositeStateMachine(orders, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine)),
-                new CompositeStateMachine(new WorkBook(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine())));
-        Bounds bounds = new Bounds(
+                new CompositeStateMachine(replicatedState, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine)),
+                new CompositeStateMachine(new ReplicatedMaintenance(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine())));
+        DisruptionLimits limits = new DisruptionLimits(
                 w.holders,
                 w.zoneShare,
                 w.siteShare,
@@ -118,16 +118,16 @@
                 w.agingUs,
                 w.kept,
                 w.most);
-        work = new Work(
+        maintenance = new MaintenanceService(
                 loop,
                 network.apart(),
                 clusterNode,
-                orders,
+                replicatedState,
                 this,
-                new Work.Figures(
+                new MaintenanceService.Settings(
                         p.zone,
                         w.sites,
-                        bounds,
+                        limits,
                         w.watchers,
                         w.probeUs,
                         w.misses,
@@ -169,7 +169,7 @@
             }
             joined = true;
             voters.forEach((name, at) -> start.peers.peers.replace(name, at));
-            work.start(() -> known = true);
+            maintenance.start(() -> known = true);
             policyRollout.start();
         });
     }
@@ -207,7 +207,7 @@
                     + (int) clusterNode.membership().members().stream()
                             .filter(m -> m.state() == MemberState.ALIVE)
                             .count();
-            s.machines = work.order().machines().size();
+            s.machines = maintenance.stateMachine().machines().size();
             s.enrolled = policyRollout.changes().enrolledRouters().size();
             s.epoch = policyRollout.changes().inForce().epoch();
             s.heardUpTo = clusterNode.learnedIndex();
@@ -262,14 +262,14 @@
 
     @Override
     public void begins(long nowUs) {
-        work.begins(nowUs);
+        maintenance.begins(nowUs);
         policyRollout.begins(nowUs);
     }
 
     @Override
     public void decides() {
         policyRollout.decides();
-        work.decides();
+        maintenance.decides();
         noteEpoch();
     }
 
@@ -297,27 +297,27 @@
     // ---- What would be its serving side. ----
 
     @Override
-    public int open(String machine) {
+    public int partsInFlight(String machine) {
         return 0;
     }
 
     @Override
-    public int clients() {
+    public int clientsInFlight() {
         return letGo ? 0 : 1;
     }
 
     @Override
-    public void leaveOut(String machine, boolean out) {
+    public void setCordoned(String machine, boolean out) {
         // Nothing is sent to data nodes.
     }
 
     @Override
-    public void letGo(boolean go) {
+    public void setDraining(boolean go) {
         letGo = go;
     }
 
     @Override
-    public Collection<Work.Listed> nodes() {
+    public Collection<MaintenanceService.ListedNode> listedNodes() {
         return nodes;
     }
 
@@ -325,7 +325,7 @@
     @Override
     public void close() throws IOException {
         on(() -> {
-            work.close();
+            maintenance.close();
             network.close();
             loop.end();
             return true;
--- a/src/main/java/tinlink/work/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -1,4 +1,4 @@
-package tinlink.work;
+package tinlink.maintenance;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -26,26 +26,26 @@
     private static final int UNAUTHORIZED = 401;
     private static final int TOO_LARGE = 413;
     /** Characters of a request's body. */
-    private static final int MAX_BODY = 1 << 18;
+    private static final int MAX_BODY_CHARACTERS = 1 << 18;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Control control;
+    private final ControlServer control;
     private final HttpReader reader = HttpReader.ofRequests(this);
     private final StringBuilder body = new StringBuilder();
     private Link link;
-    private Loop.Timer limit;
+    private Loop.Timer timeout;
     private boolean authorized;
-    private boolean answered;
+    private boolean responseSent;
 
-    ControlConnection(Control control) {
+    ControlConnection(ControlServer control) {
         this.control = control;
     }
 
     /** It is up, and has to be over within that time. */
-    void opened(Link up, long limitUs) {
+    void opened(Link up, long timeoutUs) {
         link = up;
-        limit = control.loop.at(control.loop.now() + limitUs, () -> link.end(Ending.IDLE));
+        timeout = control.loop.at(control.loop.now() + timeoutUs, () -> link.end(Ending.IDLE));
     }
 
     void end(Ending how) {
@@ -55,11 +55,11 @@
     @Override
     public void arrived(Ring in) {
         try {
-            while (in.size() > 0 && !answered) {
+            while (in.size() > 0 && !responseSent) {
                 reader.read(in);
             }
         } catch (BadMessage e) {
-            answer(e.status, Map.of("said", e.getMessage()));
+            respond(e.status, Map.of("said", e.getMessage()));
         }
     }
 
@@ -90,14 +90,14 @@
     @Override
     public void body(ByteBuffer piece) throws BadMessage {
         body.append(StandardCharsets.UTF_8.decode(piece));
-        if (body.length() > MAX_BODY) {
+        if (body.length() > MAX_BODY_CHARACTERS) {
             throw new BadMessage(TOO_LARGE, "it is too long");
         }
     }
 
     @Override
     public void over() throws BadMessage {
-        limitBy(() -> answer(
+        setTimeout(() -> respond(
                 UNAVAILABLE,
                 Map.of("said", "it is not known to be agreed: ask again, here or elsewhere")));
         try {
@@ -107,17 +107,17 @@
         }
     }
 
-    private void limitBy(Runnable then) {
-        control.loop.takeBack(limit);
-        limit = control.loop.at(control.loop.now() + control.answerUs, then);
+    private void setTimeout(Runnable then) {
+        control.loop.takeBack(timeout);
+        timeout = control.loop.at(control.loop.now() + control.answerTimeoutUs, then);
     }
 
     /** The first answer counts; what follows it is dropped. */
-    void answer(int status, Map<String, ?> answer) {
-        if (answered) {
+    void respond(int status, Map<String, ?> answer) {
+        if (responseSent) {
             return;
         }
-        answered = true;
+        responseSent = true;
         byte[] json;
         try {
             json = JSON.writeValueAsBytes(answer);
@@ -130,12 +130,12 @@
                         + json.length + "\r\n\r\n")
                 .put(json);
         link.later();
-        limitBy(() -> link.end(Ending.DONE));
+        setTimeout(() -> link.end(Ending.DONE));
     }
 
     /** Answers with what the vote came to. @param failure why that is not known; null where it is */
-    void answerAgreed(String said, String failure) {
-        answer(
+    void answerProposal(String said, String failure) {
+        respond(
                 failure == null ? OK : UNAVAILABLE,
                 Map.of(
                         "said",
@@ -147,14 +147,14 @@
 
     @Override
     public void idle() {
-        if (answered) {
+        if (responseSent) {
             link.halfClose();
         }
     }
 
     @Override
     public void ended(Ending how) {
-        control.loop.takeBack(limit);
-        control.closed(this);
+        control.loop.takeBack(timeout);
+        control.connectionClosed(this);
     }
 }
--- a/src/main/java/tinlink/work/Control.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -1,4 +1,4 @@
-package tinlink.work;
+package tinlink.maintenance;
 
 import tinlink.net.Ending;
 import tinlink.net.Link;
@@ -20,36 +20,36 @@
  * a connection, with a token. What is said here is put to all routers; the answer says what came of that, or
  * that it is not known, and then the same may be said again, here or elsewhere. Runs on the loop's thread.
  */
-public final class Control implements Network.Door {
-    private static final Logger LOG = Logger.getLogger("tinlink.work");
+public final class ControlServer implements Network.Door {
+    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
     private static final int MAX_CONNECTIONS = 32;
 
     final Loop loop;
-    final ControlCommands commands;
+    final MaintenanceControlCommands commands;
     final byte[] token;
-    final long answerUs;
+    final long answerTimeoutUs;
     private final Network.Listening listening;
     /** Each leaves with its answer, or with its time; the oldest gives way. */
     private final Set<ControlConnection> connections = new LinkedHashSet<>();
 
     /**
      * @param policyRollout null where it is off
-     * @param answerUs an operator hears by then whether something is known to be agreed
+     * @param answerTimeoutUs an operator hears by then whether something is known to be agreed
      */
-    public Control(
+    public ControlServer(
             Loop loop,
             Network network,
-            Work work,
+            MaintenanceService maintenance,
             PolicyRolloutService policyRollout,
-            InetSocketAddress at,
+            InetSocketAddress listenAddress,
             String token,
-            long answerUs)
+            long answerTimeoutUs)
             throws IOException {
         this.loop = loop;
         this.token = token.getBytes(StandardCharsets.UTF_8);
-        this.answerUs = answerUs;
-        commands = new ControlCommands(work, policyRollout);
-        listening = network.listening(at);
+        this.answerTimeoutUs = answerTimeoutUs;
+        commands = new MaintenanceControlCommands(maintenance, policyRollout);
+        listening = network.listening(listenAddress);
         listening.accept(this);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** The connection has ended. */
-    void closed(ControlConnection connection) {
+    void connectionClosed(ControlConnection connection) {
         connections.remove(connection);
     }
 
@@ -76,7 +76,7 @@
     public void opened(Link link, Link.Owner owner) {
         ControlConnection connection = (ControlConnection) owner;
         connections.add(connection);
-        connection.opened(link, 2 * answerUs);
+        connection.opened(link, 2 * answerTimeoutUs);
         if (connections.size() > MAX_CONNECTIONS) {
             connections.iterator().next().end(Ending.IDLE);
         }
@@ -89,7 +89,7 @@
 
     @Override
     public void acceptFailed(Throwable why) {
-        LOG.log(Level.WARNING, "event=accept_failed", why);
-        loop.at(loop.now() + answerUs, () -> listening.accept(this));
+        LOG.log(Level.WARNING, "event=control_accept_failed", why);
+        loop.at(loop.now() + answerTimeoutUs, () -> listening.accept(this));
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/maintenance/ControlViews.java
@@ -0,0 +1,84 @@
+package tinlink.maintenance;
+
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceTask;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Requests and machines as operators are shown them, ready to be written as JSON. */
+final class ControlViews {
+    private static final int MICROS_PER_MILLI = 1000;
+
+    private final MaintenanceService maintenance;
+
+    ControlViews(MaintenanceService maintenance) {
+        this.maintenance = maintenance;
+    }
+
+    private MaintenanceStateMachine stateMachine() {
+        return maintenance.stateMachine();
+    }
+
+    /** The answer, with which router gives it and who is known to lead. */
+    Map<String, Object> withLeader(Map<String, ?> answer) {
+        Map<String, Object> view = new LinkedHashMap<>();
+        view.put("said", "");
+        view.put("router", maintenance.peers().incarnation().router());
+        view.put("leader", maintenance.peers().leader());
+        if (maintenance.peers().leader().isEmpty()) {
+            view.put(
+                    "note",
+                    "nobody is known to lead: nothing is granted until most voters are there");
+        }
+        view.putAll(answer);
+        return view;
+    }
+
+    /** @param tasks all of one request */
+    Map<String, Object> request(List<MaintenanceTask> tasks) {
+        MaintenanceRequest request = tasks.get(0).request();
+        Map<String, Object> view = new LinkedHashMap<>();
+        view.put("id", request.id());
+        view.put("for_ms", request.durationUs() / MICROS_PER_MILLI);
+        view.put("urgency", request.urgency());
+        view.put("author", request.author());
+        view.put("reason", request.reason());
+        view.put("over", tasks.stream().allMatch(MaintenanceTask::isFinished));
+        List<Object> machines = new ArrayList<>();
+        tasks.forEach(task -> machines.add(task(task)));
+        view.put("machines", machines);
+        return view;
+    }
+
+    private Map<String, Object> task(MaintenanceTask task) {
+        Map<String, Object> view = new LinkedHashMap<>();
+        view.put("machine", task.machine());
+        view.put("state", task.state().label());
+        view.put("why", task.reason());
+        view.put("fence", task.fencingToken());
+        view.put("away", task.isActive());
+        view.put("since_ms", (stateMachine().agreedTimeUs() - task.stateSinceUs()) / MICROS_PER_MILLI);
+        return view;
+    }
+
+    Map<String, Object> machine(Machine machine) {
+        Map<String, Object> view = new LinkedHashMap<>();
+        view.put("id", machine.id());
+        view.put("kind", machine.isRouter() ? "router" : "node");
+        if (!machine.isRouter()) {
+            view.put("cell", machine.cell());
+        }
+        view.put("zone", machine.zone());
+        view.put("site", machine.site());
+        view.put("voter", machine.voter());
+        view.put("sound", stateMachine().isHealthy(machine.id()));
+        MaintenanceTask activeTask = stateMachine().activeTask(machine.id());
+        view.put("away", activeTask == null ? "" : activeTask.request().id());
+        return view;
+    }
+}
--- a/src/main/java/tinlink/work/LeftOut.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -1,4 +1,4 @@
-package tinlink.work;
+package tinlink.maintenance;
 
 import tinlink.net.Loop;
 import tinlink.cluster.membership.LineCodec;
@@ -24,26 +24,26 @@
  * down before it says that it is done there, and is left out from its first breath until it knows
  * better. The disk has a thread of its own.
  */
-final class LeftOut {
-    private static final Logger LOG = Logger.getLogger("tinlink.work");
+final class CordonStore {
+    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
     private final Loop loop;
     private final Path file;
-    private final ExecutorService disk;
-    private final Set<String> now = new TreeSet<>();
+    private final ExecutorService diskExecutor;
+    private final Set<String> cordoned = new TreeSet<>();
     /** What is on the disk; the loop's copy of it. */
-    private Set<String> written;
+    private Set<String> persisted;
 
-    private boolean writes;
+    private boolean writeInProgress;
 
     /** @throws IOException where what is there can't be read */
-    LeftOut(Loop loop, Path folder) throws IOException {
+    CordonStore(Loop loop, Path folder) throws IOException {
         this.loop = loop;
         file = folder.resolve("left-out");
-        written = Files.exists(file)
+        persisted = Files.exists(file)
                 ? new TreeSet<>(LineCodec.decode(Files.readString(file)))
                 : new TreeSet<>();
-        written.remove("");
-        disk = Executors.newSingleThreadExecutor(r -> {
+        persisted.remove("");
+        diskExecutor = Executors.newSingleThreadExecutor(r -> {
             Thread t = new Thread(r, "left-out");
             t.setDaemon(true);
             return t;
@@ -51,67 +51,67 @@
     }
 
     /** As it was found at the start. */
-    Set<String> before() {
-        return Set.copyOf(written);
+    Set<String> restored() {
+        return Set.copyOf(persisted);
     }
 
     /** Whether it would still be left out after a stop at any moment from now on. */
-    boolean isKept(String machine) {
-        return written.contains(machine);
+    boolean isPersisted(String machine) {
+        return persisted.contains(machine);
     }
 
-    void leaveOut(String machine, boolean out) {
-        if (out) {
-            now.add(machine);
+    void setCordoned(String machine, boolean isCordoned) {
+        if (isCordoned) {
+            cordoned.add(machine);
         } else {
-            now.remove(machine);
+            cordoned.remove(machine);
         }
-        write();
+        writeIfChanged();
     }
 
     /** One write at a time; what has changed meanwhile follows. */
-    private void write() {
-        if (writes || now.equals(written)) {
+    private void writeIfChanged() {
+        if (writeInProgress || cordoned.equals(persisted)) {
             return;
         }
-        writes = true;
-        Set<String> some = new TreeSet<>(now);
-        disk.execute(() -> {
+        writeInProgress = true;
+        Set<String> snapshot = new TreeSet<>(cordoned);
+        diskExecutor.execute(() -> {
             try {
-                keep(LineCodec.encode(some.toArray()));
+                writeFile(LineCodec.encode(snapshot.toArray()));
                 loop.ready(() -> {
-                    written = some;
-                    writes = false;
-                    write();
+                    persisted = snapshot;
+                    writeInProgress = false;
+                    writeIfChanged();
                 });
             } catch (IOException e) {
                 // It goes on saying that it is not done there: nobody is told "out" on the strength
                 // of it.
-                LOG.log(Level.SEVERE, "event=left_out_not_written", e);
+                LOG.log(Level.SEVERE, "event=cordons_not_persisted", e);
             }
         });
     }
 
-    private void keep(String text) throws IOException {
-        Path beside = file.resolveSibling("left-out.new");
-        try (FileChannel c = FileChannel.open(
-                beside,
+    private void writeFile(String text) throws IOException {
+        Path temporaryFile = file.resolveSibling("left-out.new");
+        try (FileChannel channel = FileChannel.open(
+                temporaryFile,
                 StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer b = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-            while (b.hasRemaining()) {
-                c.write(b);
+            ByteBuffer buffer = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
+            while (buffer.hasRemaining()) {
+                channel.write(buffer);
             }
-            c.force(true);
+            channel.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
             folder.force(true);
         }
     }
 
     void close() {
-        disk.shutdown();
+        diskExecutor.shutdown();
     }
 }
--- a/src/main/java/tinlink/work/MachinePattern.java
+++ b/src/main/java/tinlink/maintenance/MachineSelector.java
@@ -1,39 +1,39 @@
-package tinlink.work;
+package tinlink.maintenance;
 
-import tinlink.work.choice.Machine;
+import tinlink.maintenance.scheduling.Machine;
 
 /**
  * How an operator names machines: by id, or by pairs as {@code zone=z1,kind=router}, which all have to
  * hold.
  */
-final class MachinePattern {
-    private MachinePattern() {}
+final class MachineSelector {
+    private MachineSelector() {}
 
     /** It is no id. */
-    static boolean isPairs(String pattern) {
-        return pattern.contains("=");
+    static boolean isLabelSelector(String selector) {
+        return selector.contains("=");
     }
 
     /** @throws IllegalArgumentException where a pair is of no property that machines have */
-    static boolean matches(String pattern, Machine machine) {
-        if (!isPairs(pattern)) {
-            return machine.id().equals(pattern);
+    static boolean matches(String selector, Machine machine) {
+        if (!isLabelSelector(selector)) {
+            return machine.id().equals(selector);
         }
-        for (String pair : pattern.split(",")) {
-            if (!matchesPair(pattern, pair, machine)) {
+        for (String label : selector.split(",")) {
+            if (!matchesLabel(selector, label, machine)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean matchesPair(String pattern, String pair, Machine machine) {
-        int equals = pair.indexOf('=');
+    private static boolean matchesLabel(String selector, String label, Machine machine) {
+        int equals = label.indexOf('=');
         if (equals <= 0) {
             return false;
         }
-        String value = pair.substring(equals + 1);
-        return switch (pair.substring(0, equals)) {
+        String value = label.substring(equals + 1);
+        return switch (label.substring(0, equals)) {
             case "cell" -> value.equals(Integer.toString(machine.cell()));
             case "zone" -> value.equals(machine.zone());
             case "site" -> value.equals(machine.site());
@@ -42,7 +42,7 @@
             default ->
                 throw new IllegalArgumentException(
                         "machines are meant by id, or by cell, zone, site, model, kind: "
-                                + pattern);
+                                + selector);
         };
     }
 }
--- a/src/main/java/tinlink/work/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -1,4 +1,4 @@
-package tinlink.work;
+package tinlink.maintenance;
 
 import tinlink.policy.PolicyRolloutService;
 import tinlink.policy.ProposalTerms;
@@ -19,55 +19,55 @@
     }
 
     /** @throws tinlink.start.BadInput where the request can't be understood; it names the field */
-    void execute(String command, JsonFile request, ControlConnection to) {
+    void execute(String command, JsonFile request, ControlConnection connection) {
         switch (command) {
             case "policy-show" -> {
                 request.nothingElse();
-                to.answer(ControlConnection.OK, views.withLeader(policyRollout.status()));
+                connection.respond(ControlConnection.OK, views.withLeader(policyRollout.status()));
             }
             case "policy-history" -> {
                 request.nothingElse();
-                to.answer(
+                connection.respond(
                         ControlConnection.OK,
                         views.withLeader(Map.of("changes", policyRollout.history())));
             }
-            case "policy-status" -> status(request, to);
-            case "policy-withdraw" -> withdraw(request, to);
-            case "policy-propose" -> propose(request, to);
+            case "policy-status" -> status(request, connection);
+            case "policy-withdraw" -> withdraw(request, connection);
+            case "policy-propose" -> propose(request, connection);
             default -> throw request.bad("do", "is not known: " + command);
         }
     }
 
-    private void status(JsonFile request, ControlConnection to) {
+    private void status(JsonFile request, ControlConnection connection) {
         String id = request.text("id");
         request.nothingElse();
         Map<String, Object> change = policyRollout.status(id);
         if (change == null) {
-            to.answer(
+            connection.respond(
                     ControlConnection.NOT_FOUND,
                     views.withLeader(Map.of(
                             "said", "no change has that id, as far as this router has heard")));
         } else {
-            to.answer(ControlConnection.OK, views.withLeader(Map.of("change", change)));
+            connection.respond(ControlConnection.OK, views.withLeader(Map.of("change", change)));
         }
     }
 
-    private void withdraw(JsonFile request, ControlConnection to) {
+    private void withdraw(JsonFile request, ControlConnection connection) {
         String id = request.text("id");
-        String why = request.text("why", "withdrawn by its operator");
+        String reason = request.text("why", "withdrawn by its operator");
         request.nothingElse();
-        policyRollout.withdraw(id, why, to::answerAgreed);
+        policyRollout.withdraw(id, reason, connection::answerProposal);
     }
 
-    private void propose(JsonFile request, ControlConnection to) {
+    private void propose(JsonFile request, ControlConnection connection) {
         String id = request.text("id");
         String text = request.text("text");
-        long against = request.whole("against", 0, 0, Integer.MAX_VALUE);
+        long againstEpoch = request.whole("against", 0, 0, Integer.MAX_VALUE);
         String author = request.text("author", "unknown");
-        String why = request.text("why", "");
+        String reason = request.text("why", "");
         request.nothingElse();
         ProposalTerms terms = ProposalTerms.parse(text);
         policyRollout.propose(
-                id, against, terms.digest(), text, author, why, terms.absencePolicy(), to::answerAgreed);
+                id, againstEpoch, terms.digest(), text, author, reason, terms.absencePolicy(), connection::answerProposal);
     }
 }
--- a/src/main/java/tinlink/work/choice/AgreedNodes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
@@ -1,4 +1,4 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 import java.util.Collection;
 import java.util.TreeMap;
@@ -45,6 +45,6 @@
     }
 
     private static long hash(Machine machine) {
-        return StableHash.finish(StableHash.append(StableHash.START, machine.words()));
+        return StableHash.finish(StableHash.append(StableHash.START, machine.encode()));
     }
 }
--- a/src/main/java/tinlink/work/choice/Machine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/Machine.java
@@ -1,4 +1,4 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 import tinlink.cluster.membership.LineCodec;
 
@@ -29,22 +29,22 @@
     }
 
     /** The same, as one whose voice counts or does not. */
-    Machine votes(boolean is) {
-        return is == voter ? this : new Machine(id, kind, cell, zone, site, model, is);
+    Machine withVoter(boolean isVoter) {
+        return isVoter == voter ? this : new Machine(id, kind, cell, zone, site, model, isVoter);
     }
 
-    String words() {
+    String encode() {
         return LineCodec.encode("machine", id, kind, cell, zone, site, model, voter);
     }
 
-    static Machine of(List<String> w) {
+    static Machine decode(List<String> fields) {
         return new Machine(
-                w.get(1),
-                Kind.valueOf(w.get(2)),
-                Integer.parseInt(w.get(3)),
-                w.get(4),
-                w.get(5),
-                w.get(6),
-                Boolean.parseBoolean(w.get(7)));
+                fields.get(1),
+                Kind.valueOf(fields.get(2)),
+                Integer.parseInt(fields.get(3)),
+                fields.get(4),
+                fields.get(5),
+                fields.get(6),
+                Boolean.parseBoolean(fields.get(7)));
     }
 }
--- a/src/main/java/tinlink/work/choice/ListDifference.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListDifference.java
@@ -1,4 +1,4 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 import tinlink.cluster.membership.LineCodec;
 
@@ -20,21 +20,21 @@
  * of their ids, so that all routers of a site begin with the same ones.
  *
  * @param site the reporting router's own site
- * @param basis digest of the agreed nodes that this is the difference to
+ * @param basisDigest digest of the agreed nodes that this is the difference to
  * @param added nodes on the router's list that are not agreed on, or are agreed on otherwise
  * @param missing ids of agreed nodes that are not on the router's list
  */
-public record ListDifference(String site, long basis, List<Machine> added, Set<String> missing) {
+public record NodeListDifference(String site, long basisDigest, List<Machine> added, Set<String> missing) {
     /** First word of a report of this kind. */
     static final String KIND = "list-difference";
     /** Nodes that one report holds, of added and of missing ones each: two beats of the leader's. */
-    public static final int MOST_NODES = 128;
+    public static final int MAX_NODES = 128;
 
-    private static final int FIXED_WORDS = 4;
+    private static final int FIXED_FIELDS = 4;
     private static final int HEX = 16;
 
     /** Copies both lists. */
-    public ListDifference {
+    public NodeListDifference {
         added = List.copyOf(added);
         missing = Set.copyOf(missing);
     }
@@ -46,7 +46,7 @@
      * @param listed the router's list of data nodes
      * @param agreed the nodes agreed on, as far as this router has heard
      */
-    public static ListDifference between(
+    public static NodeListDifference between(
             String site, Collection<Machine> listed, AgreedNodes agreed) {
         Map<String, Machine> own = new HashMap<>();
         for (Machine node : listed) {
@@ -57,52 +57,52 @@
         List<Machine> added = own.values().stream()
                 .filter(node -> !node.equals(agreed.node(node.id())))
                 .sorted((a, b) -> a.id().compareTo(b.id()))
-                .limit(MOST_NODES)
+                .limit(MAX_NODES)
                 .toList();
         Set<String> missing = new LinkedHashSet<>();
         for (Machine node : agreed.all()) {
-            if (missing.size() < MOST_NODES
+            if (missing.size() < MAX_NODES
                     && node.site().equals(site)
                     && !own.containsKey(node.id())) {
                 missing.add(node.id());
             }
         }
-        return new ListDifference(site, agreed.digest(), added, missing);
+        return new NodeListDifference(site, agreed.digest(), added, missing);
     }
 
     /** The report as a line of words. */
-    public String line() {
-        List<Object> words = new ArrayList<>();
-        words.add(KIND);
-        words.add(site);
-        words.add(Long.toHexString(basis));
-        words.add(added.size());
-        added.forEach(node -> words.add(node.words()));
-        words.addAll(missing.stream().sorted().toList());
-        return LineCodec.encode(words.toArray());
+    public String encode() {
+        List<Object> fields = new ArrayList<>();
+        fields.add(KIND);
+        fields.add(site);
+        fields.add(Long.toHexString(basisDigest));
+        fields.add(added.size());
+        added.forEach(node -> fields.add(node.encode()));
+        fields.addAll(missing.stream().sorted().toList());
+        return LineCodec.encode(fields.toArray());
     }
 
     /**
      * Reads a report.
      *
-     * @param words of the line
+     * @param fields of the line
      * @throws IllegalArgumentException where this is no such report, or one over its bounds
      * @throws IndexOutOfBoundsException where it is cut short
      */
-    static ListDifference of(List<String> words) {
-        int addedNodes = Integer.parseInt(words.get(3));
-        int missingNodes = words.size() - FIXED_WORDS - addedNodes;
-        if (addedNodes < 0 || addedNodes > MOST_NODES || missingNodes > MOST_NODES) {
+    static NodeListDifference decode(List<String> fields) {
+        int addedNodes = Integer.parseInt(fields.get(3));
+        int missingNodes = fields.size() - FIXED_FIELDS - addedNodes;
+        if (addedNodes < 0 || addedNodes > MAX_NODES || missingNodes > MAX_NODES) {
             throw new IllegalArgumentException("too many nodes in one report");
         }
         List<Machine> added = new ArrayList<>();
-        for (String node : words.subList(FIXED_WORDS, FIXED_WORDS + addedNodes)) {
-            added.add(Machine.of(LineCodec.decode(node)));
+        for (String node : fields.subList(FIXED_FIELDS, FIXED_FIELDS + addedNodes)) {
+            added.add(Machine.decode(LineCodec.decode(node)));
         }
-        return new ListDifference(
-                words.get(1),
-                Long.parseUnsignedLong(words.get(2), HEX),
+        return new NodeListDifference(
+                fields.get(1),
+                Long.parseUnsignedLong(fields.get(2), HEX),
                 added,
-                new LinkedHashSet<>(words.subList(FIXED_WORDS + addedNodes, words.size())));
+                new LinkedHashSet<>(fields.subList(FIXED_FIELDS + addedNodes, fields.size())));
     }
 }
--- a/src/main/java/tinlink/work/choice/ListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
@@ -1,4 +1,4 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 import java.util.HashMap;
 import java.util.Iterator;
@@ -15,50 +15,50 @@
  * For this each node has the number of the set with which it came, and each report that of its
  * basis.
  */
-final class ListVotes {
+final class NodeListVotes {
     /** Sets of agreed nodes that a report may still be against; routers lag by a few at the most. */
-    private static final int MOST_BASES = 64;
+    private static final int MAX_BASES = 64;
 
-    private record Report(ListDifference difference, long basisNumber, long at) {}
+    private record Report(NodeListDifference difference, long basisNumber, long atUs) {}
 
-    private final long oldUs;
-    private final int most;
+    private final long expiryUs;
+    private final int maxRouters;
     /** By router: its newest report. Old ones leave as they are looked at. */
     private final Map<String, Report> reports = new LinkedHashMap<>();
     /** By digest: the number of a set of agreed nodes. The oldest leave past the bound. */
-    private final Map<Long, Long> bases = new LinkedHashMap<>();
+    private final Map<Long, Long> basisNumbers = new LinkedHashMap<>();
     /** By node agreed on: the number of the set with which it came. */
     private final Map<String, Long> agreedSince = new HashMap<>();
 
-    private AgreedNodes agreed;
-    private long number;
+    private AgreedNodes agreedNodes;
+    private long basisNumber;
 
     /**
-     * @param oldUs a report counts for so long, microseconds
-     * @param most routers that are heard
+     * @param expiryUs a report counts for so long, microseconds
+     * @param maxRouters routers that are heard
      */
-    ListVotes(long oldUs, int most) {
-        this.oldUs = oldUs;
-        this.most = most;
+    NodeListVotes(long expiryUs, int maxRouters) {
+        this.expiryUs = expiryUs;
+        this.maxRouters = maxRouters;
     }
 
     /** Sets the nodes that are agreed on now. */
-    void agreed(AgreedNodes nodes) {
-        if (agreed != null && agreed.digest() == nodes.digest()) {
+    void setAgreedNodes(AgreedNodes nodes) {
+        if (agreedNodes != null && agreedNodes.digest() == nodes.digest()) {
             return;
         }
-        number++;
+        basisNumber++;
         for (Machine node : nodes.all()) {
-            if (agreed == null || !node.equals(agreed.node(node.id()))) {
-                agreedSince.put(node.id(), number);
+            if (agreedNodes == null || !node.equals(agreedNodes.node(node.id()))) {
+                agreedSince.put(node.id(), basisNumber);
             }
         }
         agreedSince.keySet().removeIf(id -> nodes.node(id) == null);
-        agreed = nodes;
-        bases.remove(nodes.digest());
-        bases.put(nodes.digest(), number);
-        if (bases.size() > MOST_BASES) {
-            Iterator<Long> oldest = bases.keySet().iterator();
+        agreedNodes = nodes;
+        basisNumbers.remove(nodes.digest());
+        basisNumbers.put(nodes.digest(), basisNumber);
+        if (basisNumbers.size() > MAX_BASES) {
+            Iterator<Long> oldest = basisNumbers.keySet().iterator();
             oldest.next();
             oldest.remove();
         }
@@ -70,12 +70,12 @@
      * @return false where it is against a set of nodes that is not known here, so that it counts for
      *     nothing
      */
-    boolean told(String router, ListDifference difference, long now) {
-        Long basisNumber = bases.get(difference.basis());
-        if (basisNumber == null || reports.size() >= most && !reports.containsKey(router)) {
+    boolean onReport(String router, NodeListDifference difference, long nowUs) {
+        Long reportBasis = basisNumbers.get(difference.basisDigest());
+        if (reportBasis == null || reports.size() >= maxRouters && !reports.containsKey(router)) {
             return false;
         }
-        reports.put(router, new Report(difference, basisNumber, now));
+        reports.put(router, new Report(difference, reportBasis, nowUs));
         return true;
     }
 
@@ -85,8 +85,8 @@
     }
 
     /** Drops what is too old to count. */
-    void forgetOld(long now) {
-        reports.values().removeIf(report -> now - report.at() > oldUs);
+    void expire(long nowUs) {
+        reports.values().removeIf(report -> nowUs - report.atUs() > expiryUs);
     }
 
     /** Adds, by site, the routers that have reported. */
@@ -113,7 +113,7 @@
                 Long since = agreedSince.get(id);
                 if (since != null
                         && since <= report.basisNumber()
-                        && agreed.node(id).site().equals(report.difference().site())) {
+                        && agreedNodes.node(id).site().equals(report.difference().site())) {
                     missing.merge(id, 1, Integer::sum);
                 }
             }
--- a/src/main/java/tinlink/work/choice/StableHash.java
+++ b/src/main/java/tinlink/maintenance/scheduling/StableHash.java
@@ -1,4 +1,4 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 /**
  * A 64-bit hash of text that is the same in all routers: FNV-1a, then the finish of MurmurHash3, so that
--- a/src/main/java/tinlink/work/choice/State.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskState.java
@@ -1,7 +1,7 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 /** Where the work on one machine stands; the same for all routers. */
-public enum State {
+public enum TaskState {
     WAITING,
     /** It may go; nothing has been done by it yet. */
     GRANTED,
@@ -22,7 +22,7 @@
     OVERDUE;
 
     /** As operators read it. */
-    public String shown() {
+    public String label() {
         return name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
     }
 }
--- a/src/main/java/tinlink/work/choice/WatchAssignment.java
+++ b/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
@@ -1,4 +1,4 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -14,12 +14,12 @@
  * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"
  * (1998).
  */
-final class WatchAssignment {
+final class WatcherAssignment {
     /** What is known of one machine. */
     private static final class Ranking {
         final long ownWeight;
         /** Routers that come before this one. */
-        int before;
+        int ahead;
 
         Ranking(long ownWeight) {
             this.ownWeight = ownWeight;
@@ -38,20 +38,20 @@
      * @param router the one whose machines these are
      * @param watchers routers that watch one machine
      */
-    WatchAssignment(String router, int watchers) {
+    WatcherAssignment(String router, int watchers) {
         this.router = router;
         this.watchers = watchers;
         ownPrefix = prefix(router);
     }
 
     /** Sets the routers that share the machines out; this one counts whether it is named or not. */
-    void routers(Collection<String> alive) {
+    void setRouters(Collection<String> alive) {
         Set<String> others = new HashSet<>(alive);
         others.remove(router);
         prefixes.entrySet().removeIf(other -> {
             boolean leaves = !others.contains(other.getKey());
             if (leaves) {
-                count(other.getKey(), other.getValue(), -1);
+                adjustRankings(other.getKey(), other.getValue(), -1);
             }
             return leaves;
         });
@@ -59,13 +59,13 @@
             if (!prefixes.containsKey(other)) {
                 long prefix = prefix(other);
                 prefixes.put(other, prefix);
-                count(other, prefix, 1);
+                adjustRankings(other, prefix, 1);
             }
         }
     }
 
     /** Sets the machines that are shared out. */
-    void machines(Set<String> machines) {
+    void setMachines(Set<String> machines) {
         rankings.keySet().retainAll(machines);
         for (String machine : machines) {
             if (!rankings.containsKey(machine)) {
@@ -77,23 +77,23 @@
     /** Whether this router is one of those that watch the machine; nobody watches itself. */
     boolean watches(String machine) {
         Ranking ranking = rankings.get(machine);
-        return ranking != null && !machine.equals(router) && ranking.before < watchers;
+        return ranking != null && !machine.equals(router) && ranking.ahead < watchers;
     }
 
     private Ranking ranking(String machine) {
         Ranking ranking = new Ranking(weight(ownPrefix, machine));
         prefixes.forEach((other, prefix) -> {
             if (!other.equals(machine) && weight(prefix, machine) < ranking.ownWeight) {
-                ranking.before++;
+                ranking.ahead++;
             }
         });
         return ranking;
     }
 
-    private void count(String other, long prefix, int change) {
+    private void adjustRankings(String other, long prefix, int change) {
         rankings.forEach((machine, ranking) -> {
             if (!other.equals(machine) && weight(prefix, machine) < ranking.ownWeight) {
-                ranking.before += change;
+                ranking.ahead += change;
             }
         });
     }
--- a/src/main/java/tinlink/router/Roster.java
+++ b/src/main/java/tinlink/router/Roster.java
@@ -5,7 +5,7 @@
 import tinlink.start.Figures;
 import tinlink.start.Http2Start;
 import tinlink.start.RouterStart;
-import tinlink.work.Work;
+import tinlink.maintenance.MaintenanceService;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -105,15 +105,15 @@
     }
 
     /** The list as it is held, by names. */
-    List<Work.Listed> listed() {
-        List<Work.Listed> all = new ArrayList<>();
-        nodes.forEach((uid, n) -> all.add(new Work.Listed(
+    List<MaintenanceService.ListedNode> listed() {
+        List<MaintenanceService.ListedNode> all = new ArrayList<>();
+        nodes.forEach((uid, n) -> all.add(new MaintenanceService.ListedNode(
                 uid,
                 n.cell,
                 zones.names.get(n.zone),
                 kinds.names.get(n.kind),
                 sends.target(n).address)));
-        all.sort(Comparator.comparing(Work.Listed::id));
+        all.sort(Comparator.comparing(MaintenanceService.ListedNode::id));
         return all;
     }
 
--- a/src/main/java/tinlink/router/WorkLinks.java
+++ b/src/main/java/tinlink/router/WorkLinks.java
@@ -11,10 +11,10 @@
 import tinlink.start.PeersStart;
 import tinlink.start.RouterStart;
 import tinlink.start.WorkStart;
-import tinlink.work.Control;
-import tinlink.work.Work;
-import tinlink.work.WorkBook;
-import tinlink.work.choice.Bounds;
+import tinlink.maintenance.ControlServer;
+import tinlink.maintenance.MaintenanceService;
+import tinlink.maintenance.ReplicatedMaintenance;
+import tinlink.maintenance.scheduling.DisruptionLimits;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,8 +27,8 @@
  * What a request's stages and work on machines have to do with each other: nodes that are left out,
  * clients that are let go, and what is open here.
  */
-final class WorkLinks implements Work.Serves {
-    private static final Logger LOG = Logger.getLogger("tinlink.work");
+final class WorkLinks implements MaintenanceService.DataPlane {
+    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
     /** Held here, or its level is forgotten. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
@@ -37,11 +37,11 @@
     private final Stages stages;
     private final WorkStart start;
     private final InetSocketAddress door;
-    private final Work work;
+    private final MaintenanceService maintenance;
     /** Null where changes of policy are off. */
     private final PolicyLinks policy;
 
-    private Control control;
+    private ControlServer control;
     private boolean gone;
     private boolean stops;
     /** The door was closed, to be opened again. */
@@ -56,7 +56,7 @@
         start = from.work;
         door = from.listen;
         PeersStart p = from.peers;
-        Bounds bounds = new Bounds(
+        DisruptionLimits limits = new DisruptionLimits(
                 start.holders,
                 start.zoneShare,
                 start.siteShare,
@@ -65,7 +65,7 @@
                 start.agingUs,
                 start.kept,
                 start.most);
-        WorkBook book = new WorkBook();
+        ReplicatedMaintenance replicatedState = new ReplicatedMaintenance();
         PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         ClusterNode clusterNode = new ClusterNode(
                 loop,
@@ -77,18 +77,18 @@
                 new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
                 p.folder,
                 from.seed,
-                books(book, policyStateMachine),
-                books(new WorkBook(), new PolicyStateMachine()));
-        work = new Work(
+                books(replicatedState, policyStateMachine),
+                books(new ReplicatedMaintenance(), new PolicyStateMachine()));
+        maintenance = new MaintenanceService(
                 loop,
                 network.apart(),
                 clusterNode,
-                book,
+                replicatedState,
                 this,
-                new Work.Figures(
+                new MaintenanceService.Settings(
                         p.zone,
                         start.sites,
-                        bounds,
+                        limits,
                         start.watchers,
                         start.probeUs,
                         start.misses,
@@ -98,8 +98,8 @@
         policy = start.policy ? new PolicyLinks(loop, clusterNode, policyStateMachine, from) : null;
     }
 
-    private static ReplicatedStateMachine books(WorkBook work, PolicyStateMachine policyStateMachine) {
-        return new CompositeStateMachine(work, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine));
+    private static ReplicatedStateMachine books(ReplicatedMaintenance maintenance, PolicyStateMachine policyStateMachine) {
+        return new CompositeStateMachine(maintenance, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine));
     }
 
     /**
@@ -108,30 +108,30 @@
      * long enough: serving never depends on agreement.
      */
     void start(Runnable mayServe) throws IOException {
-        stages.turn.also(policy == null ? work : new Both(work, policy.policy()));
+        stages.turn.also(policy == null ? maintenance : new Both(maintenance, policy.policy()));
         stages.sends.tells((machine, how) -> {
             if (how != Outcome.NOT_SENT && how != Outcome.CANCELLED) {
-                work.called(machine, how == Outcome.SATISFIED || how == Outcome.TURNED_AWAY);
+                maintenance.onCallResult(machine, how == Outcome.SATISFIED || how == Outcome.TURNED_AWAY);
             }
         });
-        work.start(mayServe);
+        maintenance.start(mayServe);
         if (policy != null) {
             policy.policy().start();
             stages.intake.goesBy(policy);
         }
         loop.at(loop.now() + start.awaitUs, mayServe);
         if (start.control != null) {
-            control = new Control(
+            control = new ControlServer(
                     loop,
                     network.apart(),
-                    work,
+                    maintenance,
                     policy == null ? null : policy.policy(),
                     start.control,
                     start.token,
                     start.answerUs);
         }
         LOG.log(Level.INFO, "event=work_listens peers={0} control={1}", new Object[] {
-            work.peers().address(), control == null ? "-" : control.address()
+            maintenance.peers().address(), control == null ? "-" : control.address()
         });
     }
 
@@ -147,14 +147,14 @@
         if (policy != null) {
             policy.policy().stop();
         }
-        work.leave();
+        maintenance.leave();
     }
 
     void close() {
         if (control != null) {
             control.close();
         }
-        work.close();
+        maintenance.close();
     }
 
     /** Two that decide in each turn. */
@@ -173,17 +173,17 @@
     }
 
     @Override
-    public int open(String machine) {
+    public int partsInFlight(String machine) {
         return stages.roster.open(machine);
     }
 
     @Override
-    public int clients() {
+    public int clientsInFlight() {
         return (shut ? 0 : 1) + stages.intake.clients() + stages.turn.open();
     }
 
     @Override
-    public void leaveOut(String machine, boolean out) {
+    public void setCordoned(String machine, boolean out) {
         stages.roster.leaveOut(machine, out);
         loop.ready(() -> {}); // The module has an input: one more turn, in which it decides.
     }
@@ -193,7 +193,7 @@
      * closes.
      */
     @Override
-    public void letGo(boolean go) {
+    public void setDraining(boolean go) {
         gone = go;
         if (stops) {
             return;
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public Collection<Work.Listed> nodes() {
+    public Collection<MaintenanceService.ListedNode> listedNodes() {
         return stages.roster.listed();
     }
 }
--- a/src/test/java/tinlink/RoomsTest.java
+++ b/src/test/java/tinlink/RoomsTest.java
@@ -51,10 +51,10 @@
                 .definedBy("tinlink.cluster")
                 .layer("cluster membership")
                 .definedBy("tinlink.cluster.membership")
-                .layer("work")
-                .definedBy("tinlink.work")
-                .layer("work choice")
-                .definedBy("tinlink.work.choice")
+                .layer("maintenance")
+                .definedBy("tinlink.maintenance")
+                .layer("maintenance scheduling")
+                .definedBy("tinlink.maintenance.scheduling")
                 .layer("policy")
                 .definedBy("tinlink.policy")
                 .layer("policy rollout")
@@ -94,18 +94,18 @@
                 .whereLayer("sealed")
                 .mayOnlyBeAccessedByLayers("gateway", "cluster")
                 .whereLayer("cluster")
-                .mayOnlyBeAccessedByLayers("work", "policy", "router", "plays")
+                .mayOnlyBeAccessedByLayers("maintenance", "policy", "router", "plays")
                 .whereLayer("cluster membership")
                 .mayOnlyBeAccessedByLayers(
-                        "cluster", "work", "work choice", "policy", "router", "plays")
-                .whereLayer("work")
+                        "cluster", "maintenance", "maintenance scheduling", "policy", "router", "plays")
+                .whereLayer("maintenance")
                 .mayOnlyBeAccessedByLayers("router", "plays")
-                .whereLayer("work choice")
-                .mayOnlyBeAccessedByLayers("work", "router", "plays")
+                .whereLayer("maintenance scheduling")
+                .mayOnlyBeAccessedByLayers("maintenance", "router", "plays")
                 .whereLayer("policy rollout")
                 .mayOnlyBeAccessedByLayers("policy", "router", "plays", "lab")
                 .whereLayer("policy")
-                .mayOnlyBeAccessedByLayers("router", "work", "cli")
+                .mayOnlyBeAccessedByLayers("router", "maintenance", "cli")
                 .whereLayer("store")
                 .mayOnlyBeAccessedByLayers("cluster", "router")
                 .whereLayer("plays")
@@ -136,7 +136,7 @@
     void nothingThatRoutersAgreeByReadsAClockThatCanStep() {
         noClasses()
                 .that()
-                .resideInAnyPackage("tinlink.cluster..", "tinlink.work..", "tinlink.policy..")
+                .resideInAnyPackage("tinlink.cluster..", "tinlink.maintenance..", "tinlink.policy..")
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
                 .check(ALL);
@@ -151,7 +151,7 @@
                         "tinlink.gateway.choice",
                         "tinlink.http2.choice",
                         "tinlink.cluster.membership",
-                        "tinlink.work.choice",
+                        "tinlink.maintenance.scheduling",
                         "tinlink.policy.rollout")
                 .should()
                 .dependOnClassesThat()
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -20,7 +20,7 @@
 import tinlink.net.ParserPlayer;
 import tinlink.start.BadInput;
 import tinlink.start.RouterStart;
-import tinlink.work.choice.OrderPlayer;
+import tinlink.maintenance.scheduling.MaintenanceScenarioPlayer;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -104,7 +104,7 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void orderOfWork(String title, List<String> script) {
-        new OrderPlayer().play(script);
+        new MaintenanceScenarioPlayer().play(script);
     }
 
     /** The gateway's choices, of the near side and of the far one. */
--- a/src/test/java/tinlink/lab/plays/SharedReplicasTest.java
+++ b/src/test/java/tinlink/lab/plays/SharedReplicasTest.java
@@ -7,11 +7,11 @@
 
 import org.junit.jupiter.api.Test;
 
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Request;
-import tinlink.work.choice.Watch;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.maintenance.scheduling.MachineFailureDetector;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -20,8 +20,8 @@
 
 /** States that replicas have in common are those that they would have each for itself. */
 class SharedReplicasTest {
-    private static final Bounds BOUNDS =
-            new Bounds(1, 0.2, 0.2, 1_000_000, 4_000_000, 20_000_000, 50, 200);
+    private static final DisruptionLimits BOUNDS =
+            new DisruptionLimits(1, 0.2, 0.2, 1_000_000, 4_000_000, 20_000_000, 50, 200);
 
     private static Machine node(int number) {
         return new Machine(
@@ -32,8 +32,8 @@
     private static List<String> lines(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> lines = new ArrayList<>();
-        IntStream.range(0, 12).forEach(i -> lines.add(Order.machineWords(node(i))));
-        IntStream.range(0, 4).forEach(i -> lines.add(Order.lifeWords("r" + i, "r" + i + "/1")));
+        IntStream.range(0, 12).forEach(i -> lines.add(MaintenanceStateMachine.machineLine(node(i))));
+        IntStream.range(0, 4).forEach(i -> lines.add(MaintenanceStateMachine.routerLine("r" + i, "r" + i + "/1")));
         for (int i = 0; i < 200; i++) {
             String machine = "n" + random.nextInt(12);
             String router = "r" + random.nextInt(4);
@@ -41,7 +41,7 @@
             lines.add(
                     switch (random.nextInt(7)) {
                         case 0 ->
-                            Order.askWords(new Request(
+                            MaintenanceStateMachine.requestLine(new MaintenanceRequest(
                                     request,
                                     List.of(machine),
                                     1_000_000,
@@ -50,12 +50,12 @@
                                     "op",
                                     "work"));
                         case 1, 2 ->
-                            Order.clearWords(
+                            MaintenanceStateMachine.drainedLine(
                                     machine, 1 + random.nextInt(10), router, router + "/1");
-                        case 3 -> Order.doneWords(request, machine, false);
-                        case 4 -> Order.callOffWords(request, "called off");
-                        case 5 -> Order.soundWords(machine, random.nextBoolean());
-                        default -> Order.tickWords(random.nextInt(1_000_000));
+                        case 3 -> MaintenanceStateMachine.doneLine(request, machine, false);
+                        case 4 -> MaintenanceStateMachine.cancelLine(request, "called off");
+                        case 5 -> MaintenanceStateMachine.healthLine(machine, random.nextBoolean());
+                        default -> MaintenanceStateMachine.tickLine(random.nextInt(1_000_000));
                     });
         }
         return lines;
@@ -64,40 +64,40 @@
     @Test
     void eachReplicaStandsWhereItWouldStandAlone() {
         List<String> lines = lines(1);
-        SharedReplicas<Order> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
-        List<SharedReplicas<Order>.Replica> replicas = new ArrayList<>();
-        List<Order> alone = new ArrayList<>();
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        List<SharedReplicas<MaintenanceStateMachine>.Replica> replicas = new ArrayList<>();
+        List<MaintenanceStateMachine> alone = new ArrayList<>();
         int[] heard = new int[20];
         for (int i = 0; i < heard.length; i++) {
             replicas.add(shared.replica());
-            alone.add(new Order(BOUNDS));
+            alone.add(new MaintenanceStateMachine(BOUNDS));
         }
         SplittableRandom random = new SplittableRandom(2);
         while (IntStream.of(heard).anyMatch(h -> h < lines.size())) {
             int one = random.nextInt(heard.length);
             for (int n = random.nextInt(30); n > 0 && heard[one] < lines.size(); n--) {
                 String line = lines.get(heard[one]++);
-                assertEquals(alone.get(one).play(line), replicas.get(one).play(line), line);
+                assertEquals(alone.get(one).apply(line), replicas.get(one).play(line), line);
             }
-            assertEquals(alone.get(one).lines(), replicas.get(one).state().lines());
+            assertEquals(alone.get(one).snapshot(), replicas.get(one).state().snapshot());
         }
         assertTrue(shared.plays() < 10L * lines.size(), "lines played " + shared.plays());
     }
 
     @Test
     void replicasThatHeardTheSameHaveOneStateAndOthersHaveTheirOwn() {
-        SharedReplicas<Order> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
-        SharedReplicas<Order>.Replica one = shared.replica();
-        SharedReplicas<Order>.Replica same = shared.replica();
-        SharedReplicas<Order>.Replica other = shared.replica();
-        one.play(Order.machineWords(node(0)));
-        same.play(Order.machineWords(node(0)));
-        other.play(Order.machineWords(node(1)));
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine>.Replica one = shared.replica();
+        SharedReplicas<MaintenanceStateMachine>.Replica same = shared.replica();
+        SharedReplicas<MaintenanceStateMachine>.Replica other = shared.replica();
+        one.play(MaintenanceStateMachine.machineLine(node(0)));
+        same.play(MaintenanceStateMachine.machineLine(node(0)));
+        other.play(MaintenanceStateMachine.machineLine(node(1)));
         assertSame(one.state(), same.state());
         assertNotSame(one.state(), other.state());
         assertEquals(1, other.state().machines().size());
-        Order before = one.state();
-        same.play(Order.machineWords(node(2)));
+        MaintenanceStateMachine before = one.state();
+        same.play(MaintenanceStateMachine.machineLine(node(2)));
         assertSame(before, one.state());
         assertEquals(
                 1, one.state().machines().size(), "what another replica has heard is no news here");
@@ -106,33 +106,33 @@
 
     @Test
     void aReplicaThatStartsFromLinesJoinsThoseThatStandThere() {
-        SharedReplicas<Order> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
-        SharedReplicas<Order>.Replica one = shared.replica();
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine>.Replica one = shared.replica();
         lines(3).forEach(one::play);
-        SharedReplicas<Order>.Replica late = shared.replica();
+        SharedReplicas<MaintenanceStateMachine>.Replica late = shared.replica();
         late.from(new ArrayList<>(one.lines()));
         assertSame(one.state(), late.state());
-        SharedReplicas<Order>.Replica other = shared.replica();
+        SharedReplicas<MaintenanceStateMachine>.Replica other = shared.replica();
         other.from(List.of());
-        assertEquals(new Order().lines(), other.lines());
+        assertEquals(new MaintenanceStateMachine().snapshot(), other.lines());
     }
 
     @Test
     void aCopyOfAnOrderGoesItsOwnWay() {
-        Order order = new Order(BOUNDS);
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
         List<String> lines = lines(5);
         for (int i = 0; i < lines.size(); i++) {
             if (i % 20 == 0) {
-                Order copy = order.copy();
-                assertEquals(order.lines(), copy.lines());
-                List<String> before = order.lines();
-                lines.subList(i, lines.size()).forEach(copy::play);
-                assertEquals(before, order.lines());
-                Order read = Order.of(before);
-                lines.subList(i, lines.size()).forEach(read::play);
-                assertEquals(read.lines(), copy.lines());
+                MaintenanceStateMachine copy = stateMachine.copy();
+                assertEquals(stateMachine.snapshot(), copy.snapshot());
+                List<String> before = stateMachine.snapshot();
+                lines.subList(i, lines.size()).forEach(copy::apply);
+                assertEquals(before, stateMachine.snapshot());
+                MaintenanceStateMachine read = MaintenanceStateMachine.restore(before);
+                lines.subList(i, lines.size()).forEach(read::apply);
+                assertEquals(read.snapshot(), copy.snapshot());
             }
-            order.play(lines.get(i));
+            stateMachine.apply(lines.get(i));
         }
     }
 
@@ -142,9 +142,9 @@
         for (String machine : List.of("n1", "n2", "r3", "r39")) {
             for (int count : new int[] {0, 1, 3, 39, 60}) {
                 List<String> said = routers.stream()
-                        .filter(r -> Watch.watches(r, routers, machine, count))
+                        .filter(r -> MachineFailureDetector.watches(r, routers, machine, count))
                         .toList();
-                assertEquals(said, Watch.watchers(routers, machine, count));
+                assertEquals(said, MachineFailureDetector.watchers(routers, machine, count));
             }
         }
     }
--- /dev/null
+++ b/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
@@ -0,0 +1,182 @@
+package tinlink.maintenance.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.IntStream;
+
+/** Who looks after which machine and what it finds; what a leader puts to the vote. */
+class FailureDetectorAndCoordinatorTest {
+    private static final DisruptionLimits BOUNDS =
+            new DisruptionLimits(2, 0.5, 0.5, 1_000_000, 4_000_000, 20_000_000, 100, 100);
+    private static final List<String> ROUTERS =
+            IntStream.range(0, 20).mapToObj(i -> "r" + i).toList();
+
+    @Test
+    void eachMachineHasAFewWatchersAndARouterThatLeavesMovesOnlyItsOwn() {
+        List<String> fewer = ROUTERS.subList(0, 19);
+        Map<String, Integer> load = new TreeMap<>();
+        for (int i = 0; i < 200; i++) {
+            String machine = "n" + i;
+            List<String> watchers = ROUTERS.stream()
+                    .filter(router -> MachineFailureDetector.watches(router, ROUTERS, machine, 3))
+                    .toList();
+            assertEquals(3, watchers.size());
+            watchers.forEach(router -> load.merge(router, 1, Integer::sum));
+            List<String> watchersAfterwards =
+                    fewer.stream().filter(router -> MachineFailureDetector.watches(router, fewer, machine, 3)).toList();
+            assertEquals(3, watchersAfterwards.size());
+            assertTrue(
+                    watchersAfterwards.containsAll(watchers.stream().filter(fewer::contains).toList()),
+                    "moved without need");
+        }
+        assertTrue(load.values().stream().allMatch(n -> n > 10 && n < 60), load.toString());
+        assertFalse(MachineFailureDetector.watches("r1", ROUTERS, "r1", 3), "nobody looks after itself");
+    }
+
+    private final List<String> probes = new ArrayList<>();
+
+    private MachineFailureDetector onlyWatcher() {
+        MachineFailureDetector failureDetector = new MachineFailureDetector("r0", 1, 1000, 2);
+        failureDetector.setTime(5000);
+        failureDetector.assign(List.of(), List.of(), List.of("a"));
+        return failureDetector;
+    }
+
+    @Test
+    void twoFailedProbesMakeAMachineUnhealthyAndOneThatSucceedsHealthyAgain() {
+        MachineFailureDetector failureDetector = onlyWatcher();
+        assertEquals(Map.of(), failureDetector.observations(), "nothing is said before a probe has ended");
+        failureDetector.onProbeResult("a", true);
+        failureDetector.onProbeResult("a", false);
+        assertEquals(Map.of("a", true), failureDetector.observations());
+        failureDetector.onProbeResult("a", false);
+        assertEquals(Map.of("a", false), failureDetector.observations());
+        failureDetector.onProbeResult("a", true);
+        assertEquals(Map.of("a", true), failureDetector.observations());
+        failureDetector.setTime(7000);
+        while (failureDetector.decide(probes::add)) {
+            // Each is noted.
+        }
+        assertEquals(List.of("a"), probes);
+        failureDetector.assign(List.of(), List.of(), List.of());
+        assertEquals(Map.of(), failureDetector.observations(), "what is off the list is forgotten");
+    }
+
+    /** Fails without the calls: a process that stands still is still connected to. */
+    @Test
+    void consecutiveFailedCallsCountThoughProbesSucceed() {
+        MachineFailureDetector failureDetector = onlyWatcher();
+        failureDetector.onProbeResult("a", true);
+        for (int i = 0; i < 6; i++) {
+            failureDetector.setTime(6000 + 400 * i);
+            failureDetector.onCallResult("a", false);
+            failureDetector.onProbeResult("a", true);
+        }
+        assertEquals(Map.of("a", false), failureDetector.observations());
+        failureDetector.onCallResult("a", true);
+        assertEquals(Map.of("a", true), failureDetector.observations());
+        // A burst of failures within one round is one event, not several.
+        for (int i = 0; i < 6; i++) {
+            failureDetector.onCallResult("a", false);
+        }
+        assertEquals(Map.of("a", true), failureDetector.observations());
+    }
+
+    private final List<String> proposed = new ArrayList<>();
+
+    private void decide(MaintenanceCoordinator coordinator, MaintenanceStateMachine stateMachine) {
+        proposed.clear();
+        while (coordinator.decide(stateMachine, proposed::add)) {
+            // Each is noted.
+        }
+        proposed.forEach(line -> {
+            assertEquals("", stateMachine.apply(line));
+            coordinator.onProposalCompleted();
+        });
+    }
+
+    private static Machine node(String id, String site) {
+        return new Machine(id, Machine.Kind.NODE, 0, "z", site, "m", false);
+    }
+
+    @Test
+    void limitsAreProposedFirstAndNoRequestIsAcceptedBefore() {
+        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine();
+        String request =
+                MaintenanceStateMachine.requestLine(new MaintenanceRequest("q", List.of("a"), 1, Long.MAX_VALUE, 5, "op", "why"));
+        assertEquals("no bounds are agreed on yet: ask again", stateMachine.apply(request));
+        coordinator.setTime(1000);
+        decide(coordinator, stateMachine);
+        assertEquals(List.of(), proposed, "it does not lead");
+        coordinator.setLeader(true);
+        decide(coordinator, stateMachine);
+        assertEquals(List.of(MaintenanceStateMachine.limitsLine(BOUNDS)), proposed);
+        assertEquals("", stateMachine.apply(request));
+        DisruptionLimits other = new DisruptionLimits(1, 0.5, 0.5, 1, 1, 1, 100, 100);
+        assertEquals("other bounds are agreed on", stateMachine.apply(MaintenanceStateMachine.limitsLine(other)));
+        assertEquals(BOUNDS, MaintenanceStateMachine.restore(stateMachine.snapshot()).limits());
+    }
+
+    @Test
+    void onlyRoutersOfTheSameSiteCountForANodeAndSilenceRemovesNothing() {
+        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
+        coordinator.setTime(1000);
+        coordinator.setLeader(true);
+        coordinator.onReport("r1", MaintenanceCoordinator.nodeListLine("s0", List.of(node("a", "s0"))));
+        coordinator.onReport("r2", MaintenanceCoordinator.nodeListLine("s1", List.of(node("b", "s1"))));
+        coordinator.onReport("r3", MaintenanceCoordinator.nodeListLine("s1", List.of(node("b", "s1"), node("c", "s1"))));
+        decide(coordinator, stateMachine);
+        assertEquals(2, stateMachine.machines().size(), "c is on one list of two: " + proposed);
+        // Site s1 is not heard any more, and its machines stay known.
+        coordinator.setTime(20_000);
+        coordinator.onReport("r1", MaintenanceCoordinator.nodeListLine("s0", List.of()));
+        decide(coordinator, stateMachine);
+        assertEquals(List.of("b"), stateMachine.machines().stream().map(Machine::id).toList());
+    }
+
+    @Test
+    void aRouterReportsOnlyItselfAndTimeUnderAnotherLeaderIsNotCounted() {
+        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
+        Machine machine = new Machine("r1", Machine.Kind.ROUTER, -1, "z", "s0", "router", true);
+        coordinator.setTime(1000);
+        coordinator.setLeader(true);
+        coordinator.onReport("r2", MaintenanceCoordinator.selfReportLine(machine));
+        coordinator.onReport("r2", "saw\tr1");
+        coordinator.onReport("r2", "nonsense");
+        decide(coordinator, stateMachine);
+        assertEquals(0, stateMachine.machines().size());
+        coordinator.setVoters(java.util.Set.of("r1"));
+        coordinator.onReport("r1", MaintenanceCoordinator.selfReportLine(machine));
+        coordinator.setTime(2000);
+        decide(coordinator, stateMachine);
+        assertEquals(1, stateMachine.machines().size());
+        stateMachine.apply(MaintenanceStateMachine.routerLine("r1", "1"));
+        stateMachine.apply(MaintenanceStateMachine.machineLine(node("a", "s0")));
+        stateMachine.apply(MaintenanceStateMachine.machineLine(node("b", "s0")));
+        stateMachine.apply(MaintenanceStateMachine.machineLine(node("c", "s0")));
+        stateMachine.apply(MaintenanceStateMachine.requestLine(
+                new MaintenanceRequest("q", List.of("a"), 1000, Long.MAX_VALUE, 5, "op", "why")));
+        coordinator.setLeader(false);
+        coordinator.setTime(900_000);
+        coordinator.setLeader(true);
+        decide(coordinator, stateMachine);
+        coordinator.setTime(900_500);
+        decide(coordinator, stateMachine);
+        assertEquals(500, stateMachine.agreedTimeUs());
+        coordinator.onReport("r1", MaintenanceCoordinator.departureLine("1"));
+        coordinator.setTime(901_000);
+        decide(coordinator, stateMachine);
+        assertEquals(0, stateMachine.incarnations().count(), "it has said that it ends");
+    }
+}
--- a/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -14,7 +14,7 @@
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyCommandCodec;
 import tinlink.sealed.Keys;
-import tinlink.work.WorkBook;
+import tinlink.maintenance.ReplicatedMaintenance;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -134,7 +134,7 @@
     }
 
     private static CompositeStateMachine books() {
-        return new CompositeStateMachine(new WorkBook(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine()));
+        return new CompositeStateMachine(new ReplicatedMaintenance(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine()));
     }
 
     private static void proposeUntilAccepted(Loop loop, ClusterNode clusterNode) {
