--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -1,8 +1,8 @@
 package tinlink.gateway;
 
 import tinlink.decision.Outcome;
-import tinlink.gateway.choice.FarRouter;
-import tinlink.gateway.choice.Fate;
+import tinlink.gateway.forwarding.RemoteRouter;
+import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.Counters;
 import tinlink.net.Loop;
 import tinlink.net.Network;
@@ -24,53 +24,53 @@
  * pulled twice a turn.
  */
 public final class Gateway {
-    static final int MOST_LINES = 16;
+    static final int MAX_CHANNELS = 16;
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
-    private static final long COUNTS_US = 60_000_000;
+    private static final long COUNTER_LOG_INTERVAL_US = 60_000_000;
 
     /** Who this router is, and which sites' routers it takes parts from. */
-    public record Names(String site, String router, long incarnation, Set<String> accepts) {}
+    public record Identity(String site, String router, long incarnation, Set<String> acceptedSites) {}
 
     /**
      * The times of a gateway, in microseconds.
      *
-     * @param recoverUs how long a part is held for its fate after a cut; 0: not at all
+     * @param recoveryUs how long a part is held for its fate after a cut; 0: not at all
      */
-    public record Times(long beatUs, long handshakeUs, long recoverUs, long longestUs) {}
+    public record Timing(long heartbeatUs, long handshakeUs, long recoveryUs, long maxRequestUs) {}
 
     /** What other sites may have here, and what may wait for a credit of theirs. */
-    public record Bounds(int parts, int kept, long keptBytes, int origins, int waiting) {}
+    public record Limits(int maxRunningParts, int maxEndedParts, long maxEndedBytes, int maxInboundChannels, int maxQueuedParts) {}
 
     /** A router of another site; its lines lead to the same process. */
-    public record Far(String site, String router, List<InetSocketAddress> lines) {}
+    public record RemoteEndpoint(String site, String router, List<InetSocketAddress> addresses) {}
 
     /** What becomes of parts, both ways. */
-    public interface Stages {
+    public interface PartHandler {
         /** The one outcome of a part that was passed on; {@code tookUs} is below 0 where it says nothing. */
-        void ended(NearPart p, Outcome how, long tookUs);
+        void partEnded(OutgoingPart part, Outcome outcome, long durationUs);
 
-        void serves(FarRouter router, BitSet cells, long lineUs);
+        void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs);
 
-        void begin(FarPart p);
+        void startPart(IncomingPart part);
 
-        void giveUp(FarPart p);
+        void cancelPart(IncomingPart part);
     }
 
     final Loop loop;
     final Network network;
-    final Names names;
-    final Times times;
-    final Stages stages;
+    final Identity identity;
+    final Timing timing;
+    final PartHandler partHandler;
     final Counters counters = new Counters();
-    Keys keys;
-    private final SecureRandom secret = new SecureRandom();
+    GatewayKeys keys;
+    private final SecureRandom secureRandom = new SecureRandom();
     private final GatewayClient client;
     private final GatewayServer server;
     private final Loop.Turn turn = new Loop.Turn() {
         @Override
         public void begins(long nowUs) {
-            client.clock(nowUs);
-            server.clock(nowUs);
+            client.advanceClock(nowUs);
+            server.advanceClock(nowUs);
         }
 
         @Override
@@ -79,26 +79,26 @@
             server.decide();
         }
     };
-    private String toldCounts = "";
+    private String loggedCounters = "";
 
     public Gateway(
             Loop loop,
             Network network,
-            Names names,
-            Keys keys,
-            Times times,
-            Bounds bounds,
-            List<Far> far,
+            Identity identity,
+            GatewayKeys keys,
+            Timing timing,
+            Limits limits,
+            List<RemoteEndpoint> endpoints,
             long seed,
-            Stages stages) {
+            PartHandler partHandler) {
         this.loop = loop;
         this.network = network;
-        this.names = names;
+        this.identity = identity;
         this.keys = keys;
-        this.times = times;
-        this.stages = stages;
-        client = new GatewayClient(this, far, bounds.waiting(), seed);
-        server = new GatewayServer(this, bounds);
+        this.timing = timing;
+        this.partHandler = partHandler;
+        client = new GatewayClient(this, endpoints, limits.maxQueuedParts(), seed);
+        server = new GatewayServer(this, limits);
     }
 
     /** Its part of a turn. */
@@ -107,7 +107,7 @@
     }
 
     /** One decision is pulled after another. */
-    static void pull(BooleanSupplier decides) {
+    static void runAllDecisions(BooleanSupplier decides) {
         while (decides.getAsBoolean()) {
             // Each has been carried out.
         }
@@ -119,13 +119,13 @@
     }
 
     /** Says the counters once a minute, where one has changed, and at the stop. */
-    public void tellCounts() {
-        String now = counters.toString();
-        if (!now.equals(toldCounts)) {
-            toldCounts = now;
-            LOG.log(Level.INFO, "event=gateway_counts {0}", now);
+    public void logCounters() {
+        String current = counters.toString();
+        if (!current.equals(loggedCounters)) {
+            loggedCounters = current;
+            LOG.log(Level.INFO, "event=gateway_counts {0}", current);
         }
-        loop.at(loop.now() + COUNTS_US, this::tellCounts);
+        loop.at(loop.now() + COUNTER_LOG_INTERVAL_US, this::logCounters);
     }
 
     public Counters counters() {
@@ -133,30 +133,30 @@
     }
 
     /** From now on these are the keys; connections that are up stay. */
-    public void keys(Keys now) {
-        keys = now;
+    public void keys(GatewayKeys replacement) {
+        keys = replacement;
     }
 
-    byte[] nonce() {
-        byte[] n = new byte[Wire.NONCE];
-        secret.nextBytes(n);
-        return n;
+    byte[] newNonce() {
+        byte[] nonce = new byte[GatewayProtocol.NONCE_BYTES];
+        secureRandom.nextBytes(nonce);
+        return nonce;
     }
 
     // ---- Parts that go out. ----
 
     /** Of which site a far router is. */
-    public String site(FarRouter router) {
-        return client.site(router);
+    public String siteOf(RemoteRouter router) {
+        return client.siteOf(router);
     }
 
-    public void send(FarRouter to, NearPart part) {
-        to.part(part);
+    public void forward(RemoteRouter to, OutgoingPart part) {
+        to.forward(part);
     }
 
     /** Its outcome is known already. */
-    public void giveUp(FarRouter to, NearPart part) {
-        to.giveUp(part);
+    public void cancel(RemoteRouter to, OutgoingPart part) {
+        to.cancel(part);
     }
 
     // ---- Parts that come in. ----
@@ -170,35 +170,35 @@
     }
 
     /** Which cells this router reaches at its own site. */
-    public void cells(BitSet now) {
-        server.cells(now);
+    public void announceCells(BitSet reachableCells) {
+        server.reachableCells(reachableCells);
     }
 
     /** Connections that have not proved themselves. */
-    int strangers() {
-        return server.unproved();
+    int unauthenticatedConnections() {
+        return server.unauthenticated();
     }
 
     /**
      * A part that was begun has ended here.
      *
      * @param value of one that is done, else null
-     * @param comeBackUs of a refused one, 0 for no advice
+     * @param retryAfterUs of a refused one, 0 for no advice
      */
-    public void ended(FarPart part, Fate fate, byte[] value, long comeBackUs) {
-        server.ended(part, fate, value, comeBackUs);
+    public void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
+        server.partEnded(part, status, value, retryAfterUs);
     }
 
     // ---- The stop. ----
 
     /** Says to each near router which part was the last; what is in hand is finished. */
-    public void leave() {
-        tellCounts();
-        server.leave();
+    public void startDraining() {
+        logCounters();
+        server.startDraining();
     }
 
     /** Nothing of another site's is in hand. */
-    public boolean isEmpty() {
-        return server.taker.running() == 0;
+    public boolean isIdle() {
+        return server.receiver.running() == 0;
     }
 }
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -1,9 +1,9 @@
 package tinlink.gateway;
 
-import tinlink.gateway.choice.FarRouter;
-import tinlink.gateway.choice.Fate;
-import tinlink.gateway.choice.Forwarded;
-import tinlink.gateway.choice.Lane;
+import tinlink.gateway.forwarding.RemoteRouter;
+import tinlink.gateway.forwarding.PartStatus;
+import tinlink.gateway.forwarding.ForwardedPart;
+import tinlink.gateway.forwarding.GatewayChannel;
 import tinlink.net.Ending;
 
 import java.io.IOException;
@@ -19,160 +19,160 @@
 import java.util.logging.Logger;
 
 /**
- * The near side of a gateway: carries out what each {@link FarRouter} decides about the parts that this
+ * The near side of a gateway: carries out what each {@link RemoteRouter} decides about the parts that this
  * router passes on to other sites. Runs on the loop's thread.
  */
-final class GatewayClient implements FarRouter.Hands {
+final class GatewayClient implements RemoteRouter.ForwardingHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
-    private static final int REPEAT_FLAG = 1;
-    private static final int KEY_FLAG = 2;
+    private static final int CLIENT_RETRY_FLAG = 1;
+    private static final int IDEMPOTENCY_KEY_FLAG = 2;
 
     private final Gateway gateway;
     /** Those of the file; none comes or goes in service. */
-    private final Map<FarRouter, Gateway.Far> routers = new LinkedHashMap<>();
+    private final Map<RemoteRouter, Gateway.RemoteEndpoint> remoteRouters = new LinkedHashMap<>();
     /** One for each line that is up or being connected. */
-    private final Map<Lane, NearSession> sessions = new IdentityHashMap<>();
+    private final Map<GatewayChannel, GatewayClientSession> sessions = new IdentityHashMap<>();
 
-    GatewayClient(Gateway gateway, List<Gateway.Far> far, int waiting, long seed) {
+    GatewayClient(Gateway gateway, List<Gateway.RemoteEndpoint> endpoints, int maxQueuedParts, long seed) {
         this.gateway = gateway;
         SplittableRandom random = new SplittableRandom(seed);
-        FarRouter.Patience patience =
-                new FarRouter.Patience(gateway.times.beatUs(), waiting, gateway.times.recoverUs());
-        for (Gateway.Far each : far) {
-            routers.put(
-                    new FarRouter(
+        RemoteRouter.Settings settings =
+                new RemoteRouter.Settings(gateway.timing.heartbeatUs(), maxQueuedParts, gateway.timing.recoveryUs());
+        for (Gateway.RemoteEndpoint each : endpoints) {
+            remoteRouters.put(
+                    new RemoteRouter(
                             each.router(),
-                            each.lines().size(),
-                            patience,
-                            this::servedElsewhere,
+                            each.addresses().size(),
+                            settings,
+                            this::hasAlternative,
                             random.split()),
                     each);
         }
     }
 
-    private boolean servedElsewhere(int cell, FarRouter other) {
-        return routers.keySet().stream()
-                .anyMatch(router -> router != other && router.mayServe(cell));
+    private boolean hasAlternative(int cell, RemoteRouter other) {
+        return remoteRouters.keySet().stream()
+                .anyMatch(router -> router != other && router.canServe(cell));
     }
 
-    void clock(long nowUs) {
-        routers.keySet().forEach(router -> router.clock(nowUs));
+    void advanceClock(long nowUs) {
+        remoteRouters.keySet().forEach(router -> router.advanceClock(nowUs));
     }
 
     /** Carries out all decisions that are due. */
     void decide() {
-        routers.keySet().forEach(router -> Gateway.pull(() -> router.decide(this)));
+        remoteRouters.keySet().forEach(router -> Gateway.runAllDecisions(() -> router.decide(this)));
     }
 
-    String site(FarRouter router) {
-        return routers.get(router).site();
+    String siteOf(RemoteRouter router) {
+        return remoteRouters.get(router).site();
     }
 
     /** The session has ended. @return whether it had been up */
-    boolean closed(NearSession session) {
-        sessions.remove(session.lane, session);
+    boolean sessionClosed(GatewayClientSession session) {
+        sessions.remove(session.channel, session);
         return session.wasProved();
     }
 
     // ---- Decisions of a far router's. ----
 
     @Override
-    public void connect(Lane lane) {
-        Gateway.Far far = routers.get(lane.router);
-        NearSession session = new NearSession(gateway, this, lane, far.site());
+    public void connect(GatewayChannel channel) {
+        Gateway.RemoteEndpoint endpoint = remoteRouters.get(channel.router);
+        GatewayClientSession session = new GatewayClientSession(gateway, this, channel, endpoint.site());
         try {
-            sessions.put(lane, session);
+            sessions.put(channel, session);
             session.on(
-                    gateway.network.connect(far.lines().get(lane.index), session),
-                    gateway.times.handshakeUs() + gateway.times.longestUs() / 4);
+                    gateway.network.connect(endpoint.addresses().get(channel.index), session),
+                    gateway.timing.handshakeUs() + gateway.timing.maxRequestUs() / 4);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "event=no_connection site=" + far.site(), e);
-            sessions.remove(lane);
-            lane.router.lost(lane, part -> false);
+            LOG.log(Level.WARNING, "event=no_connection site=" + endpoint.site(), e);
+            sessions.remove(channel);
+            channel.router.onDisconnected(channel, part -> false);
         }
     }
 
     @Override
-    public void cut(Lane lane) {
-        NearSession session = sessions.get(lane);
+    public void disconnect(GatewayChannel channel) {
+        GatewayClientSession session = sessions.get(channel);
         if (session != null) {
             session.end(Ending.SILENT);
         }
     }
 
     @Override
-    public void ping(Lane lane, long number, long lowest) {
-        sessions.get(lane)
-                .send(Wire.PING, new Wire.Out().eight(number).eight(lowest).made());
+    public void sendHeartbeat(GatewayChannel channel, long number, long lowest) {
+        sessions.get(channel)
+                .send(GatewayProtocol.HEARTBEAT, new GatewayProtocol.Out().eight(number).eight(lowest).made());
     }
 
     @Override
-    public void send(Forwarded forwarded) {
-        NearPart part = (NearPart) forwarded;
+    public void sendPart(ForwardedPart forwarded) {
+        OutgoingPart part = (OutgoingPart) forwarded;
         long now = gateway.loop.now();
-        Lane lane = part.lane();
-        int flags = (part.repeat ? REPEAT_FLAG : 0) | (part.key == null ? 0 : KEY_FLAG);
-        Wire.Out message = new Wire.Out()
+        GatewayChannel channel = part.channel();
+        int flags = (part.clientRetry ? CLIENT_RETRY_FLAG : 0) | (part.idempotencyKey == null ? 0 : IDEMPOTENCY_KEY_FLAG);
+        GatewayProtocol.Out message = new GatewayProtocol.Out()
                 .eight(part.number())
-                .eight(part.until - now - lane.spareUs())
-                .eight(part.effectUntil == Long.MAX_VALUE ? Long.MAX_VALUE : part.effectUntil - now)
-                .eight(lane.lastPong())
-                .eight(lane.sincePongUs(now))
+                .eight(part.deadline - now - channel.marginUs())
+                .eight(part.effectDeadline == Long.MAX_VALUE ? Long.MAX_VALUE : part.effectDeadline - now)
+                .eight(channel.lastAckedHeartbeat())
+                .eight(channel.sinceAckUs(now))
                 .four(part.shard)
                 .byt(flags)
                 .text(part.index)
                 .text(part.id);
-        if (part.key != null) {
-            message.text(part.key);
+        if (part.idempotencyKey != null) {
+            message.text(part.idempotencyKey);
         }
         gateway.counters.add("near_parts");
-        part.place = sessions.get(lane).send(Wire.PART, message.bytes(part.text).made());
+        part.endPosition = sessions.get(channel).send(GatewayProtocol.FORWARD_PART, message.bytes(part.text).made());
     }
 
     @Override
-    public void giveUp(Forwarded part) {
-        NearSession session = sessions.get(part.lane());
+    public void sendCancel(ForwardedPart part) {
+        GatewayClientSession session = sessions.get(part.channel());
         if (session != null && session.isProved()) {
-            session.send(Wire.GIVE_UP, new Wire.Out().eight(part.number()).made());
+            session.send(GatewayProtocol.CANCEL_PART, new GatewayProtocol.Out().eight(part.number()).made());
         }
     }
 
     @Override
-    public void askFates(Lane on, Lane about) {
-        Set<Long> numbers = about.open().keySet();
-        Wire.Out message = new Wire.Out()
+    public void sendStatusQuery(GatewayChannel via, GatewayChannel about) {
+        Set<Long> numbers = about.openParts().keySet();
+        GatewayProtocol.Out message = new GatewayProtocol.Out()
                 .two(about.index)
-                .eight(about.ups())
-                .eight(about.next())
+                .eight(about.connectCount())
+                .eight(about.nextPartNumber())
                 .two(numbers.size());
         numbers.forEach(message::eight);
         gateway.counters.add("near_fates_asked");
-        sessions.get(on).send(Wire.FATES, message.made());
+        sessions.get(via).send(GatewayProtocol.STATUS_QUERY, message.made());
     }
 
     @Override
-    public void ended(Forwarded forwarded, Fate fate) {
-        NearPart part = (NearPart) forwarded;
-        String name = fate.name().toLowerCase(Locale.ROOT);
-        gateway.counters.add("near_" + name);
-        if (part.wasUnsure() && !part.repeatable) {
-            gateway.counters.add("near_unsure_" + (part.died() ? "died" : name));
+    public void partEnded(ForwardedPart forwarded, PartStatus status) {
+        OutgoingPart part = (OutgoingPart) forwarded;
+        String statusName = status.name().toLowerCase(Locale.ROOT);
+        gateway.counters.add("near_" + statusName);
+        if (part.wasUnresolved() && !part.idempotent) {
+            gateway.counters.add("near_unsure_" + (part.routerRestarted() ? "died" : statusName));
         }
-        gateway.stages.ended(part, fate.outcome, fate == Fate.DONE ? part.tookUs : -1);
+        gateway.partHandler.partEnded(part, status.outcome, status == PartStatus.DONE ? part.durationUs : -1);
     }
 
     @Override
-    public void serves(FarRouter router, BitSet cells, long lineUs) {
+    public void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs) {
         LOG.log(
                 Level.FINE,
                 "event=far_serves site={0} router={1} cells={2} line_us={3}",
-                new Object[] {site(router), router.name, cells.cardinality(), String.valueOf(lineUs)
+                new Object[] {siteOf(router), router.name, cells.cardinality(), String.valueOf(roundTripUs)
                 });
-        gateway.stages.serves(router, cells, lineUs);
+        gateway.partHandler.cellsChanged(router, cells, roundTripUs);
     }
 
     @Override
-    public void wake(FarRouter router, long at) {
+    public void wakeAt(RemoteRouter router, long at) {
         gateway.wakeAt(at);
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/gateway/GatewayKeys.java
@@ -0,0 +1,10 @@
+package tinlink.gateway;
+
+import java.util.Map;
+
+/** The keys that sites share. */
+public final class GatewayKeys extends tinlink.sealed.Keys {
+    public GatewayKeys(Map<String, byte[]> ring, String use) {
+        super(ring, use);
+    }
+}
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -1,8 +1,8 @@
 package tinlink.gateway;
 
-import tinlink.gateway.choice.Fate;
-import tinlink.gateway.choice.Taken;
-import tinlink.gateway.choice.Taker;
+import tinlink.gateway.forwarding.PartStatus;
+import tinlink.gateway.forwarding.ReceivedPart;
+import tinlink.gateway.forwarding.ForwardedPartReceiver;
 import tinlink.net.Ending;
 import tinlink.net.Link;
 import tinlink.net.Loop;
@@ -21,69 +21,69 @@
 import java.util.logging.Logger;
 
 /**
- * The far side of a gateway: takes connections from routers of other sites and carries out what {@link Taker}
- * decides about the parts that they pass on. Runs on the loop's thread.
+ * The far side of a gateway: takes connections from routers of other sites and carries out what {@link
+ * ForwardedPartReceiver} decides about the parts that they pass on. Runs on the loop's thread.
  */
-final class GatewayServer implements Taker.Hands, Network.Door {
+final class GatewayServer implements ForwardedPartReceiver.ExecutionHandler, Network.Door {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     /** Connections that may be here without having proved themselves. */
-    private static final int MAX_UNPROVED = 16;
+    private static final int MAX_UNAUTHENTICATED = 16;
     /** A near router that has said nothing for so many heartbeats is gone. */
-    private static final int SILENT_BEATS = 12;
+    private static final int MAX_SILENT_HEARTBEATS = 12;
 
-    final Taker taker;
+    final ForwardedPartReceiver receiver;
     private final Gateway gateway;
     private Network.Listening listening;
     /** Connections that have not proved themselves; each leaves as it does, or ends. */
-    private final Set<FarSession> unproved = new LinkedHashSet<>();
+    private final Set<GatewayServerSession> unauthenticated = new LinkedHashSet<>();
     /** Connections of near routers, with the time by which they have to speak; each leaves as it ends. */
-    private final Map<FarSession, Loop.Timer> proved = new HashMap<>();
+    private final Map<GatewayServerSession, Loop.Timer> authenticated = new HashMap<>();
     /** Which cells this router reaches at its own site. */
-    private BitSet cells = new BitSet();
+    private BitSet reachableCells = new BitSet();
 
-    private boolean leaving;
+    private boolean draining;
 
-    GatewayServer(Gateway gateway, Gateway.Bounds bounds) {
+    GatewayServer(Gateway gateway, Gateway.Limits limits) {
         this.gateway = gateway;
-        taker = new Taker(new Taker.Bounds(
-                bounds.parts(),
-                bounds.kept(),
-                bounds.keptBytes(),
-                bounds.origins(),
-                2 * gateway.times.longestUs(),
-                gateway.times.beatUs()));
+        receiver = new ForwardedPartReceiver(new ForwardedPartReceiver.Limits(
+                limits.maxRunningParts(),
+                limits.maxEndedParts(),
+                limits.maxEndedBytes(),
+                limits.maxInboundChannels(),
+                2 * gateway.timing.maxRequestUs(),
+                gateway.timing.heartbeatUs()));
     }
 
-    void clock(long nowUs) {
-        taker.clock(nowUs);
+    void advanceClock(long nowUs) {
+        receiver.advanceClock(nowUs);
     }
 
     /** Carries out all decisions that are due. */
     void decide() {
-        Gateway.pull(() -> taker.decide(this));
+        Gateway.runAllDecisions(() -> receiver.decide(this));
     }
 
-    void cells(BitSet now) {
-        if (!now.equals(cells)) {
-            cells = now;
-            proved.keySet().forEach(this::sendCells);
+    void reachableCells(BitSet updatedCells) {
+        if (!updatedCells.equals(reachableCells)) {
+            reachableCells = updatedCells;
+            authenticated.keySet().forEach(this::sendCells);
         }
     }
 
-    private void sendCells(FarSession session) {
-        session.send(Wire.CELLS, cells.toByteArray());
+    private void sendCells(GatewayServerSession session) {
+        session.send(GatewayProtocol.SERVED_CELLS, reachableCells.toByteArray());
     }
 
     /** Tells each near router which part was the last; what is in hand is finished. */
-    void leave() {
-        leaving = true;
-        taker.leaves();
-        new ArrayList<>(proved.keySet()).forEach(this::sendBye);
+    void startDraining() {
+        draining = true;
+        receiver.startDraining();
+        new ArrayList<>(authenticated.keySet()).forEach(this::sendGoAway);
     }
 
-    private void sendBye(FarSession session) {
+    private void sendGoAway(GatewayServerSession session) {
         session.send(
-                Wire.BYE, new Wire.Out().eight(taker.lastBegun(session.origin)).made());
+                GatewayProtocol.GO_AWAY, new GatewayProtocol.Out().eight(receiver.lastStarted(session.inbound)).made());
     }
 
     // ---- Connections. ----
@@ -99,17 +99,17 @@
 
     @Override
     public Link.Owner owner() {
-        return new FarSession(gateway, this);
+        return new GatewayServerSession(gateway, this);
     }
 
     /** Danger: connections that never prove themselves would hold all room; the oldest gives way. */
     @Override
     public void opened(Link link, Link.Owner owner) {
-        FarSession session = (FarSession) owner;
-        session.on(link, gateway.times.handshakeUs());
-        unproved.add(session);
-        if (unproved.size() > MAX_UNPROVED) {
-            unproved.iterator().next().end(Ending.DONE);
+        GatewayServerSession session = (GatewayServerSession) owner;
+        session.on(link, gateway.timing.handshakeUs());
+        unauthenticated.add(session);
+        if (unauthenticated.size() > MAX_UNAUTHENTICATED) {
+            unauthenticated.iterator().next().end(Ending.DONE);
         }
     }
 
@@ -121,38 +121,38 @@
     @Override
     public void acceptFailed(Throwable why) {
         LOG.log(Level.WARNING, "event=accept_failed", why);
-        gateway.loop.at(gateway.loop.now() + gateway.times.beatUs(), () -> listening.accept(this));
+        gateway.loop.at(gateway.loop.now() + gateway.timing.heartbeatUs(), () -> listening.accept(this));
     }
 
     /** How many connections have not proved themselves. */
-    int unproved() {
-        return unproved.size();
+    int unauthenticated() {
+        return unauthenticated.size();
     }
 
     /** The session has proved itself. */
-    void proved(FarSession session) {
-        unproved.remove(session);
-        proved.put(session, null);
-        heard(session);
+    void authenticated(GatewayServerSession session) {
+        unauthenticated.remove(session);
+        authenticated.put(session, null);
+        heartbeatReceived(session);
         sendCells(session);
-        if (leaving) {
-            sendBye(session);
+        if (draining) {
+            sendGoAway(session);
         }
     }
 
     /** The session has sent a heartbeat. */
-    void heard(FarSession session) {
-        if (proved.containsKey(session)) {
-            long silentAt = gateway.loop.now() + SILENT_BEATS * gateway.times.beatUs();
-            Loop.Timer silent = gateway.loop.at(silentAt, () -> session.end(Ending.SILENT));
-            gateway.loop.takeBack(proved.put(session, silent));
+    void heartbeatReceived(GatewayServerSession session) {
+        if (authenticated.containsKey(session)) {
+            long silenceAt = gateway.loop.now() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
+            Loop.Timer silenceTimer = gateway.loop.at(silenceAt, () -> session.end(Ending.SILENT));
+            gateway.loop.takeBack(authenticated.put(session, silenceTimer));
         }
     }
 
     /** The session has ended. */
-    void closed(FarSession session) {
-        unproved.remove(session);
-        gateway.loop.takeBack(proved.remove(session));
+    void sessionClosed(GatewayServerSession session) {
+        unauthenticated.remove(session);
+        gateway.loop.takeBack(authenticated.remove(session));
     }
 
     // ---- Parts. ----
@@ -161,50 +161,50 @@
      * A part that was begun has ended here.
      *
      * @param value of one that is done, else null
-     * @param comeBackUs of a refused one, 0 for no advice
+     * @param retryAfterUs of a refused one, 0 for no advice
      */
-    void ended(FarPart part, Fate fate, byte[] value, long comeBackUs) {
-        part.tookUs = gateway.loop.now() - part.arrivedAt;
-        part.comeBackUs = comeBackUs;
+    void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
+        part.durationUs = gateway.loop.now() - part.arrivedAt;
+        part.retryAfterUs = retryAfterUs;
         part.value = value == null ? part.value : value;
-        gateway.counters.add("far_" + fate.name().toLowerCase(Locale.ROOT));
-        taker.ended(part, fate, part.value.length);
+        gateway.counters.add("far_" + status.name().toLowerCase(Locale.ROOT));
+        receiver.onPartEnded(part, status, part.value.length);
     }
 
     @Override
-    public void begin(Taken part) {
-        gateway.stages.begin((FarPart) part);
+    public void startPart(ReceivedPart part) {
+        gateway.partHandler.startPart((IncomingPart) part);
     }
 
     @Override
-    public void giveUp(Taken part) {
+    public void cancelPart(ReceivedPart part) {
         gateway.counters.add("far_given_up");
-        gateway.stages.giveUp((FarPart) part);
+        gateway.partHandler.cancelPart((IncomingPart) part);
     }
 
     @Override
-    public void say(Object session, int line, long number, Fate fate, Taken part) {
-        FarSession to = (FarSession) session;
-        if (to.isProved()) {
-            to.say(line, number, fate, (FarPart) part);
+    public void sendPartStatus(Object session, int channelIndex, long number, PartStatus status, ReceivedPart part) {
+        GatewayServerSession target = (GatewayServerSession) session;
+        if (target.isProved()) {
+            target.sendPartStatus(channelIndex, number, status, (IncomingPart) part);
         }
     }
 
     @Override
-    public void window(Object session, int parts) {
-        FarSession to = (FarSession) session;
-        if (to.isProved()) {
-            to.send(Wire.WINDOW, new Wire.Out().four(parts).made());
+    public void sendCreditWindow(Object session, int parts) {
+        GatewayServerSession target = (GatewayServerSession) session;
+        if (target.isProved()) {
+            target.send(GatewayProtocol.CREDIT_WINDOW, new GatewayProtocol.Out().four(parts).made());
         }
     }
 
     @Override
-    public void close(Object session) {
-        ((FarSession) session).end(Ending.GONE);
+    public void closeSession(Object session) {
+        ((GatewayServerSession) session).end(Ending.GONE);
     }
 
     @Override
-    public void wake(long at) {
+    public void wakeAt(long at) {
         gateway.wakeAt(at);
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/gateway/GatewayServerSession.java
@@ -0,0 +1,230 @@
+package tinlink.gateway;
+
+import tinlink.gateway.forwarding.PartStatus;
+import tinlink.gateway.forwarding.InboundChannel;
+import tinlink.net.BadMessage;
+import tinlink.net.Ending;
+import tinlink.sealed.Message;
+import tinlink.sealed.Session;
+
+import java.nio.ByteBuffer;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.Set;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * The far side of a line: whoever connects proves who it is, then hands parts over and asks about
+ * them.
+ */
+final class GatewayServerSession extends Session {
+    private static final Logger LOG = Logger.getLogger("tinlink.gateway");
+    private static final int MAX_ACKED_HEARTBEATS = 64;
+    private final Gateway gateway;
+    private final GatewayServer server;
+    private byte[] hello;
+    private byte[] challenge;
+    private String keyId = "";
+    private String site = "";
+    private String router = "";
+    private int channelIndex;
+    private long incarnation;
+    InboundChannel inbound;
+    /** When heartbeats were answered, by number; the newest. */
+    private final LinkedHashMap<Long, Long> ackedHeartbeats = new LinkedHashMap<>();
+
+    GatewayServerSession(Gateway gateway, GatewayServer server) {
+        super(gateway.loop, gateway.timing.handshakeUs(), GatewayProtocol.MAX_UNAUTHENTICATED_BYTES, GatewayProtocol.MAX_MESSAGE_BYTES);
+        this.gateway = gateway;
+        this.server = server;
+    }
+
+    @Override
+    protected void said(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+        if (hello == null) {
+            onHello(type, payload, frame);
+        } else if (inbound == null) {
+            onProof(type, payload);
+        } else {
+            switch (type) {
+                case GatewayProtocol.FORWARD_PART -> onForwardPart(payload);
+                case GatewayProtocol.CANCEL_PART -> server.receiver.onCancelPart(inbound, payload.getLong());
+                case GatewayProtocol.STATUS_QUERY -> onStatusQuery(payload);
+                case GatewayProtocol.HEARTBEAT -> {
+                    long number = payload.getLong();
+                    server.receiver.forgetBelow(inbound, payload.getLong());
+                    send(GatewayProtocol.HEARTBEAT_ACK, new GatewayProtocol.Out().eight(number).made());
+                    ackedHeartbeats.put(number, gateway.loop.now());
+                    if (ackedHeartbeats.size() > MAX_ACKED_HEARTBEATS) {
+                        ackedHeartbeats.remove(ackedHeartbeats.keySet().iterator().next());
+                    }
+                    server.heartbeatReceived(this);
+                }
+                default -> throw GatewayProtocol.bad("a message of type " + type);
+            }
+        }
+    }
+
+    private void onHello(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+        if (type != GatewayProtocol.HELLO || payload.getShort() != GatewayProtocol.VERSION) {
+            throw GatewayProtocol.bad("no greeting of this version");
+        }
+        keyId = GatewayProtocol.text(payload);
+        site = GatewayProtocol.text(payload);
+        router = GatewayProtocol.text(payload);
+        channelIndex = payload.getShort();
+        incarnation = payload.getLong();
+        GatewayProtocol.bytes(payload, GatewayProtocol.NONCE_BYTES);
+        if (!gateway.keys.has(keyId)
+                || !gateway.identity.acceptedSites().contains(site)
+                || channelIndex < 0
+                || channelIndex >= Gateway.MAX_CHANNELS) {
+            throw GatewayProtocol.bad("a site or a key that is not known here: " + site + ", " + keyId);
+        }
+        hello = java.util.Arrays.copyOfRange(frame, 1, payload.position());
+        challenge = new Message.Out()
+                .two(GatewayProtocol.VERSION)
+                .text(gateway.identity.site())
+                .text(gateway.identity.router())
+                .eight(gateway.identity.incarnation())
+                .bytes(gateway.newNonce())
+                .made();
+        within(
+                gateway.timing
+                        .handshakeUs()); // Its proof is a round trip away, however long the line
+        // is.
+        send(
+                GatewayProtocol.CHALLENGE,
+                new Message.Out()
+                        .bytes(challenge)
+                        .bytes(gateway.keys.proof(keyId, "far proof", hello, challenge))
+                        .made());
+    }
+
+    private void onProof(byte type, ByteBuffer payload) throws BadMessage {
+        if (type != GatewayProtocol.PROOF) {
+            throw GatewayProtocol.bad("no proof");
+        }
+        byte[] channelCounts = GatewayProtocol.bytes(payload, 2 * Long.BYTES);
+        byte[] proof = GatewayProtocol.bytes(payload, GatewayProtocol.PROOF_BYTES);
+        if (!gateway.keys.has(keyId)
+                || !GatewayKeys.same(
+                        proof, gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))) {
+            gateway.counters.add("far_wrong_proof");
+            throw GatewayProtocol.bad("a wrong proof");
+        }
+        sealed(gateway.keys.proof(keyId, "session", hello, challenge), false);
+        ByteBuffer countsReader = ByteBuffer.wrap(channelCounts);
+        inbound = server.receiver.onConnected(
+                site + "/" + router, channelIndex, incarnation, countsReader.getLong(), countsReader.getLong(), this);
+        if (inbound == null) {
+            throw GatewayProtocol.bad("too many routers are connected");
+        }
+        gateway.counters.add("far_lines_up");
+        LOG.log(Level.INFO, "event=near_up site={0} router={1} line={2}", new Object[] {
+            site, router, channelIndex
+        });
+        server.authenticated(this);
+    }
+
+    private void onForwardPart(ByteBuffer payload) throws BadMessage {
+        long number = payload.getLong();
+        long remainingUs = payload.getLong();
+        long effectRemainingUs = payload.getLong();
+        Long ackedAt = ackedHeartbeats.get(payload.getLong());
+        long sinceAckUs = payload.getLong();
+        int shard = payload.getInt();
+        int flags = payload.get();
+        String index = GatewayProtocol.text(payload);
+        String id = GatewayProtocol.text(payload);
+        String idempotencyKey = (flags & 2) == 0 ? null : GatewayProtocol.text(payload);
+        if (number < 1 || sinceAckUs < 0) {
+            throw GatewayProtocol.bad("a part out of range");
+        }
+        gateway.counters.add("far_parts");
+        // Danger: a line that holds a part back for long and then brings it. Its age is no more
+        // than the time
+        // since the answer to a heartbeat left here, less the time for which its near router has
+        // had that
+        // answer: a round trip, which is also what its own answer needs. An old answer can't be
+        // told apart
+        // and counts as too old.
+        long now = gateway.loop.now();
+        long ageUs = ackedAt == null ? Long.MAX_VALUE / 2 : Math.max(0, now - ackedAt - sinceAckUs);
+        long runnableUs = Math.min(remainingUs, effectRemainingUs) - ageUs;
+        server.receiver.onForwardPart(
+                inbound,
+                new IncomingPart(
+                        inbound,
+                        number,
+                        now,
+                        runnableUs,
+                        id,
+                        index,
+                        shard,
+                        idempotencyKey,
+                        GatewayProtocol.bytes(payload, payload.remaining()),
+                        (flags & 1) != 0),
+                runnableUs > 0);
+    }
+
+    private void onStatusQuery(ByteBuffer payload) throws BadMessage {
+        int aboutChannel = payload.getShort();
+        long connectCount = payload.getLong();
+        long minAcceptedNumber = payload.getLong();
+        int count = payload.getShort() & 0xffff;
+        if (count > GatewayProtocol.MAX_QUERIED_PARTS || payload.remaining() != count * Long.BYTES) {
+            throw GatewayProtocol.bad("a list of fates that does not fit");
+        }
+        Set<Long> numbers = new HashSet<>();
+        for (int i = 0; i < count; i++) {
+            numbers.add(payload.getLong());
+        }
+        server.receiver.onStatusQuery(inbound, this, aboutChannel, connectCount, minAcceptedNumber, numbers);
+    }
+
+    @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
+    void sendPartStatus(int aboutChannel, long number, PartStatus status, IncomingPart part) {
+        boolean hasValue = part != null && status == PartStatus.DONE;
+        send(
+                GatewayProtocol.PART_STATUS,
+                new Message.Out()
+                        .two(aboutChannel)
+                        .eight(number)
+                        .byt(status.ordinal())
+                        .eight(part == null ? 0 : part.durationUs)
+                        .eight(part == null ? 0 : part.retryAfterUs)
+                        .bytes(hasValue ? part.value : new byte[0])
+                        .made());
+    }
+
+    @Override
+    protected void over(Ending how) {
+        server.sessionClosed(this);
+        if (inbound != null) {
+            LOG.log(
+                    Level.INFO,
+                    "event=near_down site={0} router={1} line={2} how={3}",
+                    new Object[] {site, router, channelIndex, how});
+            server.receiver.onDisconnected(inbound, this);
+        } else {
+            gateway.counters.add("far_refused");
+        }
+    }
+
+    @Override
+    protected String peer() {
+        return site + "/" + router;
+    }
+
+    @Override
+    protected void counted(String what) {
+        gateway.counters.add("far_" + what);
+    }
+
+    @Override
+    protected Logger log() {
+        return LOG;
+    }
+}
--- a/src/main/java/tinlink/gateway/FarPart.java
+++ b/src/main/java/tinlink/gateway/IncomingPart.java
@@ -1,46 +1,46 @@
 package tinlink.gateway;
 
-import tinlink.gateway.choice.Origin;
-import tinlink.gateway.choice.Taken;
+import tinlink.gateway.forwarding.InboundChannel;
+import tinlink.gateway.forwarding.ReceivedPart;
 
 /** A part that another site has passed on to this router. Fields only. */
-public final class FarPart extends Taken {
+public final class IncomingPart extends ReceivedPart {
     public final long arrivedAt;
     /** How long it may run here, and have its effect. */
-    public final long leftUs;
+    public final long remainingUs;
 
     public final String id;
     public final String index;
     public final int shard;
-    public final String key;
+    public final String idempotencyKey;
     public final byte[] text;
-    public final boolean repeat;
+    public final boolean clientRetry;
     /** Whatever the part is to whoever runs it here. */
-    public Object what;
+    public Object attachment;
 
     byte[] value = new byte[0];
-    long comeBackUs;
-    long tookUs;
+    long retryAfterUs;
+    long durationUs;
 
-    FarPart(
-            Origin origin,
+    IncomingPart(
+            InboundChannel inbound,
             long number,
             long arrivedAt,
-            long leftUs,
+            long remainingUs,
             String id,
             String index,
             int shard,
-            String key,
+            String idempotencyKey,
             byte[] text,
-            boolean repeat) {
-        super(origin, number);
+            boolean clientRetry) {
+        super(inbound, number);
         this.arrivedAt = arrivedAt;
-        this.leftUs = leftUs;
+        this.remainingUs = remainingUs;
         this.id = id;
         this.index = index;
         this.shard = shard;
-        this.key = key;
+        this.idempotencyKey = idempotencyKey;
         this.text = text;
-        this.repeat = repeat;
+        this.clientRetry = clientRetry;
     }
 }
--- a/src/main/java/tinlink/gateway/choice/Fate.java
+++ b/src/main/java/tinlink/gateway/forwarding/PartStatus.java
@@ -1,4 +1,4 @@
-package tinlink.gateway.choice;
+package tinlink.gateway.forwarding;
 
 import tinlink.decision.Outcome;
 
@@ -6,7 +6,7 @@
  * All that can be known of a forwarded part, and what each means for its part call: the one place
  * that says so.
  */
-public enum Fate {
+public enum PartStatus {
     /** It has not left this router. */
     NEVER_LEFT(Outcome.NOT_SENT),
     /** The far router has not begun it and never will. */
@@ -33,7 +33,7 @@
     /** Null for one that is no end. */
     public final Outcome outcome;
 
-    Fate(Outcome outcome) {
+    PartStatus(Outcome outcome) {
         this.outcome = outcome;
     }
 }
--- a/src/main/java/tinlink/router/QueryReader.java
+++ b/src/main/java/tinlink/router/QueryReader.java
@@ -2,7 +2,7 @@
 
 import tinlink.decision.Index;
 import tinlink.decision.Part;
-import tinlink.gateway.FarPart;
+import tinlink.gateway.IncomingPart;
 import tinlink.net.BadMessage;
 import tinlink.net.JsonReader;
 import tinlink.start.RouterStart;
@@ -68,22 +68,22 @@
      *
      * @param id of its own among all in hand
      */
-    Query forwarded(FarPart p, String id, Query.Asker asker) throws BadMessage {
-        Index index = may.indexes().get(p.index);
-        if (index == null || p.shard < 0 || p.shard >= may.shards()) {
+    Query forwarded(IncomingPart part, String id, Query.Asker asker) throws BadMessage {
+        Index index = may.indexes().get(part.index);
+        if (index == null || part.shard < 0 || part.shard >= may.shards()) {
             throw new BadMessage(400, "no such class or shard");
         }
         boolean keyed = index.effect == Index.Effect.FINGERPRINTED;
-        if (!PART_ID.matcher(p.id).matches()
-                || (keyed && (p.key == null || !KEY.matcher(p.key).matches()))) {
+        if (!PART_ID.matcher(part.id).matches()
+                || (keyed && (part.idempotencyKey == null || !KEY.matcher(part.idempotencyKey).matches()))) {
             throw new BadMessage(400, "id or key: not of its form");
         }
-        Query q = new Query(id, p.text, keyed ? p.key : null, asker);
+        Query q = new Query(id, part.text, keyed ? part.idempotencyKey : null, asker);
         q.index = index;
-        q.repeat = p.repeat;
+        q.repeat = part.clientRetry;
         q.forwarded = true;
-        q.leavesAt = p.arrivedAt + p.leftUs;
-        q.parts.add(new Segment(q, p.shard, 1, p.id));
+        q.leavesAt = part.arrivedAt + part.remainingUs;
+        q.parts.add(new Segment(q, part.shard, 1, part.id));
         q.announced = 1;
         return q;
     }
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -311,12 +311,12 @@
         }
         listHeard();
         if (sites != null) {
-            sites.gateway().leave();
+            sites.gateway().startDraining();
         }
     }
 
     private void endWhenEmpty(long last) {
-        if ((intake.isEmpty() && (sites == null || sites.gateway().isEmpty()))
+        if ((intake.isEmpty() && (sites == null || sites.gateway().isIdle()))
                 || loop.now() >= last) {
             if (work == null) {
                 loop.end();
--- a/src/main/java/tinlink/router/SiteLinks.java
+++ b/src/main/java/tinlink/router/SiteLinks.java
@@ -5,12 +5,12 @@
 import tinlink.decision.Index;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.gateway.FarPart;
+import tinlink.gateway.IncomingPart;
 import tinlink.gateway.Gateway;
-import tinlink.gateway.Keys;
-import tinlink.gateway.NearPart;
-import tinlink.gateway.choice.FarRouter;
-import tinlink.gateway.choice.Fate;
+import tinlink.gateway.GatewayKeys;
+import tinlink.gateway.OutgoingPart;
+import tinlink.gateway.forwarding.RemoteRouter;
+import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.BadMessage;
 import tinlink.net.Loop;
 import tinlink.net.Network;
@@ -31,7 +31,7 @@
  * stand before the module as data nodes, one a cell; parts that come from other sites are lookups
  * of one part.
  */
-final class SiteLinks implements Gateway.Stages, Query.Asker {
+final class SiteLinks implements Gateway.PartHandler, Query.Asker {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private final Loop loop;
     private final Stages stages;
@@ -42,7 +42,7 @@
     /**
      * Of each far router by cell, made as it first serves one: as many as the settings have cells.
      */
-    private final IdentityHashMap<FarRouter, DataNode[]> nodes = new IdentityHashMap<>();
+    private final IdentityHashMap<RemoteRouter, DataNode[]> nodes = new IdentityHashMap<>();
 
     private long begun;
 
@@ -55,20 +55,20 @@
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Names(g.site, g.router, loop.now(), g.accepts),
+                new Gateway.Identity(g.site, g.router, loop.now(), g.accepts),
                 keys(g),
-                new Gateway.Times(g.beatUs, g.handshakeUs, g.recoverUs, start.longestUs),
-                new Gateway.Bounds(
+                new Gateway.Timing(g.beatUs, g.handshakeUs, g.recoverUs, start.longestUs),
+                new Gateway.Limits(
                         g.takesParts, g.remembers, g.remembersBytes, g.routers, g.waiting),
                 g.far.stream()
-                        .map(f -> new Gateway.Far(f.site(), f.router(), f.lines()))
+                        .map(f -> new Gateway.RemoteEndpoint(f.site(), f.router(), f.lines()))
                         .toList(),
                 start.seed,
                 this);
     }
 
-    private static Keys keys(GatewayStart g) {
-        return new Keys(Map.copyOf(g.keys), g.useKey);
+    private static GatewayKeys keys(GatewayStart g) {
+        return new GatewayKeys(Map.copyOf(g.keys), g.useKey);
     }
 
     /** From now on lines are opened and taken. */
@@ -76,9 +76,9 @@
         if (g.listen != null) {
             gateway.listen(g.listen);
         }
-        stages.roster.tells(gateway::cells);
+        stages.roster.tells(gateway::announceCells);
         stages.turn.beside(gateway.turn());
-        gateway.tellCounts();
+        gateway.logCounters();
         LOG.log(
                 Level.INFO,
                 "event=gateway_on site={0} router={1} far={2} listen={3}",
@@ -112,11 +112,11 @@
     // ---- Parts that go out. ----
 
     @Override
-    public void serves(FarRouter router, BitSet which, long lineUs) {
+    public void cellsChanged(RemoteRouter router, BitSet which, long lineUs) {
         DataNode[] known = nodes.computeIfAbsent(router, r -> new DataNode[cells]);
         for (int cell = 0; cell < cells; cell++) {
             if (known[cell] == null && which.get(cell)) {
-                known[cell] = stages.roster.farNode(gateway.site(router), cell);
+                known[cell] = stages.roster.farNode(gateway.siteOf(router), cell);
                 stages.sends.target(known[cell]).far = s -> forward(router, s);
             }
             DataNode n = known[cell];
@@ -134,9 +134,9 @@
         stages.turn.input(m -> m.nodes(Aggregator.News.CHANGES));
     }
 
-    private void forward(FarRouter to, Sent s) {
+    private void forward(RemoteRouter to, Sent s) {
         Query q = s.segment().query();
-        NearPart p = new NearPart(
+        OutgoingPart part = new OutgoingPart(
                 s,
                 loop.now(),
                 s.until,
@@ -152,7 +152,7 @@
         s.by = new Carried() {
             @Override
             public boolean waits() {
-                return p.waits();
+                return part.isQueued();
             }
 
             @Override
@@ -162,10 +162,10 @@
 
             @Override
             public void over(Sent x, boolean giveUp) {
-                gateway.giveUp(to, p);
+                gateway.cancel(to, part);
             }
         };
-        gateway.send(to, p);
+        gateway.forward(to, part);
     }
 
     /** Danger: what comes later on a line must not be the first of its key to run. */
@@ -177,17 +177,17 @@
     }
 
     @Override
-    public void ended(NearPart p, Outcome how, long tookUs) {
-        Sent s = (Sent) p.what;
+    public void partEnded(OutgoingPart part, Outcome how, long tookUs) {
+        Sent s = (Sent) part.attachment;
         if (s.over) {
             return;
         }
         s.over = true;
         Query q = s.segment().query();
         if (how == Outcome.SATISFIED) {
-            s.segment().value = new String(p.value, StandardCharsets.UTF_8);
+            s.segment().value = new String(part.value, StandardCharsets.UTF_8);
         } else if (how == Outcome.TURNED_AWAY) {
-            q.comeBackUs = Math.max(q.comeBackUs, p.comeBackUs);
+            q.comeBackUs = Math.max(q.comeBackUs, part.retryAfterUs);
         }
         stages.turn.outcome(s, how, tookUs);
     }
@@ -195,11 +195,11 @@
     // ---- Parts that come in. ----
 
     @Override
-    public void begin(FarPart p) {
+    public void startPart(IncomingPart part) {
         try {
-            Query q = stages.reader.forwarded(p, "/" + begun++, this);
-            p.what = q;
-            q.origin = p;
+            Query q = stages.reader.forwarded(part, "/" + begun++, this);
+            part.attachment = q;
+            q.origin = part;
             if (stages.intake.hasRoom(q)) {
                 stages.turn.take(q);
                 return;
@@ -207,12 +207,12 @@
         } catch (BadMessage e) {
             LOG.log(Level.FINE, "event=part_not_used why=\"{0}\"", e.getMessage());
         }
-        gateway.ended(p, Fate.REFUSED, null, 0);
+        gateway.partEnded(part, PartStatus.REFUSED, null, 0);
     }
 
     @Override
-    public void giveUp(FarPart p) {
-        if (p.what instanceof Query q && !q.ended) {
+    public void cancelPart(IncomingPart part) {
+        if (part.attachment instanceof Query q && !q.ended) {
             stages.turn.clientGone(q);
         }
     }
@@ -220,7 +220,7 @@
     @Override
     public void answered(Query q, boolean whole) {
         String value = ((Segment) q.parts.get(0)).value;
-        gateway.ended((FarPart) q.origin, Fate.DONE, value.getBytes(StandardCharsets.UTF_8), 0);
+        gateway.partEnded((IncomingPart) q.origin, PartStatus.DONE, value.getBytes(StandardCharsets.UTF_8), 0);
     }
 
     @Override
@@ -246,6 +246,6 @@
         for (Part p : q.parts) {
             never &= p.calls.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
         }
-        gateway.ended((FarPart) q.origin, never ? Fate.REFUSED : Fate.FAILED, null, comeBackUs);
+        gateway.partEnded((IncomingPart) q.origin, never ? PartStatus.REFUSED : PartStatus.FAILED, null, comeBackUs);
     }
 }
--- a/src/test/java/tinlink/RoomsTest.java
+++ b/src/test/java/tinlink/RoomsTest.java
@@ -43,8 +43,8 @@
                 .definedBy("tinlink.benchlink")
                 .layer("gateway")
                 .definedBy("tinlink.gateway")
-                .layer("choice")
-                .definedBy("tinlink.gateway.choice")
+                .layer("forwarding")
+                .definedBy("tinlink.gateway.forwarding")
                 .layer("sealed")
                 .definedBy("tinlink.sealed")
                 .layer("cluster")
@@ -85,7 +85,7 @@
                 .mayOnlyBeAccessedByLayers("main")
                 .whereLayer("gateway")
                 .mayOnlyBeAccessedByLayers("router")
-                .whereLayer("choice")
+                .whereLayer("forwarding")
                 .mayOnlyBeAccessedByLayers("gateway", "router")
                 .whereLayer("http2")
                 .mayOnlyBeAccessedByLayers("router")
@@ -148,7 +148,7 @@
                 .that()
                 .resideInAnyPackage(
                         "tinlink.decision",
-                        "tinlink.gateway.choice",
+                        "tinlink.gateway.forwarding",
                         "tinlink.http2.choice",
                         "tinlink.cluster.membership",
                         "tinlink.maintenance.scheduling",
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 import tinlink.benchlink.BenchLink;
-import tinlink.gateway.choice.ChoicePlayer;
+import tinlink.gateway.forwarding.ForwardingPlayer;
 import tinlink.http2.EnginePlayer;
 import tinlink.http2.choice.PoolPlayer;
 import tinlink.net.Ending;
@@ -111,7 +111,7 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void links(String title, List<String> script) {
-        new ChoicePlayer().play(script);
+        new ForwardingPlayer().play(script);
     }
 
     @ParameterizedTest(name = "{0}")
--- a/src/test/java/tinlink/gateway/PeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 
 import tinlink.decision.Outcome;
-import tinlink.gateway.choice.FarRouter;
-import tinlink.gateway.choice.Fate;
+import tinlink.gateway.forwarding.RemoteRouter;
+import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.Loop;
 import tinlink.net.Network;
 import tinlink.sealed.Message;
@@ -37,16 +37,16 @@
 
 /** The far side of a link against peers that are not what they say, byte by byte. */
 @Timeout(30)
-class PeerTest {
+class HostilePeerTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-    private static final Keys KEYS = new Keys(
+    private static final GatewayKeys KEYS = new GatewayKeys(
             Map.of("k1", KEY, "k2", "fedcba9876543210".getBytes(StandardCharsets.US_ASCII)), "k1");
-    private static final int NONCE = Wire.NONCE;
+    private static final int NONCE = GatewayProtocol.NONCE_BYTES;
     private final Loop loop = new Loop();
-    private final AtomicInteger begun = new AtomicInteger();
+    private final AtomicInteger startedParts = new AtomicInteger();
     private Network network;
     private Gateway gateway;
-    private Peer good;
+    private Peer wellBehavedPeer;
 
     @BeforeEach
     void start() throws Exception {
@@ -54,32 +54,32 @@
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Names("west", "w1", 77, Set.of("east")),
+                new Gateway.Identity("west", "w1", 77, Set.of("east")),
                 KEYS,
-                new Gateway.Times(50_000, 400_000, 1_000_000, 1_000_000),
-                new Gateway.Bounds(8, 16, 1 << 16, 4, 4),
+                new Gateway.Timing(50_000, 400_000, 1_000_000, 1_000_000),
+                new Gateway.Limits(8, 16, 1 << 16, 4, 4),
                 List.of(),
                 1,
-                new Gateway.Stages() {
+                new Gateway.PartHandler() {
                     @Override
-                    public void ended(NearPart p, Outcome how, long tookUs) {
+                    public void partEnded(OutgoingPart part, Outcome how, long tookUs) {
                         throw new IllegalStateException("nothing is passed on here");
                     }
 
                     @Override
-                    public void serves(FarRouter router, BitSet cells, long lineUs) {
+                    public void cellsChanged(RemoteRouter router, BitSet cells, long lineUs) {
                         throw new IllegalStateException("nobody is far from here");
                     }
 
                     @Override
-                    public void begin(FarPart p) {
-                        begun.incrementAndGet();
-                        gateway.ended(
-                                p, Fate.DONE, ("v" + p.shard).getBytes(StandardCharsets.UTF_8), 0);
+                    public void startPart(IncomingPart part) {
+                        startedParts.incrementAndGet();
+                        gateway.partEnded(
+                                part, PartStatus.DONE, ("v" + part.shard).getBytes(StandardCharsets.UTF_8), 0);
                     }
 
                     @Override
-                    public void giveUp(FarPart p) {
+                    public void cancelPart(IncomingPart part) {
                         // It has ended already.
                     }
                 });
@@ -87,31 +87,31 @@
         Thread t = new Thread(() -> loop.run(gateway.turn()));
         t.setDaemon(true);
         t.start();
-        good = new Peer(KEYS, "k1", "east");
-        good.shakes();
+        wellBehavedPeer = new Peer(KEYS, "k1", "east");
+        wellBehavedPeer.completeHandshake();
     }
 
     /** Whatever was done: the good peer's line has stayed, and its parts are served. */
     @AfterEach
-    void othersUnharmed() throws Exception {
-        good.ping(99);
-        good.part(50, 4, 1_000_000, 99);
-        assertEquals("v4", good.value(50));
-        int left = -1;
-        for (int i = 0; i < 200 && left != 0; i++) {
-            CompletableFuture<Integer> strangers = new CompletableFuture<>();
-            loop.ready(() -> strangers.complete(gateway.strangers()));
-            left = strangers.get();
+    void wellBehavedPeerIsUnharmed() throws Exception {
+        wellBehavedPeer.exchangeHeartbeat(99);
+        wellBehavedPeer.sendPart(50, 4, 1_000_000, 99);
+        assertEquals("v4", wellBehavedPeer.awaitValue(50));
+        int unauthenticated = -1;
+        for (int i = 0; i < 200 && unauthenticated != 0; i++) {
+            CompletableFuture<Integer> count = new CompletableFuture<>();
+            loop.ready(() -> count.complete(gateway.unauthenticatedConnections()));
+            unauthenticated = count.get();
             Thread.sleep(5);
         }
-        assertEquals(0, left);
+        assertEquals(0, unauthenticated);
         loop.ready(loop::end);
         network.close();
     }
 
     /** A near router as far as its bytes go. */
     private final class Peer {
-        final Keys keys;
+        final GatewayKeys keys;
         final String keyId;
         final String site;
         final Socket socket;
@@ -119,13 +119,13 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        tinlink.sealed.Keys.Seal out;
-        tinlink.sealed.Keys.Seal back;
-        int version = Wire.VERSION;
+        tinlink.sealed.Keys.Seal outboundSeal;
+        tinlink.sealed.Keys.Seal inboundSeal;
+        int version = GatewayProtocol.VERSION;
         long incarnation = 5;
-        long ups = 1;
+        long connectCount = 1;
 
-        Peer(Keys keys, String keyId, String site) throws IOException {
+        Peer(GatewayKeys keys, String keyId, String site) throws IOException {
             this.keys = keys;
             this.keyId = keyId;
             this.site = site;
@@ -137,7 +137,7 @@
         }
 
         byte[] frame(byte type, byte[] body) {
-            byte[] seal = out == null ? new byte[0] : out.next(type, body, 0, body.length);
+            byte[] seal = outboundSeal == null ? new byte[0] : outboundSeal.next(type, body, 0, body.length);
             return ByteBuffer.allocate(5 + body.length + seal.length)
                     .putInt(1 + body.length + seal.length)
                     .put(type)
@@ -156,7 +156,7 @@
             return b;
         }
 
-        void greets() throws IOException {
+        void exchangeHello() throws IOException {
             hello = new Message.Out()
                     .two(version)
                     .text(keyId)
@@ -166,38 +166,38 @@
                     .eight(incarnation)
                     .bytes(nonce)
                     .made();
-            send(Wire.HELLO, hello);
+            send(GatewayProtocol.HELLO, hello);
             byte[] whole = next();
-            assertEquals(Wire.CHALLENGE, whole[0]);
-            challenge = Arrays.copyOfRange(whole, 1, whole.length - Wire.PROOF_BYTES);
+            assertEquals(GatewayProtocol.CHALLENGE, whole[0]);
+            challenge = Arrays.copyOfRange(whole, 1, whole.length - GatewayProtocol.PROOF_BYTES);
             assertArrayEquals(
                     KEYS.proof(keyId, "far proof", hello, challenge),
-                    Arrays.copyOfRange(whole, whole.length - Wire.PROOF_BYTES, whole.length));
+                    Arrays.copyOfRange(whole, whole.length - GatewayProtocol.PROOF_BYTES, whole.length));
         }
 
         byte[] proof() {
-            byte[] next = new Message.Out().eight(ups).eight(1).made();
+            byte[] next = new Message.Out().eight(connectCount).eight(1).made();
             return new Message.Out()
                     .bytes(next)
                     .bytes(keys.proof(keyId, "near proof", hello, challenge, next))
                     .made();
         }
 
-        void shakes() throws IOException {
-            greets();
-            send(Wire.PROOF, proof());
+        void completeHandshake() throws IOException {
+            exchangeHello();
+            send(GatewayProtocol.PROOF, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            out = new tinlink.sealed.Keys.Seal(Keys.mac(secret, "to the far side"));
-            back = new tinlink.sealed.Keys.Seal(Keys.mac(secret, "to the near side"));
-            awaits(Wire.WINDOW);
+            outboundSeal = new tinlink.sealed.Keys.Seal(GatewayKeys.mac(secret, "to the far side"));
+            inboundSeal = new tinlink.sealed.Keys.Seal(GatewayKeys.mac(secret, "to the near side"));
+            awaitMessage(GatewayProtocol.CREDIT_WINDOW);
         }
 
-        ByteBuffer awaits(byte type) throws IOException {
+        ByteBuffer awaitMessage(byte type) throws IOException {
             while (true) {
                 byte[] whole = next();
-                int end = whole.length - Wire.SEAL_BYTES;
+                int end = whole.length - GatewayProtocol.SEAL_BYTES;
                 assertArrayEquals(
-                        back.next(whole[0], whole, 1, end - 1),
+                        inboundSeal.next(whole[0], whole, 1, end - 1),
                         Arrays.copyOfRange(whole, end, whole.length));
                 if (whole[0] == type) {
                     return ByteBuffer.wrap(whole, 1, end - 1);
@@ -205,17 +205,17 @@
             }
         }
 
-        void ping(long number) throws IOException {
-            send(Wire.PING, new Message.Out().eight(number).eight(1).made());
-            assertEquals(number, awaits(Wire.PONG).getLong());
+        void exchangeHeartbeat(long number) throws IOException {
+            send(GatewayProtocol.HEARTBEAT, new Message.Out().eight(number).eight(1).made());
+            assertEquals(number, awaitMessage(GatewayProtocol.HEARTBEAT_ACK).getLong());
         }
 
-        byte[] partBody(long number, int shard, long leftUs, long pong) {
+        byte[] partBody(long number, int shard, long remainingUs, long ackedHeartbeat) {
             return new Message.Out()
                     .eight(number)
-                    .eight(leftUs)
+                    .eight(remainingUs)
                     .eight(Long.MAX_VALUE)
-                    .eight(pong)
+                    .eight(ackedHeartbeat)
                     .eight(0)
                     .four(shard)
                     .byt(0)
@@ -225,24 +225,24 @@
                     .made();
         }
 
-        void part(long number, int shard, long leftUs, long pong) throws IOException {
-            send(Wire.PART, partBody(number, shard, leftUs, pong));
+        void sendPart(long number, int shard, long remainingUs, long ackedHeartbeat) throws IOException {
+            send(GatewayProtocol.FORWARD_PART, partBody(number, shard, remainingUs, ackedHeartbeat));
         }
 
         /** The fate that comes next, which must be of that number, and its value. */
         @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
-        String value(long number) throws IOException {
-            ByteBuffer b = awaits(Wire.SAY);
+        String awaitValue(long number) throws IOException {
+            ByteBuffer b = awaitMessage(GatewayProtocol.PART_STATUS);
             b.getShort();
             assertEquals(number, b.getLong());
-            Fate fate = Fate.values()[b.get()];
+            PartStatus status = PartStatus.values()[b.get()];
             b.getLong();
             b.getLong();
-            return fate == Fate.DONE ? StandardCharsets.UTF_8.decode(b).toString() : fate.name();
+            return status == PartStatus.DONE ? StandardCharsets.UTF_8.decode(b).toString() : status.name();
         }
 
         /** Ended by the far side within a second, without a further message. */
-        void refused() throws IOException {
+        void assertDisconnected() throws IOException {
             long from = System.nanoTime();
             try {
                 assertEquals(-1, in.read());
@@ -254,18 +254,18 @@
     }
 
     @Test
-    void wrongKeyIsRefusedAndTheRightOneIsNot() throws Exception {
-        Peer p = new Peer(new Keys(Map.of("k1", new byte[16]), "k1"), "k1", "east");
-        p.greets();
-        p.send(Wire.PROOF, p.proof());
-        p.refused();
+    void wrongKeyIsRejectedAndAnyKeyOfTheRingIsAccepted() throws Exception {
+        Peer peer = new Peer(new GatewayKeys(Map.of("k1", new byte[16]), "k1"), "k1", "east");
+        peer.exchangeHello();
+        peer.send(GatewayProtocol.PROOF, peer.proof());
+        peer.assertDisconnected();
         Peer other = new Peer(KEYS, "k2", "east"); // Any key of the ring is good.
         other.incarnation = 6;
-        other.greets();
+        other.exchangeHello();
         other.socket.close();
         Peer old = new Peer(KEYS, "k0", "east");
         old.send(
-                Wire.HELLO,
+                GatewayProtocol.HELLO,
                 new Message.Out()
                         .two(1)
                         .text("k0")
@@ -275,41 +275,41 @@
                         .eight(5)
                         .bytes(old.nonce)
                         .made());
-        old.refused();
+        old.assertDisconnected();
     }
 
     @Test
-    void unknownSiteWrongVersionAndSilenceAreRefused() throws Exception {
+    void unknownSiteWrongVersionAndSilenceAreRejected() throws Exception {
         for (int i = 0; i < 3; i++) {
-            Peer p = new Peer(KEYS, "k1", i == 0 ? "north" : "east");
-            p.version = i == 1 ? 2 : 1;
-            p.hello = new Message.Out()
-                    .two(p.version)
+            Peer peer = new Peer(KEYS, "k1", i == 0 ? "north" : "east");
+            peer.version = i == 1 ? 2 : 1;
+            peer.hello = new Message.Out()
+                    .two(peer.version)
                     .text("k1")
-                    .text(p.site)
+                    .text(peer.site)
                     .text("e1")
                     .two(0)
                     .eight(5)
-                    .bytes(p.nonce)
+                    .bytes(peer.nonce)
                     .made();
             if (i < 2) {
-                p.send(Wire.HELLO, p.hello);
+                peer.send(GatewayProtocol.HELLO, peer.hello);
             }
-            p.refused();
+            peer.assertDisconnected();
         }
     }
 
     @Test
-    void replayedHandshakeProvesNothing() throws Exception {
+    void replayedProofIsRejected() throws Exception {
         Peer first = new Peer(KEYS, "k1", "east");
         first.incarnation = 6;
-        first.greets();
+        first.exchangeHello();
         byte[] recorded = first.proof();
         Peer again = new Peer(KEYS, "k1", "east");
         again.incarnation = 6;
-        again.greets();
-        again.send(Wire.PROOF, recorded); // Of the connection before: its challenge was another.
-        again.refused();
+        again.exchangeHello();
+        again.send(GatewayProtocol.PROOF, recorded); // Of the connection before: its challenge was another.
+        again.assertDisconnected();
         first.socket.close();
     }
 
@@ -317,34 +317,34 @@
     void oversizedAndRandomBytesCostTheirOwnConnection() throws Exception {
         Random random = new Random(3);
         for (int i = 0; i < 60; i++) {
-            Peer p = new Peer(KEYS, "k1", "east");
+            Peer peer = new Peer(KEYS, "k1", "east");
             byte[] noise = new byte[1 + random.nextInt(300)];
             random.nextBytes(noise);
             if (i == 0) {
                 noise = ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).array();
             }
-            p.socket.getOutputStream().write(noise);
-            p.socket.shutdownOutput();
-            p.refused();
+            peer.socket.getOutputStream().write(noise);
+            peer.socket.shutdownOutput();
+            peer.assertDisconnected();
         }
     }
 
     @Test
-    void theSameFrameTwiceOnOneLineOrTheNextRunsOnce() throws Exception {
-        good.ping(1);
-        good.part(1, 3, 1_000_000, 1);
-        assertEquals("v3", good.value(1));
-        good.part(1, 3, 1_000_000, 1);
-        assertEquals("v3", good.value(1));
-        Peer back = new Peer(
+    void duplicatePartRunsOnceAcrossConnections() throws Exception {
+        wellBehavedPeer.exchangeHeartbeat(1);
+        wellBehavedPeer.sendPart(1, 3, 1_000_000, 1);
+        assertEquals("v3", wellBehavedPeer.awaitValue(1));
+        wellBehavedPeer.sendPart(1, 3, 1_000_000, 1);
+        assertEquals("v3", wellBehavedPeer.awaitValue(1));
+        Peer reconnected = new Peer(
                 KEYS, "k1", "east"); // The same router and incarnation, on a new connection.
-        back.ups = 2;
-        back.shakes();
-        back.ping(1);
-        back.part(1, 3, 1_000_000, 1);
-        assertEquals("v3", back.value(1));
-        assertEquals(1, begun.get());
-        good = back;
+        reconnected.connectCount = 2;
+        reconnected.completeHandshake();
+        reconnected.exchangeHeartbeat(1);
+        reconnected.sendPart(1, 3, 1_000_000, 1);
+        assertEquals("v3", reconnected.awaitValue(1));
+        assertEquals(1, startedParts.get());
+        wellBehavedPeer = reconnected;
     }
 
     /**
@@ -352,70 +352,70 @@
      * place.
      */
     @Test
-    void aReplayedOrChangedMessageEndsTheLine() throws Exception {
+    void replayedOrAlteredMessageEndsTheConnection() throws Exception {
         for (boolean changed : new boolean[] {true, false}) {
-            Peer p = new Peer(KEYS, "k1", "east");
-            p.incarnation = 5;
-            p.ups = 3;
-            p.shakes();
-            p.ping(1);
-            byte[] frame = p.frame(Wire.PART, p.partBody(7, 3, 1_000_000, 1));
+            Peer peer = new Peer(KEYS, "k1", "east");
+            peer.incarnation = 5;
+            peer.connectCount = 3;
+            peer.completeHandshake();
+            peer.exchangeHeartbeat(1);
+            byte[] frame = peer.frame(GatewayProtocol.FORWARD_PART, peer.partBody(7, 3, 1_000_000, 1));
             if (changed) {
-                frame[frame.length - Wire.SEAL_BYTES - 2] ^= 1;
-                p.socket.getOutputStream().write(frame);
+                frame[frame.length - GatewayProtocol.SEAL_BYTES - 2] ^= 1;
+                peer.socket.getOutputStream().write(frame);
             } else {
-                p.socket.getOutputStream().write(frame);
-                assertEquals("v3", p.value(7));
-                p.socket.getOutputStream().write(frame);
+                peer.socket.getOutputStream().write(frame);
+                assertEquals("v3", peer.awaitValue(7));
+                peer.socket.getOutputStream().write(frame);
             }
-            p.refused();
+            peer.assertDisconnected();
         }
-        assertEquals(1, begun.get());
-        good = new Peer(KEYS, "k1", "east");
-        good.ups = 4;
-        good.shakes();
+        assertEquals(1, startedParts.get());
+        wellBehavedPeer = new Peer(KEYS, "k1", "east");
+        wellBehavedPeer.connectCount = 4;
+        wellBehavedPeer.completeHandshake();
     }
 
     @Test
-    void whatWasTooLongOnTheWayDoesNotRun() throws Exception {
-        good.ping(1);
+    void delayedPartDoesNotRun() throws Exception {
+        wellBehavedPeer.exchangeHeartbeat(1);
         Thread.sleep(120);
-        good.part(
+        wellBehavedPeer.sendPart(
                 1, 3, 100_000, 1); // It has had its heartbeat's answer for no time at all, it says.
-        assertEquals("REFUSED", good.value(1));
-        good.part(2, 3, 1_000_000, 12_345); // An answer that never was.
-        assertEquals("REFUSED", good.value(2));
-        assertEquals(0, begun.get());
+        assertEquals("REFUSED", wellBehavedPeer.awaitValue(1));
+        wellBehavedPeer.sendPart(2, 3, 1_000_000, 12_345); // An answer that never was.
+        assertEquals("REFUSED", wellBehavedPeer.awaitValue(2));
+        assertEquals(0, startedParts.get());
     }
 
     @Test
-    void manyStrangersGiveWay() throws Exception {
+    void excessUnauthenticatedConnectionsAreClosed() throws Exception {
         Peer[] all = new Peer[40];
         for (int i = 0; i < all.length; i++) {
             all[i] = new Peer(KEYS, "k1", "east");
         }
-        for (Peer p : all) {
-            p.refused();
+        for (Peer peer : all) {
+            peer.assertDisconnected();
         }
     }
 
     @Test
-    void messagesThatDoNotFitEndTheLine() throws Exception {
+    void malformedMessagesEndTheConnection() throws Exception {
         ByteArrayOutputStream many = new ByteArrayOutputStream();
         many.writeBytes(new Message.Out().two(0).eight(1).eight(1).two(60_000).made());
         byte[][] bodies = {
             many.toByteArray(), new byte[3], new Message.Out().eight(-1).made()
         };
-        byte[] types = {Wire.FATES, Wire.PART, (byte) 99};
+        byte[] types = {GatewayProtocol.STATUS_QUERY, GatewayProtocol.FORWARD_PART, (byte) 99};
         for (int i = 0; i < bodies.length; i++) {
-            Peer p = new Peer(KEYS, "k1", "east");
-            p.ups = 3L + i;
-            p.shakes();
-            p.send(types[i], bodies[i]);
-            p.refused();
+            Peer peer = new Peer(KEYS, "k1", "east");
+            peer.connectCount = 3L + i;
+            peer.completeHandshake();
+            peer.send(types[i], bodies[i]);
+            peer.assertDisconnected();
         }
-        good = new Peer(KEYS, "k1", "east");
-        good.ups = 9;
-        good.shakes();
+        wellBehavedPeer = new Peer(KEYS, "k1", "east");
+        wellBehavedPeer.connectCount = 9;
+        wellBehavedPeer.completeHandshake();
     }
 }
