--- a/src/main/java/tinlink/http2/FrameParser.java
+++ b/src/main/java/tinlink/http2/FrameParser.java
@@ -7,47 +7,47 @@
 /** Reads frames, cut anywhere; one that is longer than we allow is never held. */
 final class FrameParser {
     /** What hears the frames. */
-    interface Sink {
-        void frame(int type, int flags, int stream, ByteBuffer payload) throws Broken;
+    interface FrameHandler {
+        void onFrame(int type, int flags, int streamId, ByteBuffer payload) throws Http2Exception;
     }
 
-    private final Sink sink;
-    private final byte[] head = new byte[H2.HEAD];
-    private int headRead;
+    private final FrameHandler handler;
+    private final byte[] header = new byte[Http2Constants.FRAME_HEADER_BYTES];
+    private int headerBytesRead;
     private ByteBuffer payload;
 
-    FrameParser(Sink sink) {
-        this.sink = sink;
+    FrameParser(FrameHandler handler) {
+        this.handler = handler;
     }
 
     /** Nothing of a next frame has come. */
-    boolean between() {
-        return headRead == 0;
+    boolean isAtFrameBoundary() {
+        return headerBytesRead == 0;
     }
 
-    void read(Ring in) throws Broken {
+    void read(Ring in) throws Http2Exception {
         while (in.size() > 0) {
-            if (headRead < H2.HEAD) {
-                head[headRead++] = in.take();
-                if (headRead < H2.HEAD) {
+            if (headerBytesRead < Http2Constants.FRAME_HEADER_BYTES) {
+                header[headerBytesRead++] = in.take();
+                if (headerBytesRead < Http2Constants.FRAME_HEADER_BYTES) {
                     continue;
                 }
-                int length = (head[0] & 0xff) << 16 | (head[1] & 0xff) << 8 | (head[2] & 0xff);
-                if (length > H2.LEAST_FRAME) {
-                    throw new Broken(H2.Code.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
+                int length = (header[0] & 0xff) << 16 | (header[1] & 0xff) << 8 | (header[2] & 0xff);
+                if (length > Http2Constants.DEFAULT_MAX_FRAME_SIZE) {
+                    throw new Http2Exception(Http2Constants.ErrorCode.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
                 }
                 payload = ByteBuffer.allocate(length);
             }
             payload.put(in.takeRun(payload.remaining()));
             if (!payload.hasRemaining()) {
-                ByteBuffer whole = payload.flip();
-                headRead = 0;
+                ByteBuffer complete = payload.flip();
+                headerBytesRead = 0;
                 payload = null;
-                sink.frame(
-                        head[3] & 0xff,
-                        head[4] & 0xff,
-                        ByteBuffer.wrap(head, 5, 4).getInt() & H2.MOST_ID,
-                        whole);
+                handler.onFrame(
+                        header[3] & 0xff,
+                        header[4] & 0xff,
+                        ByteBuffer.wrap(header, 5, 4).getInt() & Http2Constants.MAX_STREAM_ID,
+                        complete);
             }
         }
     }
--- a/src/main/java/tinlink/http2/FrameWriter.java
+++ b/src/main/java/tinlink/http2/FrameWriter.java
@@ -8,12 +8,12 @@
     private static final int SETTING_BYTES = 6;
     private static final byte[] NOTHING = new byte[0];
 
-    private final Consumer<byte[]> out;
+    private final Consumer<byte[]> sink;
     /** Bytes of payload that the other side takes in one frame. */
-    private int maxFrameSize = H2.LEAST_FRAME;
+    private int maxFrameSize = Http2Constants.DEFAULT_MAX_FRAME_SIZE;
 
-    FrameWriter(Consumer<byte[]> out) {
-        this.out = out;
+    FrameWriter(Consumer<byte[]> sink) {
+        this.sink = sink;
     }
 
     int maxFrameSize() {
@@ -27,73 +27,73 @@
 
     /** The connection preface with the client's settings: no push, and the given window for each stream. */
     void preface(int streamWindow) {
-        out.accept(H2.PREFACE);
+        sink.accept(Http2Constants.PREFACE);
         ByteBuffer settings = ByteBuffer.allocate(3 * SETTING_BYTES);
-        settings.putShort((short) H2.ENABLE_PUSH).putInt(0);
-        settings.putShort((short) H2.INITIAL_WINDOW_SIZE).putInt(streamWindow);
-        settings.putShort((short) H2.MAX_HEADER_LIST_SIZE).putInt(Headers.MOST_LIST);
-        frame(H2.SETTINGS, 0, 0, settings.array());
+        settings.putShort((short) Http2Constants.ENABLE_PUSH).putInt(0);
+        settings.putShort((short) Http2Constants.INITIAL_WINDOW_SIZE).putInt(streamWindow);
+        settings.putShort((short) Http2Constants.MAX_HEADER_LIST_SIZE).putInt(HeaderCodec.MAX_LIST_BYTES);
+        frame(Http2Constants.SETTINGS, 0, 0, settings.array());
     }
 
     void settingsAck() {
-        frame(H2.SETTINGS, H2.ACK, 0, NOTHING);
+        frame(Http2Constants.SETTINGS, Http2Constants.ACK, 0, NOTHING);
     }
 
     /** Lets the other side send so many more bytes on the connection. */
     void connectionWindowUpdate(int bytes) {
-        frame(H2.WINDOW_UPDATE, 0, 0, fourBytes(bytes));
+        frame(Http2Constants.WINDOW_UPDATE, 0, 0, fourBytes(bytes));
     }
 
     /** A header block, in as many frames as it needs. */
-    void headers(int stream, byte[] block, boolean endStream) {
+    void headers(int streamId, byte[] block, boolean endStream) {
         int length = Math.min(block.length, maxFrameSize);
-        int end = endStream ? H2.END_STREAM : 0;
-        frame(H2.HEADERS, end | endHeaders(block, length), stream, block, 0, length);
-        for (int at = length; at < block.length; at += length) {
-            length = Math.min(block.length - at, maxFrameSize);
-            frame(H2.CONTINUATION, endHeaders(block, at + length), stream, block, at, length);
+        int endStreamFlag = endStream ? Http2Constants.END_STREAM : 0;
+        frame(Http2Constants.HEADERS, endStreamFlag | endHeaders(block, length), streamId, block, 0, length);
+        for (int offset = length; offset < block.length; offset += length) {
+            length = Math.min(block.length - offset, maxFrameSize);
+            frame(Http2Constants.CONTINUATION, endHeaders(block, offset + length), streamId, block, offset, length);
         }
     }
 
     private static int endHeaders(byte[] block, int written) {
-        return written == block.length ? H2.END_HEADERS : 0;
+        return written == block.length ? Http2Constants.END_HEADERS : 0;
     }
 
-    void data(int stream, byte[] body, int from, int length, boolean endStream) {
-        frame(H2.DATA, endStream ? H2.END_STREAM : 0, stream, body, from, length);
+    void data(int streamId, byte[] body, int from, int length, boolean endStream) {
+        frame(Http2Constants.DATA, endStream ? Http2Constants.END_STREAM : 0, streamId, body, from, length);
     }
 
-    void resetStream(int stream, H2.Code code) {
-        frame(H2.RST_STREAM, 0, stream, fourBytes(code.ordinal()));
+    void resetStream(int streamId, Http2Constants.ErrorCode code) {
+        frame(Http2Constants.RST_STREAM, 0, streamId, fourBytes(code.ordinal()));
     }
 
     void ping(long number) {
-        frame(H2.PING, 0, 0, ByteBuffer.allocate(Long.BYTES).putLong(number).array());
+        frame(Http2Constants.PING, 0, 0, ByteBuffer.allocate(Long.BYTES).putLong(number).array());
     }
 
     void pingAck(byte[] payload) {
-        frame(H2.PING, H2.ACK, 0, payload);
+        frame(Http2Constants.PING, Http2Constants.ACK, 0, payload);
     }
 
     /** The client has processed none of the other side's streams. */
-    void goAway(H2.Code code) {
+    void goAway(Http2Constants.ErrorCode code) {
         frame(
-                H2.GOAWAY,
+                Http2Constants.GOAWAY,
                 0,
                 0,
                 ByteBuffer.allocate(Long.BYTES).putInt(0).putInt(code.ordinal()).array());
     }
 
-    private void frame(int type, int flags, int stream, byte[] payload) {
-        frame(type, flags, stream, payload, 0, payload.length);
+    private void frame(int type, int flags, int streamId, byte[] payload) {
+        frame(type, flags, streamId, payload, 0, payload.length);
     }
 
-    private void frame(int type, int flags, int stream, byte[] payload, int from, int length) {
-        ByteBuffer frame = ByteBuffer.allocate(H2.HEAD + length);
+    private void frame(int type, int flags, int streamId, byte[] payload, int from, int length) {
+        ByteBuffer frame = ByteBuffer.allocate(Http2Constants.FRAME_HEADER_BYTES + length);
         frame.put((byte) (length >> 16)).put((byte) (length >> 8)).put((byte) length);
-        frame.put((byte) type).put((byte) flags).putInt(stream);
+        frame.put((byte) type).put((byte) flags).putInt(streamId);
         frame.put(payload, from, length);
-        out.accept(frame.array());
+        sink.accept(frame.array());
     }
 
     private static byte[] fourBytes(int value) {
--- a/src/main/java/tinlink/http2/HeaderBlockReader.java
+++ b/src/main/java/tinlink/http2/HeaderBlockReader.java
@@ -10,26 +10,26 @@
 final class HeaderBlockReader {
     private static final int MAX_CONTINUATIONS = 16;
 
-    private final Headers headers;
+    private final HeaderCodec headerCodec;
     /** Null while no block is under way. */
-    private ByteArrayOutputStream block;
+    private ByteArrayOutputStream pendingBlock;
 
-    private int stream;
+    private int streamId;
     private boolean endsStream;
     private int continuations;
 
-    HeaderBlockReader(Headers headers) {
-        this.headers = headers;
+    HeaderBlockReader(HeaderCodec headerCodec) {
+        this.headerCodec = headerCodec;
     }
 
     /** A block has begun and has not come whole. */
-    boolean isUnderWay() {
-        return block != null;
+    boolean isInProgress() {
+        return pendingBlock != null;
     }
 
     /** The stream of the block that is under way, or that came last. */
-    int stream() {
-        return stream;
+    int streamId() {
+        return streamId;
     }
 
     /** Whether the block that is under way, or that came last, ends its stream. */
@@ -38,9 +38,9 @@
     }
 
     /** Fails where a frame of that type and stream may not come now. */
-    void checkNext(int type, int ofStream) throws Broken {
-        if (block != null && (type != H2.CONTINUATION || ofStream != stream)) {
-            throw new Broken(H2.Code.PROTOCOL_ERROR, "a frame within a header block");
+    void checkNext(int type, int frameStreamId) throws Http2Exception {
+        if (pendingBlock != null && (type != Http2Constants.CONTINUATION || frameStreamId != streamId)) {
+            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a frame within a header block");
         }
     }
 
@@ -49,35 +49,35 @@
      *
      * @return the block, or null where more of it is to come
      */
-    Headers.Block headers(int flags, int ofStream, ByteBuffer payload) throws Broken {
-        block = new ByteArrayOutputStream();
-        stream = ofStream;
-        endsStream = (flags & H2.END_STREAM) != 0;
+    HeaderCodec.HeaderBlock headers(int flags, int frameStreamId, ByteBuffer payload) throws Http2Exception {
+        pendingBlock = new ByteArrayOutputStream();
+        streamId = frameStreamId;
+        endsStream = (flags & Http2Constants.END_STREAM) != 0;
         continuations = 0;
         return append(flags, payload);
     }
 
     /** @return the block, or null where more of it is to come */
-    Headers.Block continuation(int flags, ByteBuffer payload) throws Broken {
-        if (block == null) {
-            throw new Broken(H2.Code.PROTOCOL_ERROR, "a continuation of nothing");
+    HeaderCodec.HeaderBlock continuation(int flags, ByteBuffer payload) throws Http2Exception {
+        if (pendingBlock == null) {
+            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a continuation of nothing");
         }
         if (++continuations > MAX_CONTINUATIONS) {
-            throw new Broken(H2.Code.ENHANCE_YOUR_CALM, "so many continuations");
+            throw new Http2Exception(Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many continuations");
         }
         return append(flags, payload);
     }
 
-    private Headers.Block append(int flags, ByteBuffer payload) throws Broken {
-        block.write(payload.array(), payload.position(), payload.remaining());
-        if (block.size() > Headers.MOST_BLOCK) {
-            throw new Broken(H2.Code.ENHANCE_YOUR_CALM, "a header block that is too large");
+    private HeaderCodec.HeaderBlock append(int flags, ByteBuffer payload) throws Http2Exception {
+        pendingBlock.write(payload.array(), payload.position(), payload.remaining());
+        if (pendingBlock.size() > HeaderCodec.MAX_BLOCK_BYTES) {
+            throw new Http2Exception(Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header block that is too large");
         }
-        if ((flags & H2.END_HEADERS) == 0) {
+        if ((flags & Http2Constants.END_HEADERS) == 0) {
             return null;
         }
-        Headers.Block decoded = headers.list(block.toByteArray());
-        block = null;
+        HeaderCodec.HeaderBlock decoded = headerCodec.decode(pendingBlock.toByteArray());
+        pendingBlock = null;
         return decoded;
     }
 }
--- a/src/main/java/tinlink/http2/H2.java
+++ b/src/main/java/tinlink/http2/Http2Constants.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** The numbers of RFC 9113. */
-final class H2 {
+final class Http2Constants {
     static final int DATA = 0;
     static final int HEADERS = 1;
     static final int PRIORITY = 2;
@@ -29,7 +29,7 @@
     static final int MAX_HEADER_LIST_SIZE = 6;
 
     /** Why a stream or a connection ends, by the code that says so. */
-    enum Code {
+    enum ErrorCode {
         NO_ERROR,
         PROTOCOL_ERROR,
         INTERNAL_ERROR,
@@ -53,19 +53,19 @@
 
         /** The code of that number. */
         @SuppressWarnings("EnumOrdinal") // As above.
-        static Code numbered(int number) {
+        static ErrorCode numbered(int number) {
             return values()[number];
         }
     }
 
     static final byte[] PREFACE =
             "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    static final int HEAD = 9;
-    static final int LEAST_FRAME = 1 << 14;
-    static final int MOST_FRAME = (1 << 24) - 1;
-    static final int FIRST_WINDOW = 65_535;
-    static final long MOST_WINDOW = Integer.MAX_VALUE;
-    static final int MOST_ID = Integer.MAX_VALUE;
+    static final int FRAME_HEADER_BYTES = 9;
+    static final int DEFAULT_MAX_FRAME_SIZE = 1 << 14;
+    static final int LARGEST_MAX_FRAME_SIZE = (1 << 24) - 1;
+    static final int DEFAULT_WINDOW = 65_535;
+    static final long MAX_WINDOW = Integer.MAX_VALUE;
+    static final int MAX_STREAM_ID = Integer.MAX_VALUE;
 
-    private H2() {}
+    private Http2Constants() {}
 }
--- /dev/null
+++ b/src/main/java/tinlink/http2/Http2Exception.java
@@ -0,0 +1,12 @@
+package tinlink.http2;
+
+/** The other side has broken the protocol: the connection ends with that code. */
+final class Http2Exception extends Exception {
+    private static final long serialVersionUID = 1L;
+    final Http2Constants.ErrorCode code;
+
+    Http2Exception(Http2Constants.ErrorCode code, String description) {
+        super(description, null, false, false);
+        this.code = code;
+    }
+}
--- a/src/main/java/tinlink/http2/Stream.java
+++ b/src/main/java/tinlink/http2/Http2Stream.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** One request and its answer. Fields only; the engine keeps its notes here. */
-final class Stream {
+final class Http2Stream {
     /** Whatever the request is to whoever made it. */
     final Object call;
 
@@ -15,28 +15,28 @@
 
     int bodySent;
     /** How much of it the other side takes; may be below 0 once its settings have changed. */
-    long window;
+    long sendWindow;
     /** How much of the answer we still take. */
-    long takes;
+    long receiveWindow;
     /**
      * Nobody hears of it any more, but it counts against the node's limit until it has ended there.
      */
     boolean abandoned;
 
     int status;
-    long declared = -1;
-    final ByteArrayOutputStream value = new ByteArrayOutputStream();
-    final Map<String, String> fields = new LinkedHashMap<>();
+    long contentLength = -1;
+    final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
+    final Map<String, String> responseFields = new LinkedHashMap<>();
     final Map<String, String> trailers = new LinkedHashMap<>();
 
-    Stream(Object call, int id, byte[] body) {
+    Http2Stream(Object call, int id, byte[] body) {
         this.call = call;
         this.id = id;
         this.body = body;
     }
 
     /** All of the request is in frames. */
-    boolean said() {
+    boolean isRequestSent() {
         return bodySent == body.length;
     }
 }
--- a/src/main/java/tinlink/http2/PartRequest.java
+++ b/src/main/java/tinlink/http2/PartRequest.java
@@ -1,68 +1,68 @@
 package tinlink.http2;
 
-import tinlink.http2.choice.Over;
-import tinlink.http2.choice.Waiting;
+import tinlink.http2.pool.CallResult;
+import tinlink.http2.pool.PendingCall;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** A part call as a request, and its answer as an outcome; docs/protocol-http2.md. */
-public final class PartRequest extends Waiting {
+public final class PartRequest extends PendingCall {
     /** Whatever the call is to whoever made it. */
-    public final Object what;
+    public final Object attachment;
 
     private final int shard;
     private final String id;
-    private final String key;
+    private final String idempotencyKey;
     private final byte[] text;
-    private final long until;
-    boolean over;
-    NodeConn conn;
-    Stream stream;
+    private final long deadline;
+    boolean ended;
+    Http2NodeConnection nodeConnection;
+    Http2Stream stream;
     /** Where its header block begins in what its connection has written. */
-    long place;
+    long headerPosition;
 
     long sentAt;
 
     /**
-     * @param key null where its index needs none
-     * @param until an answer counts, microseconds
-     * @param leavesBy it must not wait for longer
+     * @param idempotencyKey null where its index needs none
+     * @param deadline an answer counts, microseconds
+     * @param sendDeadline it must not wait for longer
      */
     public PartRequest(
-            Object what, int shard, String id, String key, byte[] text, long until, long leavesBy) {
-        super(Math.min(until, leavesBy));
-        this.what = what;
+            Object attachment, int shard, String id, String idempotencyKey, byte[] text, long deadline, long sendDeadline) {
+        super(Math.min(deadline, sendDeadline));
+        this.attachment = attachment;
         this.shard = shard;
         this.id = id;
-        this.key = key;
+        this.idempotencyKey = idempotencyKey;
         this.text = text;
-        this.until = until;
+        this.deadline = deadline;
     }
 
     /** Its one outcome has been said, or it was given up. */
-    public boolean isOver() {
-        return over;
+    public boolean isEnded() {
+        return ended;
     }
 
     /** It is on no connection yet. */
-    public boolean waits() {
+    public boolean isPending() {
         return stream == null;
     }
 
-    Map<String, String> fields(String authority, long now) {
-        Map<String, String> f = new LinkedHashMap<>();
-        f.put(":method", "POST");
-        f.put(":scheme", "http");
-        f.put(":authority", authority);
-        f.put(":path", "/parts/" + shard);
-        f.put("x-part-id", id);
-        f.put("x-part-wait-ms", String.valueOf(Math.max(1, (until - now + 999) / 1000)));
-        if (key != null) {
-            f.put("idempotency-key", key);
+    Map<String, String> headerFields(String authority, long now) {
+        Map<String, String> fields = new LinkedHashMap<>();
+        fields.put(":method", "POST");
+        fields.put(":scheme", "http");
+        fields.put(":authority", authority);
+        fields.put(":path", "/parts/" + shard);
+        fields.put("x-part-id", id);
+        fields.put("x-part-wait-ms", String.valueOf(Math.max(1, (deadline - now + 999) / 1000)));
+        if (idempotencyKey != null) {
+            fields.put("idempotency-key", idempotencyKey);
         }
-        f.put("content-length", String.valueOf(text.length));
-        return f;
+        fields.put("content-length", String.valueOf(text.length));
+        return fields;
     }
 
     byte[] body() {
@@ -70,16 +70,16 @@
     }
 
     /** What an answer that has ended in order means; a trailer has the last word. */
-    static Over ending(Stream s) {
-        return switch (s.trailers.getOrDefault(
-                "x-part-end", s.fields.getOrDefault("x-part-end", ""))) {
-            case "rejected" -> Over.TURNED_AWAY;
-            case "error" -> Over.FAILED;
+    static CallResult resultOf(Http2Stream response) {
+        return switch (response.trailers.getOrDefault(
+                "x-part-end", response.responseFields.getOrDefault("x-part-end", ""))) {
+            case "rejected" -> CallResult.TURNED_AWAY;
+            case "error" -> CallResult.FAILED;
             case "", "ok" ->
-                s.status == 200
-                        ? Over.SATISFIED
-                        : s.status == 429 || s.status == 503 ? Over.TURNED_AWAY : Over.FAILED;
-            default -> Over.MALFORMED;
+                response.status == 200
+                        ? CallResult.SATISFIED
+                        : response.status == 429 || response.status == 503 ? CallResult.TURNED_AWAY : CallResult.FAILED;
+            default -> CallResult.MALFORMED;
         };
     }
 }
--- a/src/main/java/tinlink/http2/ReceiveWindow.java
+++ b/src/main/java/tinlink/http2/ReceiveWindow.java
@@ -21,14 +21,14 @@
 
     /** Widens the connection's window from its first size; follows the preface. */
     void open() {
-        writer.connectionWindowUpdate(CONNECTION_WINDOW - H2.FIRST_WINDOW);
+        writer.connectionWindowUpdate(CONNECTION_WINDOW - Http2Constants.DEFAULT_WINDOW);
     }
 
     /** A whole DATA frame has come: it counts with its padding, also on a stream that is given up. */
-    void received(int length) throws Broken {
+    void received(int length) throws Http2Exception {
         connectionWindow -= length;
         if (connectionWindow < 0) {
-            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "over the connection's window");
+            throw new Http2Exception(Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over the connection's window");
         }
         if (connectionWindow < CONNECTION_WINDOW / 2) {
             writer.connectionWindowUpdate((int) (CONNECTION_WINDOW - connectionWindow));
@@ -37,10 +37,10 @@
     }
 
     /** The same frame, on its stream. */
-    void received(Stream stream, int length) throws Broken {
-        stream.takes -= length;
-        if (stream.takes < 0) {
-            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "over a stream's window");
+    void received(Http2Stream stream, int length) throws Http2Exception {
+        stream.receiveWindow -= length;
+        if (stream.receiveWindow < 0) {
+            throw new Http2Exception(Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over a stream's window");
         }
     }
 }
--- a/src/main/java/tinlink/http2/ResponseReader.java
+++ b/src/main/java/tinlink/http2/ResponseReader.java
@@ -16,62 +16,62 @@
         MALFORMED
     }
 
-    private final UselessFrameBudget budget;
+    private final UselessFrameBudget uselessFrameBudget;
 
-    ResponseReader(UselessFrameBudget budget) {
-        this.budget = budget;
+    ResponseReader(UselessFrameBudget uselessFrameBudget) {
+        this.uselessFrameBudget = uselessFrameBudget;
     }
 
     /** A header block: an interim answer, the answer's head, or its trailers. */
-    Progress headers(Stream stream, Headers.Block block, boolean last) throws Broken {
-        String status = block.pseudo.get(":status");
-        boolean trailers = stream.status != 0;
-        if (block.malformed != null || trailers != (status == null) || trailers && !last) {
+    Progress headers(Http2Stream stream, HeaderCodec.HeaderBlock block, boolean endsStream) throws Http2Exception {
+        String statusText = block.pseudoFields.get(":status");
+        boolean isTrailers = stream.status != 0;
+        if (block.malformedReason != null || isTrailers != (statusText == null) || isTrailers && !endsStream) {
             return Progress.MALFORMED;
         }
-        if (trailers) {
+        if (isTrailers) {
             stream.trailers.putAll(block.fields);
             return finish(stream);
         }
-        if (!status.matches("[1-9][0-9][0-9]")) {
+        if (!statusText.matches("[1-9][0-9][0-9]")) {
             return Progress.MALFORMED;
         }
-        int code = Integer.parseInt(status);
-        if (code < OK) {
-            budget.spend(); // An interim answer says nothing; what it announces is still to come.
-            return last || code == SWITCHING_PROTOCOLS ? Progress.MALFORMED : Progress.INCOMPLETE;
+        int statusCode = Integer.parseInt(statusText);
+        if (statusCode < OK) {
+            uselessFrameBudget.spend(); // An interim answer says nothing; what it announces is still to come.
+            return endsStream || statusCode == SWITCHING_PROTOCOLS ? Progress.MALFORMED : Progress.INCOMPLETE;
         }
-        return head(stream, code, block, last);
+        return responseHead(stream, statusCode, block, endsStream);
     }
 
-    private static Progress head(Stream stream, int code, Headers.Block block, boolean last) {
-        stream.status = code;
-        stream.fields.putAll(block.fields);
+    private static Progress responseHead(Http2Stream stream, int statusCode, HeaderCodec.HeaderBlock block, boolean endsStream) {
+        stream.status = statusCode;
+        stream.responseFields.putAll(block.fields);
         String length = block.fields.get("content-length");
         if (length != null && !length.matches("[0-9]{1,9}")) {
             return Progress.MALFORMED;
         }
-        stream.declared = length == null ? -1 : Long.parseLong(length);
-        return last ? finish(stream) : Progress.INCOMPLETE;
+        stream.contentLength = length == null ? -1 : Long.parseLong(length);
+        return endsStream ? finish(stream) : Progress.INCOMPLETE;
     }
 
     /** A piece of the answer's body, without its padding. */
-    Progress data(Stream stream, ByteBuffer payload, boolean last) throws Broken {
+    Progress data(Http2Stream stream, ByteBuffer payload, boolean endsStream) throws Http2Exception {
         if (stream.status == 0) {
             return Progress.MALFORMED;
         }
-        budget.spendUnless(payload.hasRemaining() || last);
-        int size = stream.value.size() + payload.remaining();
-        if (size > Protocol.MOST_BODY || stream.declared >= 0 && size > stream.declared) {
+        uselessFrameBudget.spendUnless(payload.hasRemaining() || endsStream);
+        int bodyBytes = stream.responseBody.size() + payload.remaining();
+        if (bodyBytes > Protocol.MOST_BODY || stream.contentLength >= 0 && bodyBytes > stream.contentLength) {
             return Progress.MALFORMED;
         }
-        stream.value.write(payload.array(), payload.position(), payload.remaining());
-        return last ? finish(stream) : Progress.INCOMPLETE;
+        stream.responseBody.write(payload.array(), payload.position(), payload.remaining());
+        return endsStream ? finish(stream) : Progress.INCOMPLETE;
     }
 
     /** It is over in order if it is as long as it said. */
-    private static Progress finish(Stream stream) {
-        boolean asDeclared = stream.declared < 0 || stream.value.size() == stream.declared;
-        return asDeclared ? Progress.COMPLETE : Progress.MALFORMED;
+    private static Progress finish(Http2Stream stream) {
+        boolean isDeclaredLength = stream.contentLength < 0 || stream.responseBody.size() == stream.contentLength;
+        return isDeclaredLength ? Progress.COMPLETE : Progress.MALFORMED;
     }
 }
--- a/src/main/java/tinlink/http2/SendWindow.java
+++ b/src/main/java/tinlink/http2/SendWindow.java
@@ -8,46 +8,46 @@
  */
 final class SendWindow {
     private final FrameWriter writer;
-    private long connectionWindow = H2.FIRST_WINDOW;
+    private long connectionWindow = Http2Constants.DEFAULT_WINDOW;
     /** Of a stream that is opened from now on. */
-    private long initialStreamWindow = H2.FIRST_WINDOW;
+    private long initialStreamWindow = Http2Constants.DEFAULT_WINDOW;
 
     SendWindow(FrameWriter writer) {
         this.writer = writer;
     }
 
     /** Gives a new stream its window. */
-    void opened(Stream stream) {
-        stream.window = initialStreamWindow;
+    void initialize(Http2Stream stream) {
+        stream.sendWindow = initialStreamWindow;
     }
 
     /** Sends of a body what the windows allow. @return whether any byte has left */
-    boolean flush(Stream stream) {
+    boolean flush(Http2Stream stream) {
         boolean sent = false;
-        while (!stream.said()) {
-            int length = sendable(stream);
+        while (!stream.isRequestSent()) {
+            int length = sendableBytes(stream);
             if (length <= 0) {
                 return sent;
             }
-            boolean last = stream.bodySent + length == stream.body.length;
-            writer.data(stream.id, stream.body, stream.bodySent, length, last);
+            boolean endsStream = stream.bodySent + length == stream.body.length;
+            writer.data(stream.id, stream.body, stream.bodySent, length, endsStream);
             stream.bodySent += length;
-            stream.window -= length;
+            stream.sendWindow -= length;
             connectionWindow -= length;
             sent = true;
         }
         return sent;
     }
 
-    private int sendable(Stream stream) {
-        int rest = Math.min(stream.body.length - stream.bodySent, writer.maxFrameSize());
-        return (int) Math.min(rest, Math.min(connectionWindow, stream.window));
+    private int sendableBytes(Http2Stream stream) {
+        int frameBytes = Math.min(stream.body.length - stream.bodySent, writer.maxFrameSize());
+        return (int) Math.min(frameBytes, Math.min(connectionWindow, stream.sendWindow));
     }
 
     /** Sends of all bodies what the windows allow. @return whether any byte has left */
-    boolean flushAll(Collection<Stream> streams) {
+    boolean flushAll(Collection<Http2Stream> streams) {
         boolean sent = false;
-        for (Stream stream : streams) {
+        for (Http2Stream stream : streams) {
             if (connectionWindow <= 0) {
                 return sent;
             }
@@ -57,27 +57,27 @@
     }
 
     /** The other side's settings change the window of all streams, open ones too; it may fall below 0. */
-    void initialStreamWindow(long value, Collection<Stream> open) throws Broken {
+    void initialStreamWindow(long value, Collection<Http2Stream> openStreams) throws Http2Exception {
         checkWindow(value);
-        for (Stream stream : open) {
-            stream.window += value - initialStreamWindow;
-            checkWindow(stream.window);
+        for (Http2Stream stream : openStreams) {
+            stream.sendWindow += value - initialStreamWindow;
+            checkWindow(stream.sendWindow);
         }
         initialStreamWindow = value;
     }
 
     /** The connection's window grows by so many bytes. */
-    void growConnection(int bytes) throws Broken {
+    void growConnection(int bytes) throws Http2Exception {
         if (bytes == 0) {
-            throw new Broken(H2.Code.PROTOCOL_ERROR, "a window that does not grow");
+            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a window that does not grow");
         }
         connectionWindow += bytes;
         checkWindow(connectionWindow);
     }
 
-    private static void checkWindow(long window) throws Broken {
-        if (window > H2.MOST_WINDOW) {
-            throw new Broken(H2.Code.FLOW_CONTROL_ERROR, "a window of " + window);
+    private static void checkWindow(long window) throws Http2Exception {
+        if (window > Http2Constants.MAX_WINDOW) {
+            throw new Http2Exception(Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "a window of " + window);
         }
     }
 }
--- a/src/main/java/tinlink/http2/StreamTable.java
+++ b/src/main/java/tinlink/http2/StreamTable.java
@@ -13,12 +13,12 @@
  * still be under way.
  */
 final class StreamTable {
-    private final TreeMap<Integer, Stream> open = new TreeMap<>();
+    private final TreeMap<Integer, Http2Stream> openById = new TreeMap<>();
     private final Set<Integer> resetIds = new LinkedHashSet<>();
     private final int maxResetIds;
-    private int nextId = 1;
+    private int nextStreamId = 1;
     /** The last stream that the other side processes, by its newest GOAWAY. */
-    private int lastId = H2.MOST_ID;
+    private int lastProcessedId = Http2Constants.MAX_STREAM_ID;
 
     /** @param maxResetIds so many ids are remembered after this side has reset them */
     StreamTable(int maxResetIds) {
@@ -27,46 +27,46 @@
 
     /** No id is left for a new stream, or the other side takes none. */
     boolean isExhausted() {
-        return nextId < 0 || lastId < H2.MOST_ID;
+        return nextStreamId < 0 || lastProcessedId < Http2Constants.MAX_STREAM_ID;
     }
 
-    Stream open(Object call, byte[] body) {
-        Stream stream = new Stream(call, nextId, body);
-        nextId += 2;
-        open.put(stream.id, stream);
+    Http2Stream open(Object call, byte[] body) {
+        Http2Stream stream = new Http2Stream(call, nextStreamId, body);
+        nextStreamId += 2;
+        openById.put(stream.id, stream);
         return stream;
     }
 
     /** Null where it is not open. */
-    Stream get(int id) {
-        return open.get(id);
+    Http2Stream get(int id) {
+        return openById.get(id);
     }
 
     /** An open stream; null for one that this side has reset. No other may be spoken of. */
-    Stream getKnown(int id) throws Broken {
-        Stream stream = open.get(id);
+    Http2Stream getKnown(int id) throws Http2Exception {
+        Http2Stream stream = openById.get(id);
         if (stream != null || resetIds.contains(id)) {
             return stream;
         }
         checkOpened(id);
-        throw new Broken(H2.Code.STREAM_CLOSED, "stream " + id + " is over");
+        throw new Http2Exception(Http2Constants.ErrorCode.STREAM_CLOSED, "stream " + id + " is over");
     }
 
     /** Fails where the id can't be of a stream that this side has opened at any time. */
-    void checkOpened(int id) throws Broken {
-        if (id % 2 == 0 || nextId > 0 && id >= nextId) {
-            throw new Broken(H2.Code.PROTOCOL_ERROR, "stream " + id + " was never opened");
+    void checkOpened(int id) throws Http2Exception {
+        if (id % 2 == 0 || nextStreamId > 0 && id >= nextStreamId) {
+            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "stream " + id + " was never opened");
         }
     }
 
     /** Oldest first. */
-    Collection<Stream> openStreams() {
-        return Collections.unmodifiableCollection(open.values());
+    Collection<Http2Stream> openStreams() {
+        return Collections.unmodifiableCollection(openById.values());
     }
 
     /** @return whether it was open */
-    boolean remove(Stream stream) {
-        return open.remove(stream.id, stream);
+    boolean remove(Http2Stream stream) {
+        return openById.remove(stream.id, stream);
     }
 
     /** Frames on it say nothing more, and are no fault. */
@@ -78,17 +78,17 @@
     }
 
     /** Danger: a GOAWAY whose last id rises again would let what was said never to have run, run. */
-    void checkGoAway(int last) throws Broken {
-        if (last > lastId) {
-            throw new Broken(H2.Code.PROTOCOL_ERROR, "a goodbye that takes back the one before");
+    void checkGoAway(int goAwayId) throws Http2Exception {
+        if (goAwayId > lastProcessedId) {
+            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a goodbye that takes back the one before");
         }
     }
 
     /** Closes the streams over the last one that the other side processes. */
-    List<Stream> closeAbove(int last) {
-        lastId = last;
-        List<Stream> above = List.copyOf(open.tailMap(last, false).values());
-        open.tailMap(last, false).clear();
+    List<Http2Stream> closeAbove(int goAwayId) {
+        lastProcessedId = goAwayId;
+        List<Http2Stream> above = List.copyOf(openById.tailMap(goAwayId, false).values());
+        openById.tailMap(goAwayId, false).clear();
         return above;
     }
 }
--- a/src/main/java/tinlink/http2/UselessFrameBudget.java
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -7,16 +7,16 @@
 
     private static final int FRAMES_PER_ANSWER = 16;
 
-    private int left = MAX_FRAMES;
+    private int remaining = MAX_FRAMES;
 
     /** A frame of no use has come. */
-    void spend() throws Broken {
-        if (--left < 0) {
-            throw new Broken(H2.Code.ENHANCE_YOUR_CALM, "so many frames of no use");
+    void spend() throws Http2Exception {
+        if (--remaining < 0) {
+            throw new Http2Exception(Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many frames of no use");
         }
     }
 
-    void spendUnless(boolean useful) throws Broken {
+    void spendUnless(boolean useful) throws Http2Exception {
         if (!useful) {
             spend();
         }
@@ -24,6 +24,6 @@
 
     /** An answer has come whole. */
     void refill() {
-        left = Math.min(MAX_FRAMES, left + FRAMES_PER_ANSWER);
+        remaining = Math.min(MAX_FRAMES, remaining + FRAMES_PER_ANSWER);
     }
 }
--- a/src/main/java/tinlink/http2/choice/Over.java
+++ b/src/main/java/tinlink/http2/pool/CallResult.java
@@ -1,4 +1,4 @@
-package tinlink.http2.choice;
+package tinlink.http2.pool;
 
 import tinlink.decision.Outcome;
 
@@ -8,7 +8,7 @@
  * in the protocol's words, or no byte of it has left. What the end of a connection means stands in
  * {@link tinlink.net.Ending}.
  */
-public enum Over {
+public enum CallResult {
     /** No connection could be opened for it: no descriptor is left. */
     NEVER_LEFT(Outcome.NOT_SENT),
     /** Its stream lies above the last one that a GOAWAY names (RFC 9113, 6.8). */
@@ -35,7 +35,7 @@
 
     public final Outcome outcome;
 
-    Over(Outcome outcome) {
+    CallResult(Outcome outcome) {
         this.outcome = outcome;
     }
 }
--- a/src/main/java/tinlink/router/PartSends.java
+++ b/src/main/java/tinlink/router/PartSends.java
@@ -126,7 +126,7 @@
     void forgetIfGone(Target t) {
         if (t.node.state == DataNode.State.GONE
                 && t.links.isEmpty()
-                && (t.streams == null || t.streams.isEmpty())) {
+                && (t.streams == null || t.streams.isIdle())) {
             targets.remove(t.node);
         }
     }
--- a/src/main/java/tinlink/router/StreamSends.java
+++ b/src/main/java/tinlink/router/StreamSends.java
@@ -2,9 +2,9 @@
 
 import tinlink.decision.DataNode;
 import tinlink.decision.Outcome;
-import tinlink.http2.NodeStreams;
+import tinlink.http2.Http2NodeClient;
 import tinlink.http2.PartRequest;
-import tinlink.http2.choice.Pool;
+import tinlink.http2.pool.ConnectionPool;
 import tinlink.net.Counters;
 import tinlink.net.Loop;
 import tinlink.net.Network;
@@ -25,10 +25,10 @@
     private final RouterStart.Links links;
     private final long idleUs;
     private Predicate<DataNode> offers = n -> false;
-    private Pool.Bounds bounds;
+    private ConnectionPool.Settings settings;
     private Counters counters;
     /** Nodes with decisions to pull; emptied each turn. */
-    private Set<NodeStreams> touched = new LinkedHashSet<>();
+    private Set<Http2NodeClient> touched = new LinkedHashSet<>();
 
     StreamSends(Loop loop, Network network, PartSends sends, RouterStart.Links links, long idleUs) {
         this.loop = loop;
@@ -42,7 +42,7 @@
     void offeredBy(Http2Start s, Predicate<DataNode> offers) {
         this.offers = offers;
         counters = new Counters();
-        bounds = new Pool.Bounds(
+        settings = new ConnectionPool.Settings(
                 s.connections,
                 s.firstStreams,
                 s.waiting,
@@ -59,14 +59,14 @@
 
     boolean offered(Target t) {
         if (t.streams == null && offers.test(t.node)) {
-            t.streams = new NodeStreams(loop, network, new Host(t), counters, bounds);
+            t.streams = new Http2NodeClient(loop, network, new Host(t), counters, settings);
         }
-        return t.streams != null && t.streams.speaks();
+        return t.streams != null && t.streams.supportsHttp2();
     }
 
     void send(Target t, Sent s) {
         Query q = s.segment().query();
-        PartRequest r = new PartRequest(
+        PartRequest request = new PartRequest(
                 s,
                 s.segment().shard,
                 s.segment().id,
@@ -77,7 +77,7 @@
         s.by = new Carried() {
             @Override
             public boolean waits() {
-                return r.waits();
+                return request.isPending();
             }
 
             @Override
@@ -87,17 +87,17 @@
 
             @Override
             public void over(Sent x, boolean giveUp) {
-                if (!r.isOver()) {
-                    t.streams.cancel(r, giveUp);
+                if (!request.isEnded()) {
+                    t.streams.cancel(request, giveUp);
                 }
             }
         };
-        t.streams.send(r, t.address);
+        t.streams.send(request, t.address);
     }
 
     void release(Target t) {
         if (t.streams != null) {
-            t.streams.release();
+            t.streams.closeUnused();
         }
     }
 
@@ -109,25 +109,25 @@
             return;
         }
         if (moved) {
-            t.streams.moved();
+            t.streams.nodeMoved();
         }
         if (t.node.state != DataNode.State.READY) {
-            t.streams.dropWaiting();
+            t.streams.dropPending();
         }
         if (t.node.state == DataNode.State.GONE) {
-            t.streams.gone();
+            t.streams.nodeRemoved();
         }
     }
 
     void depart() {
         while (!touched.isEmpty()) {
-            List<NodeStreams> all = new ArrayList<>(touched);
+            List<Http2NodeClient> all = new ArrayList<>(touched);
             touched.clear();
-            all.forEach(NodeStreams::decides);
+            all.forEach(Http2NodeClient::decide);
         }
     }
 
-    private final class Host implements NodeStreams.Host {
+    private final class Host implements Http2NodeClient.CallHandler {
         private final Target target;
 
         Host(Target target) {
@@ -135,24 +135,24 @@
         }
 
         @Override
-        public boolean mayOpen() {
+        public boolean mayOpenConnection() {
             return sends.mayOpen();
         }
 
         @Override
-        public void opened() {
+        public void connectionOpened() {
             sends.descriptors().nodeOpened();
         }
 
         @Override
-        public void closed() {
+        public void connectionClosed() {
             sends.descriptors().nodeClosed();
             sends.forgetIfGone(target);
         }
 
         @Override
-        public void over(PartRequest r, Outcome how, String value) {
-            Sent s = (Sent) r.what;
+        public void callEnded(PartRequest request, Outcome how, String value) {
+            Sent s = (Sent) request.attachment;
             if (!s.over) {
                 s.segment().value = value == null ? s.segment().value : value;
                 sends.over(s, how, false);
@@ -160,8 +160,8 @@
         }
 
         @Override
-        public void otherwise(PartRequest r) {
-            Sent s = (Sent) r.what;
+        public void fallBackToFrames(PartRequest request) {
+            Sent s = (Sent) request.attachment;
             if (!s.over) {
                 sends.byFrames(s);
                 sends.departFrames();
@@ -169,8 +169,8 @@
         }
 
         @Override
-        public void touched(NodeStreams node) {
-            touched.add(node);
+        public void decisionsPending(Http2NodeClient nodeClient) {
+            touched.add(nodeClient);
         }
     }
 }
--- a/src/main/java/tinlink/router/Target.java
+++ b/src/main/java/tinlink/router/Target.java
@@ -1,7 +1,7 @@
 package tinlink.router;
 
 import tinlink.decision.DataNode;
-import tinlink.http2.NodeStreams;
+import tinlink.http2.Http2NodeClient;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
     /** Part calls whose outcome is not known. */
     int open;
     /** Over HTTP/2; null where the node does not offer it, or nothing has gone there yet. */
-    NodeStreams streams;
+    Http2NodeClient streams;
     /** Takes what goes to a router of another site; null for a data node of this one. */
     Consumer<Sent> far;
     /** Open or coming up; each leaves as it ends. */
--- a/src/test/java/tinlink/RoomsTest.java
+++ b/src/test/java/tinlink/RoomsTest.java
@@ -25,8 +25,8 @@
                 .consideringOnlyDependenciesInLayers()
                 .layer("http2")
                 .definedBy("tinlink.http2")
-                .layer("http2 choice")
-                .definedBy("tinlink.http2.choice")
+                .layer("http2 pool")
+                .definedBy("tinlink.http2.pool")
                 .layer("main")
                 .definedBy("tinlink")
                 .layer("cli")
@@ -89,7 +89,7 @@
                 .mayOnlyBeAccessedByLayers("gateway", "router")
                 .whereLayer("http2")
                 .mayOnlyBeAccessedByLayers("router")
-                .whereLayer("http2 choice")
+                .whereLayer("http2 pool")
                 .mayOnlyBeAccessedByLayers("http2", "router")
                 .whereLayer("sealed")
                 .mayOnlyBeAccessedByLayers("gateway", "cluster")
@@ -149,7 +149,7 @@
                 .resideInAnyPackage(
                         "tinlink.decision",
                         "tinlink.gateway.forwarding",
-                        "tinlink.http2.choice",
+                        "tinlink.http2.pool",
                         "tinlink.cluster.membership",
                         "tinlink.maintenance.scheduling",
                         "tinlink.policy.rollout")
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -14,8 +14,8 @@
 
 import tinlink.benchlink.BenchLink;
 import tinlink.gateway.forwarding.ForwardingPlayer;
-import tinlink.http2.EnginePlayer;
-import tinlink.http2.choice.PoolPlayer;
+import tinlink.http2.Http2ConnectionPlayer;
+import tinlink.http2.pool.ConnectionPoolPlayer;
 import tinlink.net.Ending;
 import tinlink.net.ParserPlayer;
 import tinlink.start.BadInput;
@@ -90,14 +90,14 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void http2(String title, List<String> script) {
-        new EnginePlayer().play(script);
+        new Http2ConnectionPlayer().play(script);
     }
 
     /** Which connection over HTTP/2 a part call goes on. */
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void pool(String title, List<String> script) {
-        new PoolPlayer().play(script);
+        new ConnectionPoolPlayer().play(script);
     }
 
     /** The order in which machines are taken out for work. */
--- /dev/null
+++ b/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
@@ -0,0 +1,270 @@
+package tinlink.http2;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.twitter.hpack.Decoder;
+import com.twitter.hpack.Encoder;
+
+import tinlink.Scenarios;
+import tinlink.net.ParserPlayer;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Plays frames of a scripted server against the client's engine; docs/scenarios.md has the
+ * notation.
+ */
+public final class Http2ConnectionPlayer implements Http2Connection.StreamListener {
+    private static final Map<String, Integer> SETTING_IDS = Map.of(
+            "table", 1, "push", 2, "streams", 3, "window", 4, "frame", 5, "list", 6, "unknown", 99);
+    private final ArrayDeque<String> sent = new ArrayDeque<>();
+    private final ArrayDeque<String> events = new ArrayDeque<>();
+    private final Map<String, Http2Stream> calls = new HashMap<>();
+    private final Encoder encoder = new Encoder(4096);
+    private final Decoder decoder = new Decoder(1 << 16, 4096);
+    private final Http2Connection connection = new Http2Connection(this::recordFrame, this, 4);
+    private ByteArrayOutputStream headerBlock = new ByteArrayOutputStream();
+
+    public void play(List<String> script) {
+        connection.start();
+        sent.clear();
+        Scenarios.play(script, ";", this::line);
+        assertEquals("[] []", sent + " " + events, "said and heard, and not expected");
+    }
+
+    private void line(String[] words) throws IOException {
+        String rest = String.join(" ", List.of(words).subList(1, words.length));
+        switch (words[0]) {
+            case "<" -> assertEquals(rest, sent.isEmpty() ? "nothing" : sent.poll());
+            case "=" -> assertEquals(rest, events.isEmpty() ? "nothing" : events.poll());
+            case "request" -> {
+                Map<String, String> f = new LinkedHashMap<>(Map.of(":method", "POST"));
+                f.put("x-part-id", words[1]);
+                calls.put(words[1], connection.sendRequest(words[1], f, new byte[Integer.parseInt(words[2])]));
+            }
+            case "cancel" -> connection.cancel(calls.get(words[1]));
+            case "ping" -> connection.sendPing(Long.parseLong(words[1]));
+            case ">" -> {
+                int times = words[1].matches("x[0-9]+") ? Integer.parseInt(words[1].substring(1)) : 1;
+                for (int i = 0; i < times; i++) {
+                    receive(serverBytes(
+                            times > 1 || words[1].equals("x1")
+                                    ? List.of(words).subList(2, words.length)
+                                    : List.of(words).subList(1, words.length)));
+                }
+            }
+            default -> throw new IllegalArgumentException(words[0]);
+        }
+    }
+
+    private boolean failed;
+
+    private void receive(byte[] b) {
+        try {
+            for (int i = 0; i < b.length && !failed; i++) {
+                connection.read(ParserPlayer.ring(new byte[] {b[i]}));
+            }
+        } catch (Http2Exception e) {
+            failed = true;
+            events.add("broken " + e.code);
+        }
+    }
+
+    // ---- What the server says: TYPE STREAM [FLAGS ...] [...] ----
+
+    private byte[] serverBytes(List<String> words) throws IOException {
+        int stream = words.size() > 1 && words.get(1).matches("[0-9]+") ? Integer.parseInt(words.get(1)) : 0;
+        List<String> rest = words.subList(Math.min(words.size(), 2), words.size());
+        int flags = (words.contains("end") ? 1 : 0)
+                | (words.contains("ack") ? 1 : 0)
+                | (words.contains("more") ? 0 : 4)
+                | (words.contains("padded") ? 8 : 0)
+                | (words.contains("prio") ? 32 : 0);
+        ByteArrayOutputStream payload = new ByteArrayOutputStream();
+        switch (words.get(0)) {
+            case "raw" -> {
+                return HexFormat.of().parseHex(String.join("", words.subList(1, words.size())));
+            }
+            case "data" -> {
+                for (String one : rest) {
+                    if (one.matches("[0-9]+")) {
+                        payload.write(new byte[Integer.parseInt(one)]);
+                    } else if (one.startsWith("'")) {
+                        payload.writeBytes(one.substring(1).getBytes(StandardCharsets.UTF_8));
+                    } else if (one.startsWith("pad=")) {
+                        payload.write(Integer.parseInt(one.substring(4)));
+                    }
+                }
+                return frame(0, flags & 9, stream, payload.toByteArray());
+            }
+            case "headers", "continuation" -> {
+                if ((flags & 32) != 0) {
+                    payload.write(new byte[5]);
+                }
+                for (String one : rest) {
+                    int eq = one.indexOf('=');
+                    if (one.matches("[0-9]+")) {
+                        payload.write(new byte[Integer.parseInt(one)]);
+                    } else if (eq > 0) {
+                        String value = one.substring(eq + 1).replace('_', ' ');
+                        encoder.encodeHeader(
+                                payload,
+                                one.substring(0, eq).getBytes(StandardCharsets.UTF_8),
+                                value.matches("[*][0-9]+")
+                                        ? new byte[Integer.parseInt(value.substring(1))]
+                                        : value.getBytes(StandardCharsets.UTF_8),
+                                one.startsWith("big"));
+                    }
+                }
+                return frame(words.get(0).equals("headers") ? 1 : 9, flags, stream, payload.toByteArray());
+            }
+            case "reset", "update" -> {
+                return frame(
+                        words.get(0).equals("reset") ? 3 : 8,
+                        0,
+                        stream,
+                        four(Long.parseLong(rest.get(0))));
+            }
+            case "settings" -> {
+                for (String one : words.subList(1, words.size())) {
+                    int eq = one.indexOf('=');
+                    if (eq > 0) {
+                        payload.write(new byte[] {0, (byte) (int) SETTING_IDS.get(one.substring(0, eq))});
+                        payload.write(four(Long.parseLong(one.substring(eq + 1))));
+                    }
+                }
+                return frame(4, flags & 1, stream, payload.toByteArray());
+            }
+            case "ping" -> {
+                return frame(
+                        6,
+                        flags & 1,
+                        0,
+                        ByteBuffer.allocate(8)
+                                .putLong(Long.parseLong(words.get(words.size() - 1)))
+                                .array());
+            }
+            case "goaway" -> {
+                return frame(
+                        7,
+                        0,
+                        0,
+                        ByteBuffer.allocate(8)
+                                .putInt(Integer.parseInt(words.get(1)))
+                                .array());
+            }
+            case "frame" -> {
+                // TYPE STREAM LENGTH
+                return frame(
+                        Integer.parseInt(words.get(1)),
+                        0,
+                        Integer.parseInt(words.get(2)),
+                        new byte[Integer.parseInt(words.get(3))]);
+            }
+            default -> throw new IllegalArgumentException(words.get(0));
+        }
+    }
+
+    private static byte[] four(long v) {
+        return ByteBuffer.allocate(4).putInt((int) v).array();
+    }
+
+    private static byte[] frame(int type, int flags, int stream, byte[] payload) {
+        return ByteBuffer.allocate(9 + payload.length)
+                .putInt(payload.length << 8 | type)
+                .put((byte) flags)
+                .putInt(stream)
+                .put(payload)
+                .array();
+    }
+
+    // ---- What the client says. ----
+
+    private void recordFrame(byte[] b) {
+        if (b[0] == 'P') {
+            return;
+        }
+        ByteBuffer f = ByteBuffer.wrap(b);
+        int length = f.getInt() >>> 8;
+        f.position(3);
+        int type = f.get();
+        int flags = f.get();
+        int stream = f.getInt();
+        byte[] payload = new byte[length];
+        f.get(payload);
+        String end = (flags & 1) != 0 ? " end" : "";
+        sent.add(
+                switch (type) {
+                    case 0 -> "data " + stream + " " + length + end;
+                    case 1, 9 -> "headers " + stream + " " + headerNames(payload, flags) + end;
+                    case 3 ->
+                        "reset " + stream + " "
+                                + Http2Constants.ErrorCode.numbered(ByteBuffer.wrap(payload).getInt());
+                    case 4 -> (flags & 1) != 0 ? "ack" : "settings";
+                    case 6 ->
+                        "ping " + ByteBuffer.wrap(payload).getLong() + ((flags & 1) != 0 ? " ack" : "");
+                    case 7 ->
+                        "goaway " + Http2Constants.ErrorCode.numbered(ByteBuffer.wrap(payload, 4, 4).getInt());
+                    case 8 -> "update " + stream + " " + ByteBuffer.wrap(payload).getInt();
+                    default -> "frame " + type;
+                });
+    }
+
+    private String headerNames(byte[] payload, int flags) {
+        headerBlock.writeBytes(payload);
+        if ((flags & 4) == 0) {
+            return "more";
+        }
+        List<String> all = new ArrayList<>();
+        try {
+            decoder.decode(
+                    new ByteArrayInputStream(headerBlock.toByteArray()),
+                    (n, v, s) -> all.add(new String(n, StandardCharsets.UTF_8)));
+            decoder.endHeaderBlock();
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+        headerBlock = new ByteArrayOutputStream();
+        return String.join(",", all);
+    }
+
+    // ---- What comes of it. ----
+
+    @Override
+    public void onMaxStreams(long maxStreams) {
+        events.add("streams " + maxStreams);
+    }
+
+    @Override
+    public void onResponse(Http2Stream stream) {
+        events.add("answered " + stream.call + " " + stream.status + " " + stream.responseBody.size()
+                + (stream.trailers.isEmpty() ? "" : " " + stream.trailers));
+    }
+
+    @Override
+    public void onStreamReset(Http2Stream stream, boolean notProcessed, boolean malformed) {
+        events.add("reset " + stream.call + (notProcessed ? " never" : "") + (malformed ? " ours" : ""));
+    }
+
+    @Override
+    public void onGoAway(int lastStreamId, List<Http2Stream> above) {
+        events.add("leaving " + lastStreamId
+                + above.stream().map(stream -> " " + stream.call).reduce("", String::concat));
+    }
+
+    @Override
+    public void onPingAck(long number) {
+        events.add("ponged " + number);
+    }
+}
--- /dev/null
+++ b/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
@@ -0,0 +1,175 @@
+package tinlink.http2.pool;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import tinlink.Scenarios;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.PriorityQueue;
+
+/**
+ * Plays a scenario of the choice of connections over HTTP/2; docs/scenarios.md has the notation.
+ */
+public final class ConnectionPoolPlayer implements ConnectionPool.PoolHandler {
+    private static final class TestCall extends PendingCall {
+        private final String name;
+
+        TestCall(String name, long until) {
+            super(until);
+            this.name = name;
+        }
+    }
+
+    private final Map<String, Long> figures = new HashMap<>(Map.of(
+            "connections",
+            2L,
+            "first",
+            4L,
+            "waiting",
+            3L,
+            "wait",
+            100L,
+            "connect",
+            250L,
+            "idle",
+            5000L,
+            "ping",
+            500L,
+            "remember",
+            1000L));
+    private final ArrayDeque<String> decided = new ArrayDeque<>();
+    private final PriorityQueue<Long> wakes = new PriorityQueue<>();
+    private final List<PooledConnection> connections = new ArrayList<>();
+    private final Map<String, TestCall> calls = new HashMap<>();
+    private final Map<String, Integer> placed = new HashMap<>();
+    private ConnectionPool pool;
+    private long now;
+
+    public void play(List<String> script) {
+        Scenarios.play(script, ";", this::line);
+        assertEquals(List.of(), List.copyOf(decided), "decided and not expected");
+    }
+
+    private void line(String[] words) {
+        switch (words[0]) {
+            case "set" -> figures.put(words[1], Long.parseLong(words[2]));
+            case "=" ->
+                assertEquals(
+                        String.join(" ", words).substring(2),
+                        decided.isEmpty() ? "nothing" : decided.poll());
+            case "at" -> {
+                assertEquals(List.of(), List.copyOf(decided), "decided and not expected");
+                long to = 1000 * Long.parseLong(words[1]);
+                while (!wakes.isEmpty() && wakes.peek() <= to) {
+                    now = Math.max(now, wakes.poll());
+                    runAllDecisions();
+                }
+                now = to;
+                runAllDecisions();
+            }
+            default -> {
+                if (pool == null) {
+                    pool = new ConnectionPool(new ConnectionPool.Settings(
+                            intOf("connections"),
+                            intOf("first"),
+                            intOf("waiting"),
+                            us("wait"),
+                            us("connect"),
+                            us("idle"),
+                            us("ping"),
+                            us("remember")));
+                }
+                pool.advanceClock(now);
+                input(words);
+                runAllDecisions();
+            }
+        }
+    }
+
+    private int intOf(String figure) {
+        return (int) (long) figures.get(figure);
+    }
+
+    private long us(String figure) {
+        return 1000 * figures.get(figure);
+    }
+
+    private void runAllDecisions() {
+        pool.advanceClock(now);
+        while (pool.decide(this)) {
+            // Each has been noted.
+        }
+    }
+
+    private PooledConnection connection(String number) {
+        return connections.get(Integer.parseInt(number));
+    }
+
+    private void input(String[] words) {
+        switch (words[0]) {
+            case "call" -> {
+                TestCall testCall = new TestCall(words[1], now + 1000 * Long.parseLong(words[2]));
+                calls.put(words[1], testCall);
+                pool.submit(testCall);
+            }
+            case "drop" -> pool.cancel(calls.get(words[1]));
+            case "up" -> pool.onConnected(connection(words[1]));
+            case "settled" -> pool.onMaxStreams(connection(words[1]), Long.parseLong(words[2]));
+            case "heard" -> pool.onBytes(connection(words[1]));
+            case "ponged" -> pool.onPingAck(connection(words[1]), connection(words[1]).pendingPing);
+            case "done" -> {
+                pool.onBytes(connections.get(placed.get(words[1])));
+                pool.onStreamClosed(connections.get(placed.get(words[1])));
+            }
+            case "retire" -> pool.retire(connection(words[1]));
+            case "ended" -> pool.onConnectionEnded(connection(words[1]), words.length < 3, CallResult.NO_CONNECTION);
+            case "draining" -> pool.dropPending();
+            case "gone" -> pool.nodeRemoved();
+            default -> throw new IllegalArgumentException(words[0]);
+        }
+    }
+
+    @Override
+    public void openConnection(PooledConnection pooled) {
+        connections.add(pooled);
+        decided.add("open " + (connections.size() - 1));
+    }
+
+    @Override
+    public void startCall(PendingCall call, PooledConnection pooled) {
+        placed.put(((TestCall) call).name, connections.indexOf(pooled));
+        decided.add("place " + ((TestCall) call).name + " " + connections.indexOf(pooled));
+    }
+
+    @Override
+    public void endCall(PendingCall call, CallResult result) {
+        decided.add("over " + ((TestCall) call).name + " " + result.name().toLowerCase(Locale.ROOT));
+    }
+
+    @Override
+    public void fallBackToFrames(PendingCall call) {
+        decided.add("otherwise " + ((TestCall) call).name);
+    }
+
+    @Override
+    public void sendPing(PooledConnection pooled, long number) {
+        decided.add("ping " + connections.indexOf(pooled));
+    }
+
+    @Override
+    public void closeConnection(PooledConnection pooled, boolean silent) {
+        decided.add("close " + connections.indexOf(pooled) + (silent ? " silent" : ""));
+        pool.onConnectionEnded(
+                pooled, pooled.state == PooledConnection.State.UP || pooled.state == PooledConnection.State.RETIRING, CallResult.NO_CONNECTION);
+    }
+
+    @Override
+    public void wakeAt(long at) {
+        wakes.add(at);
+    }
+}
