--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -13,8 +13,8 @@
 import tinlink.cluster.membership.Membership;
 import tinlink.cluster.membership.Rumor;
 import tinlink.cluster.membership.VoterReplacement;
-import tinlink.sealed.Keys;
-import tinlink.sealed.Message;
+import tinlink.securechannel.KeyRing;
+import tinlink.securechannel.MessageCodec;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -164,7 +164,7 @@
             Network network,
             LocalRouter localRouter,
             KnownRouters knownRouters,
-            Keys keys,
+            KeyRing keys,
             Timing timing,
             Limits limits,
             Path folder,
@@ -325,7 +325,7 @@
         reportListener = listener;
     }
 
-    public void setKeys(Keys newKeys) {
+    public void setKeys(KeyRing newKeys) {
         connections.keys(newKeys);
     }
 
@@ -356,7 +356,7 @@
             // those know who are there now.
             if (leader.isEmpty() && !raft.hasReachedFloor()) {
                 grantedAdmission.votersToAsk()
-                        .forEach(r -> word(r, ADMISSION_REQUEST, new Message.Out().text(localVoter.toString())));
+                        .forEach(r -> word(r, ADMISSION_REQUEST, new MessageCodec.Builder().putText(localVoter.toString())));
             }
             raft.setFloor(grantedAdmission.floor());
         }
@@ -388,7 +388,7 @@
             if (isLeader()) {
                 present(localRouter.router(), disk);
             } else {
-                word(leader, PRESENCE, new Message.Out().text(disk));
+                word(leader, PRESENCE, new MessageCodec.Builder().putText(disk));
             }
         }
         if (!isLeader()) {
@@ -448,7 +448,7 @@
                 operatorReplacements.put(from, to);
             }
         } else if (!leader.isEmpty()) {
-            word(leader, REPLACE_VOTER, new Message.Out().text(from).text(to));
+            word(leader, REPLACE_VOTER, new MessageCodec.Builder().putText(from).putText(to));
         }
     }
 
@@ -464,7 +464,7 @@
 
     private void seekAdmission() {
         for (String r : voterAdmission.votersToAsk()) {
-            word(r, ADMISSION_REQUEST, new Message.Out().text(localVoter.toString()));
+            word(r, ADMISSION_REQUEST, new MessageCodec.Builder().putText(localVoter.toString()));
         }
         switch (voterAdmission.decide(loop.now(), 8 * timing.librarySecondUs())) {
             case ADMITTED -> {
@@ -509,7 +509,7 @@
             word(
                     all.get(random.nextInt(all.size())),
                     LEARN,
-                    new Message.Out().eight(learnerLog.index()));
+                    new MessageCodec.Builder().putLong(learnerLog.index()));
         }
     }
 
@@ -536,7 +536,7 @@
                     pendingProposals.remove(pendingProposals.keySet().iterator().next());
             oldest.accept(null, "it was not answered");
         }
-        word(leader, PROPOSE, new Message.Out().eight(n).longText(line));
+        word(leader, PROPOSE, new MessageCodec.Builder().putLong(n).putLongText(line));
     }
 
     /** The place in the order up to which this router has heard. */
@@ -558,7 +558,7 @@
             }));
         } else if (!leader.isEmpty()) {
             commitIndexListener = onResult;
-            word(leader, CONFIRM_REQUEST, new Message.Out().eight(++confirmCommitIndex));
+            word(leader, CONFIRM_REQUEST, new MessageCodec.Builder().putLong(++confirmCommitIndex));
         }
     }
 
@@ -567,7 +567,7 @@
         if (isLeader()) {
             reportListener.accept(localRouter.router(), line);
         } else if (!leader.isEmpty()) {
-            word(leader, REPORT, new Message.Out().longText(line));
+            word(leader, REPORT, new MessageCodec.Builder().putLongText(line));
         }
     }
 
@@ -590,21 +590,21 @@
 
     // ---- Words to others. ----
 
-    private void word(String router, int kind, Message.Out body) {
+    private void word(String router, int kind, MessageCodec.Builder body) {
         String at = addressOf(router);
         if (at != null && !closed) {
-            byte[] b = body.made();
+            byte[] b = body.build();
             connections.send(
                     at,
                     PeerProtocol.NODE,
-                    new Message.Out().byt(kind).text(localRouter.router()).bytes(b).made());
+                    new MessageCodec.Builder().putByte(kind).putText(localRouter.router()).putBytes(b).build());
         }
     }
 
     private void sendMembershipMessage(String at, int kind, long number, String target, List<Rumor> rumors) {
-        Message.Out o = new Message.Out().byt(kind).eight(number).text(target);
+        MessageCodec.Builder o = new MessageCodec.Builder().putByte(kind).putLong(number).putText(target);
         PeerProtocol.rumors(o, rumors);
-        connections.send(address(at), PeerProtocol.MEMBERSHIP, o.made());
+        connections.send(address(at), PeerProtocol.MEMBERSHIP, o.build());
     }
 
     @Override
@@ -658,17 +658,17 @@
             case PeerProtocol.MEMBERSHIP -> onMembershipMessage(in);
             case PeerProtocol.RAFT -> onRaftMessage(in);
             case PeerProtocol.NODE -> word(from, in);
-            default -> throw Message.bad("a word of type " + type);
+            default -> throw MessageCodec.malformed("a word of type " + type);
         }
     }
 
     private void onMembershipMessage(ByteBuffer in) throws BadMessage {
         int kind = in.get();
         long number = in.getLong();
-        String target = Message.text(in);
+        String target = MessageCodec.readText(in);
         List<Rumor> rumors = PeerProtocol.rumors(in);
         if (rumors.isEmpty()) {
-            throw Message.bad("a word that does not say whose it is");
+            throw MessageCodec.malformed("a word that does not say whose it is");
         }
         String from = rumors.get(0).address();
         membership.onRumors(rumors);
@@ -677,7 +677,7 @@
             case ACK -> membership.onAck(number);
             case PROBE_REQUEST -> membership.onProbeRequest(from, number, target);
             case NACK -> membership.onNack(number);
-            default -> throw Message.bad("a word of kind " + kind);
+            default -> throw MessageCodec.malformed("a word of kind " + kind);
         }
     }
 
@@ -690,7 +690,7 @@
                 connections.send(
                         at,
                         PeerProtocol.RAFT,
-                        new Message.Out().text(to.toString()).bytes(b).made());
+                        new MessageCodec.Builder().putText(to.toString()).putBytes(b).build());
             }
         });
     }
@@ -721,31 +721,31 @@
 
     private void word(Incarnation from, ByteBuffer in) throws BadMessage {
         int kind = in.get();
-        String router = Message.text(in);
+        String router = MessageCodec.readText(in);
         if (!router.equals(from.router())) {
-            throw Message.bad("it speaks for another router");
+            throw MessageCodec.malformed("it speaks for another router");
         }
         switch (kind) {
             case LEARN -> {
                 long after = in.getLong();
                 LearnerLog.Batch p = learnerLog.batchAfter(after);
-                Message.Out o = new Message.Out()
-                        .text(leader)
-                        .eight(after)
-                        .byt(p == null ? 0 : p.isSnapshot() ? 2 : 1);
+                MessageCodec.Builder o = new MessageCodec.Builder()
+                        .putText(leader)
+                        .putLong(after)
+                        .putByte(p == null ? 0 : p.isSnapshot() ? 2 : 1);
                 if (p != null) {
-                    o.eight(p.index()).longText(String.join("\n", p.lines()));
+                    o.putLong(p.index()).putLongText(String.join("\n", p.lines()));
                 }
                 word(router, LEARNED, o);
             }
             case LEARNED -> {
-                String leads = Message.text(in);
+                String leads = MessageCodec.readText(in);
                 long after = in.getLong();
                 int what = in.get();
                 leader = leads.isEmpty() ? leader : leads;
                 if (what != 0 && raft == null) {
                     long index = in.getLong();
-                    String lines = Message.longText(in, RaftCodec.MAX_TEXT_BYTES);
+                    String lines = MessageCodec.readLongText(in, RaftCodec.MAX_TEXT_BYTES);
                     if (learnerLog.appendBatch(
                             after,
                             new LearnerLog.Batch(index, what == 2, lines.lines().toList()))) {
@@ -755,12 +755,12 @@
             }
             case PROPOSE -> {
                 long n = in.getLong();
-                String line = Message.longText(in, RaftCodec.MAX_TEXT_BYTES);
+                String line = MessageCodec.readLongText(in, RaftCodec.MAX_TEXT_BYTES);
                 if (!isLeader()) {
                     word(
                             router,
                             PROPOSED,
-                            new Message.Out().eight(n).byt(0).longText("it does not lead"));
+                            new MessageCodec.Builder().putLong(n).putByte(0).putLongText("it does not lead"));
                     return;
                 }
                 raft.propose(
@@ -768,16 +768,16 @@
                         (reply, e) -> loop.ready(() -> word(
                                 router,
                                 PROPOSED,
-                                new Message.Out()
-                                        .eight(n)
-                                        .byt(e == null ? 1 : 0)
-                                        .longText(
+                                new MessageCodec.Builder()
+                                        .putLong(n)
+                                        .putByte(e == null ? 1 : 0)
+                                        .putLongText(
                                                 e == null ? String.valueOf(reply) : e.toString()))));
             }
             case PROPOSED -> {
                 BiConsumer<String, String> onResult = pendingProposals.remove(in.getLong());
                 boolean is = in.get() == 1;
-                String text = Message.longText(in, RaftCodec.MAX_TEXT_BYTES);
+                String text = MessageCodec.readLongText(in, RaftCodec.MAX_TEXT_BYTES);
                 if (onResult != null) {
                     onResult.accept(is ? text : null, is ? null : text);
                 }
@@ -785,18 +785,18 @@
             case ADMISSION_REQUEST -> {
                 Member m = membership.member(router);
                 VoterAdmission.LogPosition r = knownPositions.get(RaftCodec.voter(in));
-                Message.Out o = new Message.Out().byt(m == null ? 0 : 1);
+                MessageCodec.Builder o = new MessageCodec.Builder().putByte(m == null ? 0 : 1);
                 if (m != null) {
                     // Whom we know besides the one who asks, if there is another.
                     PeerProtocol.incarnation(
                             o, m.duplicate() != null && m.incarnation().equals(from) ? m.duplicate() : m.incarnation());
                 }
-                o.byt(r == null ? 0 : 1);
+                o.putByte(r == null ? 0 : 1);
                 if (r != null) {
-                    o.four(r.term()).eight(r.confirmedIndex());
+                    o.putInt(r.term()).putLong(r.confirmedIndex());
                 }
                 RecoveryFloor logEnd = stateStore.logEnd();
-                o.four(logEnd.term()).four(logEnd.lastTerm()).eight(logEnd.lastIndex());
+                o.putInt(logEnd.term()).putInt(logEnd.lastTerm()).putLong(logEnd.lastIndex());
                 word(router, ADMISSION_RESPONSE, o);
             }
             case ADMISSION_RESPONSE -> {
@@ -814,7 +814,7 @@
                 if (isLeader()) {
                     raft.confirmCommitIndex((index, e) -> loop.ready(() -> {
                         if (e == null) {
-                            word(router, CONFIRM_RESPONSE, new Message.Out().eight(n).eight(index));
+                            word(router, CONFIRM_RESPONSE, new MessageCodec.Builder().putLong(n).putLong(index));
                         }
                     }));
                 }
@@ -827,25 +827,25 @@
                 }
             }
             case PRESENCE -> {
-                String disk = Message.text(in);
+                String disk = MessageCodec.readText(in);
                 if (isLeader()) {
                     present(router, disk);
                 }
             }
             case REPLACE_VOTER -> {
-                String goes = Message.text(in);
-                String comes = Message.text(in);
+                String goes = MessageCodec.readText(in);
+                String comes = MessageCodec.readText(in);
                 if (isLeader()) {
                     replaceVoter(goes, comes);
                 }
             }
             case REPORT -> {
-                String line = Message.longText(in, RaftCodec.MAX_TEXT_BYTES);
+                String line = MessageCodec.readLongText(in, RaftCodec.MAX_TEXT_BYTES);
                 if (isLeader()) {
                     reportListener.accept(router, line);
                 }
             }
-            default -> throw Message.bad("a word of kind " + kind);
+            default -> throw MessageCodec.malformed("a word of kind " + kind);
         }
     }
 
--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/PeerConnections.java
@@ -7,7 +7,7 @@
 import tinlink.net.Loop;
 import tinlink.net.Network;
 import tinlink.cluster.membership.Incarnation;
-import tinlink.sealed.Keys;
+import tinlink.securechannel.KeyRing;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -81,7 +81,7 @@
     final Timeouts timeouts;
     final Counters counters = new Counters();
     final TrafficCounters traffic = new TrafficCounters();
-    Keys keys;
+    KeyRing keys;
     private final Network network;
     private final MessageHandler handler;
     private final Limits limits;
@@ -99,7 +99,7 @@
             Network network,
             String cluster,
             Incarnation self,
-            Keys keys,
+            KeyRing keys,
             Timeouts timeouts,
             Limits limits,
             MessageHandler handler) {
@@ -138,7 +138,7 @@
     }
 
     /** From now on these are the keys; links that are up stay. */
-    public void keys(Keys newKeys) {
+    public void keys(KeyRing newKeys) {
         keys = newKeys;
     }
 
@@ -159,9 +159,9 @@
         if (destination.isUp) {
             // Danger: a peer that stands still reads nothing, and all that is said to it would be
             // held here.
-            if (destination.session.backlog() > MAX_QUEUED_BYTES) {
+            if (destination.session.outboundBacklogBytes() > MAX_QUEUED_BYTES) {
                 counters.add("peers_not_sent");
-                destination.session.end(Ending.SILENT);
+                destination.session.close(Ending.SILENT);
                 return;
             }
             destination.session.lastUsedUs = loop.now();
@@ -187,7 +187,7 @@
         PeerSession session = new PeerSession(this, address);
         destination.session = session;
         try {
-            session.on(network.connect(address(address), session), timeouts.handshakeUs());
+            session.attach(network.connect(address(address), session), timeouts.handshakeUs());
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.FINE, "event=peer_connect_failed address=" + address, e);
             connectionFailed(destination);
@@ -221,7 +221,7 @@
             Destination destination = iterator.next();
             iterator.remove();
             if (destination.session != null) {
-                destination.session.end(Ending.IDLE);
+                destination.session.close(Ending.IDLE);
             }
         }
     }
@@ -229,7 +229,7 @@
     private void closeIdleSessions() {
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.isUp && loop.now() - destination.session.lastUsedUs > timeouts.idleUs()) {
-                destination.session.end(Ending.IDLE);
+                destination.session.close(Ending.IDLE);
             }
         }
         loop.at(loop.now() + timeouts.idleUs(), this::closeIdleSessions);
@@ -238,7 +238,7 @@
     void opened(PeerSession session) {
         Destination destination = destinations.get(session.dialedAddress);
         if (destination == null || destination.session != session) {
-            session.end(Ending.DONE);
+            session.close(Ending.DONE);
             return;
         }
         destination.isUp = true;
@@ -272,7 +272,7 @@
         unauthenticatedConnections.remove(session);
         inboundSessions.add(session);
         if (inboundSessions.size() > limits.connections()) {
-            inboundSessions.iterator().next().end(Ending.IDLE);
+            inboundSessions.iterator().next().close(Ending.IDLE);
         }
     }
 
@@ -291,10 +291,10 @@
     @Override
     public void opened(Link link, Link.Owner owner) {
         PeerSession session = (PeerSession) owner;
-        session.on(link, timeouts.handshakeUs());
+        session.attach(link, timeouts.handshakeUs());
         unauthenticatedConnections.add(session);
         if (unauthenticatedConnections.size() > limits.unauthenticated()) {
-            unauthenticatedConnections.iterator().next().end(Ending.DONE);
+            unauthenticatedConnections.iterator().next().close(Ending.DONE);
         }
     }
 
@@ -312,11 +312,11 @@
     /** Ends all links. */
     public void close() {
         listening.close();
-        Set.copyOf(inboundSessions).forEach(session -> session.end(Ending.DONE));
-        Set.copyOf(unauthenticatedConnections).forEach(session -> session.end(Ending.DONE));
+        Set.copyOf(inboundSessions).forEach(session -> session.close(Ending.DONE));
+        Set.copyOf(unauthenticatedConnections).forEach(session -> session.close(Ending.DONE));
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.session != null) {
-                destination.session.end(Ending.DONE);
+                destination.session.close(Ending.DONE);
             }
         }
     }
--- a/src/main/java/tinlink/cluster/PeerProtocol.java
+++ b/src/main/java/tinlink/cluster/PeerProtocol.java
@@ -4,14 +4,14 @@
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.Rumor;
 import tinlink.cluster.membership.MemberState;
-import tinlink.sealed.Message;
+import tinlink.securechannel.MessageCodec;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The messages between routers that know each other. */
-final class PeerProtocol extends Message {
+final class PeerProtocol extends MessageCodec {
     static final int VERSION = 1;
     static final byte HELLO = 1;
     static final byte CHALLENGE = 2;
@@ -33,24 +33,24 @@
 
     private PeerProtocol() {}
 
-    static void incarnation(Out out, Incarnation incarnation) {
-        out.text(incarnation.router()).eight(incarnation.startCount()).eight(incarnation.nonce());
+    static void incarnation(Builder out, Incarnation incarnation) {
+        out.putText(incarnation.router()).putLong(incarnation.startCount()).putLong(incarnation.nonce());
     }
 
     static Incarnation incarnation(ByteBuffer in) throws BadMessage {
-        String name = text(in);
+        String name = readText(in);
         if (name.isEmpty()) {
-            throw bad("a router without a name");
+            throw malformed("a router without a name");
         }
         return new Incarnation(name, in.getLong(), in.getLong());
     }
 
     @SuppressWarnings("EnumOrdinal") // Standings are numbered in their order.
-    static void rumors(Out out, List<Rumor> rumors) {
-        out.byt(rumors.size());
+    static void rumors(Builder out, List<Rumor> rumors) {
+        out.putByte(rumors.size());
         for (Rumor rumor : rumors) {
             incarnation(out, rumor.incarnation());
-            out.eight(rumor.refutationCount()).byt(rumor.state().ordinal()).text(rumor.address()).text(rumor.suspectedBy());
+            out.putLong(rumor.refutationCount()).putByte(rumor.state().ordinal()).putText(rumor.address()).putText(rumor.suspectedBy());
         }
     }
 
@@ -58,7 +58,7 @@
     static List<Rumor> rumors(ByteBuffer in) throws BadMessage {
         int count = in.get();
         if (count < 0 || count > MAX_RUMORS) {
-            throw bad(count + " rumours");
+            throw malformed(count + " rumours");
         }
         List<Rumor> rumors = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -66,9 +66,9 @@
             long refutationCount = in.getLong();
             int state = in.get();
             if (state < 0 || state >= MemberState.values().length) {
-                throw bad("a standing of " + state);
+                throw malformed("a standing of " + state);
             }
-            rumors.add(new Rumor(incarnation, refutationCount, MemberState.values()[state], text(in), text(in)));
+            rumors.add(new Rumor(incarnation, refutationCount, MemberState.values()[state], readText(in), readText(in)));
         }
         return rumors;
     }
--- a/src/main/java/tinlink/cluster/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/RaftCodec.java
@@ -21,7 +21,7 @@
 import io.microraft.model.message.VoteResponse;
 
 import tinlink.net.BadMessage;
-import tinlink.sealed.Message;
+import tinlink.securechannel.MessageCodec;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -46,67 +46,67 @@
     // ---- Messages. ----
 
     public static byte[] encode(RaftMessage message) {
-        Message.Out out = new Message.Out();
+        MessageCodec.Builder out = new MessageCodec.Builder();
         if (message instanceof AppendEntriesRequest request) {
             header(out, 1, request)
-                    .four(request.getPreviousLogTerm())
-                    .eight(request.getPreviousLogIndex())
-                    .eight(request.getCommitIndex())
-                    .eight(request.getQuerySequenceNumber())
-                    .eight(request.getFlowControlSequenceNumber())
-                    .four(request.getLogEntries().size());
+                    .putInt(request.getPreviousLogTerm())
+                    .putLong(request.getPreviousLogIndex())
+                    .putLong(request.getCommitIndex())
+                    .putLong(request.getQuerySequenceNumber())
+                    .putLong(request.getFlowControlSequenceNumber())
+                    .putInt(request.getLogEntries().size());
             request.getLogEntries().forEach(entry -> entry(out, entry));
         } else if (message instanceof AppendEntriesSuccessResponse response) {
             header(out, 2, response)
-                    .eight(response.getLastLogIndex())
-                    .eight(response.getQuerySequenceNumber())
-                    .eight(response.getFlowControlSequenceNumber());
+                    .putLong(response.getLastLogIndex())
+                    .putLong(response.getQuerySequenceNumber())
+                    .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse response) {
             header(out, 3, response)
-                    .eight(response.getExpectedNextIndex())
-                    .eight(response.getQuerySequenceNumber())
-                    .eight(response.getFlowControlSequenceNumber());
+                    .putLong(response.getExpectedNextIndex())
+                    .putLong(response.getQuerySequenceNumber())
+                    .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest request) {
             header(out, 4, request)
-                    .byt(request.isSenderLeader() ? 1 : 0)
-                    .four(request.getSnapshotTerm())
-                    .eight(request.getSnapshotIndex())
-                    .four(request.getTotalSnapshotChunkCount())
-                    .eight(request.getQuerySequenceNumber())
-                    .eight(request.getFlowControlSequenceNumber());
+                    .putByte(request.isSenderLeader() ? 1 : 0)
+                    .putInt(request.getSnapshotTerm())
+                    .putLong(request.getSnapshotIndex())
+                    .putInt(request.getTotalSnapshotChunkCount())
+                    .putLong(request.getQuerySequenceNumber())
+                    .putLong(request.getFlowControlSequenceNumber());
             voters(out, request.getSnapshottedMembers());
             view(out, request.getGroupMembersView());
-            out.byt(request.getSnapshotChunk() == null ? 0 : 1);
+            out.putByte(request.getSnapshotChunk() == null ? 0 : 1);
             if (request.getSnapshotChunk() != null) {
                 chunk(out, request.getSnapshotChunk());
             }
         } else if (message instanceof InstallSnapshotResponse response) {
             header(out, 5, response)
-                    .eight(response.getSnapshotIndex())
-                    .four(response.getRequestedSnapshotChunkIndex())
-                    .eight(response.getQuerySequenceNumber())
-                    .eight(response.getFlowControlSequenceNumber());
+                    .putLong(response.getSnapshotIndex())
+                    .putInt(response.getRequestedSnapshotChunkIndex())
+                    .putLong(response.getQuerySequenceNumber())
+                    .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest request) {
-            header(out, 6, request).four(request.getLastLogTerm()).eight(request.getLastLogIndex());
+            header(out, 6, request).putInt(request.getLastLogTerm()).putLong(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
-            header(out, 7, response).byt(response.isGranted() ? 1 : 0);
+            header(out, 7, response).putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof VoteRequest request) {
             header(out, 8, request)
-                    .four(request.getLastLogTerm())
-                    .eight(request.getLastLogIndex())
-                    .byt(request.isSticky() ? 1 : 0);
+                    .putInt(request.getLastLogTerm())
+                    .putLong(request.getLastLogIndex())
+                    .putByte(request.isSticky() ? 1 : 0);
         } else if (message instanceof VoteResponse response) {
-            header(out, 9, response).byt(response.isGranted() ? 1 : 0);
+            header(out, 9, response).putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof TriggerLeaderElectionRequest request) {
-            header(out, 10, request).four(request.getLastLogTerm()).eight(request.getLastLogIndex());
+            header(out, 10, request).putInt(request.getLastLogTerm()).putLong(request.getLastLogIndex());
         } else {
             throw new IllegalArgumentException("a message of another kind: " + message);
         }
-        return out.made();
+        return out.build();
     }
 
-    private static Message.Out header(Message.Out out, int type, RaftMessage message) {
-        return out.byt(type).text(message.getSender().toString()).four(message.getTerm());
+    private static MessageCodec.Builder header(MessageCodec.Builder out, int type, RaftMessage message) {
+        return out.putByte(type).putText(message.getSender().toString()).putInt(message.getTerm());
     }
 
     /**
@@ -234,14 +234,14 @@
                         .setLastLogTerm(in.getInt())
                         .setLastLogIndex(in.getLong())
                         .build();
-            default -> throw Message.bad("a word of type " + type);
+            default -> throw MessageCodec.malformed("a word of type " + type);
         };
     }
 
     private static int count(ByteBuffer in, int max) throws BadMessage {
         int count = in.getInt();
         if (count < 0 || count > max) {
-            throw Message.bad("a list of " + count);
+            throw MessageCodec.malformed("a list of " + count);
         }
         return count;
     }
@@ -249,17 +249,17 @@
     // ---- What they are made of. ----
 
     static Voter voter(ByteBuffer in) throws BadMessage {
-        String text = Message.text(in);
+        String text = MessageCodec.readText(in);
         try {
             return Voter.parse(text);
         } catch (IllegalArgumentException invalid) {
-            throw Message.bad(invalid.getMessage());
+            throw MessageCodec.malformed(invalid.getMessage());
         }
     }
 
-    static void voters(Message.Out out, Collection<RaftEndpoint> voters) {
-        out.four(voters.size());
-        voters.forEach(voter -> out.text(voter.toString()));
+    static void voters(MessageCodec.Builder out, Collection<RaftEndpoint> voters) {
+        out.putInt(voters.size());
+        voters.forEach(voter -> out.putText(voter.toString()));
     }
 
     static List<RaftEndpoint> voters(ByteBuffer in) throws BadMessage {
@@ -271,8 +271,8 @@
         return voters;
     }
 
-    static void view(Message.Out out, RaftGroupMembersView view) {
-        out.eight(view.getLogIndex());
+    static void view(MessageCodec.Builder out, RaftGroupMembersView view) {
+        out.putLong(view.getLogIndex());
         voters(out, view.getMembers());
         voters(out, view.getVotingMembers());
     }
@@ -287,8 +287,8 @@
                 .build();
     }
 
-    static void entry(Message.Out out, LogEntry entry) {
-        out.eight(entry.getIndex()).four(entry.getTerm());
+    static void entry(MessageCodec.Builder out, LogEntry entry) {
+        out.putLong(entry.getIndex()).putInt(entry.getTerm());
         operation(out, entry.getOperation());
     }
 
@@ -303,28 +303,28 @@
     }
 
     @SuppressWarnings("EnumOrdinal") // Modes are numbered in their order.
-    private static void operation(Message.Out out, Object operation) {
+    private static void operation(MessageCodec.Builder out, Object operation) {
         if (operation instanceof UpdateRaftGroupMembersOp update) {
-            out.byt(1);
+            out.putByte(1);
             voters(out, update.getMembers());
             voters(out, update.getVotingMembers());
-            out.text(update.getEndpoint().toString()).byt(update.getMode().ordinal());
+            out.putText(update.getEndpoint().toString()).putByte(update.getMode().ordinal());
         } else {
-            out.byt(0).longText((String) operation);
+            out.putByte(0).putLongText((String) operation);
         }
     }
 
     @SuppressWarnings("EnumOrdinal") // As above.
     private static Object operation(ByteBuffer in) throws BadMessage {
         if (in.get() == 0) {
-            return Message.longText(in, MAX_TEXT_BYTES);
+            return MessageCodec.readLongText(in, MAX_TEXT_BYTES);
         }
         List<RaftEndpoint> members = voters(in);
         List<RaftEndpoint> voting = voters(in);
         Voter voter = voter(in);
         int mode = in.get();
         if (mode < 0 || mode >= MembershipChangeMode.values().length) {
-            throw Message.bad("a change of kind " + mode);
+            throw MessageCodec.malformed("a change of kind " + mode);
         }
         return MODEL_FACTORY.createUpdateRaftGroupMembersOpBuilder()
                 .setMembers(members)
@@ -334,13 +334,13 @@
                 .build();
     }
 
-    static void chunk(Message.Out out, SnapshotChunk chunk) {
-        out.eight(chunk.getIndex())
-                .four(chunk.getTerm())
-                .four(chunk.getSnapshotChunkIndex())
-                .four(chunk.getSnapshotChunkCount());
+    static void chunk(MessageCodec.Builder out, SnapshotChunk chunk) {
+        out.putLong(chunk.getIndex())
+                .putInt(chunk.getTerm())
+                .putInt(chunk.getSnapshotChunkIndex())
+                .putInt(chunk.getSnapshotChunkCount());
         view(out, chunk.getGroupMembersView());
-        out.longText((String) chunk.getOperation());
+        out.putLongText((String) chunk.getOperation());
     }
 
     static SnapshotChunk chunk(ByteBuffer in) throws BadMessage {
@@ -355,7 +355,7 @@
                 .setSnapshotChunkIndex(chunkIndex)
                 .setSnapshotChunkCount(chunkCount)
                 .setGroupMembersView(view)
-                .setOperation(Message.longText(in, MAX_TEXT_BYTES))
+                .setOperation(MessageCodec.readLongText(in, MAX_TEXT_BYTES))
                 .build();
     }
 }
--- a/src/main/java/tinlink/cluster/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/RaftStateStore.java
@@ -12,7 +12,7 @@
 
 import tinlink.net.BadMessage;
 import tinlink.cluster.membership.RecoveryFloor;
-import tinlink.sealed.Message;
+import tinlink.securechannel.MessageCodec;
 
 import java.io.IOException;
 import java.nio.BufferUnderflowException;
@@ -66,7 +66,7 @@
             if (state != null) {
                 ByteBuffer in = ByteBuffer.wrap(state);
                 while (in.hasRemaining()) {
-                    replay(ByteBuffer.wrap(Message.bytes(in, in.getInt())));
+                    replay(ByteBuffer.wrap(MessageCodec.readBytes(in, in.getInt())));
                 }
             }
             for (byte[] record : recordsSince) {
@@ -186,12 +186,12 @@
             case TRUNCATE_FROM -> log.tailMap(in.getLong(), true).clear();
             case TRUNCATE_UNTIL -> log.headMap(in.getLong(), true).clear();
             case DELETE_CHUNKS -> chunks.remove(in.getLong());
-            default -> throw Message.bad("a record of another kind");
+            default -> throw MessageCodec.malformed("a record of another kind");
         }
     }
 
-    private void persist(Message.Out out) throws IOException {
-        byte[] record = out.made();
+    private void persist(MessageCodec.Builder out) throws IOException {
+        byte[] record = out.build();
         try {
             replay(ByteBuffer.wrap(record));
         } catch (BadMessage e) {
@@ -207,11 +207,11 @@
         recordLog.sync();
     }
 
-    private static Message.Out endpoint(RaftEndpointPersistentState localEndpoint) {
-        return new Message.Out()
-                .byt(ENDPOINT)
-                .text(localEndpoint.getLocalEndpoint().toString())
-                .byt(localEndpoint.isVoting() ? 1 : 0);
+    private static MessageCodec.Builder endpoint(RaftEndpointPersistentState localEndpoint) {
+        return new MessageCodec.Builder()
+                .putByte(ENDPOINT)
+                .putText(localEndpoint.getLocalEndpoint().toString())
+                .putByte(localEndpoint.isVoting() ? 1 : 0);
     }
 
     @Override
@@ -220,8 +220,8 @@
         recordLog.sync();
     }
 
-    private static Message.Out group(RaftGroupMembersView view) {
-        Message.Out out = new Message.Out().byt(GROUP);
+    private static MessageCodec.Builder group(RaftGroupMembersView view) {
+        MessageCodec.Builder out = new MessageCodec.Builder().putByte(GROUP);
         RaftCodec.view(out, view);
         return out;
     }
@@ -232,10 +232,10 @@
         recordLog.sync();
     }
 
-    private static Message.Out term(RaftTermPersistentState newTerm) {
-        Message.Out out =
-                new Message.Out().byt(TERM).four(newTerm.getTerm()).byt(newTerm.getVotedFor() == null ? 0 : 1);
-        return newTerm.getVotedFor() == null ? out : out.text(newTerm.getVotedFor().toString());
+    private static MessageCodec.Builder term(RaftTermPersistentState newTerm) {
+        MessageCodec.Builder out =
+                new MessageCodec.Builder().putByte(TERM).putInt(newTerm.getTerm()).putByte(newTerm.getVotedFor() == null ? 0 : 1);
+        return newTerm.getVotedFor() == null ? out : out.putText(newTerm.getVotedFor().toString());
     }
 
     @Override
@@ -243,8 +243,8 @@
         persist(entries(entries));
     }
 
-    private static Message.Out entries(List<LogEntry> entries) {
-        Message.Out out = new Message.Out().byt(ENTRIES).four(entries.size());
+    private static MessageCodec.Builder entries(List<LogEntry> entries) {
+        MessageCodec.Builder out = new MessageCodec.Builder().putByte(ENTRIES).putInt(entries.size());
         entries.forEach(entry -> RaftCodec.entry(out, entry));
         return out;
     }
@@ -254,15 +254,15 @@
         persist(chunk(chunk));
     }
 
-    private static Message.Out chunk(SnapshotChunk chunk) {
-        Message.Out out = new Message.Out().byt(CHUNK);
+    private static MessageCodec.Builder chunk(SnapshotChunk chunk) {
+        MessageCodec.Builder out = new MessageCodec.Builder().putByte(CHUNK);
         RaftCodec.chunk(out, chunk);
         return out;
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        persist(new Message.Out().byt(TRUNCATE_FROM).eight(index));
+        persist(new MessageCodec.Builder().putByte(TRUNCATE_FROM).putLong(index));
     }
 
     /**
@@ -271,8 +271,8 @@
      */
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        persist(new Message.Out().byt(TRUNCATE_UNTIL).eight(index));
-        Message.Out state = new Message.Out();
+        persist(new MessageCodec.Builder().putByte(TRUNCATE_UNTIL).putLong(index));
+        MessageCodec.Builder state = new MessageCodec.Builder();
         appendPart(state, endpoint(endpoint));
         appendPart(state, group(group));
         if (term != null) {
@@ -291,17 +291,17 @@
                 chars = 0;
             }
         }
-        recordLog.compactTo(state.made());
+        recordLog.compactTo(state.build());
     }
 
-    private static void appendPart(Message.Out state, Message.Out part) {
-        byte[] encoded = part.made();
-        state.four(encoded.length).bytes(encoded);
+    private static void appendPart(MessageCodec.Builder state, MessageCodec.Builder part) {
+        byte[] encoded = part.build();
+        state.putInt(encoded.length).putBytes(encoded);
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        persist(new Message.Out().byt(DELETE_CHUNKS).eight(index));
+        persist(new MessageCodec.Builder().putByte(DELETE_CHUNKS).putLong(index));
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -6,7 +6,7 @@
 import tinlink.net.Counters;
 import tinlink.net.Loop;
 import tinlink.net.Network;
-import tinlink.sealed.Message;
+import tinlink.securechannel.MessageCodec;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -71,7 +71,7 @@
     /** The session has ended. @return whether it had been up */
     boolean sessionClosed(GatewayClientSession session) {
         sessions.remove(session.channel, session);
-        return session.wasProved();
+        return session.wasAuthenticated();
     }
 
     // ---- Decisions of a far router's. ----
@@ -82,7 +82,7 @@
         GatewayClientSession session = new GatewayClientSession(gateway, this, channel, endpoint.site());
         try {
             sessions.put(channel, session);
-            session.on(
+            session.attach(
                     gateway.network.connect(endpoint.addresses().get(channel.index), session),
                     gateway.timing.handshakeUs() + gateway.timing.maxRequestUs() / 4);
         } catch (IOException | RuntimeException e) {
@@ -96,14 +96,14 @@
     public void disconnect(GatewayChannel channel) {
         GatewayClientSession session = sessions.get(channel);
         if (session != null) {
-            session.end(Ending.SILENT);
+            session.close(Ending.SILENT);
         }
     }
 
     @Override
     public void sendHeartbeat(GatewayChannel channel, long number, long lowest) {
         sessions.get(channel)
-                .send(GatewayProtocol.HEARTBEAT, new GatewayProtocol.Out().eight(number).eight(lowest).made());
+                .send(GatewayProtocol.HEARTBEAT, new GatewayProtocol.Builder().putLong(number).putLong(lowest).build());
     }
 
     @Override
@@ -112,42 +112,42 @@
         long now = gateway.loop.now();
         GatewayChannel channel = part.channel();
         int flags = (part.clientRetry ? CLIENT_RETRY_FLAG : 0) | (part.idempotencyKey == null ? 0 : IDEMPOTENCY_KEY_FLAG);
-        GatewayProtocol.Out message = new GatewayProtocol.Out()
-                .eight(part.number())
-                .eight(part.deadline - now - channel.marginUs())
-                .eight(part.effectDeadline == Long.MAX_VALUE ? Long.MAX_VALUE : part.effectDeadline - now)
-                .eight(channel.lastAckedHeartbeat())
-                .eight(channel.sinceAckUs(now))
-                .four(part.shard)
-                .byt(flags)
-                .text(part.index)
-                .text(part.id);
+        GatewayProtocol.Builder message = new GatewayProtocol.Builder()
+                .putLong(part.number())
+                .putLong(part.deadline - now - channel.marginUs())
+                .putLong(part.effectDeadline == Long.MAX_VALUE ? Long.MAX_VALUE : part.effectDeadline - now)
+                .putLong(channel.lastAckedHeartbeat())
+                .putLong(channel.sinceAckUs(now))
+                .putInt(part.shard)
+                .putByte(flags)
+                .putText(part.index)
+                .putText(part.id);
         if (part.idempotencyKey != null) {
-            message.text(part.idempotencyKey);
+            message.putText(part.idempotencyKey);
         }
         gateway.counters.add("near_parts");
-        part.endPosition = sessions.get(channel).send(GatewayProtocol.FORWARD_PART, message.bytes(part.text).made());
+        part.endPosition = sessions.get(channel).send(GatewayProtocol.FORWARD_PART, message.putBytes(part.text).build());
     }
 
     @Override
     public void sendCancel(ForwardedPart part) {
         GatewayClientSession session = sessions.get(part.channel());
-        if (session != null && session.isProved()) {
-            session.send(GatewayProtocol.CANCEL_PART, new GatewayProtocol.Out().eight(part.number()).made());
+        if (session != null && session.isAuthenticated()) {
+            session.send(GatewayProtocol.CANCEL_PART, new GatewayProtocol.Builder().putLong(part.number()).build());
         }
     }
 
     @Override
     public void sendStatusQuery(GatewayChannel via, GatewayChannel about) {
         Set<Long> numbers = about.openParts().keySet();
-        GatewayProtocol.Out message = new GatewayProtocol.Out()
-                .two(about.index)
-                .eight(about.connectCount())
-                .eight(about.nextPartNumber())
-                .two(numbers.size());
-        numbers.forEach(message::eight);
+        GatewayProtocol.Builder message = new GatewayProtocol.Builder()
+                .putShort(about.index)
+                .putLong(about.connectCount())
+                .putLong(about.nextPartNumber())
+                .putShort(numbers.size());
+        numbers.forEach(message::putLong);
         gateway.counters.add("near_fates_asked");
-        sessions.get(via).send(GatewayProtocol.STATUS_QUERY, message.made());
+        sessions.get(via).send(GatewayProtocol.STATUS_QUERY, message.build());
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/GatewayClientSession.java
+++ b/src/main/java/tinlink/gateway/GatewayClientSession.java
@@ -5,8 +5,8 @@
 import tinlink.gateway.forwarding.GatewayChannel;
 import tinlink.net.BadMessage;
 import tinlink.net.Ending;
-import tinlink.sealed.Message;
-import tinlink.sealed.Session;
+import tinlink.securechannel.MessageCodec;
+import tinlink.securechannel.SecureSession;
 
 import java.nio.ByteBuffer;
 import java.util.BitSet;
@@ -17,7 +17,7 @@
  * The near side of a line to a far router: calls it, proves itself, passes parts on and hears of
  * their fates.
  */
-final class GatewayClientSession extends Session {
+final class GatewayClientSession extends SecureSession {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private final Gateway gateway;
     private final GatewayClient client;
@@ -37,23 +37,23 @@
 
     @Override
     public void up() {
-        keyId = gateway.keys.use();
-        hello = new Message.Out()
-                .two(GatewayProtocol.VERSION)
-                .text(keyId)
-                .text(gateway.identity.site())
-                .text(gateway.identity.router())
-                .two(channel.index)
-                .eight(gateway.identity.incarnation())
-                .bytes(gateway.newNonce())
-                .made();
+        keyId = gateway.keys.activeKeyId();
+        hello = new MessageCodec.Builder()
+                .putShort(GatewayProtocol.VERSION)
+                .putText(keyId)
+                .putText(gateway.identity.site())
+                .putText(gateway.identity.router())
+                .putShort(channel.index)
+                .putLong(gateway.identity.incarnation())
+                .putBytes(gateway.newNonce())
+                .build();
         helloSentAt = gateway.loop.now();
         send(GatewayProtocol.HELLO, hello);
     }
 
     @Override
-    protected void said(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
-        if (!isProved()) {
+    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+        if (!isAuthenticated()) {
             onChallenge(type, payload, frame);
             return;
         }
@@ -68,38 +68,38 @@
                 channel.router.onGoAway(channel, payload.getLong());
             }
             case GatewayProtocol.PART_STATUS -> onPartStatus(payload);
-            default -> throw GatewayProtocol.bad("a message of type " + type);
+            default -> throw GatewayProtocol.malformed("a message of type " + type);
         }
     }
 
     /** The far router says who it is, and proves it with our nonce; then we do with its own. */
     private void onChallenge(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
         if (type != GatewayProtocol.CHALLENGE || payload.getShort() != GatewayProtocol.VERSION) {
-            throw GatewayProtocol.bad("no challenge of this version");
+            throw GatewayProtocol.malformed("no challenge of this version");
         }
-        String remoteSite = GatewayProtocol.text(payload);
-        String remoteRouter = GatewayProtocol.text(payload);
+        String remoteSite = GatewayProtocol.readText(payload);
+        String remoteRouter = GatewayProtocol.readText(payload);
         long incarnation = payload.getLong();
-        GatewayProtocol.bytes(payload, GatewayProtocol.NONCE_BYTES);
+        GatewayProtocol.readBytes(payload, GatewayProtocol.NONCE_BYTES);
         int challengeEnd = payload.position();
-        byte[] proof = GatewayProtocol.bytes(payload, GatewayProtocol.PROOF_BYTES);
+        byte[] proof = GatewayProtocol.readBytes(payload, GatewayProtocol.PROOF_BYTES);
         byte[] challenge = java.util.Arrays.copyOfRange(frame, 1, challengeEnd);
         if (!remoteSite.equals(site) || !remoteRouter.equals(channel.router.name)) {
-            throw GatewayProtocol.bad("it is " + remoteSite + "/" + remoteRouter + ", not who was called");
+            throw GatewayProtocol.malformed("it is " + remoteSite + "/" + remoteRouter + ", not who was called");
         }
-        if (!gateway.keys.has(keyId)
-                || !GatewayKeys.same(proof, gateway.keys.proof(keyId, "far proof", hello, challenge))) {
+        if (!gateway.keys.contains(keyId)
+                || !GatewayKeys.constantTimeEquals(proof, gateway.keys.proof(keyId, "far proof", hello, challenge))) {
             gateway.counters.add("near_wrong_proof");
-            throw GatewayProtocol.bad("a wrong proof");
+            throw GatewayProtocol.malformed("a wrong proof");
         }
-        byte[] channelCounts = new Message.Out().eight(channel.connectCount() + 1).eight(channel.nextPartNumber()).made();
+        byte[] channelCounts = new MessageCodec.Builder().putLong(channel.connectCount() + 1).putLong(channel.nextPartNumber()).build();
         send(
                 GatewayProtocol.PROOF,
-                new Message.Out()
-                        .bytes(channelCounts)
-                        .bytes(gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))
-                        .made());
-        sealed(gateway.keys.proof(keyId, "session", hello, challenge), true);
+                new MessageCodec.Builder()
+                        .putBytes(channelCounts)
+                        .putBytes(gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))
+                        .build());
+        enableAuthentication(gateway.keys.proof(keyId, "session", hello, challenge), true);
         gateway.counters.add("near_lines_up");
         LOG.log(
                 Level.INFO,
@@ -120,15 +120,15 @@
                 || channelIndex >= channel.router.channels.size()
                 || statusCode < 0
                 || statusCode >= PartStatus.values().length) {
-            throw GatewayProtocol.bad("a fate of what was never sent");
+            throw GatewayProtocol.malformed("a fate of what was never sent");
         }
         GatewayChannel about = channel.router.channels.get(channelIndex);
         if (number < 1 || number >= about.nextPartNumber()) {
-            throw GatewayProtocol.bad("a fate of what was never sent");
+            throw GatewayProtocol.malformed("a fate of what was never sent");
         }
         ForwardedPart openPart = channel.router.findOpenPart(about, number);
         if (openPart instanceof OutgoingPart part) {
-            part.value = GatewayProtocol.bytes(payload, payload.remaining());
+            part.value = GatewayProtocol.readBytes(payload, payload.remaining());
             part.durationUs = Math.max(1, Math.min(durationUs, gateway.loop.now() - part.forwardedAt));
             part.retryAfterUs = Math.max(0, retryAfterUs);
             channel.router.onPartStatus(about, number, PartStatus.values()[statusCode]);
@@ -136,7 +136,7 @@
     }
 
     @Override
-    protected void over(Ending how) {
+    protected void onClosed(Ending how) {
         boolean wasUp = client.sessionClosed(this);
         LOG.log(
                 wasUp ? Level.WARNING : Level.FINE,
@@ -148,21 +148,21 @@
                 wasUp
                         ? "near_lines_" + how.name().toLowerCase(java.util.Locale.ROOT)
                         : "near_not_up");
-        channel.router.onDisconnected(channel, part -> link.left(((OutgoingPart) part).endPosition));
+        channel.router.onDisconnected(channel, part -> connection.left(((OutgoingPart) part).endPosition));
     }
 
     @Override
-    protected String peer() {
+    protected String peerName() {
         return site + "/" + channel.router.name;
     }
 
     @Override
-    protected void counted(String what) {
+    protected void incrementCounter(String what) {
         gateway.counters.add("near_" + what);
     }
 
     @Override
-    protected Logger log() {
+    protected Logger logger() {
         return LOG;
     }
 }
--- a/src/main/java/tinlink/gateway/GatewayKeys.java
+++ b/src/main/java/tinlink/gateway/GatewayKeys.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** The keys that sites share. */
-public final class GatewayKeys extends tinlink.sealed.Keys {
+public final class GatewayKeys extends tinlink.securechannel.KeyRing {
     public GatewayKeys(Map<String, byte[]> ring, String use) {
         super(ring, use);
     }
--- a/src/main/java/tinlink/gateway/GatewayProtocol.java
+++ b/src/main/java/tinlink/gateway/GatewayProtocol.java
@@ -1,14 +1,14 @@
 package tinlink.gateway;
 
 import tinlink.net.Protocol;
-import tinlink.sealed.Message;
+import tinlink.securechannel.MessageCodec;
 
 /**
  * The messages between two routers of different sites; docs/protocol-gateway.md describes them byte
  * by byte. All numbers are big-endian; a text is a length of one byte and so many bytes of UTF-8.
  * Durations alone cross the line, no reading of a clock.
  */
-final class GatewayProtocol extends Message {
+final class GatewayProtocol extends MessageCodec {
     static final int VERSION = 1;
 
     static final byte HELLO = 1;
@@ -29,7 +29,7 @@
     /** Before that, a message holds no more: whoever it is, it can't make us hold much. */
     static final int MAX_UNAUTHENTICATED_BYTES = 1 << 10;
 
-    static final int MAX_MESSAGE_BYTES = 1 + Protocol.MOST_HEAD + Protocol.MOST_BODY + SEAL_BYTES;
+    static final int MAX_MESSAGE_BYTES = 1 + Protocol.MOST_HEAD + Protocol.MOST_BODY + TAG_BYTES;
     static final int MAX_QUERIED_PARTS = 4096;
 
     private GatewayProtocol() {}
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -83,7 +83,7 @@
 
     private void sendGoAway(GatewayServerSession session) {
         session.send(
-                GatewayProtocol.GO_AWAY, new GatewayProtocol.Out().eight(receiver.lastStarted(session.inbound)).made());
+                GatewayProtocol.GO_AWAY, new GatewayProtocol.Builder().putLong(receiver.lastStarted(session.inbound)).build());
     }
 
     // ---- Connections. ----
@@ -106,10 +106,10 @@
     @Override
     public void opened(Link link, Link.Owner owner) {
         GatewayServerSession session = (GatewayServerSession) owner;
-        session.on(link, gateway.timing.handshakeUs());
+        session.attach(link, gateway.timing.handshakeUs());
         unauthenticated.add(session);
         if (unauthenticated.size() > MAX_UNAUTHENTICATED) {
-            unauthenticated.iterator().next().end(Ending.DONE);
+            unauthenticated.iterator().next().close(Ending.DONE);
         }
     }
 
@@ -144,7 +144,7 @@
     void heartbeatReceived(GatewayServerSession session) {
         if (authenticated.containsKey(session)) {
             long silenceAt = gateway.loop.now() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
-            Loop.Timer silenceTimer = gateway.loop.at(silenceAt, () -> session.end(Ending.SILENT));
+            Loop.Timer silenceTimer = gateway.loop.at(silenceAt, () -> session.close(Ending.SILENT));
             gateway.loop.takeBack(authenticated.put(session, silenceTimer));
         }
     }
@@ -185,7 +185,7 @@
     @Override
     public void sendPartStatus(Object session, int channelIndex, long number, PartStatus status, ReceivedPart part) {
         GatewayServerSession target = (GatewayServerSession) session;
-        if (target.isProved()) {
+        if (target.isAuthenticated()) {
             target.sendPartStatus(channelIndex, number, status, (IncomingPart) part);
         }
     }
@@ -193,14 +193,14 @@
     @Override
     public void sendCreditWindow(Object session, int parts) {
         GatewayServerSession target = (GatewayServerSession) session;
-        if (target.isProved()) {
-            target.send(GatewayProtocol.CREDIT_WINDOW, new GatewayProtocol.Out().four(parts).made());
+        if (target.isAuthenticated()) {
+            target.send(GatewayProtocol.CREDIT_WINDOW, new GatewayProtocol.Builder().putInt(parts).build());
         }
     }
 
     @Override
     public void closeSession(Object session) {
-        ((GatewayServerSession) session).end(Ending.GONE);
+        ((GatewayServerSession) session).close(Ending.GONE);
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/GatewayServerSession.java
+++ b/src/main/java/tinlink/gateway/GatewayServerSession.java
@@ -4,8 +4,8 @@
 import tinlink.gateway.forwarding.InboundChannel;
 import tinlink.net.BadMessage;
 import tinlink.net.Ending;
-import tinlink.sealed.Message;
-import tinlink.sealed.Session;
+import tinlink.securechannel.MessageCodec;
+import tinlink.securechannel.SecureSession;
 
 import java.nio.ByteBuffer;
 import java.util.HashSet;
@@ -18,7 +18,7 @@
  * The far side of a line: whoever connects proves who it is, then hands parts over and asks about
  * them.
  */
-final class GatewayServerSession extends Session {
+final class GatewayServerSession extends SecureSession {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private static final int MAX_ACKED_HEARTBEATS = 64;
     private final Gateway gateway;
@@ -41,7 +41,7 @@
     }
 
     @Override
-    protected void said(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
         if (hello == null) {
             onHello(type, payload, frame);
         } else if (inbound == null) {
@@ -54,72 +54,72 @@
                 case GatewayProtocol.HEARTBEAT -> {
                     long number = payload.getLong();
                     server.receiver.forgetBelow(inbound, payload.getLong());
-                    send(GatewayProtocol.HEARTBEAT_ACK, new GatewayProtocol.Out().eight(number).made());
+                    send(GatewayProtocol.HEARTBEAT_ACK, new GatewayProtocol.Builder().putLong(number).build());
                     ackedHeartbeats.put(number, gateway.loop.now());
                     if (ackedHeartbeats.size() > MAX_ACKED_HEARTBEATS) {
                         ackedHeartbeats.remove(ackedHeartbeats.keySet().iterator().next());
                     }
                     server.heartbeatReceived(this);
                 }
-                default -> throw GatewayProtocol.bad("a message of type " + type);
+                default -> throw GatewayProtocol.malformed("a message of type " + type);
             }
         }
     }
 
     private void onHello(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
         if (type != GatewayProtocol.HELLO || payload.getShort() != GatewayProtocol.VERSION) {
-            throw GatewayProtocol.bad("no greeting of this version");
+            throw GatewayProtocol.malformed("no greeting of this version");
         }
-        keyId = GatewayProtocol.text(payload);
-        site = GatewayProtocol.text(payload);
-        router = GatewayProtocol.text(payload);
+        keyId = GatewayProtocol.readText(payload);
+        site = GatewayProtocol.readText(payload);
+        router = GatewayProtocol.readText(payload);
         channelIndex = payload.getShort();
         incarnation = payload.getLong();
-        GatewayProtocol.bytes(payload, GatewayProtocol.NONCE_BYTES);
-        if (!gateway.keys.has(keyId)
+        GatewayProtocol.readBytes(payload, GatewayProtocol.NONCE_BYTES);
+        if (!gateway.keys.contains(keyId)
                 || !gateway.identity.acceptedSites().contains(site)
                 || channelIndex < 0
                 || channelIndex >= Gateway.MAX_CHANNELS) {
-            throw GatewayProtocol.bad("a site or a key that is not known here: " + site + ", " + keyId);
+            throw GatewayProtocol.malformed("a site or a key that is not known here: " + site + ", " + keyId);
         }
         hello = java.util.Arrays.copyOfRange(frame, 1, payload.position());
-        challenge = new Message.Out()
-                .two(GatewayProtocol.VERSION)
-                .text(gateway.identity.site())
-                .text(gateway.identity.router())
-                .eight(gateway.identity.incarnation())
-                .bytes(gateway.newNonce())
-                .made();
-        within(
+        challenge = new MessageCodec.Builder()
+                .putShort(GatewayProtocol.VERSION)
+                .putText(gateway.identity.site())
+                .putText(gateway.identity.router())
+                .putLong(gateway.identity.incarnation())
+                .putBytes(gateway.newNonce())
+                .build();
+        restartHandshakeDeadline(
                 gateway.timing
                         .handshakeUs()); // Its proof is a round trip away, however long the line
         // is.
         send(
                 GatewayProtocol.CHALLENGE,
-                new Message.Out()
-                        .bytes(challenge)
-                        .bytes(gateway.keys.proof(keyId, "far proof", hello, challenge))
-                        .made());
+                new MessageCodec.Builder()
+                        .putBytes(challenge)
+                        .putBytes(gateway.keys.proof(keyId, "far proof", hello, challenge))
+                        .build());
     }
 
     private void onProof(byte type, ByteBuffer payload) throws BadMessage {
         if (type != GatewayProtocol.PROOF) {
-            throw GatewayProtocol.bad("no proof");
+            throw GatewayProtocol.malformed("no proof");
         }
-        byte[] channelCounts = GatewayProtocol.bytes(payload, 2 * Long.BYTES);
-        byte[] proof = GatewayProtocol.bytes(payload, GatewayProtocol.PROOF_BYTES);
-        if (!gateway.keys.has(keyId)
-                || !GatewayKeys.same(
+        byte[] channelCounts = GatewayProtocol.readBytes(payload, 2 * Long.BYTES);
+        byte[] proof = GatewayProtocol.readBytes(payload, GatewayProtocol.PROOF_BYTES);
+        if (!gateway.keys.contains(keyId)
+                || !GatewayKeys.constantTimeEquals(
                         proof, gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))) {
             gateway.counters.add("far_wrong_proof");
-            throw GatewayProtocol.bad("a wrong proof");
+            throw GatewayProtocol.malformed("a wrong proof");
         }
-        sealed(gateway.keys.proof(keyId, "session", hello, challenge), false);
+        enableAuthentication(gateway.keys.proof(keyId, "session", hello, challenge), false);
         ByteBuffer countsReader = ByteBuffer.wrap(channelCounts);
         inbound = server.receiver.onConnected(
                 site + "/" + router, channelIndex, incarnation, countsReader.getLong(), countsReader.getLong(), this);
         if (inbound == null) {
-            throw GatewayProtocol.bad("too many routers are connected");
+            throw GatewayProtocol.malformed("too many routers are connected");
         }
         gateway.counters.add("far_lines_up");
         LOG.log(Level.INFO, "event=near_up site={0} router={1} line={2}", new Object[] {
@@ -136,11 +136,11 @@
         long sinceAckUs = payload.getLong();
         int shard = payload.getInt();
         int flags = payload.get();
-        String index = GatewayProtocol.text(payload);
-        String id = GatewayProtocol.text(payload);
-        String idempotencyKey = (flags & 2) == 0 ? null : GatewayProtocol.text(payload);
+        String index = GatewayProtocol.readText(payload);
+        String id = GatewayProtocol.readText(payload);
+        String idempotencyKey = (flags & 2) == 0 ? null : GatewayProtocol.readText(payload);
         if (number < 1 || sinceAckUs < 0) {
-            throw GatewayProtocol.bad("a part out of range");
+            throw GatewayProtocol.malformed("a part out of range");
         }
         gateway.counters.add("far_parts");
         // Danger: a line that holds a part back for long and then brings it. Its age is no more
@@ -164,7 +164,7 @@
                         index,
                         shard,
                         idempotencyKey,
-                        GatewayProtocol.bytes(payload, payload.remaining()),
+                        GatewayProtocol.readBytes(payload, payload.remaining()),
                         (flags & 1) != 0),
                 runnableUs > 0);
     }
@@ -175,7 +175,7 @@
         long minAcceptedNumber = payload.getLong();
         int count = payload.getShort() & 0xffff;
         if (count > GatewayProtocol.MAX_QUERIED_PARTS || payload.remaining() != count * Long.BYTES) {
-            throw GatewayProtocol.bad("a list of fates that does not fit");
+            throw GatewayProtocol.malformed("a list of fates that does not fit");
         }
         Set<Long> numbers = new HashSet<>();
         for (int i = 0; i < count; i++) {
@@ -189,18 +189,18 @@
         boolean hasValue = part != null && status == PartStatus.DONE;
         send(
                 GatewayProtocol.PART_STATUS,
-                new Message.Out()
-                        .two(aboutChannel)
-                        .eight(number)
-                        .byt(status.ordinal())
-                        .eight(part == null ? 0 : part.durationUs)
-                        .eight(part == null ? 0 : part.retryAfterUs)
-                        .bytes(hasValue ? part.value : new byte[0])
-                        .made());
+                new MessageCodec.Builder()
+                        .putShort(aboutChannel)
+                        .putLong(number)
+                        .putByte(status.ordinal())
+                        .putLong(part == null ? 0 : part.durationUs)
+                        .putLong(part == null ? 0 : part.retryAfterUs)
+                        .putBytes(hasValue ? part.value : new byte[0])
+                        .build());
     }
 
     @Override
-    protected void over(Ending how) {
+    protected void onClosed(Ending how) {
         server.sessionClosed(this);
         if (inbound != null) {
             LOG.log(
@@ -214,17 +214,17 @@
     }
 
     @Override
-    protected String peer() {
+    protected String peerName() {
         return site + "/" + router;
     }
 
     @Override
-    protected void counted(String what) {
+    protected void incrementCounter(String what) {
         gateway.counters.add("far_" + what);
     }
 
     @Override
-    protected Logger log() {
+    protected Logger logger() {
         return LOG;
     }
 }
--- a/src/test/java/tinlink/cluster/ClusterNodeTest.java
+++ b/src/test/java/tinlink/cluster/ClusterNodeTest.java
@@ -13,7 +13,7 @@
 import tinlink.net.Network;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.MemberState;
-import tinlink.sealed.Keys;
+import tinlink.securechannel.KeyRing;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -38,8 +38,8 @@
  */
 @Timeout(60)
 class ClusterNodeTest {
-    private static final Keys KEYS =
-            new Keys(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k");
+    private static final KeyRing KEYS =
+            new KeyRing(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k");
 
     @TempDir
     Path folder;
@@ -76,7 +76,7 @@
         final ClusterNode clusterNode;
         final Thread thread;
 
-        TestNode(String name, Keys keys, int voters, Path where) throws IOException {
+        TestNode(String name, KeyRing keys, int voters, Path where) throws IOException {
             network = new Network(loop);
             int port = Integer.parseInt(addresses.get(name).substring(addresses.get(name).indexOf(':') + 1));
             clusterNode = new ClusterNode(
@@ -252,7 +252,7 @@
                 "r2",
                 new TestNode(
                         "r2",
-                        new Keys(
+                        new KeyRing(
                                 Map.of(
                                         "k",
                                         "another key......".getBytes(StandardCharsets.US_ASCII)),
--- a/src/test/java/tinlink/cluster/TrafficCountersTest.java
+++ b/src/test/java/tinlink/cluster/TrafficCountersTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-import tinlink.sealed.Message;
+import tinlink.securechannel.MessageCodec;
 
 class TrafficCountersTest {
     private static final byte APPEND = 1;
@@ -14,18 +14,18 @@
 
     @Test
     void eachKindAndDirectionIsCountedSeparately() {
-        byte[] presence = new Message.Out().byt(PRESENCE).text("r1").made();
+        byte[] presence = new MessageCodec.Builder().putByte(PRESENCE).putText("r1").build();
         traffic.countSent(PeerProtocol.NODE, presence, 100);
         traffic.countSent(PeerProtocol.NODE, presence, 100);
         traffic.countReceived(
-                PeerProtocol.NODE, new Message.Out().byt(PeerProtocol.NODE).bytes(presence).made(), 1, 70);
+                PeerProtocol.NODE, new MessageCodec.Builder().putByte(PeerProtocol.NODE).putBytes(presence).build(), 1, 70);
         assertArrayEquals(new long[] {1, 70, 2, 200}, traffic.byKind().get("seat"));
         assertEquals(1, traffic.byKind().size());
     }
 
     @Test
     void aRaftMessageIsClassifiedByTheByteAfterItsVoter() {
-        traffic.countSent(PeerProtocol.RAFT, new Message.Out().text("r1/0").byt(APPEND).made(), 50);
+        traffic.countSent(PeerProtocol.RAFT, new MessageCodec.Builder().putText("r1/0").putByte(APPEND).build(), 50);
         assertArrayEquals(new long[] {0, 0, 1, 50}, traffic.byKind().get("append"));
     }
 
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -14,7 +14,7 @@
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.Loop;
 import tinlink.net.Network;
-import tinlink.sealed.Message;
+import tinlink.securechannel.MessageCodec;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -119,8 +119,8 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        tinlink.sealed.Keys.Seal outboundSeal;
-        tinlink.sealed.Keys.Seal inboundSeal;
+        tinlink.securechannel.KeyRing.FrameAuthenticator outboundSeal;
+        tinlink.securechannel.KeyRing.FrameAuthenticator inboundSeal;
         int version = GatewayProtocol.VERSION;
         long incarnation = 5;
         long connectCount = 1;
@@ -137,7 +137,7 @@
         }
 
         byte[] frame(byte type, byte[] body) {
-            byte[] seal = outboundSeal == null ? new byte[0] : outboundSeal.next(type, body, 0, body.length);
+            byte[] seal = outboundSeal == null ? new byte[0] : outboundSeal.nextTag(type, body, 0, body.length);
             return ByteBuffer.allocate(5 + body.length + seal.length)
                     .putInt(1 + body.length + seal.length)
                     .put(type)
@@ -157,15 +157,15 @@
         }
 
         void exchangeHello() throws IOException {
-            hello = new Message.Out()
-                    .two(version)
-                    .text(keyId)
-                    .text(site)
-                    .text("e1")
-                    .two(0)
-                    .eight(incarnation)
-                    .bytes(nonce)
-                    .made();
+            hello = new MessageCodec.Builder()
+                    .putShort(version)
+                    .putText(keyId)
+                    .putText(site)
+                    .putText("e1")
+                    .putShort(0)
+                    .putLong(incarnation)
+                    .putBytes(nonce)
+                    .build();
             send(GatewayProtocol.HELLO, hello);
             byte[] whole = next();
             assertEquals(GatewayProtocol.CHALLENGE, whole[0]);
@@ -176,28 +176,28 @@
         }
 
         byte[] proof() {
-            byte[] next = new Message.Out().eight(connectCount).eight(1).made();
-            return new Message.Out()
-                    .bytes(next)
-                    .bytes(keys.proof(keyId, "near proof", hello, challenge, next))
-                    .made();
+            byte[] next = new MessageCodec.Builder().putLong(connectCount).putLong(1).build();
+            return new MessageCodec.Builder()
+                    .putBytes(next)
+                    .putBytes(keys.proof(keyId, "near proof", hello, challenge, next))
+                    .build();
         }
 
         void completeHandshake() throws IOException {
             exchangeHello();
             send(GatewayProtocol.PROOF, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new tinlink.sealed.Keys.Seal(GatewayKeys.mac(secret, "to the far side"));
-            inboundSeal = new tinlink.sealed.Keys.Seal(GatewayKeys.mac(secret, "to the near side"));
+            outboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(GatewayKeys.mac(secret, "to the far side"));
+            inboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(GatewayKeys.mac(secret, "to the near side"));
             awaitMessage(GatewayProtocol.CREDIT_WINDOW);
         }
 
         ByteBuffer awaitMessage(byte type) throws IOException {
             while (true) {
                 byte[] whole = next();
-                int end = whole.length - GatewayProtocol.SEAL_BYTES;
+                int end = whole.length - GatewayProtocol.TAG_BYTES;
                 assertArrayEquals(
-                        inboundSeal.next(whole[0], whole, 1, end - 1),
+                        inboundSeal.nextTag(whole[0], whole, 1, end - 1),
                         Arrays.copyOfRange(whole, end, whole.length));
                 if (whole[0] == type) {
                     return ByteBuffer.wrap(whole, 1, end - 1);
@@ -206,23 +206,23 @@
         }
 
         void exchangeHeartbeat(long number) throws IOException {
-            send(GatewayProtocol.HEARTBEAT, new Message.Out().eight(number).eight(1).made());
+            send(GatewayProtocol.HEARTBEAT, new MessageCodec.Builder().putLong(number).putLong(1).build());
             assertEquals(number, awaitMessage(GatewayProtocol.HEARTBEAT_ACK).getLong());
         }
 
         byte[] partBody(long number, int shard, long remainingUs, long ackedHeartbeat) {
-            return new Message.Out()
-                    .eight(number)
-                    .eight(remainingUs)
-                    .eight(Long.MAX_VALUE)
-                    .eight(ackedHeartbeat)
-                    .eight(0)
-                    .four(shard)
-                    .byt(0)
-                    .text("sum")
-                    .text("q1." + shard)
-                    .bytes("text".getBytes(StandardCharsets.UTF_8))
-                    .made();
+            return new MessageCodec.Builder()
+                    .putLong(number)
+                    .putLong(remainingUs)
+                    .putLong(Long.MAX_VALUE)
+                    .putLong(ackedHeartbeat)
+                    .putLong(0)
+                    .putInt(shard)
+                    .putByte(0)
+                    .putText("sum")
+                    .putText("q1." + shard)
+                    .putBytes("text".getBytes(StandardCharsets.UTF_8))
+                    .build();
         }
 
         void sendPart(long number, int shard, long remainingUs, long ackedHeartbeat) throws IOException {
@@ -266,15 +266,15 @@
         Peer old = new Peer(KEYS, "k0", "east");
         old.send(
                 GatewayProtocol.HELLO,
-                new Message.Out()
-                        .two(1)
-                        .text("k0")
-                        .text("east")
-                        .text("e1")
-                        .two(0)
-                        .eight(5)
-                        .bytes(old.nonce)
-                        .made());
+                new MessageCodec.Builder()
+                        .putShort(1)
+                        .putText("k0")
+                        .putText("east")
+                        .putText("e1")
+                        .putShort(0)
+                        .putLong(5)
+                        .putBytes(old.nonce)
+                        .build());
         old.assertDisconnected();
     }
 
@@ -283,15 +283,15 @@
         for (int i = 0; i < 3; i++) {
             Peer peer = new Peer(KEYS, "k1", i == 0 ? "north" : "east");
             peer.version = i == 1 ? 2 : 1;
-            peer.hello = new Message.Out()
-                    .two(peer.version)
-                    .text("k1")
-                    .text(peer.site)
-                    .text("e1")
-                    .two(0)
-                    .eight(5)
-                    .bytes(peer.nonce)
-                    .made();
+            peer.hello = new MessageCodec.Builder()
+                    .putShort(peer.version)
+                    .putText("k1")
+                    .putText(peer.site)
+                    .putText("e1")
+                    .putShort(0)
+                    .putLong(5)
+                    .putBytes(peer.nonce)
+                    .build();
             if (i < 2) {
                 peer.send(GatewayProtocol.HELLO, peer.hello);
             }
@@ -361,7 +361,7 @@
             peer.exchangeHeartbeat(1);
             byte[] frame = peer.frame(GatewayProtocol.FORWARD_PART, peer.partBody(7, 3, 1_000_000, 1));
             if (changed) {
-                frame[frame.length - GatewayProtocol.SEAL_BYTES - 2] ^= 1;
+                frame[frame.length - GatewayProtocol.TAG_BYTES - 2] ^= 1;
                 peer.socket.getOutputStream().write(frame);
             } else {
                 peer.socket.getOutputStream().write(frame);
@@ -402,9 +402,9 @@
     @Test
     void malformedMessagesEndTheConnection() throws Exception {
         ByteArrayOutputStream many = new ByteArrayOutputStream();
-        many.writeBytes(new Message.Out().two(0).eight(1).eight(1).two(60_000).made());
+        many.writeBytes(new MessageCodec.Builder().putShort(0).putLong(1).putLong(1).putShort(60_000).build());
         byte[][] bodies = {
-            many.toByteArray(), new byte[3], new Message.Out().eight(-1).made()
+            many.toByteArray(), new byte[3], new MessageCodec.Builder().putLong(-1).build()
         };
         byte[] types = {GatewayProtocol.STATUS_QUERY, GatewayProtocol.FORWARD_PART, (byte) 99};
         for (int i = 0; i < bodies.length; i++) {
--- a/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -13,7 +13,7 @@
 import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyCommandCodec;
-import tinlink.sealed.Keys;
+import tinlink.securechannel.KeyRing;
 import tinlink.maintenance.ReplicatedMaintenance;
 
 import java.io.IOException;
@@ -93,7 +93,7 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ""),
                 new ClusterNode.KnownRouters(Map.of(), Set.of("r0")),
-                new Keys(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
+                new KeyRing(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
                 new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
                 new ClusterNode.Limits(64, 8 << 20, 20),
                 directory,
