--- a/src/main/java/tinlink/cluster/DiskRecordLog.java
+++ b/src/main/java/tinlink/cluster/DiskRecordLog.java
@@ -1,42 +1,42 @@
 package tinlink.cluster;
 
-import tinlink.store.Store;
+import tinlink.storage.DurableLog;
 
 import java.io.IOException;
 import java.nio.file.Path;
 
 /** What a voter keeps, on a disk. */
 final class DiskRecordLog implements RaftStateStore.RecordLog, java.io.Closeable {
-    private final Store store;
+    private final DurableLog durableLog;
 
     DiskRecordLog(Path folder, long maxBytes) throws IOException {
-        store = new Store(folder.resolve("agreement"), maxBytes);
+        durableLog = new DurableLog(folder.resolve("agreement"), maxBytes);
     }
 
     /** As it was found. */
     RaftStateStore openStateStore() throws IOException {
-        RaftStateStore stateStore = new RaftStateStore(this, store.snapshot(), store.records());
-        store.read();
+        RaftStateStore stateStore = new RaftStateStore(this, durableLog.snapshot(), durableLog.records());
+        durableLog.releaseRecovered();
         return stateStore;
     }
 
     @Override
     public void append(byte[] record) throws IOException {
-        store.append(record);
+        durableLog.append(record);
     }
 
     @Override
     public void sync() throws IOException {
-        store.sync();
+        durableLog.sync();
     }
 
     @Override
     public void compactTo(byte[] state) throws IOException {
-        store.snapshot(state);
+        durableLog.snapshot(state);
     }
 
     @Override
     public void close() throws IOException {
-        store.close();
+        durableLog.close();
     }
 }
--- a/src/main/java/tinlink/cluster/Identity.java
+++ b/src/main/java/tinlink/cluster/Identity.java
@@ -1,7 +1,7 @@
 package tinlink.cluster;
 
 import tinlink.cluster.membership.Incarnation;
-import tinlink.store.Store;
+import tinlink.storage.DurableLog;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -17,7 +17,7 @@
 public final class Identity implements Closeable {
     private static final long MAX_BYTES = 1 << 16;
     private static final int COMPACT_BYTES = 1 << 12;
-    private final Store store;
+    private final DurableLog durableLog;
     public final Incarnation incarnation;
     public final long diskId;
     /** Nothing was there: a new disk, which has never voted. */
@@ -28,9 +28,9 @@
     private long startCount;
 
     public Identity(Path folder, String name) throws IOException {
-        store = new Store(folder.resolve("self"), MAX_BYTES);
-        List<byte[]> records = store.records();
-        byte[] last = records.isEmpty() ? store.snapshot() : records.get(records.size() - 1);
+        durableLog = new DurableLog(folder.resolve("self"), MAX_BYTES);
+        List<byte[]> records = durableLog.records();
+        byte[] last = records.isEmpty() ? durableLog.snapshot() : records.get(records.size() - 1);
         SecureRandom random = new SecureRandom();
         isFirstStart = last == null;
         startCount = 1;
@@ -43,7 +43,7 @@
             byte[] storedName = new byte[buffer.remaining()];
             buffer.get(storedName);
             if (!new String(storedName, java.nio.charset.StandardCharsets.UTF_8).equals(name)) {
-                store.close();
+                durableLog.close();
                 throw new IOException(folder + ": it belongs to router "
                         + new String(storedName, java.nio.charset.StandardCharsets.UTF_8) + ", not "
                         + name);
@@ -51,7 +51,7 @@
         }
         diskId = storedDiskId;
         persist(name);
-        store.read();
+        durableLog.releaseRecovered();
         incarnation = new Incarnation(name, startCount, random.nextLong());
     }
 
@@ -63,11 +63,11 @@
                 .put((byte) (replacesLostDisk ? 1 : 0))
                 .put(nameBytes)
                 .array();
-        if (store.bytes() > COMPACT_BYTES) {
-            store.snapshot(record);
+        if (durableLog.bytesSinceSnapshot() > COMPACT_BYTES) {
+            durableLog.snapshot(record);
         } else {
-            store.append(record);
-            store.sync();
+            durableLog.append(record);
+            durableLog.sync();
         }
     }
 
@@ -87,6 +87,6 @@
 
     @Override
     public void close() throws IOException {
-        store.close();
+        durableLog.close();
     }
 }
--- a/src/main/java/tinlink/store/Damaged.java
+++ b/src/main/java/tinlink/storage/CorruptLogException.java
@@ -1,4 +1,4 @@
-package tinlink.store;
+package tinlink.storage;
 
 import java.io.IOException;
 
@@ -6,10 +6,10 @@
  * What is kept can't be trusted: something other than the end of the newest file is not as it was
  * written.
  */
-public final class Damaged extends IOException {
+public final class CorruptLogException extends IOException {
     private static final long serialVersionUID = 1;
 
-    Damaged(String file, long offset, String what) {
+    CorruptLogException(String file, long offset, String what) {
         super(file + " at byte " + offset + ": " + what);
     }
 }
--- /dev/null
+++ b/src/test/java/tinlink/storage/DurableLogTest.java
@@ -0,0 +1,198 @@
+package tinlink.storage;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+
+/** The store against stops at every byte, damage, a full disk, a second user. */
+class DurableLogTest {
+    @TempDir
+    Path directory;
+
+    private DurableLog open() throws IOException {
+        return new DurableLog(directory, 1 << 20);
+    }
+
+    private static byte[] record(int i) {
+        return ("record " + i + " ".repeat(i % 5)).getBytes(StandardCharsets.UTF_8);
+    }
+
+    private void writeRecords(int from, int to) throws IOException {
+        try (DurableLog durableLog = open()) {
+            for (int i = from; i < to; i++) {
+                durableLog.append(record(i));
+            }
+            durableLog.sync();
+        }
+    }
+
+    private static void assertRecords(List<byte[]> records, int from, int to) {
+        assertEquals(to - from, records.size());
+        for (int i = from; i < to; i++) {
+            assertArrayEquals(record(i), records.get(i - from));
+        }
+    }
+
+    @Test
+    void syncedRecordsAreRecovered() throws IOException {
+        writeRecords(0, 7);
+        writeRecords(7, 9);
+        try (DurableLog durableLog = open()) {
+            assertNull(durableLog.snapshot());
+            assertRecords(durableLog.records(), 0, 9);
+            durableLog.snapshot(record(99));
+            durableLog.append(record(9));
+            durableLog.sync();
+            durableLog.append(record(10)); // Never synced: it may be lost.
+        }
+        try (DurableLog durableLog = open()) {
+            assertArrayEquals(record(99), durableLog.snapshot());
+            assertRecords(durableLog.records(), 9, 10);
+        }
+    }
+
+    @Test
+    void tornTailIsTruncatedAtAnyByte() throws IOException {
+        writeRecords(0, 4);
+        Path logFile = directory.resolve("log-0");
+        byte[] original = Files.readAllBytes(logFile);
+        int[] recordEnds = new int[5];
+        recordEnds[0] = RecordFraming.HEADER_BYTES + 4;
+        for (int i = 0; i < 4; i++) {
+            recordEnds[i + 1] = recordEnds[i] + RecordFraming.HEADER_BYTES + record(i).length;
+        }
+        for (int length = 0; length < original.length; length++) {
+            Files.write(logFile, Arrays.copyOf(original, length));
+            int completeRecords = 0;
+            while (completeRecords < 4 && recordEnds[completeRecords + 1] <= length) {
+                completeRecords++;
+            }
+            try (DurableLog durableLog = open()) {
+                assertRecords(durableLog.records(), 0, completeRecords);
+                durableLog.append(record(completeRecords));
+                durableLog.sync();
+            }
+            try (DurableLog durableLog = open()) {
+                assertRecords(durableLog.records(), 0, completeRecords + 1);
+            }
+        }
+    }
+
+    @Test
+    void trailingZerosAreATornTail() throws IOException {
+        writeRecords(0, 3);
+        Path logFile = directory.resolve("log-0");
+        byte[] original = Files.readAllBytes(logFile);
+        Files.write(logFile, Arrays.copyOf(original, original.length + 4096));
+        try (DurableLog durableLog = open()) {
+            assertRecords(durableLog.records(), 0, 3);
+            assertEquals(4096, durableLog.tornBytes());
+        }
+    }
+
+    @Test
+    void corruptionBeforeOtherRecordsIsReportedWithFileAndOffset() throws IOException {
+        writeRecords(0, 4);
+        Path logFile = directory.resolve("log-0");
+        byte[] original = Files.readAllBytes(logFile);
+        int secondRecordOffset = RecordFraming.HEADER_BYTES + 4 + RecordFraming.HEADER_BYTES + record(0).length;
+        for (int offset = 0; offset < original.length - RecordFraming.HEADER_BYTES - record(3).length; offset++) {
+            byte[] corrupted = original.clone();
+            corrupted[offset] ^= 0x10;
+            Files.write(logFile, corrupted);
+            CorruptLogException exception = assertThrows(CorruptLogException.class, this::open, "byte " + offset);
+            assertTrue(exception.getMessage().contains("log-0 at byte "), exception.getMessage());
+            assertArrayEquals(corrupted, Files.readAllBytes(logFile), "left as it is");
+        }
+        byte[] corrupted = original.clone();
+        corrupted[secondRecordOffset + 5] ^= 1;
+        Files.write(logFile, corrupted);
+        assertTrue(assertThrows(CorruptLogException.class, this::open).getMessage().contains("byte " + secondRecordOffset));
+    }
+
+    @Test
+    void corruptSnapshotIsRejected() throws IOException {
+        writeRecords(0, 4);
+        try (DurableLog durableLog = open()) {
+            durableLog.snapshot(record(50));
+        }
+        Path snapshotFile = directory.resolve("snap-4");
+        byte[] original = Files.readAllBytes(snapshotFile);
+        for (int offset = 0; offset < original.length; offset++) {
+            byte[] corrupted = original.clone();
+            corrupted[offset] ^= 1;
+            Files.write(snapshotFile, corrupted);
+            assertThrows(CorruptLogException.class, this::open);
+        }
+        Files.write(snapshotFile, original);
+        Files.delete(directory.resolve("log-4"));
+        try (DurableLog durableLog = open()) {
+            assertArrayEquals(record(50), durableLog.snapshot()); // Stopped before its log was begun.
+        }
+    }
+
+    /**
+     * Stopped at each step of a snapshot: the one before it stands, or the new one does, never half
+     * of either.
+     */
+    @Test
+    void crashAtAnyStepOfASnapshotLeavesOneCompleteState() throws IOException {
+        writeRecords(0, 4);
+        byte[] oldLogContent = Files.readAllBytes(directory.resolve("log-0"));
+        Files.write(directory.resolve("snap-4.new"), new byte[] {1, 2, 3});
+        try (DurableLog durableLog = open()) {
+            assertRecords(durableLog.records(), 0, 4);
+            durableLog.snapshot(record(7));
+        }
+        Files.write(directory.resolve("log-0"), oldLogContent); // The old log was not gone yet.
+        try (DurableLog durableLog = open()) {
+            assertArrayEquals(record(7), durableLog.snapshot());
+            assertEquals(List.of(), durableLog.records());
+        }
+        assertTrue(Files.notExists(directory.resolve("log-0")));
+        Files.delete(directory.resolve("snap-4"));
+        assertThrows(CorruptLogException.class, this::open, "a log that does not begin at the beginning");
+    }
+
+    @Test
+    void fullLogFailsPermanently() throws IOException {
+        try (DurableLog durableLog = new DurableLog(directory, 200)) {
+            durableLog.append(record(0));
+            durableLog.sync();
+            durableLog.append(new byte[300]);
+            assertThrows(IOException.class, durableLog::sync);
+            assertThrows(
+                    IOException.class,
+                    durableLog::sync,
+                    "a failed sync is not tried again as if nothing was lost");
+            assertThrows(IOException.class, () -> durableLog.append(record(1)));
+        }
+        try (DurableLog durableLog = open()) {
+            assertRecords(durableLog.records(), 0, 1);
+        }
+    }
+
+    @Test
+    void secondOpenOfTheDirectoryIsRejected() throws IOException {
+        try (DurableLog durableLog = open()) {
+            assertTrue(assertThrows(IOException.class, this::open)
+                    .getMessage()
+                    .contains("another process"));
+            durableLog.append(record(0));
+            durableLog.sync();
+        }
+        open().close();
+    }
+}
