--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -2,9 +2,9 @@
 
 import io.microraft.model.message.RaftMessage;
 
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Counters;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.cluster.membership.VoterAdmission;
 import tinlink.cluster.membership.RecoveryFloor;
@@ -40,7 +40,7 @@
  * {@link Membership}, {@link VoterAdmission} and {@link RaftReplica}. All state belongs to the loop's thread;
  * the agreement has one of its own, for its disk blocks. Nothing that serves waits for any of it.
  */
-public final class ClusterNode implements Membership.Handler, PeerConnections.MessageHandler, RaftReplica.Listener, Loop.Turn {
+public final class ClusterNode implements Membership.Handler, PeerConnections.MessageHandler, RaftReplica.Listener, EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
 
     /**
@@ -99,7 +99,7 @@
     /** Proposals of this router that wait for their answer; the oldest give way. */
     private static final int MAX_PENDING_PROPOSALS = 256;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final LocalRouter localRouter;
     private final KnownRouters knownRouters;
     private final Timing timing;
@@ -160,7 +160,7 @@
      * @throws IOException where the folder can't be used
      */
     public ClusterNode(
-            Loop loop,
+            EventLoop loop,
             Network network,
             LocalRouter localRouter,
             KnownRouters knownRouters,
@@ -332,12 +332,12 @@
     // ---- Its part in a turn. ----
 
     @Override
-    public void begins(long nowUs) {
+    public void turnStarted(long nowUs) {
         membership.advanceClock(nowUs);
     }
 
     @Override
-    public void decides() {
+    public void turnEnding() {
         while (!closed && membership.decide(this)) {
             // Each has been carried out.
         }
@@ -376,7 +376,7 @@
             raft.restartIfStuck();
         }
         maintainVoters();
-        loop.at(loop.now() + timing.librarySecondUs() / 2, this::tick);
+        loop.schedule(loop.nowUs() + timing.librarySecondUs() / 2, this::tick);
     }
 
     /**
@@ -398,7 +398,7 @@
             changeInProgress = false;
             return;
         }
-        lastPresentUs.values().removeIf(at -> loop.now() - at > PRESENCE_TIMEOUT_SECONDS * timing.librarySecondUs());
+        lastPresentUs.values().removeIf(at -> loop.nowUs() - at > PRESENCE_TIMEOUT_SECONDS * timing.librarySecondUs());
         presentDisks.keySet().retainAll(lastPresentUs.keySet());
         Map<String, String> voters = new TreeMap<>();
         raft
@@ -427,9 +427,9 @@
             raft.changeMembership(
                     voter,
                     next.removed() == null,
-                    (reply, e) -> loop.ready(() -> {
+                    (reply, e) -> loop.execute(() -> {
                         changeInProgress = false;
-                        counters.add(e == null ? "peers_seats_changed" : "peers_seats_not_changed");
+                        counters.increment(e == null ? "peers_seats_changed" : "peers_seats_not_changed");
                     }));
         }
     }
@@ -437,7 +437,7 @@
     private void present(String router, String disk) {
         if (presentDisks.size() < limits.maxRouters() || presentDisks.containsKey(router)) {
             presentDisks.put(router, disk);
-            lastPresentUs.put(router, loop.now());
+            lastPresentUs.put(router, loop.nowUs());
         }
     }
 
@@ -466,7 +466,7 @@
         for (String r : voterAdmission.votersToAsk()) {
             word(r, ADMISSION_REQUEST, new MessageCodec.Builder().putText(localVoter.toString()));
         }
-        switch (voterAdmission.decide(loop.now(), 8 * timing.librarySecondUs())) {
+        switch (voterAdmission.decide(loop.nowUs(), 8 * timing.librarySecondUs())) {
             case ADMITTED -> {
                 grantedAdmission = voterAdmission;
                 voterAdmission = null;
@@ -522,7 +522,7 @@
             raft.propose(
                     line,
                     (reply, e) ->
-                            loop.ready(() -> onResult.accept(reply, e == null ? null : e.toString())));
+                            loop.execute(() -> onResult.accept(reply, e == null ? null : e.toString())));
             return;
         }
         if (leader.isEmpty()) {
@@ -551,7 +551,7 @@
      */
     public void confirmCommitIndex(LongConsumer onResult) {
         if (isLeader()) {
-            raft.confirmCommitIndex((index, e) -> loop.ready(() -> {
+            raft.confirmCommitIndex((index, e) -> loop.execute(() -> {
                 if (e == null) {
                     onResult.accept(index);
                 }
@@ -632,12 +632,12 @@
         LOG.log(Level.INFO, "event=member_changed router={0} incarnation={1} state={2}{3}", new Object[] {
             m.router(), m.incarnation(), m.state(), m.duplicate() == null ? "" : " twin=" + m.duplicate()
         });
-        counters.add("peers_" + m.state().name().toLowerCase(java.util.Locale.ROOT));
+        counters.increment("peers_" + m.state().name().toLowerCase(java.util.Locale.ROOT));
     }
 
     @Override
     public void onSelfConflict(Incarnation.Relation relation, Incarnation other) {
-        counters.add("peers_self_" + relation.name().toLowerCase(java.util.Locale.ROOT));
+        counters.increment("peers_self_" + relation.name().toLowerCase(java.util.Locale.ROOT));
         LOG.log(
                 Level.SEVERE,
                 "event=duplicate_router relation={0} other={1} own={2}",
@@ -647,13 +647,13 @@
 
     @Override
     public void scheduleWakeUp(long atUs) {
-        loop.at(atUs, () -> {}); // The turn in which it is due pulls decisions.
+        loop.schedule(atUs, () -> {}); // The turn in which it is due pulls decisions.
     }
 
     // ---- Words of others. ----
 
     @Override
-    public void onMessage(Incarnation from, byte type, ByteBuffer in) throws BadMessage {
+    public void onMessage(Incarnation from, byte type, ByteBuffer in) throws MessageRejectedException {
         switch (type) {
             case PeerProtocol.MEMBERSHIP -> onMembershipMessage(in);
             case PeerProtocol.RAFT -> onRaftMessage(in);
@@ -662,7 +662,7 @@
         }
     }
 
-    private void onMembershipMessage(ByteBuffer in) throws BadMessage {
+    private void onMembershipMessage(ByteBuffer in) throws MessageRejectedException {
         int kind = in.get();
         long number = in.getLong();
         String target = MessageCodec.readText(in);
@@ -684,7 +684,7 @@
     /** On the Raft thread. */
     private void sendRaft(Voter to, RaftMessage m) {
         byte[] b = RaftCodec.encode(m);
-        loop.ready(() -> {
+        loop.execute(() -> {
             String at = addressOf(to.router());
             if (at != null && !closed) {
                 connections.send(
@@ -695,7 +695,7 @@
         });
     }
 
-    private void onRaftMessage(ByteBuffer in) throws BadMessage {
+    private void onRaftMessage(ByteBuffer in) throws MessageRejectedException {
         Voter to = RaftCodec.voter(in);
         RaftMessage m = RaftCodec.decode(in);
         VoterAdmission.LogPosition position = RaftReplica.confirmedPosition(m);
@@ -719,7 +719,7 @@
         }
     }
 
-    private void word(Incarnation from, ByteBuffer in) throws BadMessage {
+    private void word(Incarnation from, ByteBuffer in) throws MessageRejectedException {
         int kind = in.get();
         String router = MessageCodec.readText(in);
         if (!router.equals(from.router())) {
@@ -765,7 +765,7 @@
                 }
                 raft.propose(
                         line,
-                        (reply, e) -> loop.ready(() -> word(
+                        (reply, e) -> loop.execute(() -> word(
                                 router,
                                 PROPOSED,
                                 new MessageCodec.Builder()
@@ -806,13 +806,13 @@
                 RecoveryFloor voterPosition = new RecoveryFloor(in.getInt(), in.getInt(), in.getLong());
                 VoterAdmission e = voterAdmission != null ? voterAdmission : grantedAdmission;
                 if (e != null) {
-                    e.answered(router, knownIncarnation, r, voterPosition, loop.now());
+                    e.answered(router, knownIncarnation, r, voterPosition, loop.nowUs());
                 }
             }
             case CONFIRM_REQUEST -> {
                 long n = in.getLong();
                 if (isLeader()) {
-                    raft.confirmCommitIndex((index, e) -> loop.ready(() -> {
+                    raft.confirmCommitIndex((index, e) -> loop.execute(() -> {
                         if (e == null) {
                             word(router, CONFIRM_RESPONSE, new MessageCodec.Builder().putLong(n).putLong(index));
                         }
@@ -853,7 +853,7 @@
 
     @Override
     public void onApplied(long index, String line) {
-        loop.ready(() -> {
+        loop.execute(() -> {
             if (learnerLog.append(index, line) && !line.isEmpty()) {
                 appliedListener.run();
             }
@@ -862,7 +862,7 @@
 
     @Override
     public void onRestored(long index, List<String> lines) {
-        loop.ready(() -> {
+        loop.execute(() -> {
             if (learnerLog.restore(index, lines)) {
                 appliedListener.run();
             }
--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/PeerConnections.java
@@ -1,10 +1,10 @@
 package tinlink.cluster;
 
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Counters;
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.cluster.membership.Incarnation;
 import tinlink.securechannel.KeyRing;
@@ -27,7 +27,7 @@
  * when there has been nothing for a while. What is said may get lost, with its link or where too
  * much waits; whoever speaks here says again what matters. Runs on the loop's thread.
  */
-public final class PeerConnections implements Network.Door {
+public final class PeerConnections implements Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
     /** Connections that have not proved themselves, where nothing else is stated. */
     static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
@@ -57,7 +57,7 @@
          *
          * @param sender proved by its key; that it is the one router of that name is not
          */
-        void onMessage(Incarnation sender, byte type, ByteBuffer body) throws BadMessage;
+        void onMessage(Incarnation sender, byte type, ByteBuffer body) throws MessageRejectedException;
     }
 
     @SuppressWarnings(
@@ -75,7 +75,7 @@
         long retryAtUs;
     }
 
-    final Loop loop;
+    final EventLoop loop;
     final String cluster;
     final Incarnation self;
     final Timeouts timeouts;
@@ -86,7 +86,7 @@
     private final MessageHandler handler;
     private final Limits limits;
     private final SecureRandom secureRandom = new SecureRandom();
-    private Network.Listening listening;
+    private Network.ListeningSocket listening;
     /** Least used first, bounded. */
     private final Map<String, Destination> destinations = new LinkedHashMap<>(16, 0.75f, true);
     /** Those who have called: not yet proved, and proved. Each leaves as its link ends. */
@@ -95,7 +95,7 @@
     private final Set<PeerSession> inboundSessions = new LinkedHashSet<>();
 
     public PeerConnections(
-            Loop loop,
+            EventLoop loop,
             Network network,
             String cluster,
             Incarnation self,
@@ -114,9 +114,9 @@
     }
 
     public void listen(InetSocketAddress address) throws IOException {
-        listening = network.listening(address);
+        listening = network.listenAt(address);
         listening.accept(this);
-        loop.at(loop.now() + timeouts.idleUs(), this::closeIdleSessions);
+        loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
     }
 
     public InetSocketAddress address() throws IOException {
@@ -160,23 +160,23 @@
             // Danger: a peer that stands still reads nothing, and all that is said to it would be
             // held here.
             if (destination.session.outboundBacklogBytes() > MAX_QUEUED_BYTES) {
-                counters.add("peers_not_sent");
-                destination.session.close(Ending.SILENT);
+                counters.increment("peers_not_sent");
+                destination.session.close(CloseReason.SILENT);
                 return;
             }
-            destination.session.lastUsedUs = loop.now();
+            destination.session.lastUsedUs = loop.nowUs();
             destination.session.send(type, body);
             return;
         }
-        if (destination.session == null && loop.now() < destination.retryAtUs) {
-            counters.add("peers_not_sent");
+        if (destination.session == null && loop.nowUs() < destination.retryAtUs) {
+            counters.increment("peers_not_sent");
             return;
         }
         destination.queue.add(new QueuedMessage(type, body));
         destination.queuedBytes += body.length;
         while (destination.queue.size() > MAX_QUEUED_MESSAGES || destination.queuedBytes > MAX_QUEUED_BYTES) {
             destination.queuedBytes -= destination.queue.poll().body().length;
-            counters.add("peers_not_sent");
+            counters.increment("peers_not_sent");
         }
         if (destination.session == null) {
             connect(address, destination);
@@ -203,9 +203,9 @@
     private void connectionFailed(Destination destination) {
         destination.session = null;
         destination.isUp = false;
-        destination.retryAtUs = loop.now() + timeouts.retryDelayUs();
+        destination.retryAtUs = loop.nowUs() + timeouts.retryDelayUs();
         for (int i = 0; i < destination.queue.size(); i++) {
-            counters.add("peers_not_sent");
+            counters.increment("peers_not_sent");
         }
         destination.queue.clear();
         destination.queuedBytes = 0;
@@ -221,29 +221,29 @@
             Destination destination = iterator.next();
             iterator.remove();
             if (destination.session != null) {
-                destination.session.close(Ending.IDLE);
+                destination.session.close(CloseReason.IDLE);
             }
         }
     }
 
     private void closeIdleSessions() {
         for (Destination destination : Set.copyOf(destinations.values())) {
-            if (destination.isUp && loop.now() - destination.session.lastUsedUs > timeouts.idleUs()) {
-                destination.session.close(Ending.IDLE);
+            if (destination.isUp && loop.nowUs() - destination.session.lastUsedUs > timeouts.idleUs()) {
+                destination.session.close(CloseReason.IDLE);
             }
         }
-        loop.at(loop.now() + timeouts.idleUs(), this::closeIdleSessions);
+        loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
     }
 
     void opened(PeerSession session) {
         Destination destination = destinations.get(session.dialedAddress);
         if (destination == null || destination.session != session) {
-            session.close(Ending.DONE);
+            session.close(CloseReason.DONE);
             return;
         }
         destination.isUp = true;
-        session.lastUsedUs = loop.now();
-        counters.add("peers_links_up");
+        session.lastUsedUs = loop.nowUs();
+        counters.increment("peers_links_up");
         while (!destination.queue.isEmpty()) {
             QueuedMessage queued = destination.queue.poll();
             session.send(queued.type(), queued.body());
@@ -272,16 +272,16 @@
         unauthenticatedConnections.remove(session);
         inboundSessions.add(session);
         if (inboundSessions.size() > limits.connections()) {
-            inboundSessions.iterator().next().close(Ending.IDLE);
+            inboundSessions.iterator().next().close(CloseReason.IDLE);
         }
     }
 
-    void dispatch(Incarnation sender, byte type, ByteBuffer body) throws BadMessage {
+    void dispatch(Incarnation sender, byte type, ByteBuffer body) throws MessageRejectedException {
         handler.onMessage(sender, type, body);
     }
 
     @Override
-    public Link.Owner owner() {
+    public Connection.Listener newListener() {
         return new PeerSession(this, null);
     }
 
@@ -289,34 +289,34 @@
      * Danger: connections that never prove themselves would hold all room; the oldest gives way.
      */
     @Override
-    public void opened(Link link, Link.Owner owner) {
+    public void accepted(Connection link, Connection.Listener owner) {
         PeerSession session = (PeerSession) owner;
         session.attach(link, timeouts.handshakeUs());
         unauthenticatedConnections.add(session);
         if (unauthenticatedConnections.size() > limits.unauthenticated()) {
-            unauthenticatedConnections.iterator().next().close(Ending.DONE);
+            unauthenticatedConnections.iterator().next().close(CloseReason.DONE);
         }
     }
 
     @Override
-    public boolean mayOpen() {
+    public boolean canAccept() {
         return true;
     }
 
     @Override
     public void acceptFailed(Throwable failure) {
         LOG.log(Level.WARNING, "event=accept_failed", failure);
-        loop.at(loop.now() + timeouts.retryDelayUs(), () -> listening.accept(this));
+        loop.schedule(loop.nowUs() + timeouts.retryDelayUs(), () -> listening.accept(this));
     }
 
     /** Ends all links. */
     public void close() {
         listening.close();
-        Set.copyOf(inboundSessions).forEach(session -> session.close(Ending.DONE));
-        Set.copyOf(unauthenticatedConnections).forEach(session -> session.close(Ending.DONE));
+        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.DONE));
+        Set.copyOf(unauthenticatedConnections).forEach(session -> session.close(CloseReason.DONE));
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.session != null) {
-                destination.session.close(Ending.DONE);
+                destination.session.close(CloseReason.DONE);
             }
         }
     }
--- a/src/main/java/tinlink/cluster/PeerProtocol.java
+++ b/src/main/java/tinlink/cluster/PeerProtocol.java
@@ -1,6 +1,6 @@
 package tinlink.cluster;
 
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.Rumor;
 import tinlink.cluster.membership.MemberState;
@@ -37,7 +37,7 @@
         out.putText(incarnation.router()).putLong(incarnation.startCount()).putLong(incarnation.nonce());
     }
 
-    static Incarnation incarnation(ByteBuffer in) throws BadMessage {
+    static Incarnation incarnation(ByteBuffer in) throws MessageRejectedException {
         String name = readText(in);
         if (name.isEmpty()) {
             throw malformed("a router without a name");
@@ -55,7 +55,7 @@
     }
 
     @SuppressWarnings("EnumOrdinal") // As above.
-    static List<Rumor> rumors(ByteBuffer in) throws BadMessage {
+    static List<Rumor> rumors(ByteBuffer in) throws MessageRejectedException {
         int count = in.get();
         if (count < 0 || count > MAX_RUMORS) {
             throw malformed(count + " rumours");
--- a/src/main/java/tinlink/cluster/PeerSession.java
+++ b/src/main/java/tinlink/cluster/PeerSession.java
@@ -1,7 +1,7 @@
 package tinlink.cluster;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.cluster.membership.Incarnation;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void up() {
+    public void connected() {
         if (dialedAddress == null) {
             return; // Who was called listens first.
         }
@@ -59,13 +59,13 @@
     }
 
     @Override
-    public void onFrame(byte type, byte[] whole) throws BadMessage {
+    public void onFrame(byte type, byte[] whole) throws MessageRejectedException {
         connections.traffic.countReceived(type, whole, 1, FRAME_HEADER_BYTES - 1 + whole.length);
         super.onFrame(type, whole);
     }
 
     @Override
-    protected void onMessage(byte type, ByteBuffer in, byte[] whole) throws BadMessage {
+    protected void onMessage(byte type, ByteBuffer in, byte[] whole) throws MessageRejectedException {
         if (isAuthenticated()) {
             if (dialedAddress != null) {
                 throw MessageCodec.malformed("the one who was called speaks");
@@ -80,7 +80,7 @@
         }
     }
 
-    private void onHello(byte type, ByteBuffer in, byte[] whole) throws BadMessage {
+    private void onHello(byte type, ByteBuffer in, byte[] whole) throws MessageRejectedException {
         if (type != PeerProtocol.HELLO || in.getShort() != PeerProtocol.VERSION) {
             throw MessageCodec.malformed("no greeting of this version");
         }
@@ -105,7 +105,7 @@
                         .build());
     }
 
-    private void onChallenge(byte type, ByteBuffer in, byte[] whole) throws BadMessage {
+    private void onChallenge(byte type, ByteBuffer in, byte[] whole) throws MessageRejectedException {
         if (type != PeerProtocol.CHALLENGE || in.getShort() != PeerProtocol.VERSION) {
             throw MessageCodec.malformed("no challenge of this version");
         }
@@ -118,7 +118,7 @@
         if (!cluster.equals(connections.cluster)
                 || !connections.keys.contains(keyId)
                 || !KeyRing.constantTimeEquals(proof, connections.keys.proof(keyId, "called proof", hello, challenge))) {
-            connections.counters.add("peers_wrong_proof");
+            connections.counters.increment("peers_wrong_proof");
             throw MessageCodec.malformed("a wrong proof");
         }
         if (peerIncarnation.equals(connections.self)) {
@@ -129,13 +129,13 @@
         connections.opened(this);
     }
 
-    private void onProof(byte type, ByteBuffer in) throws BadMessage {
+    private void onProof(byte type, ByteBuffer in) throws MessageRejectedException {
         if (type != PeerProtocol.PROOF
                 || !connections.keys.contains(keyId)
                 || !KeyRing.constantTimeEquals(
                         MessageCodec.readBytes(in, PeerProtocol.PROOF_BYTES),
                         connections.keys.proof(keyId, "caller proof", hello, challenge))) {
-            connections.counters.add("peers_wrong_proof");
+            connections.counters.increment("peers_wrong_proof");
             throw MessageCodec.malformed("a wrong proof");
         }
         enableAuthentication(connections.keys.proof(keyId, "session", hello, challenge), false);
@@ -143,7 +143,7 @@
     }
 
     @Override
-    protected void onClosed(Ending reason) {
+    protected void onClosed(CloseReason reason) {
         LOG.log(Level.FINE, "event=peer_connection_closed peer={0} dialed={1} reason={2}", new Object[] {
             peerName(), dialedAddress, reason
         });
@@ -157,7 +157,7 @@
 
     @Override
     protected void incrementCounter(String event) {
-        connections.counters.add("peers_" + event);
+        connections.counters.increment("peers_" + event);
     }
 
     @Override
--- a/src/main/java/tinlink/cluster/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/RaftCodec.java
@@ -20,7 +20,7 @@
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
 
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 
 import java.nio.ByteBuffer;
@@ -112,9 +112,9 @@
     /**
      * Reads a message.
      *
-     * @throws BadMessage where it is none; a buffer that is too short throws its own
+     * @throws MessageRejectedException where it is none; a buffer that is too short throws its own
      */
-    public static RaftMessage decode(ByteBuffer in) throws BadMessage {
+    public static RaftMessage decode(ByteBuffer in) throws MessageRejectedException {
         int type = in.get();
         Voter sender = voter(in);
         int term = in.getInt();
@@ -238,7 +238,7 @@
         };
     }
 
-    private static int count(ByteBuffer in, int max) throws BadMessage {
+    private static int count(ByteBuffer in, int max) throws MessageRejectedException {
         int count = in.getInt();
         if (count < 0 || count > max) {
             throw MessageCodec.malformed("a list of " + count);
@@ -248,7 +248,7 @@
 
     // ---- What they are made of. ----
 
-    static Voter voter(ByteBuffer in) throws BadMessage {
+    static Voter voter(ByteBuffer in) throws MessageRejectedException {
         String text = MessageCodec.readText(in);
         try {
             return Voter.parse(text);
@@ -262,7 +262,7 @@
         voters.forEach(voter -> out.putText(voter.toString()));
     }
 
-    static List<RaftEndpoint> voters(ByteBuffer in) throws BadMessage {
+    static List<RaftEndpoint> voters(ByteBuffer in) throws MessageRejectedException {
         int count = count(in, MAX_VOTERS);
         List<RaftEndpoint> voters = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -277,7 +277,7 @@
         voters(out, view.getVotingMembers());
     }
 
-    static RaftGroupMembersView view(ByteBuffer in) throws BadMessage {
+    static RaftGroupMembersView view(ByteBuffer in) throws MessageRejectedException {
         long index = in.getLong();
         List<RaftEndpoint> members = voters(in);
         return MODEL_FACTORY.createRaftGroupMembersViewBuilder()
@@ -292,7 +292,7 @@
         operation(out, entry.getOperation());
     }
 
-    static LogEntry entry(ByteBuffer in) throws BadMessage {
+    static LogEntry entry(ByteBuffer in) throws MessageRejectedException {
         long index = in.getLong();
         int term = in.getInt();
         return MODEL_FACTORY.createLogEntryBuilder()
@@ -315,7 +315,7 @@
     }
 
     @SuppressWarnings("EnumOrdinal") // As above.
-    private static Object operation(ByteBuffer in) throws BadMessage {
+    private static Object operation(ByteBuffer in) throws MessageRejectedException {
         if (in.get() == 0) {
             return MessageCodec.readLongText(in, MAX_TEXT_BYTES);
         }
@@ -343,7 +343,7 @@
         out.putLongText((String) chunk.getOperation());
     }
 
-    static SnapshotChunk chunk(ByteBuffer in) throws BadMessage {
+    static SnapshotChunk chunk(ByteBuffer in) throws MessageRejectedException {
         long index = in.getLong();
         int term = in.getInt();
         int chunkIndex = in.getInt();
--- a/src/main/java/tinlink/cluster/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/RaftStateStore.java
@@ -10,7 +10,7 @@
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
 
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.cluster.membership.RecoveryFloor;
 import tinlink.securechannel.MessageCodec;
 
@@ -73,7 +73,7 @@
                 replay(ByteBuffer.wrap(record));
             }
             updateLogEnd();
-        } catch (BadMessage | BufferUnderflowException e) {
+        } catch (MessageRejectedException | BufferUnderflowException e) {
             throw new IOException(
                     "a record of the agreement is not as it was written: " + e.getMessage(), e);
         }
@@ -140,7 +140,7 @@
         return new long[] {term == null ? 0 : term.getTerm(), lastIndex};
     }
 
-    private void replay(ByteBuffer in) throws BadMessage {
+    private void replay(ByteBuffer in) throws MessageRejectedException {
         switch (in.get()) {
             case ENDPOINT -> {
                 Voter voter = RaftCodec.voter(in);
@@ -194,7 +194,7 @@
         byte[] record = out.build();
         try {
             replay(ByteBuffer.wrap(record));
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             throw new IOException(e.getMessage(), e);
         }
         updateLogEnd();
--- a/src/main/java/tinlink/emulator/EmulatedClient.java
+++ b/src/main/java/tinlink/emulator/EmulatedClient.java
@@ -1,11 +1,11 @@
 package tinlink.emulator;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
-import tinlink.net.Link;
-import tinlink.net.Ring;
+import tinlink.net.Connection;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -47,14 +47,14 @@
             java.util.Map<Integer, String> all = new java.util.TreeMap<>();
             try {
                 if (status == 200
-                        && JsonReader.of(body) instanceof java.util.Map<?, ?> map
+                        && JsonReader.parse(body) instanceof java.util.Map<?, ?> map
                         && map.get("matches") instanceof List<?> list) {
                     for (Object one : list) {
                         java.util.Map<?, ?> m = (java.util.Map<?, ?>) one;
                         all.put(((Double) m.get("segment")).intValue(), (String) m.get("payload"));
                     }
                 }
-            } catch (BadMessage e) {
+            } catch (MessageRejectedException e) {
                 all.put(-1, "unreadable");
             }
             return all;
@@ -80,7 +80,7 @@
     public void to(InetSocketAddress where) {
         ground.run(() -> {
             router = where;
-            List.copyOf(idle).forEach(c -> c.link.end(Ending.DONE));
+            List.copyOf(idle).forEach(c -> c.link.close(CloseReason.DONE));
         });
     }
 
@@ -114,15 +114,15 @@
             return () -> ground.run(() -> {
                 if (at.hears == hears) {
                     at.hears = null;
-                    at.link.end(Ending.DONE);
+                    at.link.close(CloseReason.DONE);
                 }
             });
         });
     }
 
-    private final class Conn implements Link.Owner, HttpReader.Sink {
-        private final HttpReader reader = HttpReader.ofAnswers(this);
-        private Link link;
+    private final class Conn implements Connection.Listener, HttpReader.MessageListener {
+        private final HttpReader reader = HttpReader.forResponses(this);
+        private Connection link;
         private Consumer<Answer> hears;
         private int status;
         private long comeBackUs;
@@ -144,28 +144,28 @@
                             + (a.key() == null ? "" : "Idempotency-Key: " + a.key() + "\r\n")
                             + "Content-Length: " + b.length + "\r\n\r\n")
                     .put(b);
-            link.later();
+            link.scheduleWrite();
         }
 
         @Override
-        public void up() {
-            link.later();
+        public void connected() {
+            link.scheduleWrite();
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             try {
                 while (in.size() > 0) {
                     stray += hears == null ? 1 : 0;
                     reader.read(in);
                 }
-            } catch (BadMessage e) {
-                link.end(Ending.BAD_INPUT);
+            } catch (MessageRejectedException e) {
+                link.close(CloseReason.BAD_INPUT);
             }
         }
 
         @Override
-        public void first(String version, String status, String words) {
+        public void startLine(String version, String status, String words) {
             this.status = Integer.parseInt(status);
             comeBackUs = 0;
             closes = false;
@@ -173,7 +173,7 @@
         }
 
         @Override
-        public void field(String name, String value) {
+        public void header(String name, String value) {
             if (name.toLowerCase(Locale.ROOT).equals("retry-after")) {
                 comeBackUs = Math.round(1e6 * Double.parseDouble(value));
             }
@@ -186,11 +186,11 @@
         }
 
         @Override
-        public void over() {
+        public void messageEnded() {
             tell(new Answer(status, body.toString().strip(), ground.now(), comeBackUs));
             if (closes) {
-                link.end(Ending.DONE);
-            } else if (!link.isOver()) {
+                link.close(CloseReason.DONE);
+            } else if (!link.isClosed()) {
                 idle.add(this);
             }
         }
@@ -204,9 +204,9 @@
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             idle.remove(this);
-            tell(new Answer(0, how.name(), ground.now(), 0));
+            tell(new Answer(0, closeReason.name(), ground.now(), 0));
         }
     }
 }
--- a/src/main/java/tinlink/emulator/EmulatedDiscovery.java
+++ b/src/main/java/tinlink/emulator/EmulatedDiscovery.java
@@ -1,12 +1,12 @@
 package tinlink.emulator;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.HttpReader;
-import tinlink.net.Link;
+import tinlink.net.Connection;
 import tinlink.net.Network;
-import tinlink.net.Protocol;
-import tinlink.net.Ring;
+import tinlink.net.ProtocolLimits;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
  */
 public final class EmulatedDiscovery {
     private final Ground ground;
-    private final Network.Listening listening;
+    private final Network.ListeningSocket listening;
     private final Set<Watch> watches = new HashSet<>();
     /** By uid, the fields of each entry as they were last told. */
     private final Map<String, String> entries = new LinkedHashMap<>();
@@ -108,42 +108,42 @@
                 + String.join(",", some) + "]}";
     }
 
-    private final class Watch implements Ground.Owner, HttpReader.Sink {
-        private final HttpReader reader = HttpReader.ofRequests(this);
-        private Link link;
+    private final class Watch implements Ground.Owner, HttpReader.MessageListener {
+        private final HttpReader reader = HttpReader.forRequests(this);
+        private Connection link;
         /** Else the whole list is wanted, once. */
         private boolean standing;
 
         @Override
-        public void on(Link link) {
+        public void on(Connection link) {
             this.link = link;
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             try {
                 while (in.size() > 0) {
                     reader.read(in);
                 }
-            } catch (BadMessage e) {
-                link.end(Ending.BAD_INPUT);
+            } catch (MessageRejectedException e) {
+                link.close(CloseReason.BAD_INPUT);
             }
         }
 
         @Override
-        public void first(String method, String target, String version) {
+        public void startLine(String method, String target, String version) {
             standing = target.contains("watch=1");
         }
 
         @Override
-        public void over() {
+        public void messageEnded() {
             if (!standing) {
                 byte[] whole = object(true, entries.values()).getBytes(StandardCharsets.UTF_8);
                 link.out()
                         .put("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length + "\r\n\r\n")
                         .put(whole);
                 bytesSent += whole.length;
-                link.later();
+                link.scheduleWrite();
                 return;
             }
             link.out().put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -153,7 +153,7 @@
         }
 
         private void beat() {
-            ground.at(ground.now() + Protocol.WATCH_LINE_US, () -> {
+            ground.at(ground.now() + ProtocolLimits.WATCH_KEEPALIVE_US, () -> {
                 if (watches.contains(this)) {
                     line("");
                     beat();
@@ -166,11 +166,11 @@
             String size = Integer.toHexString(b.length) + "\r\n";
             link.out().put(size).put(b).put("\r\n");
             bytesSent += size.length() + b.length + 2;
-            link.later();
+            link.scheduleWrite();
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             watches.remove(this);
         }
     }
--- a/src/main/java/tinlink/emulator/EmulatedLine.java
+++ b/src/main/java/tinlink/emulator/EmulatedLine.java
@@ -2,10 +2,10 @@
 
 import org.HdrHistogram.Histogram;
 
-import tinlink.net.Ending;
-import tinlink.net.Link;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
 import tinlink.net.Network;
-import tinlink.net.Ring;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -32,7 +32,7 @@
     public record Way(long delayUs, long jitterUs, long bytesPerS) {}
 
     private final Ground ground;
-    private final Network.Listening listening;
+    private final Network.ListeningSocket listening;
     private final InetSocketAddress address;
     private final SplittableRandom random;
     private final Set<Pair> pairs = new HashSet<>();
@@ -141,14 +141,14 @@
     /** One connection: two links and what is between them. */
     private final class Pair implements Ground.Owner {
         private final Half far = new Half(false);
-        private Link near;
+        private Connection near;
         private long freeThere;
         private long freeBack;
         private boolean over;
 
-        private final class Half implements Link.Owner {
+        private final class Half implements Connection.Listener {
             private final boolean there;
-            private Link link;
+            private Connection link;
             private final List<byte[]> early = new ArrayList<>();
 
             Half(boolean there) {
@@ -156,25 +156,25 @@
             }
 
             @Override
-            public void up() {
+            public void connected() {
                 early.forEach(b -> link.out().put(b));
                 early.clear();
-                link.later();
+                link.scheduleWrite();
             }
 
             @Override
-            public void arrived(Ring in) {
+            public void bytesReceived(RingBuffer in) {
                 carry(in, there);
             }
 
             @Override
-            public void ended(Ending how) {
+            public void connectionClosed(CloseReason closeReason) {
                 later(there, Pair.this::end);
             }
         }
 
         @Override
-        public void on(Link link) {
+        public void on(Connection link) {
             near = link;
             pairs.add(this);
             try {
@@ -189,18 +189,18 @@
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             carry(in, true);
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             later(true, this::end);
         }
 
-        private void carry(Ring in, boolean there) {
+        private void carry(RingBuffer in, boolean there) {
             while (in.size() > 0 && !over) {
-                ByteBuffer run = in.takeRun(in.size());
+                ByteBuffer run = in.takeContiguous(in.size());
                 byte[] b = new byte[run.remaining()];
                 run.get(b);
                 long left = there ? cutAfterThere : cutAfterBack;
@@ -219,12 +219,12 @@
                 }
                 byte[] piece = b;
                 later(there, piece.length, () -> {
-                    if (there && !far.link.isUp() && !far.link.isOver()) {
+                    if (there && !far.link.isUp() && !far.link.isClosed()) {
                         far.early.add(piece);
-                    } else if (!(there ? far.link : near).isOver()) {
-                        Link to = there ? far.link : near;
+                    } else if (!(there ? far.link : near).isClosed()) {
+                        Connection to = there ? far.link : near;
                         to.out().put(piece);
-                        to.later();
+                        to.scheduleWrite();
                     }
                 });
                 if (last) {
@@ -274,9 +274,9 @@
         void end() {
             over = true;
             pairs.remove(this);
-            near.end(Ending.DONE);
+            near.close(CloseReason.DONE);
             if (far.link != null) {
-                far.link.end(Ending.DONE);
+                far.link.close(CloseReason.DONE);
             }
         }
     }
--- a/src/main/java/tinlink/emulator/EmulatedNode.java
+++ b/src/main/java/tinlink/emulator/EmulatedNode.java
@@ -2,11 +2,11 @@
 
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 
-import tinlink.net.Ending;
-import tinlink.net.Link;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
 import tinlink.net.Network;
-import tinlink.net.Protocol;
-import tinlink.net.Ring;
+import tinlink.net.ProtocolLimits;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -53,7 +53,7 @@
     /** Parts that it has begun and, stalled, does not go on with. */
     private final List<Job> held = new ArrayList<>();
 
-    private Network.Listening listening;
+    private Network.ListeningSocket listening;
     private InetSocketAddress address;
     private Mood mood = Mood.WELL;
     private int busy;
@@ -63,10 +63,10 @@
     record Job(Caller from, String id, String key, String text) {}
 
     /** A connection by which parts come, whatever it speaks. */
-    interface Caller extends Link.Owner {
+    interface Caller extends Connection.Listener {
         void answer(Job j, String end, String value);
 
-        Link link();
+        Connection link();
     }
 
     /** How it behaves as a server of HTTP/2; it takes either protocol at its one address. */
@@ -130,7 +130,7 @@
             queue.clear();
             held.clear();
             busy = 0;
-            List.copyOf(doors).forEach(d -> d.link.end(Ending.DONE));
+            List.copyOf(doors).forEach(d -> d.link.close(CloseReason.DONE));
         });
     }
 
@@ -187,7 +187,7 @@
     }
 
     private static void answer(Job j, String end, String value) {
-        if (!j.from.link().isOver()) {
+        if (!j.from.link().isClosed()) {
             j.from.answer(j, end, value);
         }
     }
@@ -227,33 +227,33 @@
 
     /** Whoever connects: HTTP/2 begins with its preface, a frame's length with a zero byte. */
     private final class Door implements Ground.Owner {
-        private Link link;
+        private Connection link;
         private Caller as;
 
         @Override
-        public void on(Link link) {
+        public void on(Connection link) {
             this.link = link;
             doors.add(this);
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             if (as == null && in.size() > 0) {
                 as = in.peek() == 'P' && http2.spoken
                         ? new Http2Caller(EmulatedNode.this, link)
                         : new FrameCaller(link);
             }
             if (as != null) {
-                as.arrived(in);
+                as.bytesReceived(in);
             }
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             doors.remove(this);
             if (as != null) {
                 dropped(as, null);
-                as.ended(how);
+                as.connectionClosed(closeReason);
             }
         }
     }
@@ -279,17 +279,17 @@
 
     /** A router's connection by frames. */
     private final class FrameCaller implements Caller {
-        private final Link link;
+        private final Connection link;
         private int head;
         private int length;
         private ByteBuffer frame;
 
-        FrameCaller(Link link) {
+        FrameCaller(Connection link) {
             this.link = link;
         }
 
         @Override
-        public Link link() {
+        public Connection link() {
             return link;
         }
 
@@ -299,12 +299,12 @@
         }
 
         @Override
-        public void arrived(Ring in) {
-            while (in.size() > 0 && !link.isOver()) {
+        public void bytesReceived(RingBuffer in) {
+            while (in.size() > 0 && !link.isClosed()) {
                 if (head < 4) {
                     length = length << 8 | (in.take() & 0xff);
                     if (++head == 4) {
-                        if (length < 1 || length > 64 * (Protocol.MOST_HEAD + Protocol.MOST_BODY)) {
+                        if (length < 1 || length > 64 * (ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES)) {
                             unusable("a length of " + length);
                             return;
                         }
@@ -312,7 +312,7 @@
                     }
                     continue;
                 }
-                frame.put(in.takeRun(frame.remaining()));
+                frame.put(in.takeContiguous(frame.remaining()));
                 if (!frame.hasRemaining()) {
                     head = 0;
                     length = 0;
@@ -371,17 +371,17 @@
 
         private void unusable(String why) {
             frame('N', why);
-            ground.at(ground.now() + 1000, () -> link.end(Ending.BAD_INPUT));
+            ground.at(ground.now() + 1000, () -> link.close(CloseReason.BAD_INPUT));
         }
 
         private void frame(char letter, String rest) {
             byte[] b = (letter + rest).getBytes(StandardCharsets.UTF_8);
             link.out().put(ByteBuffer.allocate(4).putInt(b.length).array()).put(b);
-            link.later();
+            link.scheduleWrite();
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             // Its door forgets it.
         }
     }
--- a/src/main/java/tinlink/emulator/Ground.java
+++ b/src/main/java/tinlink/emulator/Ground.java
@@ -1,7 +1,7 @@
 package tinlink.emulator;
 
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
 import java.io.IOException;
@@ -18,21 +18,21 @@
  */
 public final class Ground implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("tinlink.emulator");
-    final Loop loop = new Loop();
+    final EventLoop loop = new EventLoop();
     final Network network;
     private final Thread thread;
 
     public Ground() throws IOException {
         network = new Network(loop);
         thread = new Thread(
-                () -> loop.run(new Loop.Turn() {
+                () -> loop.run(new EventLoop.EventLoopParticipant() {
                     @Override
-                    public void begins(long nowUs) {
+                    public void turnStarted(long nowUs) {
                         // Stand-ins read the loop's clock themselves.
                     }
 
                     @Override
-                    public void decides() {
+                    public void turnEnding() {
                         // Stand-ins act as they are told, at once.
                     }
                 }),
@@ -47,7 +47,7 @@
             return what.get();
         }
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.ready(() -> {
+        loop.execute(() -> {
             try {
                 done.complete(what.get());
             } catch (RuntimeException e) {
@@ -66,11 +66,11 @@
 
     /** Microseconds, of the turn in hand. */
     public long now() {
-        return loop.now();
+        return loop.nowUs();
     }
 
     public void at(long us, Runnable what) {
-        loop.at(us, what);
+        loop.schedule(us, what);
     }
 
     /** A free port of loopback, or that one. */
@@ -79,21 +79,21 @@
     }
 
     /** Whoever connects there gets an owner made by the door. */
-    Network.Listening listen(InetSocketAddress at, Supplier<Owner> owners) throws IOException {
-        Network.Listening listening = network.listening(at);
-        listening.accept(new Network.Door() {
+    Network.ListeningSocket listen(InetSocketAddress at, Supplier<Owner> owners) throws IOException {
+        Network.ListeningSocket listening = network.listenAt(at);
+        listening.accept(new Network.AcceptHandler() {
             @Override
-            public Link.Owner owner() {
+            public Connection.Listener newListener() {
                 return owners.get();
             }
 
             @Override
-            public void opened(Link link, Link.Owner owner) {
+            public void accepted(Connection link, Connection.Listener owner) {
                 ((Owner) owner).on(link);
             }
 
             @Override
-            public boolean mayOpen() {
+            public boolean canAccept() {
                 return true;
             }
 
@@ -106,15 +106,15 @@
     }
 
     /** The owner of a connection that a stand-in has accepted. */
-    interface Owner extends Link.Owner {
-        void on(Link link);
+    interface Owner extends Connection.Listener {
+        void on(Connection link);
     }
 
     @Override
     public void close() {
-        loop.ready(() -> {
+        loop.execute(() -> {
             network.close();
-            loop.end();
+            loop.stop();
         });
     }
 }
--- a/src/main/java/tinlink/emulator/Http2Caller.java
+++ b/src/main/java/tinlink/emulator/Http2Caller.java
@@ -3,9 +3,9 @@
 import com.twitter.hpack.Decoder;
 import com.twitter.hpack.Encoder;
 
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Ring;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.RingBuffer;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -25,7 +25,7 @@
     private static final int PREFACE = 24;
     private static final int FRAME = 16_384;
     private final EmulatedNode node;
-    private final Link link;
+    private final Connection link;
     private final Decoder decoder = new Decoder(16_384, 4096);
     private final Encoder encoder = new Encoder(4096);
     /** Requests that have begun and not been answered, by stream. */
@@ -50,7 +50,7 @@
         private String end;
     }
 
-    Http2Caller(EmulatedNode node, Link link) {
+    Http2Caller(EmulatedNode node, Connection link) {
         this.node = node;
         this.link = link;
         ByteBuffer s = ByteBuffer.allocate(12).putShort((short) 4).putInt(node.http2.firstWindow);
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public Link link() {
+    public Connection link() {
         return link;
     }
 
@@ -73,7 +73,7 @@
                         .putInt(stream)
                         .put(b)
                         .array());
-        link.later();
+        link.scheduleWrite();
     }
 
     private void frame(int type, int stream, int value) {
@@ -110,11 +110,11 @@
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         try {
-            while (in.size() > 0 && !link.isOver()) {
+            while (in.size() > 0 && !link.isClosed()) {
                 if (skipped < PREFACE) {
-                    skipped += in.takeRun(PREFACE - skipped).remaining();
+                    skipped += in.takeContiguous(PREFACE - skipped).remaining();
                 } else if (headRead < head.length) {
                     head[headRead++] = in.take();
                     payload = headRead < head.length
@@ -124,7 +124,7 @@
                                     | (head[2] & 0xff));
                 }
                 if (payload != null) {
-                    payload.put(in.takeRun(payload.remaining()));
+                    payload.put(in.takeContiguous(payload.remaining()));
                     if (!payload.hasRemaining()) {
                         ByteBuffer whole = payload.flip();
                         payload = null;
@@ -134,7 +134,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            link.end(Ending.BAD_INPUT);
+            link.close(CloseReason.BAD_INPUT);
         }
     }
 
@@ -294,7 +294,7 @@
     }
 
     @Override
-    public void ended(Ending how) {
+    public void connectionClosed(CloseReason closeReason) {
         open.clear();
     }
 }
--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -4,7 +4,7 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.Counters;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.securechannel.MessageCodec;
 
@@ -56,7 +56,7 @@
         void cancelPart(IncomingPart part);
     }
 
-    final Loop loop;
+    final EventLoop loop;
     final Network network;
     final Identity identity;
     final Timing timing;
@@ -66,15 +66,15 @@
     private final SecureRandom secureRandom = new SecureRandom();
     private final GatewayClient client;
     private final GatewayServer server;
-    private final Loop.Turn turn = new Loop.Turn() {
+    private final EventLoop.EventLoopParticipant turn = new EventLoop.EventLoopParticipant() {
         @Override
-        public void begins(long nowUs) {
+        public void turnStarted(long nowUs) {
             client.advanceClock(nowUs);
             server.advanceClock(nowUs);
         }
 
         @Override
-        public void decides() {
+        public void turnEnding() {
             client.decide();
             server.decide();
         }
@@ -82,7 +82,7 @@
     private String loggedCounters = "";
 
     public Gateway(
-            Loop loop,
+            EventLoop loop,
             Network network,
             Identity identity,
             GatewayKeys keys,
@@ -102,7 +102,7 @@
     }
 
     /** Its part of a turn. */
-    public Loop.Turn turn() {
+    public EventLoop.EventLoopParticipant turn() {
         return turn;
     }
 
@@ -115,7 +115,7 @@
 
     /** The turn in which that time is due pulls decisions. */
     void wakeAt(long at) {
-        loop.at(at, () -> {});
+        loop.schedule(at, () -> {});
     }
 
     /** Says the counters once a minute, where one has changed, and at the stop. */
@@ -125,7 +125,7 @@
             loggedCounters = current;
             LOG.log(Level.INFO, "event=gateway_counts {0}", current);
         }
-        loop.at(loop.now() + COUNTER_LOG_INTERVAL_US, this::logCounters);
+        loop.schedule(loop.nowUs() + COUNTER_LOG_INTERVAL_US, this::logCounters);
     }
 
     public Counters counters() {
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -4,7 +4,7 @@
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ForwardedPart;
 import tinlink.gateway.forwarding.GatewayChannel;
-import tinlink.net.Ending;
+import tinlink.net.CloseReason;
 
 import java.io.IOException;
 import java.util.BitSet;
@@ -96,7 +96,7 @@
     public void disconnect(GatewayChannel channel) {
         GatewayClientSession session = sessions.get(channel);
         if (session != null) {
-            session.close(Ending.SILENT);
+            session.close(CloseReason.SILENT);
         }
     }
 
@@ -109,7 +109,7 @@
     @Override
     public void sendPart(ForwardedPart forwarded) {
         OutgoingPart part = (OutgoingPart) forwarded;
-        long now = gateway.loop.now();
+        long now = gateway.loop.nowUs();
         GatewayChannel channel = part.channel();
         int flags = (part.clientRetry ? CLIENT_RETRY_FLAG : 0) | (part.idempotencyKey == null ? 0 : IDEMPOTENCY_KEY_FLAG);
         GatewayProtocol.Builder message = new GatewayProtocol.Builder()
@@ -125,7 +125,7 @@
         if (part.idempotencyKey != null) {
             message.putText(part.idempotencyKey);
         }
-        gateway.counters.add("near_parts");
+        gateway.counters.increment("near_parts");
         part.endPosition = sessions.get(channel).send(GatewayProtocol.FORWARD_PART, message.putBytes(part.text).build());
     }
 
@@ -146,7 +146,7 @@
                 .putLong(about.nextPartNumber())
                 .putShort(numbers.size());
         numbers.forEach(message::putLong);
-        gateway.counters.add("near_fates_asked");
+        gateway.counters.increment("near_fates_asked");
         sessions.get(via).send(GatewayProtocol.STATUS_QUERY, message.build());
     }
 
@@ -154,9 +154,9 @@
     public void partEnded(ForwardedPart forwarded, PartStatus status) {
         OutgoingPart part = (OutgoingPart) forwarded;
         String statusName = status.name().toLowerCase(Locale.ROOT);
-        gateway.counters.add("near_" + statusName);
+        gateway.counters.increment("near_" + statusName);
         if (part.wasUnresolved() && !part.idempotent) {
-            gateway.counters.add("near_unsure_" + (part.routerRestarted() ? "died" : statusName));
+            gateway.counters.increment("near_unsure_" + (part.routerRestarted() ? "died" : statusName));
         }
         gateway.partHandler.partEnded(part, status.outcome, status == PartStatus.DONE ? part.durationUs : -1);
     }
--- a/src/main/java/tinlink/gateway/GatewayClientSession.java
+++ b/src/main/java/tinlink/gateway/GatewayClientSession.java
@@ -3,8 +3,8 @@
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ForwardedPart;
 import tinlink.gateway.forwarding.GatewayChannel;
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.securechannel.MessageCodec;
 import tinlink.securechannel.SecureSession;
 
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void up() {
+    public void connected() {
         keyId = gateway.keys.activeKeyId();
         hello = new MessageCodec.Builder()
                 .putShort(GatewayProtocol.VERSION)
@@ -47,12 +47,12 @@
                 .putLong(gateway.identity.incarnation())
                 .putBytes(gateway.newNonce())
                 .build();
-        helloSentAt = gateway.loop.now();
+        helloSentAt = gateway.loop.nowUs();
         send(GatewayProtocol.HELLO, hello);
     }
 
     @Override
-    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
         if (!isAuthenticated()) {
             onChallenge(type, payload, frame);
             return;
@@ -73,7 +73,7 @@
     }
 
     /** The far router says who it is, and proves it with our nonce; then we do with its own. */
-    private void onChallenge(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+    private void onChallenge(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
         if (type != GatewayProtocol.CHALLENGE || payload.getShort() != GatewayProtocol.VERSION) {
             throw GatewayProtocol.malformed("no challenge of this version");
         }
@@ -89,7 +89,7 @@
         }
         if (!gateway.keys.contains(keyId)
                 || !GatewayKeys.constantTimeEquals(proof, gateway.keys.proof(keyId, "far proof", hello, challenge))) {
-            gateway.counters.add("near_wrong_proof");
+            gateway.counters.increment("near_wrong_proof");
             throw GatewayProtocol.malformed("a wrong proof");
         }
         byte[] channelCounts = new MessageCodec.Builder().putLong(channel.connectCount() + 1).putLong(channel.nextPartNumber()).build();
@@ -100,17 +100,17 @@
                         .putBytes(gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))
                         .build());
         enableAuthentication(gateway.keys.proof(keyId, "session", hello, challenge), true);
-        gateway.counters.add("near_lines_up");
+        gateway.counters.increment("near_lines_up");
         LOG.log(
                 Level.INFO,
                 "event=line_up site={0} router={1} line={2} round_trip_us={3}",
-                new Object[] {site, remoteRouter, channel.index, String.valueOf(gateway.loop.now() - helloSentAt)
+                new Object[] {site, remoteRouter, channel.index, String.valueOf(gateway.loop.nowUs() - helloSentAt)
                 });
-        channel.router.onConnected(channel, incarnation, gateway.loop.now() - helloSentAt);
+        channel.router.onConnected(channel, incarnation, gateway.loop.nowUs() - helloSentAt);
     }
 
     @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
-    private void onPartStatus(ByteBuffer payload) throws BadMessage {
+    private void onPartStatus(ByteBuffer payload) throws MessageRejectedException {
         int channelIndex = payload.getShort();
         long number = payload.getLong();
         int statusCode = payload.get();
@@ -129,26 +129,26 @@
         ForwardedPart openPart = channel.router.findOpenPart(about, number);
         if (openPart instanceof OutgoingPart part) {
             part.value = GatewayProtocol.readBytes(payload, payload.remaining());
-            part.durationUs = Math.max(1, Math.min(durationUs, gateway.loop.now() - part.forwardedAt));
+            part.durationUs = Math.max(1, Math.min(durationUs, gateway.loop.nowUs() - part.forwardedAt));
             part.retryAfterUs = Math.max(0, retryAfterUs);
             channel.router.onPartStatus(about, number, PartStatus.values()[statusCode]);
         }
     }
 
     @Override
-    protected void onClosed(Ending how) {
+    protected void onClosed(CloseReason closeReason) {
         boolean wasUp = client.sessionClosed(this);
         LOG.log(
                 wasUp ? Level.WARNING : Level.FINE,
                 "event=line_down site={0} router={1} line={2} how={3} open={4}",
                 new Object[] {
-                    site, channel.router.name, channel.index, how, channel.openParts().size()
+                    site, channel.router.name, channel.index, closeReason, channel.openParts().size()
                 });
-        gateway.counters.add(
+        gateway.counters.increment(
                 wasUp
-                        ? "near_lines_" + how.name().toLowerCase(java.util.Locale.ROOT)
+                        ? "near_lines_" + closeReason.name().toLowerCase(java.util.Locale.ROOT)
                         : "near_not_up");
-        channel.router.onDisconnected(channel, part -> connection.left(((OutgoingPart) part).endPosition));
+        channel.router.onDisconnected(channel, part -> connection.mayHaveLeft(((OutgoingPart) part).endPosition));
     }
 
     @Override
@@ -158,7 +158,7 @@
 
     @Override
     protected void incrementCounter(String what) {
-        gateway.counters.add("near_" + what);
+        gateway.counters.increment("near_" + what);
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -3,9 +3,9 @@
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ReceivedPart;
 import tinlink.gateway.forwarding.ForwardedPartReceiver;
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
 import java.io.IOException;
@@ -24,7 +24,7 @@
  * The far side of a gateway: takes connections from routers of other sites and carries out what {@link
  * ForwardedPartReceiver} decides about the parts that they pass on. Runs on the loop's thread.
  */
-final class GatewayServer implements ForwardedPartReceiver.ExecutionHandler, Network.Door {
+final class GatewayServer implements ForwardedPartReceiver.ExecutionHandler, Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     /** Connections that may be here without having proved themselves. */
     private static final int MAX_UNAUTHENTICATED = 16;
@@ -33,11 +33,11 @@
 
     final ForwardedPartReceiver receiver;
     private final Gateway gateway;
-    private Network.Listening listening;
+    private Network.ListeningSocket listening;
     /** Connections that have not proved themselves; each leaves as it does, or ends. */
     private final Set<GatewayServerSession> unauthenticated = new LinkedHashSet<>();
     /** Connections of near routers, with the time by which they have to speak; each leaves as it ends. */
-    private final Map<GatewayServerSession, Loop.Timer> authenticated = new HashMap<>();
+    private final Map<GatewayServerSession, EventLoop.Timer> authenticated = new HashMap<>();
     /** Which cells this router reaches at its own site. */
     private BitSet reachableCells = new BitSet();
 
@@ -89,7 +89,7 @@
     // ---- Connections. ----
 
     void listen(InetSocketAddress at) throws IOException {
-        listening = gateway.network.listening(at);
+        listening = gateway.network.listenAt(at);
         listening.accept(this);
     }
 
@@ -98,30 +98,30 @@
     }
 
     @Override
-    public Link.Owner owner() {
+    public Connection.Listener newListener() {
         return new GatewayServerSession(gateway, this);
     }
 
     /** Danger: connections that never prove themselves would hold all room; the oldest gives way. */
     @Override
-    public void opened(Link link, Link.Owner owner) {
+    public void accepted(Connection link, Connection.Listener owner) {
         GatewayServerSession session = (GatewayServerSession) owner;
         session.attach(link, gateway.timing.handshakeUs());
         unauthenticated.add(session);
         if (unauthenticated.size() > MAX_UNAUTHENTICATED) {
-            unauthenticated.iterator().next().close(Ending.DONE);
+            unauthenticated.iterator().next().close(CloseReason.DONE);
         }
     }
 
     @Override
-    public boolean mayOpen() {
+    public boolean canAccept() {
         return true;
     }
 
     @Override
     public void acceptFailed(Throwable why) {
         LOG.log(Level.WARNING, "event=accept_failed", why);
-        gateway.loop.at(gateway.loop.now() + gateway.timing.heartbeatUs(), () -> listening.accept(this));
+        gateway.loop.schedule(gateway.loop.nowUs() + gateway.timing.heartbeatUs(), () -> listening.accept(this));
     }
 
     /** How many connections have not proved themselves. */
@@ -143,16 +143,16 @@
     /** The session has sent a heartbeat. */
     void heartbeatReceived(GatewayServerSession session) {
         if (authenticated.containsKey(session)) {
-            long silenceAt = gateway.loop.now() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
-            Loop.Timer silenceTimer = gateway.loop.at(silenceAt, () -> session.close(Ending.SILENT));
-            gateway.loop.takeBack(authenticated.put(session, silenceTimer));
+            long silenceAt = gateway.loop.nowUs() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
+            EventLoop.Timer silenceTimer = gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.SILENT));
+            gateway.loop.cancel(authenticated.put(session, silenceTimer));
         }
     }
 
     /** The session has ended. */
     void sessionClosed(GatewayServerSession session) {
         unauthenticated.remove(session);
-        gateway.loop.takeBack(authenticated.remove(session));
+        gateway.loop.cancel(authenticated.remove(session));
     }
 
     // ---- Parts. ----
@@ -164,10 +164,10 @@
      * @param retryAfterUs of a refused one, 0 for no advice
      */
     void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
-        part.durationUs = gateway.loop.now() - part.arrivedAt;
+        part.durationUs = gateway.loop.nowUs() - part.arrivedAt;
         part.retryAfterUs = retryAfterUs;
         part.value = value == null ? part.value : value;
-        gateway.counters.add("far_" + status.name().toLowerCase(Locale.ROOT));
+        gateway.counters.increment("far_" + status.name().toLowerCase(Locale.ROOT));
         receiver.onPartEnded(part, status, part.value.length);
     }
 
@@ -178,7 +178,7 @@
 
     @Override
     public void cancelPart(ReceivedPart part) {
-        gateway.counters.add("far_given_up");
+        gateway.counters.increment("far_given_up");
         gateway.partHandler.cancelPart((IncomingPart) part);
     }
 
@@ -200,7 +200,7 @@
 
     @Override
     public void closeSession(Object session) {
-        ((GatewayServerSession) session).close(Ending.GONE);
+        ((GatewayServerSession) session).close(CloseReason.GONE);
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/GatewayServerSession.java
+++ b/src/main/java/tinlink/gateway/GatewayServerSession.java
@@ -2,8 +2,8 @@
 
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.InboundChannel;
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.securechannel.MessageCodec;
 import tinlink.securechannel.SecureSession;
 
@@ -41,7 +41,7 @@
     }
 
     @Override
-    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
         if (hello == null) {
             onHello(type, payload, frame);
         } else if (inbound == null) {
@@ -55,7 +55,7 @@
                     long number = payload.getLong();
                     server.receiver.forgetBelow(inbound, payload.getLong());
                     send(GatewayProtocol.HEARTBEAT_ACK, new GatewayProtocol.Builder().putLong(number).build());
-                    ackedHeartbeats.put(number, gateway.loop.now());
+                    ackedHeartbeats.put(number, gateway.loop.nowUs());
                     if (ackedHeartbeats.size() > MAX_ACKED_HEARTBEATS) {
                         ackedHeartbeats.remove(ackedHeartbeats.keySet().iterator().next());
                     }
@@ -66,7 +66,7 @@
         }
     }
 
-    private void onHello(byte type, ByteBuffer payload, byte[] frame) throws BadMessage {
+    private void onHello(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
         if (type != GatewayProtocol.HELLO || payload.getShort() != GatewayProtocol.VERSION) {
             throw GatewayProtocol.malformed("no greeting of this version");
         }
@@ -102,7 +102,7 @@
                         .build());
     }
 
-    private void onProof(byte type, ByteBuffer payload) throws BadMessage {
+    private void onProof(byte type, ByteBuffer payload) throws MessageRejectedException {
         if (type != GatewayProtocol.PROOF) {
             throw GatewayProtocol.malformed("no proof");
         }
@@ -111,7 +111,7 @@
         if (!gateway.keys.contains(keyId)
                 || !GatewayKeys.constantTimeEquals(
                         proof, gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))) {
-            gateway.counters.add("far_wrong_proof");
+            gateway.counters.increment("far_wrong_proof");
             throw GatewayProtocol.malformed("a wrong proof");
         }
         enableAuthentication(gateway.keys.proof(keyId, "session", hello, challenge), false);
@@ -121,14 +121,14 @@
         if (inbound == null) {
             throw GatewayProtocol.malformed("too many routers are connected");
         }
-        gateway.counters.add("far_lines_up");
+        gateway.counters.increment("far_lines_up");
         LOG.log(Level.INFO, "event=near_up site={0} router={1} line={2}", new Object[] {
             site, router, channelIndex
         });
         server.authenticated(this);
     }
 
-    private void onForwardPart(ByteBuffer payload) throws BadMessage {
+    private void onForwardPart(ByteBuffer payload) throws MessageRejectedException {
         long number = payload.getLong();
         long remainingUs = payload.getLong();
         long effectRemainingUs = payload.getLong();
@@ -142,7 +142,7 @@
         if (number < 1 || sinceAckUs < 0) {
             throw GatewayProtocol.malformed("a part out of range");
         }
-        gateway.counters.add("far_parts");
+        gateway.counters.increment("far_parts");
         // Danger: a line that holds a part back for long and then brings it. Its age is no more
         // than the time
         // since the answer to a heartbeat left here, less the time for which its near router has
@@ -150,7 +150,7 @@
         // answer: a round trip, which is also what its own answer needs. An old answer can't be
         // told apart
         // and counts as too old.
-        long now = gateway.loop.now();
+        long now = gateway.loop.nowUs();
         long ageUs = ackedAt == null ? Long.MAX_VALUE / 2 : Math.max(0, now - ackedAt - sinceAckUs);
         long runnableUs = Math.min(remainingUs, effectRemainingUs) - ageUs;
         server.receiver.onForwardPart(
@@ -169,7 +169,7 @@
                 runnableUs > 0);
     }
 
-    private void onStatusQuery(ByteBuffer payload) throws BadMessage {
+    private void onStatusQuery(ByteBuffer payload) throws MessageRejectedException {
         int aboutChannel = payload.getShort();
         long connectCount = payload.getLong();
         long minAcceptedNumber = payload.getLong();
@@ -200,16 +200,16 @@
     }
 
     @Override
-    protected void onClosed(Ending how) {
+    protected void onClosed(CloseReason closeReason) {
         server.sessionClosed(this);
         if (inbound != null) {
             LOG.log(
                     Level.INFO,
                     "event=near_down site={0} router={1} line={2} how={3}",
-                    new Object[] {site, router, channelIndex, how});
+                    new Object[] {site, router, channelIndex, closeReason});
             server.receiver.onDisconnected(inbound, this);
         } else {
-            gateway.counters.add("far_refused");
+            gateway.counters.increment("far_refused");
         }
     }
 
@@ -220,7 +220,7 @@
 
     @Override
     protected void incrementCounter(String what) {
-        gateway.counters.add("far_" + what);
+        gateway.counters.increment("far_" + what);
     }
 
     @Override
--- a/src/main/java/tinlink/http2/FrameParser.java
+++ b/src/main/java/tinlink/http2/FrameParser.java
@@ -1,6 +1,6 @@
 package tinlink.http2;
 
-import tinlink.net.Ring;
+import tinlink.net.RingBuffer;
 
 import java.nio.ByteBuffer;
 
@@ -25,7 +25,7 @@
         return headerBytesRead == 0;
     }
 
-    void read(Ring in) throws Http2Exception {
+    void read(RingBuffer in) throws Http2Exception {
         while (in.size() > 0) {
             if (headerBytesRead < Http2Constants.FRAME_HEADER_BYTES) {
                 header[headerBytesRead++] = in.take();
@@ -38,7 +38,7 @@
                 }
                 payload = ByteBuffer.allocate(length);
             }
-            payload.put(in.takeRun(payload.remaining()));
+            payload.put(in.takeContiguous(payload.remaining()));
             if (!payload.hasRemaining()) {
                 ByteBuffer complete = payload.flip();
                 headerBytesRead = 0;
--- a/src/main/java/tinlink/http2/Http2Connection.java
+++ b/src/main/java/tinlink/http2/Http2Connection.java
@@ -1,6 +1,6 @@
 package tinlink.http2;
 
-import tinlink.net.Ring;
+import tinlink.net.RingBuffer;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -126,7 +126,7 @@
 
     // ---- What comes in. ----
 
-    void read(Ring in) throws Http2Exception {
+    void read(RingBuffer in) throws Http2Exception {
         parser.read(in);
     }
 
--- a/src/main/java/tinlink/http2/Http2NodeClient.java
+++ b/src/main/java/tinlink/http2/Http2NodeClient.java
@@ -6,8 +6,8 @@
 import tinlink.http2.pool.ConnectionPool;
 import tinlink.http2.pool.PendingCall;
 import tinlink.net.Counters;
-import tinlink.net.Ending;
-import tinlink.net.Loop;
+import tinlink.net.CloseReason;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
 import java.io.IOException;
@@ -42,7 +42,7 @@
         void decisionsPending(Http2NodeClient nodeClient);
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final CallHandler callHandler;
     private final Counters counters;
@@ -52,7 +52,7 @@
     private InetSocketAddress address;
 
     public Http2NodeClient(
-            Loop loop, Network network, CallHandler callHandler, Counters counters, ConnectionPool.Settings settings) {
+            EventLoop loop, Network network, CallHandler callHandler, Counters counters, ConnectionPool.Settings settings) {
         this.loop = loop;
         this.network = network;
         this.callHandler = callHandler;
@@ -66,14 +66,14 @@
      * again later.
      */
     public boolean supportsHttp2() {
-        pool.advanceClock(loop.now());
+        pool.advanceClock(loop.nowUs());
         return pool.supportsHttp2();
     }
 
     public void send(PartRequest request, InetSocketAddress nodeAddress) {
         address = nodeAddress;
         touch();
-        counters.add("http2_calls");
+        counters.increment("http2_calls");
         pool.submit(request);
     }
 
@@ -121,18 +121,18 @@
     public void closeUnused() {
         for (Http2NodeConnection nodeConnection : List.copyOf(connections.values())) {
             if (nodeConnection.pooled.openStreams() == 0) {
-                nodeConnection.close(Ending.RELEASED);
+                nodeConnection.close(CloseReason.RELEASED);
             }
         }
     }
 
     private void touch() {
-        pool.advanceClock(loop.now());
+        pool.advanceClock(loop.nowUs());
         callHandler.decisionsPending(this);
     }
 
     public void decide() {
-        pool.advanceClock(loop.now());
+        pool.advanceClock(loop.nowUs());
         while (pool.decide(this)) {
             // Each has been carried out.
         }
@@ -148,10 +148,10 @@
         }
         Http2NodeConnection nodeConnection = new Http2NodeConnection(this, pooled, settings.maxPending());
         try {
-            tinlink.net.Link link = network.connect(address, nodeConnection);
-            nodeConnection.attach(link, loop.at(loop.now() + settings.connectTimeoutUs(), () -> link.end(Ending.NOT_UP)));
+            tinlink.net.Connection link = network.connect(address, nodeConnection);
+            nodeConnection.attach(link, loop.schedule(loop.nowUs() + settings.connectTimeoutUs(), () -> link.close(CloseReason.NOT_UP)));
             connections.put(pooled, nodeConnection);
-            counters.add("http2_connections");
+            counters.increment("http2_connections");
             callHandler.connectionOpened();
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "event=http2_no_connection node=" + address, e);
@@ -161,7 +161,7 @@
 
     @Override
     public void startCall(PendingCall call, PooledConnection pooled) {
-        connections.get(pooled).sendRequest((PartRequest) call, loop.now());
+        connections.get(pooled).sendRequest((PartRequest) call, loop.nowUs());
     }
 
     @Override
@@ -171,7 +171,7 @@
 
     @Override
     public void fallBackToFrames(PendingCall call) {
-        counters.add("http2_not_spoken");
+        counters.increment("http2_not_spoken");
         ((PartRequest) call).ended = true;
         callHandler.fallBackToFrames((PartRequest) call);
     }
@@ -183,12 +183,12 @@
 
     @Override
     public void closeConnection(PooledConnection pooled, boolean silent) {
-        connections.get(pooled).close(silent ? Ending.SILENT : Ending.IDLE);
+        connections.get(pooled).close(silent ? CloseReason.SILENT : CloseReason.IDLE);
     }
 
     @Override
     public void wakeAt(long at) {
-        loop.at(at, this::touch);
+        loop.schedule(at, this::touch);
     }
 
     // ---- What connections say. ----
@@ -202,15 +202,15 @@
     }
 
     void runSoon(Runnable task) {
-        loop.ready(task);
+        loop.execute(task);
     }
 
-    void cancelTimer(Loop.Timer timer) {
-        loop.takeBack(timer);
+    void cancelTimer(EventLoop.Timer timer) {
+        loop.cancel(timer);
     }
 
-    Loop.Timer startStallTimer(Runnable task) {
-        return loop.at(loop.now() + settings.connectTimeoutUs(), task);
+    EventLoop.Timer startStallTimer(Runnable task) {
+        return loop.schedule(loop.nowUs() + settings.connectTimeoutUs(), task);
     }
 
     void onConnected(Http2NodeConnection nodeConnection) {
@@ -244,22 +244,22 @@
     }
 
     void finish(PartRequest request, CallResult result, String value) {
-        counters.add("http2_" + result.name().toLowerCase(Locale.ROOT));
+        counters.increment("http2_" + result.name().toLowerCase(Locale.ROOT));
         request.ended = true;
         callHandler.callEnded(request, result.outcome, value);
     }
 
     void onInterrupted(PartRequest request, Outcome outcome) {
-        counters.add("http2_lost");
+        counters.increment("http2_lost");
         request.ended = true;
         callHandler.callEnded(request, outcome, null);
     }
 
-    void onConnectionEnded(Http2NodeConnection nodeConnection, boolean wasUp, Ending how) {
+    void onConnectionEnded(Http2NodeConnection nodeConnection, boolean wasUp, CloseReason closeReason) {
         touch();
         if (connections.remove(nodeConnection.pooled, nodeConnection)) {
             callHandler.connectionClosed();
         }
-        pool.onConnectionEnded(nodeConnection.pooled, wasUp, how == Ending.NO_SOCKET ? CallResult.NEVER_LEFT : CallResult.NO_CONNECTION);
+        pool.onConnectionEnded(nodeConnection.pooled, wasUp, closeReason == CloseReason.NO_SOCKET ? CallResult.NEVER_LEFT : CallResult.NO_CONNECTION);
     }
 }
--- a/src/main/java/tinlink/http2/Http2NodeConnection.java
+++ b/src/main/java/tinlink/http2/Http2NodeConnection.java
@@ -2,10 +2,10 @@
 
 import tinlink.http2.pool.PooledConnection;
 import tinlink.http2.pool.CallResult;
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Loop;
-import tinlink.net.Ring;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.RingBuffer;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,15 +14,15 @@
 import java.util.logging.Logger;
 
 /** One connection to a data node over HTTP/2: the socket of an {@link Http2Connection}. */
-final class Http2NodeConnection implements Link.Owner, Http2Connection.StreamListener {
+final class Http2NodeConnection implements Connection.Listener, Http2Connection.StreamListener {
     private static final Logger LOG = Logger.getLogger("tinlink.http2");
     private final Http2NodeClient nodeClient;
     final PooledConnection pooled;
     private final Http2Connection http2;
-    private Link link;
-    private Loop.Timer connectTimer;
+    private Connection link;
+    private EventLoop.Timer connectTimer;
     /** Runs while a frame or a header block has begun and has not come whole. */
-    private Loop.Timer stallTimer;
+    private EventLoop.Timer stallTimer;
 
     private boolean wasUp;
     private boolean anyResponse;
@@ -34,13 +34,13 @@
         http2 = new Http2Connection(bytes -> link.out().put(bytes), this, maxResetIds);
     }
 
-    void attach(Link link, Loop.Timer connectTimer) {
+    void attach(Connection link, EventLoop.Timer connectTimer) {
         this.link = link;
         this.connectTimer = connectTimer;
     }
 
     @Override
-    public void up() {
+    public void connected() {
         nodeClient.cancelTimer(connectTimer);
         wasUp = true;
         http2.start();
@@ -50,10 +50,10 @@
     /** Its stream is opened; both go out with this turn's write. */
     void sendRequest(PartRequest request, long now) {
         request.nodeConnection = this;
-        request.headerPosition = link.later();
+        request.headerPosition = link.scheduleWrite();
         request.sentAt = now;
         request.stream = http2.sendRequest(request, request.headerFields(nodeClient.authority(), now), request.body());
-        link.later();
+        link.scheduleWrite();
         if (http2.isExhausted()) {
             nodeClient.retire(this);
         }
@@ -67,49 +67,49 @@
             return;
         }
         http2.cancel(request.stream);
-        link.later();
+        link.scheduleWrite();
         nodeClient.onStreamClosed(this);
     }
 
     /** Whether a byte of its header block was handed to the kernel, or may have been. */
     private boolean mayHaveLeft(PartRequest request) {
-        return link.left(request.headerPosition + 1);
+        return link.mayHaveLeft(request.headerPosition + 1);
     }
 
     void sendPing(long number) {
         http2.sendPing(number);
-        link.later();
+        link.scheduleWrite();
     }
 
-    void close(Ending how) {
-        link.end(how);
+    void close(CloseReason closeReason) {
+        link.close(closeReason);
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         if (protocolFailed) {
-            in.takeRun(in.size());
+            in.takeContiguous(in.size());
             return;
         }
         try {
             nodeClient.onBytes(this);
             http2.read(in);
-            link.later();
+            link.scheduleWrite();
         } catch (Http2Exception e) {
             LOG.log(Level.FINE, "event=http2_broken node={0} code={1} why=\"{2}\"", new Object[] {
                 nodeClient.authority(), e.code, e.getMessage()
             });
-            nodeClient.counters().add("http2_broken");
+            nodeClient.counters().increment("http2_broken");
             // The goodbye leaves with this turn; nothing that comes after is looked at.
             protocolFailed = true;
             http2.sendGoAway(e.code);
-            link.later();
+            link.scheduleWrite();
             nodeClient.retire(this);
-            nodeClient.runSoon(() -> link.end(Ending.BAD_INPUT));
+            nodeClient.runSoon(() -> link.close(CloseReason.BAD_INPUT));
         }
-        if (!protocolFailed && !link.isOver() && http2.isAtFrameBoundary() != (stallTimer == null)) {
+        if (!protocolFailed && !link.isClosed() && http2.isAtFrameBoundary() != (stallTimer == null)) {
             nodeClient.cancelTimer(stallTimer);
-            stallTimer = http2.isAtFrameBoundary() ? null : nodeClient.startStallTimer(() -> link.end(Ending.BAD_INPUT));
+            stallTimer = http2.isAtFrameBoundary() ? null : nodeClient.startStallTimer(() -> link.close(CloseReason.BAD_INPUT));
         }
     }
 
@@ -142,7 +142,7 @@
 
     @Override
     public void onGoAway(int lastStreamId, List<Http2Stream> above) {
-        nodeClient.counters().add("http2_goodbyes");
+        nodeClient.counters().increment("http2_goodbyes");
         nodeClient.retire(this);
         above.forEach(stream -> finish(stream, CallResult.ABOVE_GOODBYE));
     }
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void ended(Ending how) {
+    public void connectionClosed(CloseReason closeReason) {
         nodeClient.cancelTimer(connectTimer);
         nodeClient.cancelTimer(stallTimer);
         List<PartRequest> interrupted = new ArrayList<>();
@@ -162,12 +162,12 @@
                 .forEach(stream -> interrupted.add((PartRequest) stream.call));
         interrupted.sort(Comparator.comparingLong(request -> request.sentAt));
         LOG.log(Level.FINE, "event=http2_ended node={0} how={1} open={2}", new Object[] {
-            nodeClient.authority(), how, interrupted.size()
+            nodeClient.authority(), closeReason, interrupted.size()
         });
-        nodeClient.onConnectionEnded(this, wasUp, how);
+        nodeClient.onConnectionEnded(this, wasUp, closeReason);
         for (PartRequest request : interrupted) {
-            boolean isConcerned = how == Ending.PEER_CLOSED ? !anyResponse : request == interrupted.get(0);
-            nodeClient.onInterrupted(request, how.outcome(mayHaveLeft(request), isConcerned));
+            boolean isConcerned = closeReason == CloseReason.PEER_CLOSED ? !anyResponse : request == interrupted.get(0);
+            nodeClient.onInterrupted(request, closeReason.toOutcome(mayHaveLeft(request), isConcerned));
         }
     }
 }
--- a/src/main/java/tinlink/http2/ReceiveWindow.java
+++ b/src/main/java/tinlink/http2/ReceiveWindow.java
@@ -1,6 +1,6 @@
 package tinlink.http2;
 
-import tinlink.net.Protocol;
+import tinlink.net.ProtocolLimits;
 
 /**
  * Flow control of what the client receives (RFC 9113, section 5.2): the windows of the connection and of its
@@ -10,7 +10,7 @@
     /** The connection's window is made this large at once, so that answers don't wait for each other's. */
     private static final int CONNECTION_WINDOW = 1 << 20;
     /** An answer of the largest size fits, and what is over is found out by its length. */
-    static final int STREAM_WINDOW = 2 * Protocol.MOST_BODY;
+    static final int STREAM_WINDOW = 2 * ProtocolLimits.MAX_BODY_BYTES;
 
     private final FrameWriter writer;
     private long connectionWindow = CONNECTION_WINDOW;
--- a/src/main/java/tinlink/http2/ResponseReader.java
+++ b/src/main/java/tinlink/http2/ResponseReader.java
@@ -1,6 +1,6 @@
 package tinlink.http2;
 
-import tinlink.net.Protocol;
+import tinlink.net.ProtocolLimits;
 
 import java.nio.ByteBuffer;
 
@@ -62,7 +62,7 @@
         }
         uselessFrameBudget.spendUnless(payload.hasRemaining() || endsStream);
         int bodyBytes = stream.responseBody.size() + payload.remaining();
-        if (bodyBytes > Protocol.MOST_BODY || stream.contentLength >= 0 && bodyBytes > stream.contentLength) {
+        if (bodyBytes > ProtocolLimits.MAX_BODY_BYTES || stream.contentLength >= 0 && bodyBytes > stream.contentLength) {
             return Progress.MALFORMED;
         }
         stream.responseBody.write(payload.array(), payload.position(), payload.remaining());
--- a/src/main/java/tinlink/http2/pool/CallResult.java
+++ b/src/main/java/tinlink/http2/pool/CallResult.java
@@ -6,7 +6,7 @@
  * All ways in which a part call over HTTP/2 can be over while its connection stands, and what each
  * means: the one place that answers whether it may have run. Never: only where the node has said so
  * in the protocol's words, or no byte of it has left. What the end of a connection means stands in
- * {@link tinlink.net.Ending}.
+ * {@link tinlink.net.CloseReason}.
  */
 public enum CallResult {
     /** No connection could be opened for it: no descriptor is left. */
--- a/src/main/java/tinlink/lab/plays/SimulatedMember.java
+++ b/src/main/java/tinlink/lab/plays/SimulatedMember.java
@@ -3,7 +3,7 @@
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.RaftMessage;
 
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.cluster.RaftReplica;
 import tinlink.cluster.RaftStateStore;
@@ -167,7 +167,7 @@
                 heard.merge(from, position, VoterAdmission.LogPosition::max);
             }
             raft.receive(message);
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             group.violations.add("a message can't be read again: " + e.getMessage());
         }
     }
--- a/src/main/java/tinlink/lab/scale/HollowRouter.java
+++ b/src/main/java/tinlink/lab/scale/HollowRouter.java
@@ -1,6 +1,6 @@
 package tinlink.lab.scale;
 
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.PeerKeys;
@@ -41,7 +41,7 @@
  * share one process; each has a thread group of its own, so that its processor time can be told
  * from that of the others.
  */
-final class HollowRouter implements Loop.Turn, MaintenanceService.DataPlane, AutoCloseable {
+final class HollowRouter implements EventLoop.EventLoopParticipant, MaintenanceService.DataPlane, AutoCloseable {
     private static final long ANSWER_SECONDS = 20;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int MOST_THREADS = 64;
@@ -52,7 +52,7 @@
     private final List<MaintenanceService.ListedNode> nodes;
     private final ThreadGroup group;
     private final CompletableFuture<InetSocketAddress> opened = new CompletableFuture<>();
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private Network network;
     private ClusterNode clusterNode;
     private MaintenanceService maintenance;
@@ -99,7 +99,7 @@
         PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         clusterNode = new ClusterNode(
                 loop,
-                network.apart(),
+                network.withoutServer(),
                 new ClusterNode.LocalRouter(p.cluster, p.router, p.listen, p.at),
                 new ClusterNode.KnownRouters(p.peers, p.voters),
                 new PeerKeys(p.keys, p.useKey),
@@ -120,7 +120,7 @@
                 w.most);
         maintenance = new MaintenanceService(
                 loop,
-                network.apart(),
+                network.withoutServer(),
                 clusterNode,
                 replicatedState,
                 this,
@@ -163,7 +163,7 @@
 
     /** Joins the others, once. @param voters where each of them is reached */
     void join(Map<String, String> voters) {
-        loop.ready(() -> {
+        loop.execute(() -> {
             if (joined) {
                 return;
             }
@@ -176,7 +176,7 @@
 
     /** Proposes a change; it may get lost, which is seen by its state. */
     void propose(String id, String text) {
-        loop.ready(() -> {
+        loop.execute(() -> {
             ProposalTerms terms = ProposalTerms.parse(text);
             policyRollout.propose(
                     id,
@@ -243,7 +243,7 @@
     /** Runs on its own thread. */
     private <T> T on(Supplier<T> what) throws IOException {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.ready(() -> answer.complete(what.get()));
+        loop.execute(() -> answer.complete(what.get()));
         return within(answer);
     }
 
@@ -261,15 +261,15 @@
     // ---- Its part in a turn. ----
 
     @Override
-    public void begins(long nowUs) {
-        maintenance.begins(nowUs);
-        policyRollout.begins(nowUs);
+    public void turnStarted(long nowUs) {
+        maintenance.turnStarted(nowUs);
+        policyRollout.turnStarted(nowUs);
     }
 
     @Override
-    public void decides() {
-        policyRollout.decides();
-        maintenance.decides();
+    public void turnEnding() {
+        policyRollout.turnEnding();
+        maintenance.turnEnding();
         noteEpoch();
     }
 
@@ -284,7 +284,7 @@
                 tookOldTooLate++;
             }
             // So that there is a turn as its time comes.
-            loop.at(loop.now() + Math.max(0, newest.effectiveAtUs() - clockUs) + CLOCK_STEP_US, () -> {});
+            loop.schedule(loop.nowUs() + Math.max(0, newest.effectiveAtUs() - clockUs) + CLOCK_STEP_US, () -> {});
         }
         PolicyVersion taken = policyRollout.effectiveVersion();
         if (taken != null) {
@@ -327,7 +327,7 @@
         on(() -> {
             maintenance.close();
             network.close();
-            loop.end();
+            loop.stop();
             return true;
         });
     }
--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.HttpReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
-import tinlink.net.Ring;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.RingBuffer;
 import tinlink.start.BadInput;
 import tinlink.start.JsonFile;
 
@@ -18,7 +18,7 @@
 import java.util.Map;
 
 /** One operator's connection: reads its request, checks its token, and writes the one answer. */
-final class ControlConnection implements Link.Owner, HttpReader.Sink {
+final class ControlConnection implements Connection.Listener, HttpReader.MessageListener {
     static final int OK = 200;
     static final int NOT_FOUND = 404;
     static final int UNAVAILABLE = 503;
@@ -31,10 +31,10 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final ControlServer control;
-    private final HttpReader reader = HttpReader.ofRequests(this);
+    private final HttpReader reader = HttpReader.forRequests(this);
     private final StringBuilder body = new StringBuilder();
-    private Link link;
-    private Loop.Timer timeout;
+    private Connection link;
+    private EventLoop.Timer timeout;
     private boolean authorized;
     private boolean responseSent;
 
@@ -43,35 +43,35 @@
     }
 
     /** It is up, and has to be over within that time. */
-    void opened(Link up, long timeoutUs) {
+    void opened(Connection up, long timeoutUs) {
         link = up;
-        timeout = control.loop.at(control.loop.now() + timeoutUs, () -> link.end(Ending.IDLE));
+        timeout = control.loop.schedule(control.loop.nowUs() + timeoutUs, () -> link.close(CloseReason.IDLE));
     }
 
-    void end(Ending how) {
-        link.end(how);
+    void end(CloseReason closeReason) {
+        link.close(closeReason);
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         try {
             while (in.size() > 0 && !responseSent) {
                 reader.read(in);
             }
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             respond(e.status, Map.of("said", e.getMessage()));
         }
     }
 
     @Override
-    public void first(String method, String path, String version) throws BadMessage {
+    public void startLine(String method, String path, String version) throws MessageRejectedException {
         if (!method.equals("POST") || !path.equals("/work")) {
-            throw new BadMessage(NOT_FOUND, "POST /work is all there is");
+            throw new MessageRejectedException(NOT_FOUND, "POST /work is all there is");
         }
     }
 
     @Override
-    public void field(String name, String value) {
+    public void header(String name, String value) {
         // Danger: a comparison that ends at the first wrong byte tells how much of a guess was
         // right.
         authorized |= name.equals("authorization")
@@ -81,35 +81,35 @@
     }
 
     @Override
-    public void headOver() throws BadMessage {
+    public void headersEnded() throws MessageRejectedException {
         if (!authorized) {
-            throw new BadMessage(UNAUTHORIZED, "the token is not this router's");
+            throw new MessageRejectedException(UNAUTHORIZED, "the token is not this router's");
         }
     }
 
     @Override
-    public void body(ByteBuffer piece) throws BadMessage {
+    public void body(ByteBuffer piece) throws MessageRejectedException {
         body.append(StandardCharsets.UTF_8.decode(piece));
         if (body.length() > MAX_BODY_CHARACTERS) {
-            throw new BadMessage(TOO_LARGE, "it is too long");
+            throw new MessageRejectedException(TOO_LARGE, "it is too long");
         }
     }
 
     @Override
-    public void over() throws BadMessage {
+    public void messageEnded() throws MessageRejectedException {
         setTimeout(() -> respond(
                 UNAVAILABLE,
                 Map.of("said", "it is not known to be agreed: ask again, here or elsewhere")));
         try {
             control.commands.execute(JsonFile.of("request", body.toString()), this);
         } catch (BadInput | IllegalArgumentException e) {
-            throw new BadMessage(BAD_REQUEST, String.valueOf(e.getMessage()));
+            throw new MessageRejectedException(BAD_REQUEST, String.valueOf(e.getMessage()));
         }
     }
 
     private void setTimeout(Runnable then) {
-        control.loop.takeBack(timeout);
-        timeout = control.loop.at(control.loop.now() + control.answerTimeoutUs, then);
+        control.loop.cancel(timeout);
+        timeout = control.loop.schedule(control.loop.nowUs() + control.answerTimeoutUs, then);
     }
 
     /** The first answer counts; what follows it is dropped. */
@@ -129,8 +129,8 @@
                         + "\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: "
                         + json.length + "\r\n\r\n")
                 .put(json);
-        link.later();
-        setTimeout(() -> link.end(Ending.DONE));
+        link.scheduleWrite();
+        setTimeout(() -> link.close(CloseReason.DONE));
     }
 
     /** Answers with what the vote came to. @param failure why that is not known; null where it is */
@@ -146,15 +146,15 @@
     }
 
     @Override
-    public void idle() {
+    public void writesCompleted() {
         if (responseSent) {
             link.halfClose();
         }
     }
 
     @Override
-    public void ended(Ending how) {
-        control.loop.takeBack(timeout);
+    public void connectionClosed(CloseReason closeReason) {
+        control.loop.cancel(timeout);
         control.connectionClosed(this);
     }
 }
--- a/src/main/java/tinlink/maintenance/ControlServer.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -1,8 +1,8 @@
 package tinlink.maintenance;
 
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.policy.PolicyRolloutService;
 
@@ -20,15 +20,15 @@
  * a connection, with a token. What is said here is put to all routers; the answer says what came of that, or
  * that it is not known, and then the same may be said again, here or elsewhere. Runs on the loop's thread.
  */
-public final class ControlServer implements Network.Door {
+public final class ControlServer implements Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
     private static final int MAX_CONNECTIONS = 32;
 
-    final Loop loop;
+    final EventLoop loop;
     final MaintenanceControlCommands commands;
     final byte[] token;
     final long answerTimeoutUs;
-    private final Network.Listening listening;
+    private final Network.ListeningSocket listening;
     /** Each leaves with its answer, or with its time; the oldest gives way. */
     private final Set<ControlConnection> connections = new LinkedHashSet<>();
 
@@ -37,7 +37,7 @@
      * @param answerTimeoutUs an operator hears by then whether something is known to be agreed
      */
     public ControlServer(
-            Loop loop,
+            EventLoop loop,
             Network network,
             MaintenanceService maintenance,
             PolicyRolloutService policyRollout,
@@ -49,7 +49,7 @@
         this.token = token.getBytes(StandardCharsets.UTF_8);
         this.answerTimeoutUs = answerTimeoutUs;
         commands = new MaintenanceControlCommands(maintenance, policyRollout);
-        listening = network.listening(listenAddress);
+        listening = network.listenAt(listenAddress);
         listening.accept(this);
     }
 
@@ -59,7 +59,7 @@
 
     public void close() {
         listening.close();
-        List.copyOf(connections).forEach(connection -> connection.end(Ending.DONE));
+        List.copyOf(connections).forEach(connection -> connection.end(CloseReason.DONE));
     }
 
     /** The connection has ended. */
@@ -68,28 +68,28 @@
     }
 
     @Override
-    public Link.Owner owner() {
+    public Connection.Listener newListener() {
         return new ControlConnection(this);
     }
 
     @Override
-    public void opened(Link link, Link.Owner owner) {
+    public void accepted(Connection link, Connection.Listener owner) {
         ControlConnection connection = (ControlConnection) owner;
         connections.add(connection);
         connection.opened(link, 2 * answerTimeoutUs);
         if (connections.size() > MAX_CONNECTIONS) {
-            connections.iterator().next().end(Ending.IDLE);
+            connections.iterator().next().end(CloseReason.IDLE);
         }
     }
 
     @Override
-    public boolean mayOpen() {
+    public boolean canAccept() {
         return true;
     }
 
     @Override
     public void acceptFailed(Throwable why) {
         LOG.log(Level.WARNING, "event=control_accept_failed", why);
-        loop.at(loop.now() + answerTimeoutUs, () -> listening.accept(this));
+        loop.schedule(loop.nowUs() + answerTimeoutUs, () -> listening.accept(this));
     }
 }
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -1,6 +1,6 @@
 package tinlink.maintenance;
 
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.cluster.membership.LineCodec;
 
 import java.io.IOException;
@@ -26,7 +26,7 @@
  */
 final class CordonStore {
     private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
-    private final Loop loop;
+    private final EventLoop loop;
     private final Path file;
     private final ExecutorService diskExecutor;
     private final Set<String> cordoned = new TreeSet<>();
@@ -36,7 +36,7 @@
     private boolean writeInProgress;
 
     /** @throws IOException where what is there can't be read */
-    CordonStore(Loop loop, Path folder) throws IOException {
+    CordonStore(EventLoop loop, Path folder) throws IOException {
         this.loop = loop;
         file = folder.resolve("left-out");
         persisted = Files.exists(file)
@@ -79,7 +79,7 @@
         diskExecutor.execute(() -> {
             try {
                 writeFile(LineCodec.encode(snapshot.toArray()));
-                loop.ready(() -> {
+                loop.execute(() -> {
                     persisted = snapshot;
                     writeInProgress = false;
                     writeIfChanged();
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -1,11 +1,11 @@
 package tinlink.maintenance;
 
 import tinlink.net.Counters;
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.net.Ring;
+import tinlink.net.RingBuffer;
 import tinlink.cluster.ClusterNode;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.MemberState;
@@ -35,7 +35,7 @@
  * MachineFailureDetector} and {@link MaintenanceCoordinator} decide. All of it belongs to the loop's thread.
  * What serves waits for none of it but once, at the start, for a bounded time.
  */
-public final class MaintenanceService implements DrainController.DrainHandler, MachineFailureDetector.Prober, Loop.Turn {
+public final class MaintenanceService implements DrainController.DrainHandler, MachineFailureDetector.Prober, EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
 
     /** A data node as this router has it on its list. */
@@ -76,7 +76,7 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final ClusterNode clusterNode;
     private final ReplicatedMaintenance replicatedState;
@@ -100,7 +100,7 @@
 
     /** @param replicatedState as the loop has it; the peers play into it */
     public MaintenanceService(
-            Loop loop,
+            EventLoop loop,
             Network network,
             ClusterNode clusterNode,
             ReplicatedMaintenance replicatedState,
@@ -112,7 +112,7 @@
     }
 
     private MaintenanceService(
-            Loop loop,
+            EventLoop loop,
             Network network,
             ClusterNode clusterNode,
             ReplicatedMaintenance replicatedState,
@@ -184,17 +184,17 @@
     // ---- Its part in a turn. ----
 
     @Override
-    public void begins(long nowUs) {
-        clusterNode.begins(nowUs);
+    public void turnStarted(long nowUs) {
+        clusterNode.turnStarted(nowUs);
         drainController.setTime(nowUs);
         failureDetector.setTime(nowUs);
         coordinator.setTime(nowUs);
     }
 
     @Override
-    public void decides() {
+    public void turnEnding() {
         if (stopped) {
-            clusterNode.decides();
+            clusterNode.turnEnding();
             return;
         }
         // What is open here changes with each call that ends; nothing else tells, so it is looked
@@ -224,12 +224,12 @@
                 line -> clusterNode.propose(line, (said, why) -> {
                     coordinator.onProposalCompleted();
                     if (why != null) {
-                        counters.add("work_not_agreed");
+                        counters.increment("work_not_agreed");
                     }
                 }))) {
             // Each has been put to the vote.
         }
-        clusterNode.decides();
+        clusterNode.turnEnding();
     }
 
     /** Says to whoever leads what is seen from here, again and again. */
@@ -277,15 +277,15 @@
         clusterNode.reportToLeader(MaintenanceCoordinator.healthReportLine(observations));
         reportList(NodeListDifference.between(site, listedNodes, stateMachine().agreedNodes()));
         stateChanged = true; // What was said and got lost is said again.
-        loop.at(loop.now() + settings.reportIntervalUs(), this::reportObservations);
+        loop.schedule(loop.nowUs() + settings.reportIntervalUs(), this::reportObservations);
     }
 
     /** It goes when it has changed, and before the one that was told grows old. */
     private void reportList(NodeListDifference difference) {
         boolean changed = !difference.equals(reportedList);
-        if (changed || loop.now() - listReportedAtUs > settings.reportExpiryUs() / 3) {
+        if (changed || loop.nowUs() - listReportedAtUs > settings.reportExpiryUs() / 3) {
             reportedList = difference;
-            listReportedAtUs = loop.now();
+            listReportedAtUs = loop.nowUs();
             clusterNode.reportToLeader(difference.encode());
         }
     }
@@ -317,7 +317,7 @@
         LOG.log(Level.INFO, "event={0} machine={1}", new Object[] {
             cordoned ? "node_cordoned" : "node_uncordoned", machine
         });
-        counters.add(cordoned ? "work_left_out" : "work_taken_again");
+        counters.increment(cordoned ? "work_left_out" : "work_taken_again");
         dataPlane.setCordoned(machine, cordoned);
         cordonStore.setCordoned(machine, cordoned);
     }
@@ -330,7 +330,7 @@
 
     @Override
     public void wakeAt(long atUs) {
-        loop.at(atUs, () -> stateChanged = true);
+        loop.schedule(atUs, () -> stateChanged = true);
     }
 
     /** A part call has ended at a data node. */
@@ -351,16 +351,16 @@
         Probe probe = new Probe(machine);
         try {
             probe.link = network.connect(address, probe);
-            probe.timeout = loop.at(loop.now() + settings.probeIntervalUs() / 2, () -> probe.link.end(Ending.NOT_UP));
+            probe.timeout = loop.schedule(loop.nowUs() + settings.probeIntervalUs() / 2, () -> probe.link.close(CloseReason.NOT_UP));
         } catch (IOException | RuntimeException e) {
             probe.finish(false);
         }
     }
 
-    private final class Probe implements Link.Owner {
+    private final class Probe implements Connection.Listener {
         private final String machine;
-        private Link link;
-        private Loop.Timer timeout;
+        private Connection link;
+        private EventLoop.Timer timeout;
         private boolean finished;
 
         Probe(String machine) {
@@ -368,26 +368,26 @@
         }
 
         @Override
-        public void up() {
-            loop.takeBack(timeout);
-            timeout = loop.at(loop.now() + settings.probeIntervalUs() / 4, () -> {
+        public void connected() {
+            loop.cancel(timeout);
+            timeout = loop.schedule(loop.nowUs() + settings.probeIntervalUs() / 4, () -> {
                 finish(true);
-                link.end(Ending.DONE);
+                link.close(CloseReason.DONE);
             });
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             // Nothing is asked.
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             finish(false);
         }
 
         private void finish(boolean answered) {
-            loop.takeBack(timeout);
+            loop.cancel(timeout);
             if (!finished) {
                 finished = true;
                 failureDetector.onProbeResult(machine, answered);
--- a/src/main/java/tinlink/net/Ending.java
+++ b/src/main/java/tinlink/net/CloseReason.java
@@ -5,7 +5,7 @@
 /**
  * All ways in which a connection can end, and what each means for a part call that was out on it.
  */
-public enum Ending {
+public enum CloseReason {
     /** The connect was refused or failed. */
     REFUSED,
     /** The connect did not come up in time. */
@@ -40,21 +40,21 @@
      * only shared the connection, taken for calls that failed, make a node look dying that has lost
      * one answer, or has closed a connection between two.
      *
-     * @param left the last byte of its frame was handed to the kernel, or may have been
-     * @param meant it is this call that the ending speaks of, not one that only shared the
+     * @param mayHaveLeft the last byte of its frame was handed to the kernel, or may have been
+     * @param concernsCall it is this call that the ending speaks of, not one that only shared the
      *     connection
      */
-    public Outcome outcome(boolean left, boolean meant) {
-        Outcome beside = left ? Outcome.CANCELLED : Outcome.NOT_SENT;
+    public Outcome toOutcome(boolean mayHaveLeft, boolean concernsCall) {
+        Outcome bystanderOutcome = mayHaveLeft ? Outcome.CANCELLED : Outcome.NOT_SENT;
         return switch (this) {
             case NO_SOCKET -> Outcome.NOT_SENT;
             case REFUSED, NOT_UP -> Outcome.NO_CONNECTION;
-            case BROKEN, WRITE_FAILED -> left ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
+            case BROKEN, WRITE_FAILED -> mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
             case PEER_CLOSED ->
-                !meant ? beside : left ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
-            case BAD_INPUT, FRAME_REJECTED -> left && meant ? Outcome.ERROR : beside;
+                !concernsCall ? bystanderOutcome : mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
+            case BAD_INPUT, FRAME_REJECTED -> mayHaveLeft && concernsCall ? Outcome.ERROR : bystanderOutcome;
             case IDLE, RELEASED, SILENT, GONE, DONE, FAULT ->
-                left ? Outcome.CONNECTION_LOST : Outcome.NOT_SENT;
+                mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NOT_SENT;
         };
     }
 }
--- a/src/main/java/tinlink/net/Counters.java
+++ b/src/main/java/tinlink/net/Counters.java
@@ -10,7 +10,7 @@
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
 
-    public void add(String name) {
+    public void increment(String name) {
         counts.merge(name, 1L, Long::sum);
     }
 
@@ -18,14 +18,14 @@
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder();
-        counts.forEach((name, n) -> line.append(line.length() == 0 ? "" : " ")
+        counts.forEach((name, count) -> line.append(line.length() == 0 ? "" : " ")
                 .append(name)
                 .append('=')
-                .append(n));
+                .append(count));
         return line.toString();
     }
 
-    public long of(String name) {
+    public long get(String name) {
         return counts.getOrDefault(name, 0L);
     }
 }
--- a/src/main/java/tinlink/net/FrameReader.java
+++ b/src/main/java/tinlink/net/FrameReader.java
@@ -8,119 +8,119 @@
 
 /** Reads the frames of a data node, cut anywhere. */
 public final class FrameReader {
-    /** What hears the frames. */
-    public interface Sink {
+    /** Receives the frames, in order. */
+    public interface FrameListener {
         /** The line of an answer has come; its value may still be on the way. */
-        void begins(String id) throws BadMessage;
+        void answerStarted(String partId) throws MessageRejectedException;
 
         /**
-         * The end of one part: OK, ERROR or REJECTED; its report, null where there is none; its
+         * The end of one part: OK, ERROR or REJECTED; its load report, null where there is none; its
          * value.
          */
-        void ended(String id, String end, String report, String value) throws BadMessage;
+        void answerReceived(String partId, String status, String loadReport, String value) throws MessageRejectedException;
 
         /** The frame before could not be used. */
-        void rejected(String words);
+        void frameRejected(String message);
     }
 
-    private static final Set<String> ENDS = Set.of("OK", "ERROR", "REJECTED");
+    private static final Set<String> STATUSES = Set.of("OK", "ERROR", "REJECTED");
     private static final Pattern SCORE = Pattern.compile("-|-?[0-9]{1,20}");
-    private final Sink sink;
-    private int head;
-    private int length;
+    private final FrameListener listener;
+    private int prefixBytes;
+    private int frameLength;
     private ByteBuffer frame;
-    /** The line of the answer that is coming, once it is whole. */
-    private String[] line;
+    /** The line of the answer that is coming, once it is complete; null before. */
+    private String[] answerLine;
 
-    public FrameReader(Sink sink) {
-        this.sink = sink;
+    public FrameReader(FrameListener listener) {
+        this.listener = listener;
     }
 
     /** Nothing of a next frame has come. */
-    public boolean between() {
-        return head == 0;
+    public boolean isAtBoundary() {
+        return prefixBytes == 0;
     }
 
-    public void read(Ring in) throws BadMessage {
+    public void read(RingBuffer in) throws MessageRejectedException {
         while (in.size() > 0) {
-            if (head < 4) {
-                length = length << 8 | (in.take() & 0xff);
-                head++;
-                if (head == 4) {
-                    if (length < 1 || length > 1 + Protocol.MOST_HEAD + Protocol.MOST_BODY) {
-                        throw new BadMessage("a frame of length " + length);
+            if (prefixBytes < 4) {
+                frameLength = frameLength << 8 | (in.take() & 0xff);
+                prefixBytes++;
+                if (prefixBytes == 4) {
+                    if (frameLength < 1 || frameLength > 1 + ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES) {
+                        throw new MessageRejectedException("a frame of length " + frameLength);
                     }
-                    frame = ByteBuffer.allocate(length);
+                    frame = ByteBuffer.allocate(frameLength);
                 }
             } else {
-                int from = frame.position();
-                frame.put(in.takeRun(frame.remaining()));
-                begun(from);
+                int previousPosition = frame.position();
+                frame.put(in.takeContiguous(frame.remaining()));
+                readAnswerLine(previousPosition);
                 if (!frame.hasRemaining()) {
-                    ByteBuffer whole = frame.flip();
-                    String[] words = line;
-                    head = 0;
-                    length = 0;
+                    ByteBuffer completed = frame.flip();
+                    String[] fields = answerLine;
+                    prefixBytes = 0;
+                    frameLength = 0;
                     frame = null;
-                    line = null;
-                    whole(whole, words);
+                    answerLine = null;
+                    frameCompleted(completed, fields);
                 }
             }
         }
     }
 
     /**
-     * Danger: a frame that lies about its length swallows the answers behind it; what can be told
-     * is told now.
+     * Danger: a frame that lies about its length swallows the answers behind it; what can be checked
+     * is checked now.
      */
-    private void begun(int from) throws BadMessage {
+    private void readAnswerLine(int previousPosition) throws MessageRejectedException {
         byte letter = frame.get(0);
         if ("YNGT".indexOf(letter) < 0) {
-            throw new BadMessage("a frame of unknown letter " + (letter & 0xff));
+            throw new MessageRejectedException("a frame of unknown letter " + (letter & 0xff));
         }
-        for (int at = from; letter == 'Y' && line == null && at < frame.position(); at++) {
+        for (int at = previousPosition; letter == 'Y' && answerLine == null && at < frame.position(); at++) {
             if (frame.get(at) == '\n') {
-                // Danger: a report that can't be read spoils nothing; it may hold anything but the
+                // Danger: a load report that can't be read spoils nothing; it may hold anything but the
                 // line's end.
-                String[] words = new String(frame.array(), 1, at - 1, StandardCharsets.ISO_8859_1)
+                String[] fields = new String(frame.array(), 1, at - 1, StandardCharsets.ISO_8859_1)
                         .split(" ", 4);
-                if (words.length != 4
-                        || words[0].isEmpty()
-                        || !ENDS.contains(words[1])
-                        || !SCORE.matcher(words[2]).matches()) {
-                    throw new BadMessage("a Y frame with a garbled line");
+                if (fields.length != 4
+                        || fields[0].isEmpty()
+                        || !STATUSES.contains(fields[1])
+                        || !SCORE.matcher(fields[2]).matches()) {
+                    throw new MessageRejectedException("a Y frame with a garbled line");
                 }
-                line = words;
-                sink.begins(words[0]);
-            } else if (at > Protocol.MOST_HEAD || at == length - 1) {
-                throw new BadMessage("a Y frame without its line");
+                answerLine = fields;
+                listener.answerStarted(fields[0]);
+            } else if (at > ProtocolLimits.MAX_HEAD_BYTES || at == frameLength - 1) {
+                throw new MessageRejectedException("a Y frame without its line");
             }
         }
     }
 
-    private void whole(ByteBuffer f, String[] words) throws BadMessage {
-        switch (f.get()) {
+    private void frameCompleted(ByteBuffer body, String[] fields) throws MessageRejectedException {
+        switch (body.get()) {
             case 'Y' -> {
-                while (f.get() != '\n') {
+                while (body.get() != '\n') {
                     // The line has been read as it came.
                 }
-                if (f.remaining() > Protocol.MOST_BODY) {
-                    throw new BadMessage("a value too long");
+                if (body.remaining() > ProtocolLimits.MAX_BODY_BYTES) {
+                    throw new MessageRejectedException("a value too long");
                 }
-                sink.ended(words[0], words[1], words[3].equals("-") ? null : words[3], utf8(f));
+                listener.answerReceived(fields[0], fields[1], fields[3].equals("-") ? null : fields[3], utf8(body));
             }
-            case 'N' -> sink.rejected(StandardCharsets.UTF_8.decode(f).toString());
+            case 'N' -> listener.frameRejected(StandardCharsets.UTF_8.decode(body).toString());
             default -> {
-                // Answers to probes; the module sends none, so they mean nothing here.
+                // Answers to health checks; the module sends none, so they mean nothing here.
             }
         }
     }
 
-    private static String utf8(ByteBuffer bytes) throws BadMessage {
+    private static String utf8(ByteBuffer bytes) throws MessageRejectedException {
         try {
-            return JsonReader.utf8(bytes);
+            return JsonReader.decodeUtf8(bytes);
         } catch (CharacterCodingException e) {
-            throw new BadMessage("a frame that is not UTF-8");
+            throw new MessageRejectedException("a frame that is not UTF-8");
         }
     }
 }
--- a/src/main/java/tinlink/net/HttpReader.java
+++ b/src/main/java/tinlink/net/HttpReader.java
@@ -5,232 +5,232 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads HTTP/1.1 requests or answers, cut anywhere, one after another. */
+/** Reads HTTP/1.1 requests or responses, cut anywhere, one after another. */
 public final class HttpReader {
-    /** What hears the pieces of a message, in order; what it does not take means nothing to it. */
-    public interface Sink {
+    /** Receives the pieces of a message, in order; what it does not override is ignored. */
+    public interface MessageListener {
         /** The three words of the first line; the last may hold spaces. */
-        default void first(String one, String two, String three) throws BadMessage {}
+        default void startLine(String first, String second, String third) throws MessageRejectedException {}
 
         /** The name is in lower case. */
-        default void field(String name, String value) throws BadMessage {}
+        default void header(String name, String value) throws MessageRejectedException {}
 
-        /** All fields are in, a body may follow. */
-        default void headOver() throws BadMessage {}
+        /** All headers are in, a body may follow. */
+        default void headersEnded() throws MessageRejectedException {}
 
-        default void body(ByteBuffer piece) throws BadMessage {}
+        default void body(ByteBuffer piece) throws MessageRejectedException {}
 
-        void over() throws BadMessage;
+        void messageEnded() throws MessageRejectedException;
     }
 
-    private enum At {
-        FIRST,
-        FIELDS,
+    private enum State {
+        START_LINE,
+        HEADERS,
         BODY,
-        TO_END,
-        SIZE,
-        CHUNK,
+        BODY_TO_CLOSE,
+        CHUNK_SIZE,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILERS
     }
 
     private static final Set<String> VERSIONS = Set.of("HTTP/1.0", "HTTP/1.1");
-    private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
-    private static final Pattern SIZE = Pattern.compile("[0-9a-fA-F]{1,8}");
-    private final Sink sink;
-    private final boolean answers;
-    private final long mostBody;
-    private final StringBuilder line = new StringBuilder();
-    private At at = At.FIRST;
-    private boolean cr;
-    private int head;
+    private static final Pattern LENGTH_FORM = Pattern.compile("[0-9]{1,18}");
+    private static final Pattern SIZE_FORM = Pattern.compile("[0-9a-fA-F]{1,8}");
+    private final MessageListener listener;
+    private final boolean readsResponses;
+    private final long maxBodyBytes;
+    private final StringBuilder lineBuffer = new StringBuilder();
+    private State state = State.START_LINE;
+    private boolean carriageReturnSeen;
+    private int headBytes;
     private long length;
     private boolean lengthGiven;
     private boolean chunked;
-    private long left;
-    private long total;
-    private boolean over;
-
-    private HttpReader(Sink sink, boolean answers, long mostBody) {
-        this.sink = sink;
-        this.answers = answers;
-        this.mostBody = mostBody;
+    private long remainingBytes;
+    private long chunkedBytes;
+    private boolean messageEnded;
+
+    private HttpReader(MessageListener listener, boolean readsResponses, long maxBodyBytes) {
+        this.listener = listener;
+        this.readsResponses = readsResponses;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    public static HttpReader ofRequests(Sink sink) {
-        return new HttpReader(sink, false, Protocol.MOST_BODY);
+    public static HttpReader forRequests(MessageListener listener) {
+        return new HttpReader(listener, false, ProtocolLimits.MAX_BODY_BYTES);
     }
 
-    /** Answers whose body may go on for ever, as that of a watch does. */
-    public static HttpReader ofAnswers(Sink sink) {
-        return new HttpReader(sink, true, Long.MAX_VALUE);
+    /** Responses whose body may go on for ever, as that of a watch does. */
+    public static HttpReader forResponses(MessageListener listener) {
+        return new HttpReader(listener, true, Long.MAX_VALUE);
     }
 
     /** Between messages: nothing of the next one has come. */
-    public boolean between() {
-        return at == At.FIRST && line.length() == 0;
+    public boolean isAtBoundary() {
+        return state == State.START_LINE && lineBuffer.length() == 0;
     }
 
-    /** Reads until one message is over or nothing is left. */
-    public void read(Ring in) throws BadMessage {
-        over = false;
-        while (!over && in.size() > 0) {
-            if (at == At.BODY || at == At.TO_END || at == At.CHUNK) {
-                piece(in);
+    /** Reads until one message has ended or nothing is left. */
+    public void read(RingBuffer in) throws MessageRejectedException {
+        messageEnded = false;
+        while (!messageEnded && in.size() > 0) {
+            if (state == State.BODY || state == State.BODY_TO_CLOSE || state == State.CHUNK_DATA) {
+                readBody(in);
             } else {
-                letter(in.take());
+                readHeadByte(in.take());
             }
         }
     }
 
-    private void piece(Ring in) throws BadMessage {
-        ByteBuffer run = in.takeRun((int) Math.min(Integer.MAX_VALUE, left));
-        left -= at == At.TO_END ? 0 : run.remaining();
-        sink.body(run);
-        if (left == 0) {
-            if (at == At.BODY) {
-                finish();
+    private void readBody(RingBuffer in) throws MessageRejectedException {
+        ByteBuffer piece = in.takeContiguous((int) Math.min(Integer.MAX_VALUE, remainingBytes));
+        remainingBytes -= state == State.BODY_TO_CLOSE ? 0 : piece.remaining();
+        listener.body(piece);
+        if (remainingBytes == 0) {
+            if (state == State.BODY) {
+                endMessage();
             } else {
-                at = At.CHUNK_END;
+                state = State.CHUNK_END;
             }
         }
     }
 
-    private void letter(byte b) throws BadMessage {
-        if (++head > Protocol.MOST_HEAD) {
-            throw new BadMessage(431, "the head is too long");
+    private void readHeadByte(byte b) throws MessageRejectedException {
+        if (++headBytes > ProtocolLimits.MAX_HEAD_BYTES) {
+            throw new MessageRejectedException(431, "the head is too long");
         }
         if (b == '\n') {
-            String whole = line.toString();
-            line.setLength(0);
-            cr = false;
-            line(whole);
+            String completed = lineBuffer.toString();
+            lineBuffer.setLength(0);
+            carriageReturnSeen = false;
+            endLine(completed);
             return;
         }
-        if (cr || (b < ' ' && b != '\r' && b != '\t') || b == 0x7f) {
-            throw new BadMessage("a control character in the head");
+        if (carriageReturnSeen || (b < ' ' && b != '\r' && b != '\t') || b == 0x7f) {
+            throw new MessageRejectedException("a control character in the head");
         }
         if (b == '\r') {
-            cr = true;
+            carriageReturnSeen = true;
         } else {
-            line.append((char) (b & 0xff));
+            lineBuffer.append((char) (b & 0xff));
         }
     }
 
-    private void line(String text) throws BadMessage {
-        switch (at) {
-            case FIRST -> {
+    private void endLine(String text) throws MessageRejectedException {
+        switch (state) {
+            case START_LINE -> {
                 if (!text.isEmpty()) { // Empty lines before a request are passed over.
-                    first(text);
+                    readStartLine(text);
                 }
             }
-            case FIELDS -> {
+            case HEADERS -> {
                 if (text.isEmpty()) {
-                    headOver();
+                    endHeaders();
                 } else {
-                    field(text);
+                    readHeader(text);
                 }
             }
-            case SIZE -> size(text);
+            case CHUNK_SIZE -> readChunkSize(text);
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new BadMessage("a chunk is longer than it says");
+                    throw new MessageRejectedException("a chunk is longer than it says");
                 }
-                at = At.SIZE;
-                head = 0;
+                state = State.CHUNK_SIZE;
+                headBytes = 0;
             }
             default -> {
                 if (text.isEmpty()) {
-                    finish();
+                    endMessage();
                 }
             }
         }
     }
 
-    private void first(String text) throws BadMessage {
-        int one = text.indexOf(' ');
-        int two = one < 0 ? -1 : text.indexOf(' ', one + 1);
-        String first = one < 0 ? "" : text.substring(0, one);
-        String third = two < 0 ? "" : text.substring(two + 1);
-        String version = answers ? first : third;
-        if (first.isEmpty() || (two < 0 && !answers) || !VERSIONS.contains(version)) {
-            throw new BadMessage("the first line is not of HTTP/1.1");
+    private void readStartLine(String text) throws MessageRejectedException {
+        int firstSpace = text.indexOf(' ');
+        int secondSpace = firstSpace < 0 ? -1 : text.indexOf(' ', firstSpace + 1);
+        String first = firstSpace < 0 ? "" : text.substring(0, firstSpace);
+        String third = secondSpace < 0 ? "" : text.substring(secondSpace + 1);
+        String version = readsResponses ? first : third;
+        if (first.isEmpty() || (secondSpace < 0 && !readsResponses) || !VERSIONS.contains(version)) {
+            throw new MessageRejectedException("the first line is not of HTTP/1.1");
         }
-        at = At.FIELDS;
+        state = State.HEADERS;
         length = 0;
         lengthGiven = false;
         chunked = false;
-        total = 0;
-        sink.first(first, two < 0 ? text.substring(one + 1) : text.substring(one + 1, two), third);
+        chunkedBytes = 0;
+        listener.startLine(first, secondSpace < 0 ? text.substring(firstSpace + 1) : text.substring(firstSpace + 1, secondSpace), third);
     }
 
-    private void field(String text) throws BadMessage {
+    private void readHeader(String text) throws MessageRejectedException {
         int colon = text.indexOf(':');
         if (colon <= 0
                 || text.charAt(0) == ' '
                 || text.charAt(0) == '\t'
                 || text.charAt(colon - 1) == ' ') {
-            throw new BadMessage("a field has no name");
+            throw new MessageRejectedException("a field has no name");
         }
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).strip();
         if (name.equals("content-length")) {
-            if (!LENGTH.matcher(value).matches()
+            if (!LENGTH_FORM.matcher(value).matches()
                     || (lengthGiven && length != Long.parseLong(value))) {
-                throw new BadMessage("Content-Length is no length");
+                throw new MessageRejectedException("Content-Length is no length");
             }
             length = Long.parseLong(value);
             lengthGiven = true;
         } else if (name.equals("transfer-encoding")) {
             if (!value.equalsIgnoreCase("chunked") || chunked) {
-                throw new BadMessage("Transfer-Encoding is not chunked");
+                throw new MessageRejectedException("Transfer-Encoding is not chunked");
             }
             chunked = true;
         }
-        sink.field(name, value);
+        listener.header(name, value);
     }
 
-    private void headOver() throws BadMessage {
+    private void endHeaders() throws MessageRejectedException {
         if (chunked && lengthGiven) {
-            throw new BadMessage("Content-Length and Transfer-Encoding together");
+            throw new MessageRejectedException("Content-Length and Transfer-Encoding together");
         }
-        if (length > mostBody) {
-            throw new BadMessage(413, "the body is too long");
+        if (length > maxBodyBytes) {
+            throw new MessageRejectedException(413, "the body is too long");
         }
-        sink.headOver();
-        head = 0;
+        listener.headersEnded();
+        headBytes = 0;
         if (chunked) {
-            at = At.SIZE;
-        } else if (answers && !lengthGiven) {
-            at = At.TO_END;
-            left = Long.MAX_VALUE;
+            state = State.CHUNK_SIZE;
+        } else if (readsResponses && !lengthGiven) {
+            state = State.BODY_TO_CLOSE;
+            remainingBytes = Long.MAX_VALUE;
         } else if (length > 0) {
-            at = At.BODY;
-            left = length;
+            state = State.BODY;
+            remainingBytes = length;
         } else {
-            finish();
+            endMessage();
         }
     }
 
-    private void size(String text) throws BadMessage {
+    private void readChunkSize(String text) throws MessageRejectedException {
         int end = text.indexOf(';');
         String hex = (end < 0 ? text : text.substring(0, end)).strip();
-        if (!SIZE.matcher(hex).matches()) {
-            throw new BadMessage("a chunk has no size");
+        if (!SIZE_FORM.matcher(hex).matches()) {
+            throw new MessageRejectedException("a chunk has no size");
         }
-        left = Long.parseLong(hex, 16);
-        total += left;
-        if (total > mostBody) {
-            throw new BadMessage(413, "the body is too long");
+        remainingBytes = Long.parseLong(hex, 16);
+        chunkedBytes += remainingBytes;
+        if (chunkedBytes > maxBodyBytes) {
+            throw new MessageRejectedException(413, "the body is too long");
         }
-        head = 0;
-        at = left == 0 ? At.TRAILERS : At.CHUNK;
+        headBytes = 0;
+        state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
     }
 
-    private void finish() throws BadMessage {
-        at = At.FIRST;
-        head = 0;
-        over = true;
-        sink.over();
+    private void endMessage() throws MessageRejectedException {
+        state = State.START_LINE;
+        headBytes = 0;
+        messageEnded = true;
+        listener.messageEnded();
     }
 }
--- a/src/main/java/tinlink/net/IoThread.java
+++ b/src/main/java/tinlink/net/IoThread.java
@@ -40,13 +40,13 @@
         private final CountDownLatch released = new CountDownLatch(1);
     }
 
-    private record Connection(AsynchronousSocketChannel near, AsynchronousSocketChannel far) {}
+    private record LoopbackPair(AsynchronousSocketChannel writeEnd, AsynchronousSocketChannel readEnd) {}
 
     /** Null where none could be opened; the I/O thread is then not stopped. */
-    private final Connection connection;
+    private final LoopbackPair loopback;
 
-    private final ByteBuffer sent = ByteBuffer.allocate(1);
-    private final ByteBuffer received = ByteBuffer.allocate(1);
+    private final ByteBuffer sentByte = ByteBuffer.allocate(1);
+    private final ByteBuffer receivedByte = ByteBuffer.allocate(1);
 
     /** One for each byte that was written; each leaves as its byte is read. */
     private final Queue<Stop> stops = new ConcurrentLinkedQueue<>();
@@ -54,24 +54,24 @@
     /** Of the loop's thread: the I/O thread stands still. */
     private boolean stopped;
 
-    private final CompletionHandler<Integer, Void> reads = new CompletionHandler<>() {
+    private final CompletionHandler<Integer, Void> readHandler = new CompletionHandler<>() {
         @Override
-        public void completed(Integer count, Void none) {
+        public void completed(Integer count, Void unused) {
             if (count > 0) {
                 // Danger: read again before the stop, while no byte can be there, so that handlers
                 // don't nest.
                 read();
-                stopHere();
+                pauseHere();
             }
         }
 
         @Override
-        public void failed(Throwable e, Void none) {
+        public void failed(Throwable e, Void unused) {
             LOG.log(Level.FINE, "the I/O thread is not signalled any more", e);
         }
     };
 
-    private final CompletionHandler<Integer, Stop> writes = new CompletionHandler<>() {
+    private final CompletionHandler<Integer, Stop> writeHandler = new CompletionHandler<>() {
         @Override
         public void completed(Integer count, Stop stop) {
             // The I/O thread says when it has arrived.
@@ -86,26 +86,26 @@
     };
 
     IoThread(AsynchronousChannelGroup group) {
-        connection = connect(group);
-        if (connection != null) {
+        loopback = connect(group);
+        if (loopback != null) {
             read();
         }
     }
 
-    private static Connection connect(AsynchronousChannelGroup group) {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static LoopbackPair connect(AsynchronousChannelGroup group) {
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (AsynchronousServerSocketChannel server =
-                AsynchronousServerSocketChannel.open(group).bind(any)) {
-            AsynchronousSocketChannel near = AsynchronousSocketChannel.open(group);
-            Future<Void> connected = near.connect(server.getLocalAddress());
-            AsynchronousSocketChannel far = await(server.accept());
+                AsynchronousServerSocketChannel.open(group).bind(anyPort)) {
+            AsynchronousSocketChannel writeEnd = AsynchronousSocketChannel.open(group);
+            Future<Void> connected = writeEnd.connect(server.getLocalAddress());
+            AsynchronousSocketChannel readEnd = await(server.accept());
             await(connected);
             // Danger: any process of this machine can connect to that port.
-            while (!near.getLocalAddress().equals(far.getRemoteAddress())) {
-                far.close();
-                far = await(server.accept());
+            while (!writeEnd.getLocalAddress().equals(readEnd.getRemoteAddress())) {
+                readEnd.close();
+                readEnd = await(server.accept());
             }
-            return new Connection(near, far);
+            return new LoopbackPair(writeEnd, readEnd);
         } catch (IOException e) {
             LOG.log(
                     Level.WARNING,
@@ -127,11 +127,11 @@
     }
 
     private void read() {
-        received.clear();
-        connection.far.read(received, null, reads);
+        receivedByte.clear();
+        loopback.readEnd.read(receivedByte, null, readHandler);
     }
 
-    private void stopHere() {
+    private void pauseHere() {
         Stop stop = stops.poll();
         if (stop != null) {
             stop.arrived.countDown();
@@ -147,9 +147,9 @@
      * From the loop's thread: runs this while the I/O thread stands still, between two completed reads. What
      * it has read by then is known, and it reads nothing meanwhile.
      */
-    void whileStopped(Runnable what) {
-        if (stopped || connection == null) {
-            what.run();
+    void whileStopped(Runnable task) {
+        if (stopped || loopback == null) {
+            task.run();
             return;
         }
         Stop stop = new Stop();
@@ -157,13 +157,13 @@
         stopped = true;
         try {
             signal(stop);
-            if (!arrives(stop)) {
+            if (!awaitArrival(stop)) {
                 LOG.log(
                         Level.WARNING,
                         "the I/O thread has not come within {0} ms",
                         MAX_WAITS * WAIT_MS);
             }
-            what.run();
+            task.run();
         } finally {
             stopped = false;
             stop.released.countDown();
@@ -171,15 +171,15 @@
     }
 
     private void signal(Stop stop) {
-        sent.clear();
+        sentByte.clear();
         try {
-            connection.near.write(sent, stop, writes);
+            loopback.writeEnd.write(sentByte, stop, writeHandler);
         } catch (RuntimeException e) {
-            writes.failed(e, stop);
+            writeHandler.failed(e, stop);
         }
     }
 
-    private static boolean arrives(Stop stop) {
+    private static boolean awaitArrival(Stop stop) {
         try {
             for (int i = 0; i < MAX_WAITS; i++) {
                 if (stop.arrived.await(WAIT_MS, TimeUnit.MILLISECONDS)) {
--- a/src/main/java/tinlink/net/JsonReader.java
+++ b/src/main/java/tinlink/net/JsonReader.java
@@ -18,10 +18,10 @@
 public final class JsonReader {
     private static final Pattern NUMBER =
             Pattern.compile("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?");
-    private static final int MOST_DEPTH = 16;
+    private static final int MAX_DEPTH = 16;
     private static final Object NONE = new Object();
 
-    private enum At {
+    private enum State {
         VALUE,
         VALUE_OR_END,
         NAME,
@@ -35,224 +35,224 @@
         DONE
     }
 
-    private final ArrayDeque<Object> open = new ArrayDeque<>();
-    private final ArrayDeque<String> names = new ArrayDeque<>();
+    private final ArrayDeque<Object> openContainers = new ArrayDeque<>();
+    private final ArrayDeque<String> pendingNames = new ArrayDeque<>();
     private final ByteArrayOutputStream text = new ByteArrayOutputStream();
-    private At at = At.VALUE;
-    private boolean name;
-    private int hex;
-    private int hexLeft;
-    private int high;
+    private State state = State.VALUE;
+    private boolean isReadingName;
+    private int codeUnit;
+    private int hexDigitsLeft;
+    private int highSurrogate;
     private Object value = NONE;
 
-    public boolean empty() {
-        return at == At.VALUE && open.isEmpty() && value == NONE;
+    public boolean isEmpty() {
+        return state == State.VALUE && openContainers.isEmpty() && value == NONE;
     }
 
-    /** The value is whole; only blanks may follow. */
-    public boolean isOver() {
-        return at == At.DONE || (at == At.WORD && open.isEmpty());
+    /** The value is complete; only white space may follow. */
+    public boolean isComplete() {
+        return state == State.DONE || (state == State.WORD && openContainers.isEmpty());
     }
 
-    public void read(ByteBuffer piece) throws BadMessage {
-        while (piece.hasRemaining()) {
-            read(piece.get());
+    public void read(ByteBuffer bytes) throws MessageRejectedException {
+        while (bytes.hasRemaining()) {
+            read(bytes.get());
         }
     }
 
-    public void read(byte b) throws BadMessage {
-        switch (at) {
-            case STRING -> string(b);
-            case ESCAPE -> escape(b);
-            case HEX -> hex(b);
+    public void read(byte b) throws MessageRejectedException {
+        switch (state) {
+            case STRING -> readStringByte(b);
+            case ESCAPE -> readEscape(b);
+            case HEX -> readHexDigit(b);
             case WORD -> {
-                if (b == ',' || b == ']' || b == '}' || blank(b)) {
-                    word();
+                if (b == ',' || b == ']' || b == '}' || isWhitespace(b)) {
+                    endWord();
                     read(b);
                 } else {
                     text.write(b);
                 }
             }
             default -> {
-                if (!blank(b)) {
-                    mark(b);
+                if (!isWhitespace(b)) {
+                    readStructural(b);
                 }
             }
         }
     }
 
-    private static boolean blank(byte b) {
+    private static boolean isWhitespace(byte b) {
         return b == ' ' || b == '\n' || b == '\r' || b == '\t';
     }
 
-    private void mark(byte b) throws BadMessage {
-        if (at == At.COLON && b == ':') {
-            at = At.VALUE;
-        } else if (at == At.COMMA_OR_END && b == ',') {
-            at = inside(Map.class) ? At.NAME : At.VALUE;
+    private void readStructural(byte b) throws MessageRejectedException {
+        if (state == State.COLON && b == ':') {
+            state = State.VALUE;
+        } else if (state == State.COMMA_OR_END && b == ',') {
+            state = isInside(Map.class) ? State.NAME : State.VALUE;
         } else if ((b == '}'
-                        && (at == At.NAME_OR_END || (at == At.COMMA_OR_END && inside(Map.class))))
+                        && (state == State.NAME_OR_END || (state == State.COMMA_OR_END && isInside(Map.class))))
                 || (b == ']'
-                        && (at == At.VALUE_OR_END
-                                || (at == At.COMMA_OR_END && inside(List.class))))) {
-            done(open.pop());
-        } else if (b == '"' && at != At.COLON && at != At.COMMA_OR_END && at != At.DONE) {
-            name = at == At.NAME || at == At.NAME_OR_END;
-            at = At.STRING;
-        } else if ((at == At.VALUE || at == At.VALUE_OR_END) && ",:]}".indexOf(b) < 0) {
+                        && (state == State.VALUE_OR_END
+                                || (state == State.COMMA_OR_END && isInside(List.class))))) {
+            completeValue(openContainers.pop());
+        } else if (b == '"' && state != State.COLON && state != State.COMMA_OR_END && state != State.DONE) {
+            isReadingName = state == State.NAME || state == State.NAME_OR_END;
+            state = State.STRING;
+        } else if ((state == State.VALUE || state == State.VALUE_OR_END) && ",:]}".indexOf(b) < 0) {
             if (b == '{' || b == '[') {
-                if (open.size() == MOST_DEPTH) {
-                    throw new BadMessage("JSON: too deep");
+                if (openContainers.size() == MAX_DEPTH) {
+                    throw new MessageRejectedException("JSON: too deep");
                 }
-                open.push(b == '{' ? new LinkedHashMap<String, Object>() : new ArrayList<Object>());
-                at = b == '{' ? At.NAME_OR_END : At.VALUE_OR_END;
+                openContainers.push(b == '{' ? new LinkedHashMap<String, Object>() : new ArrayList<Object>());
+                state = b == '{' ? State.NAME_OR_END : State.VALUE_OR_END;
             } else {
                 text.write(b);
-                at = At.WORD;
+                state = State.WORD;
             }
         } else {
-            throw new BadMessage("JSON: '" + (char) (b & 0xff) + "' where it may not stand");
+            throw new MessageRejectedException("JSON: '" + (char) (b & 0xff) + "' where it may not stand");
         }
     }
 
-    private boolean inside(Class<?> kind) {
-        return kind.isInstance(open.peek());
+    private boolean isInside(Class<?> kind) {
+        return kind.isInstance(openContainers.peek());
     }
 
-    private void string(byte b) throws BadMessage {
-        if (high != 0 && b != '\\') {
-            throw new BadMessage("JSON: half a surrogate pair");
+    private void readStringByte(byte b) throws MessageRejectedException {
+        if (highSurrogate != 0 && b != '\\') {
+            throw new MessageRejectedException("JSON: half a surrogate pair");
         }
         if (b == '"') {
-            String s = taken();
-            if (!name) {
-                done(s);
-            } else if (((Map<?, ?>) open.peek()).containsKey(s)) {
-                throw new BadMessage("JSON: '" + s + "' twice in one object");
+            String s = takeText();
+            if (!isReadingName) {
+                completeValue(s);
+            } else if (((Map<?, ?>) openContainers.peek()).containsKey(s)) {
+                throw new MessageRejectedException("JSON: '" + s + "' twice in one object");
             } else {
-                names.push(s);
-                at = At.COLON;
+                pendingNames.push(s);
+                state = State.COLON;
             }
         } else if (b == '\\') {
-            at = At.ESCAPE;
+            state = State.ESCAPE;
         } else if (b >= 0 && b < ' ') {
-            throw new BadMessage("JSON: a control character in a string");
+            throw new MessageRejectedException("JSON: a control character in a string");
         } else {
             text.write(b);
         }
     }
 
-    private void escape(byte b) throws BadMessage {
+    private void readEscape(byte b) throws MessageRejectedException {
         int plain = "\"\\/bfnrt".indexOf(b);
         if (b == 'u') {
-            hex = 0;
-            hexLeft = 4;
-            at = At.HEX;
-        } else if (plain >= 0 && high == 0) {
+            codeUnit = 0;
+            hexDigitsLeft = 4;
+            state = State.HEX;
+        } else if (plain >= 0 && highSurrogate == 0) {
             text.write("\"\\/\b\f\n\r\t".charAt(plain));
-            at = At.STRING;
+            state = State.STRING;
         } else {
-            throw new BadMessage("JSON: an escape that does not exist");
+            throw new MessageRejectedException("JSON: an escape that does not exist");
         }
     }
 
-    private void hex(byte b) throws BadMessage {
+    private void readHexDigit(byte b) throws MessageRejectedException {
         int digit = Character.digit(b, 16);
         if (digit < 0) {
-            throw new BadMessage("JSON: an escape that does not exist");
+            throw new MessageRejectedException("JSON: an escape that does not exist");
         }
-        hex = 16 * hex + digit;
-        if (--hexLeft > 0) {
+        codeUnit = 16 * codeUnit + digit;
+        if (--hexDigitsLeft > 0) {
             return;
         }
-        char c = (char) hex;
-        if (Character.isLowSurrogate(c) != (high != 0)) {
-            throw new BadMessage("JSON: half a surrogate pair");
+        char c = (char) codeUnit;
+        if (Character.isLowSurrogate(c) != (highSurrogate != 0)) {
+            throw new MessageRejectedException("JSON: half a surrogate pair");
         }
         if (Character.isHighSurrogate(c)) {
-            high = c;
+            highSurrogate = c;
         } else {
-            String s = high == 0 ? String.valueOf(c) : new String(new char[] {(char) high, c});
+            String s = highSurrogate == 0 ? String.valueOf(c) : new String(new char[] {(char) highSurrogate, c});
             text.writeBytes(s.getBytes(StandardCharsets.UTF_8));
-            high = 0;
+            highSurrogate = 0;
         }
-        at = At.STRING;
+        state = State.STRING;
     }
 
-    private String taken() throws BadMessage {
+    private String takeText() throws MessageRejectedException {
         try {
-            String s = utf8(ByteBuffer.wrap(text.toByteArray()));
+            String s = decodeUtf8(ByteBuffer.wrap(text.toByteArray()));
             text.reset();
             return s;
         } catch (CharacterCodingException e) {
-            throw new BadMessage("JSON: a string is not UTF-8");
+            throw new MessageRejectedException("JSON: a string is not UTF-8");
         }
     }
 
-    public static String utf8(ByteBuffer bytes) throws CharacterCodingException {
+    public static String decodeUtf8(ByteBuffer bytes) throws CharacterCodingException {
         return StandardCharsets.UTF_8.newDecoder().decode(bytes).toString();
     }
 
-    private void word() throws BadMessage {
-        String s = taken();
+    private void endWord() throws MessageRejectedException {
+        String s = takeText();
         switch (s) {
-            case "true" -> done(true);
-            case "false" -> done(false);
-            case "null" -> done(null);
+            case "true" -> completeValue(true);
+            case "false" -> completeValue(false);
+            case "null" -> completeValue(null);
             default -> {
                 if (s.length() > 40 || !NUMBER.matcher(s).matches()) {
-                    throw new BadMessage("JSON: neither a number nor a word");
+                    throw new MessageRejectedException("JSON: neither a number nor a word");
                 }
-                done(Double.valueOf(s));
+                completeValue(Double.valueOf(s));
             }
         }
     }
 
     @SuppressWarnings("unchecked")
-    private void done(Object v) {
-        if (open.isEmpty()) {
-            value = v;
-            at = At.DONE;
+    private void completeValue(Object completed) {
+        if (openContainers.isEmpty()) {
+            value = completed;
+            state = State.DONE;
         } else {
-            if (inside(Map.class)) {
-                ((Map<String, Object>) open.peek()).put(names.pop(), v);
+            if (isInside(Map.class)) {
+                ((Map<String, Object>) openContainers.peek()).put(pendingNames.pop(), completed);
             } else {
-                ((List<Object>) open.peek()).add(v);
+                ((List<Object>) openContainers.peek()).add(completed);
             }
-            at = At.COMMA_OR_END;
+            state = State.COMMA_OR_END;
         }
     }
 
     /** The value, once its last byte has been read. */
-    public Object value() throws BadMessage {
-        if (at == At.WORD && open.isEmpty()) {
-            word();
+    public Object value() throws MessageRejectedException {
+        if (state == State.WORD && openContainers.isEmpty()) {
+            endWord();
         }
-        if (at != At.DONE) {
-            throw new BadMessage("JSON: it ends too soon");
+        if (state != State.DONE) {
+            throw new MessageRejectedException("JSON: it ends too soon");
         }
         return value;
     }
 
-    public static Object of(String text) throws BadMessage {
-        JsonReader r = new JsonReader();
-        r.read(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        return r.value();
+    public static Object parse(String text) throws MessageRejectedException {
+        JsonReader reader = new JsonReader();
+        reader.read(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        return reader.value();
     }
 
     /** The text as a JSON string, with its quotes. */
-    public static void quote(StringBuilder to, String text) {
-        to.append('"');
+    public static void appendQuoted(StringBuilder target, String text) {
+        target.append('"');
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c == '"' || c == '\\') {
-                to.append('\\').append(c);
+                target.append('\\').append(c);
             } else if (c < ' ') {
-                to.append(String.format("\\u%04x", (int) c));
+                target.append(String.format("\\u%04x", (int) c));
             } else {
-                to.append(c);
+                target.append(c);
             }
         }
-        to.append('"');
+        target.append('"');
     }
 }
--- a/src/main/java/tinlink/net/Network.java
+++ b/src/main/java/tinlink/net/Network.java
@@ -13,101 +13,101 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Opens links on the loop: the channels' group, the pooled rings, and the door for clients. */
+/** Opens connections on the event loop: the channel group, the pooled buffers, and the socket for clients. */
 public final class Network {
     /**
      * Runs a completion handler where it completes: handlers only queue, so no thread of their own
      * is needed. With a pool of this kind a read or write is first tried at once, on the loop's
      * thread.
      */
-    private static final class InPlace extends AbstractExecutorService {
-        private final Consumer<Runnable> handlers;
-        private volatile boolean down;
+    private static final class DirectExecutorService extends AbstractExecutorService {
+        private final Consumer<Runnable> completionRunner;
+        private volatile boolean shutDown;
 
-        InPlace(Consumer<Runnable> handlers) {
-            this.handlers = handlers;
+        DirectExecutorService(Consumer<Runnable> completionRunner) {
+            this.completionRunner = completionRunner;
         }
 
         @Override
-        public void execute(Runnable what) {
-            handlers.accept(what);
+        public void execute(Runnable task) {
+            completionRunner.accept(task);
         }
 
         @Override
         public void shutdown() {
-            down = true;
+            shutDown = true;
         }
 
         @Override
         public List<Runnable> shutdownNow() {
-            down = true;
+            shutDown = true;
             return List.of();
         }
 
         @Override
         public boolean isShutdown() {
-            return down;
+            return shutDown;
         }
 
         @Override
         public boolean isTerminated() {
-            return down;
+            return shutDown;
         }
 
         @Override
         public boolean awaitTermination(long timeout, TimeUnit unit) {
-            return down;
+            return shutDown;
         }
     }
 
-    /** Who lets clients in. */
-    public interface Door {
-        /** The owner of a link that was just accepted. */
-        Link.Owner owner();
+    /** Accepts connections at a listening socket; called on the event loop's thread. */
+    public interface AcceptHandler {
+        /** The listener of a connection that was just accepted. */
+        Connection.Listener newListener();
 
-        void opened(Link link, Link.Owner owner);
+        void accepted(Connection connection, Connection.Listener listener);
 
         /**
          * Whether the next one may be accepted now; if not, {@link Network#accept} is called again
          * later.
          */
-        boolean mayOpen();
+        boolean canAccept();
 
         void acceptFailed(Throwable why);
     }
 
     private static final Logger LOG = Logger.getLogger("tinlink.net");
-    private final Loop loop;
-    private final Rings rings;
+    private final EventLoop loop;
+    private final RingBufferPool bufferPool;
     private final AsynchronousChannelGroup group;
     private final IoThread ioThread;
-    private Listening server;
+    private ListeningSocket server;
 
-    public Network(Loop loop) throws IOException {
+    public Network(EventLoop loop) throws IOException {
         this(loop, Runnable::run);
     }
 
-    /** @param handlers runs a completion handler at once; others only show how late ones are borne */
-    public Network(Loop loop, Consumer<Runnable> handlers) throws IOException {
+    /** @param completionRunner runs a completion handler at once; others only show how late ones are borne */
+    public Network(EventLoop loop, Consumer<Runnable> completionRunner) throws IOException {
         this.loop = loop;
-        rings = new Rings();
-        group = AsynchronousChannelGroup.withThreadPool(new InPlace(handlers));
+        bufferPool = new RingBufferPool();
+        group = AsynchronousChannelGroup.withThreadPool(new DirectExecutorService(completionRunner));
         ioThread = new IoThread(group);
-        loop.catchesUpBy(ioThread::catchUp);
+        loop.setCatchUp(ioThread::catchUp);
     }
 
     private Network(Network other) {
         loop = other.loop;
-        rings = other.rings;
+        bufferPool = other.bufferPool;
         group = other.group;
         ioThread = other.ioThread;
     }
 
     /**
-     * The same loop and channels without a door: its users connect, and can't change who is let in
+     * The same loop and channels without a listening socket: its users can't change who is accepted
      * here.
      */
-    public Network apart() {
+    public Network withoutServer() {
         return new Network(this);
     }
 
@@ -116,22 +116,22 @@
      * the mark that it has been read lie microseconds; a connection that is closed just then takes a request
      * with it, which its client takes for one that is in hand.
      */
-    public void whileReadsStop(Runnable what) {
-        ioThread.whileStopped(what);
+    public void whileReadsPaused(Runnable task) {
+        ioThread.whileStopped(task);
     }
 
-    public Link connect(InetSocketAddress to, Link.Owner owner) throws IOException {
-        return Link.connect(loop, rings, group, to, owner);
+    public Connection connect(InetSocketAddress address, Connection.Listener listener) throws IOException {
+        return Connection.connect(loop, bufferPool, group, address, listener);
     }
 
     /** One address at which connections are accepted. */
-    public final class Listening {
+    public final class ListeningSocket {
         private final AsynchronousServerSocketChannel server;
         private boolean accepting;
-        private Door door;
+        private AcceptHandler acceptHandler;
 
-        private Listening(InetSocketAddress at) throws IOException {
-            server = AsynchronousServerSocketChannel.open(group).bind(at, 1024);
+        private ListeningSocket(InetSocketAddress address) throws IOException {
+            server = AsynchronousServerSocketChannel.open(group).bind(address, 1024);
         }
 
         public InetSocketAddress address() throws IOException {
@@ -139,35 +139,35 @@
         }
 
         /**
-         * Accepts one after another, as long as the door lets them; a new door stands for the one
+         * Accepts one after another, as long as the handler can; a new handler replaces the one
          * before.
          */
-        public void accept(Door at) {
-            door = at;
-            if (accepting || !server.isOpen() || !door.mayOpen()) {
+        public void accept(AcceptHandler handler) {
+            acceptHandler = handler;
+            if (accepting || !server.isOpen() || !acceptHandler.canAccept()) {
                 return;
             }
             accepting = true;
             server.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
                 @Override
-                public void completed(AsynchronousSocketChannel channel, Void none) {
-                    long at = loop.time();
-                    loop.ready(() -> {
+                public void completed(AsynchronousSocketChannel channel, Void unused) {
+                    long acceptedAtUs = loop.currentTimeUs();
+                    loop.execute(() -> {
                         accepting = false;
-                        Link.Owner owner = door.owner();
-                        Link link = Link.accepted(loop, rings, channel, owner, at);
-                        door.opened(link, owner);
-                        link.start();
-                        accept(door);
+                        Connection.Listener listener = acceptHandler.newListener();
+                        Connection connection = Connection.accepted(loop, bufferPool, channel, listener, acceptedAtUs);
+                        acceptHandler.accepted(connection, listener);
+                        connection.start();
+                        accept(acceptHandler);
                     });
                 }
 
                 @Override
-                public void failed(Throwable e, Void none) {
-                    loop.ready(() -> {
+                public void failed(Throwable e, Void unused) {
+                    loop.execute(() -> {
                         accepting = false;
                         if (server.isOpen()) {
-                            door.acceptFailed(e);
+                            acceptHandler.acceptFailed(e);
                         }
                     });
                 }
@@ -184,23 +184,23 @@
     }
 
     /** Clients connect there. */
-    public void listen(InetSocketAddress at) throws IOException {
-        server = listening(at);
+    public void listen(InetSocketAddress address) throws IOException {
+        server = listenAt(address);
     }
 
     /** One more address to accept at. */
-    public Listening listening(InetSocketAddress at) throws IOException {
-        return new Listening(at);
+    public ListeningSocket listenAt(InetSocketAddress address) throws IOException {
+        return new ListeningSocket(address);
     }
 
     public InetSocketAddress address() throws IOException {
         return server.address();
     }
 
-    /** Accepts clients one after another, as long as the door lets them. */
-    public void accept(Door door) {
+    /** Accepts clients one after another, as long as the handler can. */
+    public void accept(AcceptHandler acceptHandler) {
         if (server != null) {
-            server.accept(door);
+            server.accept(acceptHandler);
         }
     }
 
--- a/src/main/java/tinlink/policy/PolicyRolloutService.java
+++ b/src/main/java/tinlink/policy/PolicyRolloutService.java
@@ -1,6 +1,6 @@
 package tinlink.policy;
 
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.cluster.ClusterNode;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyChange;
@@ -24,9 +24,9 @@
  * Changes of policy in a router that serves: carries out what {@link ChangeParticipant} and {@link
  * ChangeCoordinator} decide. All of it belongs to the loop's thread.
  */
-public final class PolicyRolloutService implements Loop.Turn {
+public final class PolicyRolloutService implements EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.policy");
-    private final Loop loop;
+    private final EventLoop loop;
     private final ClusterNode clusterNode;
     private final PolicyStateMachine policyStateMachine;
     private final ChangeParticipant participant;
@@ -46,7 +46,7 @@
      * @param sharedClockUs the clock that all machines read, microseconds
      */
     public PolicyRolloutService(
-            Loop loop,
+            EventLoop loop,
             ClusterNode clusterNode,
             PolicyStateMachine policyStateMachine,
             Function<PolicyChange, String> startChecks,
@@ -79,7 +79,7 @@
      * #unavailableReason} says why.
      */
     public PolicyVersion effectiveVersion() {
-        participant.updateClocks(sharedClockUs.getAsLong(), loop.now());
+        participant.updateClocks(sharedClockUs.getAsLong(), loop.nowUs());
         ChangeParticipant.EffectivePolicy effective = participant.effectivePolicy(changes());
         if (effective.epoch() != effectiveEpoch || !effective.unavailableReason().equals(unavailableReason)) {
             LOG.log(
@@ -101,16 +101,16 @@
     // ---- Its part in a turn. ----
 
     @Override
-    public void begins(long nowUs) {
+    public void turnStarted(long nowUs) {
         // It reads its clocks as it decides.
     }
 
     @Override
-    public void decides() {
+    public void turnEnding() {
         if (isStopped) {
             return;
         }
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         participant.updateClocks(sharedClockUs.getAsLong(), nowUs);
         if (pendingLeaseIndex >= 0 && clusterNode.learnedIndex() >= pendingLeaseIndex) {
             participant.leaseGranted(pendingLeaseRequestedAtUs, changes().inForce().absencePolicy().leaseUs());
@@ -131,7 +131,7 @@
         boolean requiresLease = absencePolicy.rule() == AbsencePolicy.Rule.FENCE
                 || (openChange != null && openChange.absencePolicy().rule() == AbsencePolicy.Rule.FENCE);
         if (requiresLease) {
-            long requestedAtUs = loop.now();
+            long requestedAtUs = loop.nowUs();
             clusterNode.confirmCommitIndex(index -> {
                 if (pendingLeaseIndex < 0) {
                     pendingLeaseIndex = index;
@@ -140,7 +140,7 @@
             });
         }
         effectiveVersion(); // So that what it says of itself is not of the last lookup, which may be long ago.
-        loop.at(loop.now() + retryIntervalUs / 2, this::heartbeat);
+        loop.schedule(loop.nowUs() + retryIntervalUs / 2, this::heartbeat);
     }
 
     private void propose(PolicyCommand command) {
--- a/src/main/java/tinlink/router/Client.java
+++ b/src/main/java/tinlink/router/Client.java
@@ -1,13 +1,13 @@
 package tinlink.router;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
-import tinlink.net.Protocol;
-import tinlink.net.Ring;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.ProtocolLimits;
+import tinlink.net.RingBuffer;
 
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -20,14 +20,14 @@
  * A client's connection: one request at a time, the next one is read when its answer has been
  * given.
  */
-final class Client implements Link.Owner, HttpReader.Sink, Query.Asker {
+final class Client implements Connection.Listener, HttpReader.MessageListener, Query.Asker {
     private static final Logger LOG = Logger.getLogger("tinlink.intake");
     private static final Pattern CLOSE = Pattern.compile("(?i)(.*,)?\\s*close\\s*(,.*)?");
     private static final Pattern ONCE = Pattern.compile("x-.*|idempotency-key|content-length|host");
     private final Intake intake;
-    private final HttpReader reader = HttpReader.ofRequests(this);
+    private final HttpReader reader = HttpReader.forRequests(this);
     private final Map<String, String> fields = new HashMap<>();
-    private Link link;
+    private Connection link;
     private String method;
     private String path;
     private boolean keep;
@@ -42,7 +42,7 @@
     /** Bytes taken and not read after the last answer. */
     private int unread;
     /** Runs while nothing is in hand: until then a whole request has to come. */
-    private Loop.Timer limit;
+    private EventLoop.Timer limit;
 
     private boolean begun;
     private long askedAt;
@@ -52,7 +52,7 @@
     }
 
     /** @param askedAt of its first request, where that has waited for us; else the end of time */
-    void on(Link link, long askedAt) {
+    void on(Connection link, long askedAt) {
         this.link = link;
         this.askedAt = askedAt;
     }
@@ -87,21 +87,21 @@
 
     /** Nothing is in hand and nothing has been read of a next request. */
     private boolean isIdle() {
-        return awaits() && reader.between();
+        return awaits() && reader.isAtBoundary();
     }
 
-    Link link() {
+    Connection link() {
         return link;
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         intake.busy(this);
         try {
             while (awaits() && in.size() > 0) {
                 reader.read(in);
             }
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             LOG.log(Level.FINE, "a request is not used: {0}", e.getMessage());
             lastAnswer(Reply.plain(e.status, e.getMessage()));
         } catch (RuntimeException e) {
@@ -115,7 +115,7 @@
             }
             lastAnswer(Reply.plain(500, "a fault of the router"));
         }
-        if (query != null && in.size() >= Protocol.MOST_HELD) {
+        if (query != null && in.size() >= ProtocolLimits.MAX_UNREAD_BYTES) {
             // Danger: behind what a client has sent without waiting for an answer its close is not
             // seen, and
             // parts would be sent for it when it has long gone.
@@ -124,12 +124,12 @@
             intake.gone(failed);
             lastAnswer(Reply.plain(400, "too much was sent before an answer"));
         }
-        while (lastAnswer && in.size() > 0 && unread < Protocol.MOST_BODY) {
+        while (lastAnswer && in.size() > 0 && unread < ProtocolLimits.MAX_BODY_BYTES) {
             // Not read as a request, but taken: a reset would cut off the answer. Danger: what a
             // client that
             // sends without end is sent takes the time of all others; past the bound its bytes stay
             // where they are.
-            unread += in.takeRun(in.size()).remaining();
+            unread += in.takeContiguous(in.size()).remaining();
         }
         if (isIdle()) {
             intake.idle(this);
@@ -156,13 +156,13 @@
     }
 
     private void endIdle() {
-        if (link.hasUntaken()) {
+        if (link.hasUnprocessedRead()) {
             limit = intake.whenSaid(
                     this::tooLong); // It has begun to say something in this very moment.
         } else if (known) {
             letGo();
         } else {
-            link.end(Ending.IDLE);
+            link.close(CloseReason.IDLE);
         }
     }
 
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void first(String one, String two, String three) {
+    public void startLine(String one, String two, String three) {
         method = one;
         int mark = two.indexOf('?');
         path = mark < 0 ? two : two.substring(0, mark);
@@ -184,43 +184,43 @@
     }
 
     @Override
-    public void field(String name, String value) throws BadMessage {
+    public void header(String name, String value) throws MessageRejectedException {
         // Danger: of a field that comes twice, we and whoever stands before us could go by
         // different ones.
         if (fields.put(name, value) != null && ONCE.matcher(name).matches()) {
-            throw new BadMessage(400, name + ": twice");
+            throw new MessageRejectedException(400, name + ": twice");
         }
     }
 
     @Override
-    public void headOver() throws BadMessage {
+    public void headersEnded() throws MessageRejectedException {
         String connection = fields.getOrDefault("connection", "");
         keep = keep && !CLOSE.matcher(connection).matches();
         String wants =
                 switch (path) {
                     case "/api" -> "POST";
                     case "/-/ready" -> "GET";
-                    default -> throw new BadMessage(404, "no such path");
+                    default -> throw new MessageRejectedException(404, "no such path");
                 };
         if (!method.equals(wants)) {
-            throw new BadMessage(405, "the method is " + wants);
+            throw new MessageRejectedException(405, "the method is " + wants);
         }
         if (wants.equals("POST")) {
             body = new JsonReader();
             if (fields.getOrDefault("expect", "").equalsIgnoreCase("100-continue")) {
                 link.out().put("HTTP/1.1 100 Continue\r\n\r\n");
-                link.later();
+                link.scheduleWrite();
             }
         }
     }
 
     @Override
-    public void body(ByteBuffer piece) throws BadMessage {
+    public void body(ByteBuffer piece) throws MessageRejectedException {
         if (body != null) {
             bodyBytes += piece.remaining();
             if (!intake.reads(piece.remaining())) {
                 // Nothing of it was sent anywhere, so a refusal is honest.
-                throw new BadMessage(503, "too much is being read");
+                throw new MessageRejectedException(503, "too much is being read");
             }
             body.read(piece);
         }
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void over() throws BadMessage {
+    public void messageEnded() throws MessageRejectedException {
         if (body == null) {
             answer(intake.ready() ? Reply.plain(200, "ready") : Reply.plain(503, "not ready"));
             return;
@@ -288,7 +288,7 @@
         lastAnswer = !keep || intake.closing();
         known = true;
         reply.write(link.out(), lastAnswer);
-        link.later();
+        link.scheduleWrite();
         if (lastAnswer) {
             endLimit();
             intake.leave(this);
@@ -298,15 +298,15 @@
     }
 
     @Override
-    public void idle() {
+    public void writesCompleted() {
         if (lastAnswer) {
             link.halfClose();
         }
     }
 
     @Override
-    public void ended(Ending how) {
-        LOG.log(Level.FINE, "client: {0}", how);
+    public void connectionClosed(CloseReason closeReason) {
+        LOG.log(Level.FINE, "client: {0}", closeReason);
         intake.ended(this);
         intake.takeBack(limit);
         bodyRead();
--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -1,13 +1,13 @@
 package tinlink.router;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
-import tinlink.net.Protocol;
-import tinlink.net.Ring;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.ProtocolLimits;
+import tinlink.net.RingBuffer;
 
 import java.nio.ByteBuffer;
 import java.util.logging.Logger;
@@ -16,7 +16,7 @@
  * One connection to discovery. It carries a watch: a chunked answer, in it a JSON object a line. Where the
  * revisions of the place are not known, an answer that is the whole list comes first.
  */
-final class DiscoveryConnection implements Link.Owner, HttpReader.Sink {
+final class DiscoveryConnection implements Connection.Listener, HttpReader.MessageListener {
     /** What a connection belongs to. */
     interface Owner {
         /** The host that is asked. */
@@ -44,7 +44,7 @@
         /** A list has been told and taken. */
         void listTaken();
 
-        void ended(DiscoveryConnection connection, Ending how);
+        void ended(DiscoveryConnection connection, CloseReason closeReason);
     }
 
     private static final Logger LOG = Logger.getLogger("tinlink.roster");
@@ -53,12 +53,12 @@
      * Danger: what a silent watch misses counts as told after three lines' time. Half of it is left for
      * connections that are refused, hang, or are taken and say nothing.
      */
-    private static final long SILENT_US = 3 * Protocol.WATCH_LINE_US / 2;
+    private static final long SILENT_US = 3 * ProtocolLimits.WATCH_KEEPALIVE_US / 2;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Owner owner;
     private final int maxObjectBytes;
-    private final HttpReader reader = HttpReader.ofAnswers(this);
+    private final HttpReader reader = HttpReader.forResponses(this);
 
     /** What is read of an object; it may go over several lines, the first of which alone begins it. */
     private JsonReader object = new JsonReader();
@@ -67,26 +67,26 @@
     private int objectBytes;
     private boolean bad;
     private boolean watches;
-    private Link link;
-    private Loop.Timer silence;
+    private Connection link;
+    private EventLoop.Timer silence;
 
-    DiscoveryConnection(Loop loop, Owner owner, int maxObjectBytes) {
+    DiscoveryConnection(EventLoop loop, Owner owner, int maxObjectBytes) {
         this.loop = loop;
         this.owner = owner;
         this.maxObjectBytes = maxObjectBytes;
     }
 
-    void on(Link link) {
+    void on(Connection link) {
         this.link = link;
     }
 
-    void end(Ending how) {
-        loop.takeBack(silence);
-        link.end(how);
+    void end(CloseReason closeReason) {
+        loop.cancel(silence);
+        link.close(closeReason);
     }
 
     @Override
-    public void up() {
+    public void connected() {
         ask();
     }
 
@@ -95,7 +95,7 @@
         link.out()
                 .put("GET /api/targets" + (watches ? "?watch=1&after=" + owner.revision() : "")
                         + " HTTP/1.1\r\nHost: " + owner.host() + "\r\n\r\n");
-        link.later();
+        link.scheduleWrite();
     }
 
     /** Danger: bytes that drip in, or noise, are no life: a line that could be read is. */
@@ -103,41 +103,41 @@
         if (!watches) {
             return; // The whole list says nothing of what comes after it.
         }
-        loop.takeBack(silence);
-        silence = loop.at(loop.now() + SILENT_US, () -> end(Ending.SILENT));
+        loop.cancel(silence);
+        silence = loop.schedule(loop.nowUs() + SILENT_US, () -> end(CloseReason.SILENT));
         owner.alive(this);
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         try {
             while (in.size() > 0 && owner.counts(this)) {
                 reader.read(in);
             }
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             LOG.warning("discovery: " + e.getMessage());
-            end(Ending.BAD_INPUT);
+            end(CloseReason.BAD_INPUT);
         }
     }
 
     @Override
-    public void first(String one, String status, String words) throws BadMessage {
+    public void startLine(String one, String status, String words) throws MessageRejectedException {
         if (!status.equals("200")) {
-            throw new BadMessage(502, "the watch was answered with " + status);
+            throw new MessageRejectedException(502, "the watch was answered with " + status);
         }
     }
 
     @Override
-    public void body(ByteBuffer piece) throws BadMessage {
+    public void body(ByteBuffer piece) throws MessageRejectedException {
         while (piece.hasRemaining() && owner.counts(this)) {
             byte b = piece.get();
             if (++objectBytes > maxObjectBytes) {
-                throw new BadMessage(502, "a list of over " + maxObjectBytes + " bytes");
+                throw new MessageRejectedException(502, "a list of over " + maxObjectBytes + " bytes");
             }
             if (b == '\n') {
                 lineOver();
             } else {
-                if (watches && !lineBegun && b == '{' && !object.empty()) {
+                if (watches && !lineBegun && b == '{' && !object.isEmpty()) {
                     leaveOut(
                             "it does not end"); // An object begins here, so the one before was cut.
                 }
@@ -152,7 +152,7 @@
             if (!bad) {
                 object.read(b);
             }
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             leaveOut(e.getMessage());
             bad = true;
         }
@@ -176,10 +176,10 @@
         read((byte) '\n');
         if (bad) {
             anew();
-        } else if (object.isOver()) {
+        } else if (object.isComplete()) {
             objectOver();
         } else if (watches && !said) {
-            if (!object.empty()) {
+            if (!object.isEmpty()) {
                 leaveOut("it does not end"); // No line within a list is empty.
             }
             alive();
@@ -197,16 +197,16 @@
                 alive();
                 owner.listTaken();
             }
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             leaveOut(e.getMessage());
         }
     }
 
     /** The whole list is in, and is watched from there on; a watch has no end. */
     @Override
-    public void over() throws BadMessage {
+    public void messageEnded() throws MessageRejectedException {
         if (watches) {
-            throw new BadMessage(502, "the watch was ended");
+            throw new MessageRejectedException(502, "the watch was ended");
         }
         if (owner.counts(this)) {
             lineOver();
@@ -216,8 +216,8 @@
     }
 
     @Override
-    public void ended(Ending how) {
-        loop.takeBack(silence);
-        owner.ended(this, how);
+    public void connectionClosed(CloseReason closeReason) {
+        loop.cancel(silence);
+        owner.ended(this, closeReason);
     }
 }
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -1,10 +1,10 @@
 package tinlink.router;
 
 import tinlink.decision.Aggregator;
-import tinlink.net.Ending;
-import tinlink.net.Loop;
+import tinlink.net.CloseReason;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.net.Protocol;
+import tinlink.net.ProtocolLimits;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,7 +21,7 @@
     /** Asked for at the same time, the newest for at least half as long as each. */
     private static final int MAX_ASKED = 2;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final ModuleTurn turn;
     private final Roster roster;
@@ -40,13 +40,13 @@
     private final List<DiscoveryConnection> asked = new ArrayList<>();
 
     /** When one more is asked for; null while one tells. */
-    private Loop.Timer next;
+    private EventLoop.Timer next;
 
     private boolean down;
     private Runnable whenHeard = () -> {};
 
     DiscoveryWatcher(
-            Loop loop,
+            EventLoop loop,
             Network network,
             ModuleTurn turn,
             Roster roster,
@@ -61,7 +61,7 @@
         this.discovery = discovery;
         // Where lists are pushed, an agent on this router's own machine answers at once and at no
         // cost.
-        askUs = Protocol.WATCH_LINE_US / (pushed ? 8 : 2);
+        askUs = ProtocolLimits.WATCH_KEEPALIVE_US / (pushed ? 8 : 2);
         this.maxObjectBytes = maxObjectBytes;
         random = new SplittableRandom(seed);
     }
@@ -84,9 +84,9 @@
      * or on none for a while, hears of a drain long after it was told. The oldest gives way.
      */
     private void ask() {
-        next = loop.at(loop.now() + askUs - random.nextLong(askUs / 4), this::ask);
+        next = loop.schedule(loop.nowUs() + askUs - random.nextLong(askUs / 4), this::ask);
         if (asked.size() == MAX_ASKED) {
-            asked.get(0).end(Ending.SILENT);
+            asked.get(0).end(CloseReason.SILENT);
         }
         DiscoveryConnection connection = new DiscoveryConnection(loop, this, maxObjectBytes);
         try {
@@ -119,8 +119,8 @@
         // Danger: what the old place still says is old by now, and must not be taken for news.
         watch = null;
         asked.clear();
-        old.forEach(w -> w.end(Ending.GONE));
-        loop.takeBack(next);
+        old.forEach(w -> w.end(CloseReason.GONE));
+        loop.cancel(next);
         ask();
     }
 
@@ -135,29 +135,29 @@
         asked.clear();
         watch = connection;
         down = false;
-        loop.takeBack(next);
+        loop.cancel(next);
         next = null;
-        others.forEach(o -> o.end(Ending.DONE));
+        others.forEach(o -> o.end(CloseReason.DONE));
     }
 
     @Override
-    public void ended(DiscoveryConnection connection, Ending how) {
+    public void ended(DiscoveryConnection connection, CloseReason closeReason) {
         if (watch == connection) {
             watch = null;
-            lost(how);
+            lost(closeReason);
             // Danger: routers whose watches end at one moment, and who all come back at once.
-            next = loop.at(loop.now() + random.nextLong(askUs / 2), this::ask);
+            next = loop.schedule(loop.nowUs() + random.nextLong(askUs / 2), this::ask);
         } else if (asked.remove(connection)) {
-            lost(how);
+            lost(closeReason);
         }
     }
 
-    private void lost(Ending how) {
+    private void lost(CloseReason closeReason) {
         // Said once, until a line shows that discovery serves again.
         LOG.log(
                 down ? Level.FINE : Level.WARNING,
                 "discovery: the watch ended ({0}), the list of {1} nodes is kept",
-                new Object[] {how, roster.size()});
+                new Object[] {closeReason, roster.size()});
         down = true;
         turn.input(m -> m.nodes(Aggregator.News.FAILED));
     }
