--- a/src/main/java/tinlink/router/Intake.java
+++ b/src/main/java/tinlink/router/Intake.java
@@ -1,12 +1,12 @@
 package tinlink.router;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.JsonReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.net.Protocol;
+import tinlink.net.ProtocolLimits;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,9 +19,9 @@
 import java.util.logging.Logger;
 
 /** Lets clients in and hands their queries to the module's turn. */
-final class Intake implements Network.Door {
+final class Intake implements Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.intake");
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final Descriptors descriptors;
     private final QueryReader reader;
@@ -49,7 +49,7 @@
      */
     private final Map<Client, Long> sending = new LinkedHashMap<>();
     /** When the first of them may be closed, while no other gives way; null while none has to. */
-    private Loop.Timer room;
+    private EventLoop.Timer room;
     /** Bytes of bodies that are being read. */
     private long reading;
 
@@ -62,7 +62,7 @@
     private PolicyLinks policy;
 
     Intake(
-            Loop loop,
+            EventLoop loop,
             Network network,
             Descriptors descriptors,
             QueryReader reader,
@@ -85,20 +85,20 @@
     // ---- The door. ----
 
     @Override
-    public Link.Owner owner() {
+    public Connection.Listener newListener() {
         return new Client(this);
     }
 
     @Override
-    public void opened(Link link, Link.Owner owner) {
-        opened(link, owner, loop.now(), false);
+    public void accepted(Connection link, Connection.Listener owner) {
+        opened(link, owner, loop.nowUs(), false);
     }
 
     /**
      * @param since when it was accepted; its first request has its time from then on
      * @param asked what it asks has waited for us since then, so that much less of its time is left
      */
-    void opened(Link link, Link.Owner owner, long since, boolean asked) {
+    void opened(Connection link, Connection.Listener owner, long since, boolean asked) {
         descriptors.clientOpened();
         Client c = (Client) owner;
         c.on(link, asked ? since : Long.MAX_VALUE);
@@ -110,7 +110,7 @@
 
     private void makeRoom() {
         if (!descriptors.hasForClient() && !closeIdle() && !sending.isEmpty() && room == null) {
-            room = loop.at(sending.values().iterator().next() + lingerUs, () -> {
+            room = loop.schedule(sending.values().iterator().next() + lingerUs, () -> {
                 room = null;
                 makeRoom();
             });
@@ -119,14 +119,14 @@
 
     /** Danger: accepting without a descriptor to spare fails again at once, and spins. */
     @Override
-    public boolean mayOpen() {
+    public boolean canAccept() {
         return descriptors.hasForClient();
     }
 
     @Override
     public void acceptFailed(Throwable why) {
         LOG.log(Level.WARNING, "accept failed", why);
-        loop.at(loop.now() + lingerUs, () -> network.accept(this));
+        loop.schedule(loop.nowUs() + lingerUs, () -> network.accept(this));
     }
 
     /**
@@ -142,14 +142,14 @@
     }
 
     void whileReadsStop(Runnable what) {
-        network.whileReadsStop(what);
+        network.whileReadsPaused(what);
     }
 
     private void closeOneIdle() {
         for (Set<Client> some : List.of(leaving, silent, idle)) {
             for (Client c : some) {
-                if (some == leaving ? c.link().isIdle() : !c.link().hasUntaken()) {
-                    c.link().end(Ending.IDLE);
+                if (some == leaving ? c.link().isIdle() : !c.link().hasUnprocessedRead()) {
+                    c.link().close(CloseReason.IDLE);
                     return;
                 }
             }
@@ -159,11 +159,11 @@
         // request that is sent at all has come whole by now.
         for (Map.Entry<Client, Long> slow : sending.entrySet()) {
             Client c = slow.getKey();
-            if (slow.getValue() + lingerUs > loop.now()) {
+            if (slow.getValue() + lingerUs > loop.nowUs()) {
                 break;
             }
-            if (!c.link().hasUntaken()) {
-                c.link().end(Ending.IDLE);
+            if (!c.link().hasUnprocessedRead()) {
+                c.link().close(CloseReason.IDLE);
                 return;
             }
         }
@@ -180,7 +180,7 @@
         sending.remove(c);
         if (clients.contains(c)) {
             idle.add(c);
-            loop.ready(this::makeRoom);
+            loop.execute(this::makeRoom);
             if (closing) {
                 whileReadsStop(() -> letGo(c));
             }
@@ -190,7 +190,7 @@
     /** A part of a request has come. */
     void sends(Client c) {
         if (clients.contains(c)) {
-            sending.putIfAbsent(c, loop.now());
+            sending.putIfAbsent(c, loop.nowUs());
         }
     }
 
@@ -205,28 +205,28 @@
         sending.remove(c);
         busy(c);
         descriptors.clientClosed();
-        loop.ready(() -> network.accept(this));
+        loop.execute(() -> network.accept(this));
     }
 
     /**
      * Between the two times that the protocol gives: after that, a connection with nothing in hand
      * is closed.
      */
-    Loop.Timer whenTooLong(long sinceUs, Runnable what) {
-        return loop.at(sinceUs + (3 * Protocol.CLIENT_FREE_US + Protocol.CLIENT_OWED_US) / 4, what);
+    EventLoop.Timer whenTooLong(long sinceUs, Runnable what) {
+        return loop.schedule(sinceUs + (3 * ProtocolLimits.MIN_CLIENT_IDLE_US + ProtocolLimits.MAX_CLIENT_WAIT_US) / 4, what);
     }
 
     /** What has been read, and waits for the loop, has been taken by then. */
-    Loop.Timer whenSaid(Runnable what) {
-        return loop.at(loop.now() + lingerUs, what);
+    EventLoop.Timer whenSaid(Runnable what) {
+        return loop.schedule(loop.nowUs() + lingerUs, what);
     }
 
     long now() {
-        return loop.now();
+        return loop.nowUs();
     }
 
-    void takeBack(Loop.Timer t) {
-        loop.takeBack(t);
+    void takeBack(EventLoop.Timer t) {
+        loop.cancel(t);
     }
 
     /** It has had its last answer; if it does not end the connection itself, we do. */
@@ -234,13 +234,13 @@
         busy(c);
         sending.remove(c);
         leaving.add(c);
-        leave(c, loop.now() + longestUs);
+        leave(c, loop.nowUs() + longestUs);
     }
 
     private void leave(Client c, long atLast) {
-        loop.at(loop.now() + lingerUs, () -> {
-            if (c.link().isIdle() || loop.now() >= atLast) {
-                c.link().end(Ending.DONE);
+        loop.schedule(loop.nowUs() + lingerUs, () -> {
+            if (c.link().isIdle() || loop.nowUs() >= atLast) {
+                c.link().close(CloseReason.DONE);
             } else {
                 leave(c, atLast);
             }
@@ -248,9 +248,9 @@
     }
 
     void soon(Client c) {
-        loop.ready(() -> {
-            if (!c.link().isOver()) {
-                c.link().more();
+        loop.execute(() -> {
+            if (!c.link().isClosed()) {
+                c.link().resumeReading();
             }
         });
     }
@@ -281,15 +281,15 @@
 
     /** @param askedAt when its client has asked, as far as that is known */
     Query read(Map<String, String> fields, JsonReader body, Client c, long askedAt)
-            throws BadMessage {
+            throws MessageRejectedException {
         Query q = reader.read(
                 fields,
                 body,
                 c,
-                Math.min(askedAt, loop.now()),
+                Math.min(askedAt, loop.nowUs()),
                 policy == null ? null : policy.indexes());
         if (turn.knows(q.callId)) {
-            throw new BadMessage(409, "x-call-id: one of that id is or was in hand");
+            throw new MessageRejectedException(409, "x-call-id: one of that id is or was in hand");
         }
         return q;
     }
@@ -340,7 +340,7 @@
      * What has been read and waits for the loop is answered first, as the last on its connection.
      */
     private void letGo(Client c) {
-        if (!c.link().hasUntaken()) {
+        if (!c.link().hasUnprocessedRead()) {
             c.letGo();
         }
     }
--- a/src/main/java/tinlink/router/ModuleTurn.java
+++ b/src/main/java/tinlink/router/ModuleTurn.java
@@ -7,7 +7,7 @@
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.decision.PartCall;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -23,9 +23,9 @@
 import java.util.logging.Logger;
 
 /** A turn of the module: its clock, its inputs, its decisions, and then what these ask for. */
-final class ModuleTurn implements Host, Loop.Turn {
+final class ModuleTurn implements Host, EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.turn");
-    private final Loop loop;
+    private final EventLoop loop;
     private final Aggregator module;
     /** Queries in hand; each leaves with its answer or its client. */
     private final Map<String, Query> queries = new HashMap<>();
@@ -47,12 +47,12 @@
     private PartSends sends;
     private Runnable follow;
     /** What else decides in each turn, beside the module; null where nothing does. */
-    private Loop.Turn beside;
+    private EventLoop.EventLoopParticipant beside;
     /** Work on machines; null where it is off. */
-    private Loop.Turn also;
+    private EventLoop.EventLoopParticipant also;
 
     /** @param mostComeBackUs clients are told to come back no later */
-    ModuleTurn(Loop loop, Aggregator module, long keptUs, long mostComeBackUs) {
+    ModuleTurn(EventLoop loop, Aggregator module, long keptUs, long mostComeBackUs) {
         this.loop = loop;
         this.keptUs = keptUs;
         this.mostComeBackUs = mostComeBackUs;
@@ -64,24 +64,24 @@
         this.follow = follow;
     }
 
-    void beside(Loop.Turn what) {
+    void beside(EventLoop.EventLoopParticipant what) {
         beside = what;
     }
 
-    void also(Loop.Turn what) {
+    void also(EventLoop.EventLoopParticipant what) {
         also = what;
     }
 
     // ---- Inputs. ----
 
     @Override
-    public void begins(long nowUs) {
+    public void turnStarted(long nowUs) {
         module.clock(nowUs);
         if (beside != null) {
-            beside.begins(nowUs);
+            beside.turnStarted(nowUs);
         }
         if (also != null) {
-            also.begins(nowUs);
+            also.turnStarted(nowUs);
         }
     }
 
@@ -90,7 +90,7 @@
      * data nodes take for those of the other.
      */
     boolean knows(String callId) {
-        long old = loop.now() - keptUs;
+        long old = loop.nowUs() - keptUs;
         for (Iterator<Long> at = ended.values().iterator(); at.hasNext() && at.next() <= old; ) {
             at.remove();
         }
@@ -128,7 +128,7 @@
      * on.
      */
     void outcome(Sent s, Outcome how) {
-        outcome(s, how, loop.now() - s.call.sentAt);
+        outcome(s, how, loop.nowUs() - s.call.sentAt);
     }
 
     /** @param tookUs without what a line to another site took; below 0 where it says nothing */
@@ -143,7 +143,7 @@
 
     void input(Consumer<Aggregator> what) {
         if (carrying) {
-            loop.ready(() -> what.accept(module));
+            loop.execute(() -> what.accept(module));
         } else {
             what.accept(module);
         }
@@ -152,7 +152,7 @@
     // ---- Decisions. ----
 
     @Override
-    public void decides() {
+    public void turnEnding() {
         besides(); // What has come over the lines is an input of this turn.
         // Danger: a fault in the module would come back at every pull. First the lookups with
         // inputs in this
@@ -180,7 +180,7 @@
     private void besides() {
         try {
             if (beside != null) {
-                beside.decides();
+                beside.turnEnding();
             }
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "a fault beside the module", e);
@@ -191,7 +191,7 @@
     private void alsoDecides() {
         try {
             if (also != null) {
-                also.decides();
+                also.turnEnding();
             }
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "a fault in work on machines", e);
@@ -221,13 +221,13 @@
     private void drop(Query q) {
         if (queries.remove(q.callId, q)) {
             parts -= q.announced;
-            ended.put(q.callId, loop.now());
+            ended.put(q.callId, loop.nowUs());
         }
     }
 
     @Override
     public void send(PartCall call, long limitUs) {
-        long until = loop.now() + limitUs;
+        long until = loop.nowUs() + limitUs;
         asked.add(() -> sends.send(call, until));
     }
 
@@ -271,7 +271,7 @@
 
     @Override
     public void wake(long atUs) {
-        loop.at(atUs, module::timer);
+        loop.schedule(atUs, module::timer);
     }
 
     @Override
--- a/src/main/java/tinlink/router/NodeLink.java
+++ b/src/main/java/tinlink/router/NodeLink.java
@@ -2,12 +2,12 @@
 
 import tinlink.decision.DataNode;
 import tinlink.decision.Outcome;
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.FrameReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
-import tinlink.net.Ring;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.RingBuffer;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -22,7 +22,7 @@
 import java.util.logging.Logger;
 
 /** One connection to a data node, and the part calls that are out on it. */
-final class NodeLink implements Link.Owner, FrameReader.Sink {
+final class NodeLink implements Connection.Listener, FrameReader.FrameListener {
     private static final Logger LOG = Logger.getLogger("tinlink.nodes");
 
     /**
@@ -49,7 +49,7 @@
     private final ArrayDeque<Bundle> waiting = new ArrayDeque<>();
 
     private final ArrayDeque<String> givenUp = new ArrayDeque<>();
-    private Link link;
+    private Connection link;
     /** Places in use. */
     private int calls;
 
@@ -57,10 +57,10 @@
     private long heardAt;
     private boolean silent;
     private boolean retired;
-    private Loop.Timer connect;
-    private Loop.Timer idle;
+    private EventLoop.Timer connect;
+    private EventLoop.Timer idle;
     /** Runs while a frame has begun and has not come whole. */
-    private Loop.Timer stuck;
+    private EventLoop.Timer stuck;
 
     NodeLink(PartSends sends, Target target, long now) {
         this.sends = sends;
@@ -68,7 +68,7 @@
         usedAt = now;
     }
 
-    void on(Link link, Loop.Timer connect) {
+    void on(Connection link, EventLoop.Timer connect) {
         this.link = link;
         this.connect = connect;
     }
@@ -100,9 +100,9 @@
     }
 
     /** Why it is closed once no call is out on it; null where it stays for the next. */
-    Ending endsUnused() {
+    CloseReason endsUnused() {
         boolean gone = retired || target.node.state == DataNode.State.GONE;
-        return silent ? Ending.SILENT : gone ? Ending.GONE : null;
+        return silent ? CloseReason.SILENT : gone ? CloseReason.GONE : null;
     }
 
     /** Its node has moved, or has started anew. */
@@ -115,9 +115,9 @@
         return out.containsKey(s.segment().id) || unanswered.contains(s.segment().id);
     }
 
-    void end(Ending how) {
+    void end(CloseReason closeReason) {
         if (link != null) {
-            link.end(how);
+            link.close(closeReason);
         }
     }
 
@@ -147,7 +147,7 @@
             waiting.remove(s.bundle);
             calls--;
             usedAt = sends.now();
-            if (calls == 0 && !link.isOver()) {
+            if (calls == 0 && !link.isClosed()) {
                 idle = sends.idle(this);
             }
         }
@@ -159,37 +159,37 @@
     }
 
     boolean hasLeft(Sent s) {
-        return !s.bundle.waits() && link.left(s.bundle.frameEnd);
+        return !s.bundle.waits() && link.mayHaveLeft(s.bundle.frameEnd);
     }
 
     @Override
-    public void up() {
+    public void connected() {
         sends.takeBack(connect);
         depart();
     }
 
     @Override
-    public void idle() {
+    public void writesCompleted() {
         depart();
     }
 
     /** Writes what waits, if it can leave at once. */
     void depart() {
-        if (link == null || !link.isFree()) {
+        if (link == null || !link.canWriteNow()) {
             return;
         }
-        Ring ring = link.out();
+        RingBuffer ring = link.out();
         while (!givenUp.isEmpty()) {
             byte[] id = givenUp.poll().getBytes(StandardCharsets.UTF_8);
             ring.put(head(1 + id.length, 'A')).put(id);
-            link.later();
+            link.scheduleWrite();
         }
         while (!waiting.isEmpty() && ring.size() < MAX_WRITE_BYTES) {
             Bundle b = waiting.poll();
             dropStale(b);
             if (b.open > 0) {
                 frame(b, ring);
-                b.frameEnd = link.later();
+                b.frameEnd = link.scheduleWrite();
                 usedAt = sends.now();
             }
         }
@@ -215,7 +215,7 @@
         List.copyOf(waiting).forEach(this::dropStale);
     }
 
-    private void frame(Bundle b, Ring ring) {
+    private void frame(Bundle b, RingBuffer ring) {
         List<byte[]> lines = new ArrayList<>();
         int length = 1;
         for (Sent s : b.sent) {
@@ -246,21 +246,21 @@
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         try {
             reader.read(in);
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             LOG.log(Level.FINE, "data node {0}: {1}", new Object[] {target.address, e.getMessage()
             });
-            link.end(Ending.BAD_INPUT);
+            link.close(CloseReason.BAD_INPUT);
         }
-        if (reader.between() != (stuck == null)) {
+        if (reader.isAtBoundary() != (stuck == null)) {
             sends.takeBack(stuck);
             // Danger: a frame that stops in its middle would hold all that is out here until its
             // time is over.
-            stuck = reader.between() || link.isOver()
+            stuck = reader.isAtBoundary() || link.isClosed()
                     ? null
-                    : sends.whenStuck(() -> link.end(Ending.BAD_INPUT));
+                    : sends.whenStuck(() -> link.close(CloseReason.BAD_INPUT));
         }
     }
 
@@ -269,15 +269,15 @@
      * trusted.
      */
     @Override
-    public void begins(String id) throws BadMessage {
+    public void answerStarted(String id) throws MessageRejectedException {
         if (!out.containsKey(id) && !unanswered.contains(id) && !id.equals(answered)) {
-            throw new BadMessage(502, "an answer to a call that was not sent");
+            throw new MessageRejectedException(502, "an answer to a call that was not sent");
         }
     }
 
     /** Danger: only a whole answer shows that the node lives; noise does not. */
     @Override
-    public void ended(String id, String end, String report, String value) {
+    public void answerReceived(String id, String end, String report, String value) {
         heardAt = sends.now();
         silent = false;
         answered = id;
@@ -301,20 +301,20 @@
     }
 
     @Override
-    public void rejected(String words) {
+    public void frameRejected(String words) {
         LOG.log(Level.FINE, "data node {0} could not use a frame: {1}", new Object[] {
             target.address, words
         });
-        link.end(Ending.FRAME_REJECTED);
+        link.close(CloseReason.FRAME_REJECTED);
     }
 
     @Override
-    public void ended(Ending how) {
+    public void connectionClosed(CloseReason closeReason) {
         sends.takeBack(connect);
         sends.takeBack(idle);
         sends.takeBack(stuck);
         LOG.log(Level.FINE, "data node {0}: {1}, {2} calls out", new Object[] {
-            target.address, how, calls
+            target.address, closeReason, calls
         });
         // One answer was spoilt: it is held to be that of the call that has waited longest. A
         // connection that
@@ -326,8 +326,8 @@
         sends.closed(this);
         for (Sent s : lost) {
             if (!s.over) {
-                boolean meant = how == Ending.PEER_CLOSED ? heardAt == 0 : s == oldest;
-                sends.over(s, how.outcome(hasLeft(s), meant), false);
+                boolean meant = closeReason == CloseReason.PEER_CLOSED ? heardAt == 0 : s == oldest;
+                sends.over(s, closeReason.toOutcome(hasLeft(s), meant), false);
             }
         }
     }
--- a/src/main/java/tinlink/router/PartSends.java
+++ b/src/main/java/tinlink/router/PartSends.java
@@ -3,9 +3,9 @@
 import tinlink.decision.DataNode;
 import tinlink.decision.Outcome;
 import tinlink.decision.PartCall;
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.start.RouterStart;
 
@@ -22,7 +22,7 @@
  */
 final class PartSends {
     private static final Logger LOG = Logger.getLogger("tinlink.nodes");
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final Descriptors descriptors;
     private final ModuleTurn turn;
@@ -40,7 +40,7 @@
     private final List<Bundle> leaving = new ArrayList<>();
 
     PartSends(
-            Loop loop,
+            EventLoop loop,
             Network network,
             Descriptors descriptors,
             ModuleTurn turn,
@@ -80,12 +80,12 @@
     }
 
     long now() {
-        return loop.now();
+        return loop.nowUs();
     }
 
     /** A frame comes whole within the time in which a connection comes up. */
-    Loop.Timer whenStuck(Runnable what) {
-        return loop.at(now() + links.connectUs(), what);
+    EventLoop.Timer whenStuck(Runnable what) {
+        return loop.schedule(now() + links.connectUs(), what);
     }
 
     /**
@@ -100,8 +100,8 @@
         return links.callsPerLink();
     }
 
-    void takeBack(Loop.Timer t) {
-        loop.takeBack(t);
+    void takeBack(EventLoop.Timer t) {
+        loop.cancel(t);
     }
 
     // ---- What the list says. ----
@@ -143,7 +143,7 @@
         }
         t.open++;
         s.to = t;
-        s.limit = loop.at(until, () -> unanswered(s));
+        s.limit = loop.schedule(until, () -> unanswered(s));
         if (streams.offered(t)) {
             streams.send(t, s);
             return;
@@ -174,7 +174,7 @@
     void release(DataNode node) {
         for (NodeLink l : List.copyOf(target(node).links)) {
             if (l.calls() == 0) {
-                l.end(Ending.RELEASED);
+                l.end(CloseReason.RELEASED);
             }
         }
         streams.release(target(node));
@@ -201,7 +201,7 @@
         NodeLink best = null;
         for (NodeLink l : List.copyOf(t.links)) {
             if (l.calls() == 0 && now() - l.usedAt() >= idleUs) {
-                l.end(Ending.IDLE);
+                l.end(CloseReason.IDLE);
             } else if (l.calls() < links.callsPerLink()
                     && l.isTrusted()
                     && b.sent.stream().noneMatch(l::confuses)
@@ -216,7 +216,7 @@
         }
         for (Sent s : b.sent) {
             if (!s.over) {
-                over(s, Ending.NO_SOCKET.outcome(false, true), false);
+                over(s, CloseReason.NO_SOCKET.toOutcome(false, true), false);
             }
         }
     }
@@ -227,8 +227,8 @@
         }
         NodeLink l = new NodeLink(this, t, now());
         try {
-            Link link = network.connect(t.address, l);
-            l.on(link, loop.at(now() + links.connectUs(), () -> link.end(Ending.NOT_UP)));
+            Connection link = network.connect(t.address, l);
+            l.on(link, loop.schedule(now() + links.connectUs(), () -> link.close(CloseReason.NOT_UP)));
             descriptors.nodeOpened();
             t.links.add(l);
             return l;
@@ -241,7 +241,7 @@
     /** Nothing more will be sent. */
     void endAll() {
         List.copyOf(targets.values())
-                .forEach(t -> List.copyOf(t.links).forEach(l -> l.end(Ending.DONE)));
+                .forEach(t -> List.copyOf(t.links).forEach(l -> l.end(CloseReason.DONE)));
     }
 
     // ---- Outcomes. ----
@@ -261,7 +261,7 @@
      */
     void over(Sent s, Outcome how, boolean giveUp) {
         s.over = true;
-        loop.takeBack(s.limit);
+        loop.cancel(s.limit);
         s.limit = null;
         if (s.to != null) {
             s.to.open--;
@@ -276,18 +276,18 @@
     // ---- Links. ----
 
     /** A link with no call out is closed before its node's machine does it. */
-    Loop.Timer idle(NodeLink l) {
-        Ending how = l.endsUnused();
-        if (how != null) {
-            loop.ready(() -> endUnused(l, how));
+    EventLoop.Timer idle(NodeLink l) {
+        CloseReason closeReason = l.endsUnused();
+        if (closeReason != null) {
+            loop.execute(() -> endUnused(l, closeReason));
             return null;
         }
-        return loop.at(l.usedAt() + idleUs, () -> endUnused(l, Ending.IDLE));
+        return loop.schedule(l.usedAt() + idleUs, () -> endUnused(l, CloseReason.IDLE));
     }
 
-    private static void endUnused(NodeLink l, Ending how) {
-        if (l.calls() == 0 && how != null) {
-            l.end(how);
+    private static void endUnused(NodeLink l, CloseReason closeReason) {
+        if (l.calls() == 0 && closeReason != null) {
+            l.end(closeReason);
         }
     }
 
--- a/src/main/java/tinlink/router/PolicyLinks.java
+++ b/src/main/java/tinlink/router/PolicyLinks.java
@@ -1,8 +1,8 @@
 package tinlink.router;
 
 import tinlink.decision.Index;
-import tinlink.net.BadMessage;
-import tinlink.net.Loop;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.EventLoop;
 import tinlink.cluster.ClusterNode;
 import tinlink.policy.PolicyRolloutService;
 import tinlink.policy.PolicyStateMachine;
@@ -23,7 +23,7 @@
     /** As the newest versions have them: two at a time, the one in force and the one before it. */
     private final Map<Long, PolicyDoc> docs = new java.util.TreeMap<>();
 
-    PolicyLinks(Loop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterStart start) {
+    PolicyLinks(EventLoop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterStart start) {
         this.start = start;
         // The one clock that all machines read; nothing else in the router asks it.
         policyRollout = new PolicyRolloutService(
@@ -67,10 +67,10 @@
      * Figures of lookups that come now. @throws BadMessage where none may be taken: nothing of it
      * was sent
      */
-    Map<String, Index> indexes() throws BadMessage {
+    Map<String, Index> indexes() throws MessageRejectedException {
         PolicyDoc d = doc();
         if (d == null && !policyRollout.unavailableReason().isEmpty()) {
-            throw new BadMessage(503, "no lookups are taken: " + policyRollout.unavailableReason());
+            throw new MessageRejectedException(503, "no lookups are taken: " + policyRollout.unavailableReason());
         }
         return d == null ? start.lookups.indexes() : d.indexes;
     }
--- a/src/main/java/tinlink/router/QueryReader.java
+++ b/src/main/java/tinlink/router/QueryReader.java
@@ -3,7 +3,7 @@
 import tinlink.decision.Index;
 import tinlink.decision.Part;
 import tinlink.gateway.IncomingPart;
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
 import tinlink.start.RouterStart;
 
@@ -38,22 +38,22 @@
             Client client,
             long askedAt,
             Map<String, Index> by)
-            throws BadMessage {
+            throws MessageRejectedException {
         String callId = matching(fields, "x-call-id", CALL_ID);
         Index index =
                 (by == null ? may.indexes() : by).get(fields.getOrDefault("x-call-class", ""));
         if (index == null) {
-            throw new BadMessage(400, "X-Call-Class: no such class");
+            throw new MessageRejectedException(400, "X-Call-Class: no such class");
         }
         long budgetUs = 1000 * Long.parseLong(matching(fields, "x-budget-ms", BUDGET));
         String key = index.effect == Index.Effect.FINGERPRINTED
                 ? matching(fields, "idempotency-key", KEY)
                 : null;
         if (!(body.value() instanceof Map<?, ?> map)) {
-            throw new BadMessage(400, "the body is no object");
+            throw new MessageRejectedException(400, "the body is no object");
         }
         if (!(map.get("text") instanceof String text)) {
-            throw new BadMessage(400, "text: no string");
+            throw new MessageRejectedException(400, "text: no string");
         }
         Query q = new Query(callId, text.getBytes(StandardCharsets.UTF_8), key, client);
         q.index = index;
@@ -68,15 +68,15 @@
      *
      * @param id of its own among all in hand
      */
-    Query forwarded(IncomingPart part, String id, Query.Asker asker) throws BadMessage {
+    Query forwarded(IncomingPart part, String id, Query.Asker asker) throws MessageRejectedException {
         Index index = may.indexes().get(part.index);
         if (index == null || part.shard < 0 || part.shard >= may.shards()) {
-            throw new BadMessage(400, "no such class or shard");
+            throw new MessageRejectedException(400, "no such class or shard");
         }
         boolean keyed = index.effect == Index.Effect.FINGERPRINTED;
         if (!PART_ID.matcher(part.id).matches()
                 || (keyed && (part.idempotencyKey == null || !KEY.matcher(part.idempotencyKey).matches()))) {
-            throw new BadMessage(400, "id or key: not of its form");
+            throw new MessageRejectedException(400, "id or key: not of its form");
         }
         Query q = new Query(id, part.text, keyed ? part.idempotencyKey : null, asker);
         q.index = index;
@@ -89,33 +89,33 @@
     }
 
     private static String matching(Map<String, String> fields, String name, Pattern pattern)
-            throws BadMessage {
+            throws MessageRejectedException {
         String value = fields.get(name);
         if (value == null || !pattern.matcher(value).matches()) {
-            throw new BadMessage(400, name + (value == null ? ": missing" : ": not of its form"));
+            throw new MessageRejectedException(400, name + (value == null ? ": missing" : ": not of its form"));
         }
         return value;
     }
 
-    private void segments(Query q, Object given) throws BadMessage {
+    private void segments(Query q, Object given) throws MessageRejectedException {
         if (!(given instanceof List<?> list) || list.isEmpty()) {
-            throw new BadMessage(400, "segments: no list, or an empty one");
+            throw new MessageRejectedException(400, "segments: no list, or an empty one");
         }
         Set<Integer> seen = new HashSet<>();
         double sum = 0;
         for (Object one : list) {
             if (!(one instanceof Map<?, ?> map)) {
-                throw new BadMessage(400, "segments: an entry is no object");
+                throw new MessageRejectedException(400, "segments: an entry is no object");
             }
             if (!(map.get("segment") instanceof Double shard)
                     || shard != Math.rint(shard)
                     || shard < 0
                     || shard >= may.shards()
                     || !seen.add(shard.intValue())) {
-                throw new BadMessage(400, "segment: no such shard, or twice");
+                throw new MessageRejectedException(400, "segment: no such shard, or twice");
             }
             if (!(map.get("boost") instanceof Double boost) || !(boost > 0) || boost > 1) {
-                throw new BadMessage(400, "boost: no share");
+                throw new MessageRejectedException(400, "boost: no share");
             }
             q.parts.add(new Segment(q, shard.intValue(), boost));
             sum += boost;
@@ -124,7 +124,7 @@
         // answer, and
         // parts of a lookup that nobody asked for in this form are void.
         if (Math.abs(sum - 1) > ROUNDED * (1 + q.parts.size())) {
-            throw new BadMessage(400, "boost: the shares don't add up to 1");
+            throw new MessageRejectedException(400, "boost: the shares don't add up to 1");
         }
         for (Part p : q.parts) {
             p.weight /= sum;
--- a/src/main/java/tinlink/router/Reply.java
+++ b/src/main/java/tinlink/router/Reply.java
@@ -2,8 +2,8 @@
 
 import tinlink.decision.Part;
 import tinlink.net.JsonReader;
-import tinlink.net.Protocol;
-import tinlink.net.Ring;
+import tinlink.net.ProtocolLimits;
+import tinlink.net.RingBuffer;
 
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
@@ -38,14 +38,14 @@
             String value = ((Segment) p).value;
             if (p.satisfied && value != null) {
                 b.append(comma).append("{\"segment\":").append(p.shard).append(",\"payload\":");
-                JsonReader.quote(b, value);
+                JsonReader.appendQuoted(b, value);
                 b.append('}');
                 comma = ",";
             }
         }
         Reply r = new Reply(
                 200, "Content-Type: application/json\r\n", b.append("]}").toString());
-        return r.body.length <= Protocol.MOST_BODY ? r : plain(500, "the answer is too long");
+        return r.body.length <= ProtocolLimits.MAX_BODY_BYTES ? r : plain(500, "the answer is too long");
     }
 
     static Reply nack(long comeBackUs) {
@@ -60,7 +60,7 @@
         return plain(504, "no answer in time; it may have had its effect");
     }
 
-    void write(Ring to, boolean last) {
+    void write(RingBuffer to, boolean last) {
         to.put("HTTP/1.1 " + status + " " + words() + "\r\n" + fields
                         + (status == 405 ? "Allow: GET, POST\r\n" : "")
                         + (last ? "Connection: close\r\n" : "")
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -1,9 +1,9 @@
 package tinlink.router;
 
 import tinlink.decision.Aggregator;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.net.Protocol;
+import tinlink.net.ProtocolLimits;
 import tinlink.start.BadInput;
 import tinlink.start.RouterStart;
 
@@ -22,7 +22,7 @@
     /** What comes later than this after a SIGTERM must not be left unanswered. */
     private static final long LAST_TAKEN_US = 600_000;
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final Network network;
     private final ModuleTurn turn;
     private final Intake intake;
@@ -95,7 +95,7 @@
     public void onlyWarmUp() throws IOException {
         try {
             network.listen(start.listen);
-            beginWarmup(loop::end);
+            beginWarmup(loop::stop);
             loop.run(turn);
         } finally {
             network.close();
@@ -123,7 +123,7 @@
     /** Serves until it is told to stop. */
     public void run() throws IOException {
         try {
-            turn.begins(loop.now());
+            turn.turnStarted(loop.nowUs());
             roster.known(start.known);
             // From here on clients can connect; until they are served they wait, and none is
             // refused.
@@ -141,7 +141,7 @@
             } else {
                 awaitList();
             }
-            loop.ready(() -> {}); // The first turn is now: the module may want to ask for the list.
+            loop.execute(() -> {}); // The first turn is now: the module may want to ask for the list.
             loop.run(turn);
             if (notServed != null) {
                 throw notServed;
@@ -168,10 +168,10 @@
     private void awaitList() {
         warm = true;
         if (!listHeard) {
-            loop.at(
-                    loop.now()
+            loop.schedule(
+                    loop.nowUs()
                             + start.links.connectUs()
-                            + (start.pushed ? 0 : Protocol.WATCH_LINE_US / 2),
+                            + (start.pushed ? 0 : ProtocolLimits.WATCH_KEEPALIVE_US / 2),
                     this::listHeard);
         }
         serveWhenReady();
@@ -218,7 +218,7 @@
                     });
         } catch (IOException e) {
             notServed = e;
-            loop.end();
+            loop.stop();
         }
     }
 
@@ -250,12 +250,12 @@
     }
 
     private long http2Count(String name) {
-        return loop.ask(() -> sends.streams().counters().of(name));
+        return loop.submitAndWait(() -> sends.streams().counters().get(name));
     }
 
     /** From another thread: ends at once, whatever is in hand. */
     public void end() {
-        loop.ready(loop::end);
+        loop.execute(loop::stop);
     }
 
     /**
@@ -263,7 +263,7 @@
      * can't be used.
      */
     public void reload() {
-        loop.ready(() -> {
+        loop.execute(() -> {
             try {
                 start = start.again();
                 discovery.moveTo(start.discovery);
@@ -279,7 +279,7 @@
 
     /** From another thread: stops in order and returns when that is done. */
     public void stopAndWait() throws InterruptedException {
-        loop.ready(this::stop);
+        loop.execute(this::stop);
         over.await();
     }
 
@@ -292,15 +292,15 @@
         // is back. Clients go on using the connections that they have, so these are served for as
         // long as
         // what comes can be answered before the process may be killed.
-        long kill = Math.min(start.longestUs, Protocol.KILL_LONGEST_US) + Protocol.KILL_AFTER_US;
-        long last = loop.now() + LAST_TAKEN_US + start.longestUs;
-        long door = loop.now() + Math.max(CLIENTS_COME_US, kill - 2 * start.longestUs / 3);
+        long kill = Math.min(start.longestUs, ProtocolLimits.MAX_KILL_GRACE_US) + ProtocolLimits.KILL_MARGIN_US;
+        long last = loop.nowUs() + LAST_TAKEN_US + start.longestUs;
+        long door = loop.nowUs() + Math.max(CLIENTS_COME_US, kill - 2 * start.longestUs / 3);
         // Danger: what comes late after the SIGTERM and is still unanswered as the process is
         // killed is lost.
-        long takes = Math.min(last, loop.now() + kill - (Protocol.KILL_AFTER_US - LAST_TAKEN_US));
-        loop.at(loop.now() + CLIENTS_COME_US, () -> intake.takesUntil(takes));
-        loop.at(door, intake::closeDoor);
-        loop.at(Math.max(door, loop.now() + LAST_TAKEN_US), () -> endWhenEmpty(last));
+        long takes = Math.min(last, loop.nowUs() + kill - (ProtocolLimits.KILL_MARGIN_US - LAST_TAKEN_US));
+        loop.schedule(loop.nowUs() + CLIENTS_COME_US, () -> intake.takesUntil(takes));
+        loop.schedule(door, intake::closeDoor);
+        loop.schedule(Math.max(door, loop.nowUs() + LAST_TAKEN_US), () -> endWhenEmpty(last));
         intake.notReady();
         workKnown = true;
         if (work != null) {
@@ -317,17 +317,17 @@
 
     private void endWhenEmpty(long last) {
         if ((intake.isEmpty() && (sites == null || sites.gateway().isIdle()))
-                || loop.now() >= last) {
+                || loop.nowUs() >= last) {
             if (work == null) {
-                loop.end();
+                loop.stop();
             } else {
                 work.leave();
-                loop.at(
-                        loop.now() + start.links.connectUs() / 4,
-                        loop::end); // Its last words leave first.
+                loop.schedule(
+                        loop.nowUs() + start.links.connectUs() / 4,
+                        loop::stop); // Its last words leave first.
             }
         } else {
-            loop.at(loop.now() + start.links.connectUs() / 8, () -> endWhenEmpty(last));
+            loop.schedule(loop.nowUs() + start.links.connectUs() / 8, () -> endWhenEmpty(last));
         }
     }
 }
--- a/src/main/java/tinlink/router/Sent.java
+++ b/src/main/java/tinlink/router/Sent.java
@@ -2,7 +2,7 @@
 
 import tinlink.decision.Index;
 import tinlink.decision.PartCall;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 
 import java.util.OptionalLong;
 
@@ -10,7 +10,7 @@
 final class Sent {
     final PartCall call;
     final long until;
-    Loop.Timer limit;
+    EventLoop.Timer limit;
     /** Where it goes; null for a router of another site. */
     Target to;
     /** How it travels; a bundle, where by frames. */
--- a/src/main/java/tinlink/router/SiteLinks.java
+++ b/src/main/java/tinlink/router/SiteLinks.java
@@ -11,8 +11,8 @@
 import tinlink.gateway.OutgoingPart;
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.gateway.forwarding.PartStatus;
-import tinlink.net.BadMessage;
-import tinlink.net.Loop;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.start.GatewayStart;
 import tinlink.start.RouterStart;
@@ -33,7 +33,7 @@
  */
 final class SiteLinks implements Gateway.PartHandler, Query.Asker {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
-    private final Loop loop;
+    private final EventLoop loop;
     private final Stages stages;
     private final Gateway gateway;
     private final int cells;
@@ -46,7 +46,7 @@
 
     private long begun;
 
-    SiteLinks(Loop loop, Network network, RouterStart start, Stages stages) {
+    SiteLinks(EventLoop loop, Network network, RouterStart start, Stages stages) {
         this.loop = loop;
         this.stages = stages;
         cells = start.cells;
@@ -55,7 +55,7 @@
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Identity(g.site, g.router, loop.now(), g.accepts),
+                new Gateway.Identity(g.site, g.router, loop.nowUs(), g.accepts),
                 keys(g),
                 new Gateway.Timing(g.beatUs, g.handshakeUs, g.recoverUs, start.longestUs),
                 new Gateway.Limits(
@@ -94,12 +94,12 @@
 
     /** From another thread. */
     long count(String name) {
-        return loop.ask(() -> gateway.counters().of(name));
+        return loop.submitAndWait(() -> gateway.counters().get(name));
     }
 
     /** From another thread. */
     int farCells() {
-        return loop.ask(() -> (int) nodes.values().stream()
+        return loop.submitAndWait(() -> (int) nodes.values().stream()
                 .flatMap(Arrays::stream)
                 .filter(n -> n != null && n.state == DataNode.State.READY)
                 .count());
@@ -138,7 +138,7 @@
         Query q = s.segment().query();
         OutgoingPart part = new OutgoingPart(
                 s,
-                loop.now(),
+                loop.nowUs(),
                 s.until,
                 s.call.node.cell,
                 q.index.effect == Index.Effect.IDEMPOTENT,
@@ -204,7 +204,7 @@
                 stages.turn.take(q);
                 return;
             }
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             LOG.log(Level.FINE, "event=part_not_used why=\"{0}\"", e.getMessage());
         }
         gateway.partEnded(part, PartStatus.REFUSED, null, 0);
--- a/src/main/java/tinlink/router/Stages.java
+++ b/src/main/java/tinlink/router/Stages.java
@@ -1,7 +1,7 @@
 package tinlink.router;
 
 import tinlink.decision.Aggregator;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.start.RouterStart;
 
@@ -15,7 +15,7 @@
     final DiscoveryWatcher discovery;
     final Descriptors descriptors;
 
-    Stages(Loop loop, Network network, RouterStart start, Aggregator module) {
+    Stages(EventLoop loop, Network network, RouterStart start, Aggregator module) {
         turn = new ModuleTurn(loop, module, start.longestUs, start.mostComeBackUs);
         descriptors = new Descriptors(start.descriptors);
         sends = new PartSends(loop, network, descriptors, turn, start.links);
--- a/src/main/java/tinlink/router/StreamSends.java
+++ b/src/main/java/tinlink/router/StreamSends.java
@@ -6,7 +6,7 @@
 import tinlink.http2.PartRequest;
 import tinlink.http2.pool.ConnectionPool;
 import tinlink.net.Counters;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.start.Http2Start;
 import tinlink.start.RouterStart;
@@ -19,7 +19,7 @@
 
 /** Part calls that go to data nodes over HTTP/2; nothing of it is there while no node offers it. */
 final class StreamSends {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final PartSends sends;
     private final RouterStart.Links links;
@@ -30,7 +30,7 @@
     /** Nodes with decisions to pull; emptied each turn. */
     private Set<Http2NodeClient> touched = new LinkedHashSet<>();
 
-    StreamSends(Loop loop, Network network, PartSends sends, RouterStart.Links links, long idleUs) {
+    StreamSends(EventLoop loop, Network network, PartSends sends, RouterStart.Links links, long idleUs) {
         this.loop = loop;
         this.network = network;
         this.sends = sends;
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -1,13 +1,13 @@
 package tinlink.router;
 
 import tinlink.decision.Index;
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
 import tinlink.net.HttpReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.net.Ring;
+import tinlink.net.RingBuffer;
 import tinlink.start.RouterStart;
 
 import java.io.IOException;
@@ -33,7 +33,7 @@
  * nobody else knows; all others wait unread, and are handed to the real door when the warm-up is
  * over.
  */
-final class Warmup implements Network.Door, Loop.Turn {
+final class Warmup implements Network.AcceptHandler, EventLoop.EventLoopParticipant {
     /**
      * What a first run costs, loading and linking, is over with the first few; each more makes a
      * restart longer.
@@ -48,7 +48,7 @@
     private static final char OURS = 1;
 
     private final RouterStart start;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final Stages real;
     private final Runnable then;
@@ -64,9 +64,9 @@
     /** Accepted and not known as our own; all leave when the warm-up is over. */
     private final Set<Caller> waiting = new LinkedHashSet<>();
     /** Frames come there; whoever sent them, none of it outlives the warm-up. */
-    private final List<Link> frames = new ArrayList<>();
+    private final List<Connection> frames = new ArrayList<>();
 
-    private final Loop.Timer limit;
+    private final EventLoop.Timer limit;
     private boolean over;
     private int asked;
     private int answered;
@@ -78,7 +78,7 @@
      * @param real those who will serve, to whom clients that come meanwhile are handed
      * @param then run once, when all has been played
      */
-    Warmup(RouterStart start, Loop loop, Network network, Stages real, Runnable then)
+    Warmup(RouterStart start, EventLoop loop, Network network, Stages real, Runnable then)
             throws IOException {
         this.start = start;
         this.loop = loop;
@@ -88,11 +88,11 @@
         word = String.format("%016x", new SplittableRandom(start.seed).split().nextLong());
         shown = OURS + word;
         indexes = List.copyOf(start.lookups.indexes().entrySet());
-        stages = new Stages(loop, network.apart(), start, start.built.module);
+        stages = new Stages(loop, network.withoutServer(), start, start.built.module);
         intake = stages.intake;
         intake.notReady();
         stages.turn.serves(stages.sends, () -> {}); // Its list is its own; discovery is not asked.
-        stages.turn.begins(loop.now());
+        stages.turn.turnStarted(loop.nowUs());
         stages.roster.known(list(network.address()));
         for (int i = 0; i < ASKERS; i++) {
             Asker a = new Asker();
@@ -100,7 +100,7 @@
             own.add(a);
             askers++;
         }
-        limit = loop.at(loop.now() + start.longestUs, this::end);
+        limit = loop.schedule(loop.nowUs() + start.longestUs, this::end);
     }
 
     int answered() {
@@ -113,10 +113,10 @@
             return;
         }
         over = true;
-        loop.takeBack(limit);
-        own.forEach(a -> a.link.end(Ending.DONE));
+        loop.cancel(limit);
+        own.forEach(a -> a.link.close(CloseReason.DONE));
         stages.sends.endAll();
-        frames.forEach(l -> l.end(Ending.DONE));
+        frames.forEach(l -> l.close(CloseReason.DONE));
         then.run();
     }
 
@@ -126,22 +126,22 @@
         waiting.clear();
         for (Caller c : clients) {
             real.descriptors.clientClosed();
-            c.as = real.intake.owner();
+            c.as = real.intake.newListener();
             // Danger: its client's time runs while it waits here; answered by ours, it would come
             // too late.
-            real.intake.opened(c.link, c.as, c.link.acceptedAt(), c.said);
-            c.link.more();
+            real.intake.opened(c.link, c.as, c.link.acceptedAtUs(), c.said);
+            c.link.resumeReading();
         }
     }
 
     @Override
-    public void begins(long nowUs) {
-        stages.turn.begins(nowUs);
+    public void turnStarted(long nowUs) {
+        stages.turn.turnStarted(nowUs);
     }
 
     @Override
-    public void decides() {
-        stages.turn.decides();
+    public void turnEnding() {
+        stages.turn.turnEnding();
     }
 
     /** A data node for each shard, at our own address. */
@@ -167,12 +167,12 @@
     // ---- The door. ----
 
     @Override
-    public Link.Owner owner() {
+    public Connection.Listener newListener() {
         return new Caller();
     }
 
     @Override
-    public void opened(Link link, Link.Owner owner) {
+    public void accepted(Connection link, Connection.Listener owner) {
         Caller c = (Caller) owner;
         c.link = link;
         waiting.add(c);
@@ -180,8 +180,8 @@
     }
 
     @Override
-    public boolean mayOpen() {
-        return real.intake.mayOpen();
+    public boolean canAccept() {
+        return real.intake.canAccept();
     }
 
     @Override
@@ -193,14 +193,14 @@
      * Whoever connects: a frame's length begins with a zero byte, our own clients with their mark
      * and word.
      */
-    private final class Caller implements Link.Owner {
+    private final class Caller implements Connection.Listener {
         private final StringBuilder shows = new StringBuilder();
-        private Link link;
-        private Link.Owner as;
+        private Connection link;
+        private Connection.Listener as;
         private boolean said;
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             said |= in.size() > 0;
             if (as == null && in.size() > 0 && !over) {
                 if (in.peek() == 0) {
@@ -211,27 +211,27 @@
                 }
             }
             if (as != null) {
-                as.arrived(in);
+                as.bytesReceived(in);
             }
         }
 
-        private void show(Ring in) {
+        private void show(RingBuffer in) {
             while (in.size() > 0 && shows.length() < shown.length()) {
                 shows.append((char) in.take());
             }
             if (shows.length() == shown.length()) {
                 if (shown.contentEquals(shows)) {
-                    Link.Owner client = intake.owner();
+                    Connection.Listener client = intake.newListener();
                     known(client);
-                    intake.opened(link, client);
+                    intake.accepted(link, client);
                 } else {
-                    link.end(Ending.BAD_INPUT); // No request begins so, whoever it is.
+                    link.close(CloseReason.BAD_INPUT); // No request begins so, whoever it is.
                 }
             }
         }
 
         /** It is not one that waits for the real door. */
-        private void known(Link.Owner who) {
+        private void known(Connection.Listener who) {
             as = who;
             if (waiting.remove(this)) {
                 real.descriptors.clientClosed();
@@ -239,16 +239,16 @@
         }
 
         @Override
-        public void idle() {
+        public void writesCompleted() {
             if (as != null) {
-                as.idle();
+                as.writesCompleted();
             }
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             if (as != null) {
-                as.ended(how);
+                as.connectionClosed(closeReason);
             } else {
                 known(null);
                 network.accept(Warmup.this);
@@ -257,19 +257,19 @@
     }
 
     /** A data node: answers each part, now and then with an error or by turning it away. */
-    private final class Answerer implements Link.Owner {
-        private final Link link;
+    private final class Answerer implements Connection.Listener {
+        private final Connection link;
         private final byte[] length = new byte[4];
         private int head;
         private ByteBuffer frame;
         private int parts;
 
-        Answerer(Link link) {
+        Answerer(Connection link) {
             this.link = link;
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             while (in.size() > 0) {
                 if (head < length.length) {
                     length[head++] = in.take();
@@ -277,7 +277,7 @@
                         return;
                     }
                 } else {
-                    frame.put(in.takeRun(frame.remaining()));
+                    frame.put(in.takeContiguous(frame.remaining()));
                     if (!frame.hasRemaining()) {
                         head = 0;
                         answer(new String(frame.array(), StandardCharsets.UTF_8));
@@ -289,7 +289,7 @@
         /** Danger: anybody may have sent this, not only our own. */
         private boolean begins(int size) {
             if (size < 0 || size > MOST_FRAME) {
-                link.end(Ending.BAD_INPUT);
+                link.close(CloseReason.BAD_INPUT);
                 return false;
             }
             frame = ByteBuffer.allocate(size);
@@ -302,7 +302,7 @@
                 String[] words =
                         lf < 0 ? new String[0] : whole.substring(at, lf).split(" ");
                 if (words.length != 4 || !words[0].startsWith(word)) {
-                    link.end(Ending.BAD_INPUT);
+                    link.close(CloseReason.BAD_INPUT);
                     return;
                 }
                 at = lf + 1 + Integer.parseInt(words[3]);
@@ -311,11 +311,11 @@
                         .getBytes(StandardCharsets.UTF_8);
                 link.out().put(ByteBuffer.allocate(4).putInt(y.length).array()).put(y);
             }
-            link.later();
+            link.scheduleWrite();
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             // Nothing is kept of it.
         }
     }
@@ -324,12 +324,12 @@
      * A client that asks again as soon as it is answered; whatever the answer is, it has run the
      * code.
      */
-    private final class Asker implements Link.Owner, HttpReader.Sink {
-        private final HttpReader reader = HttpReader.ofAnswers(this);
-        private Link link;
+    private final class Asker implements Connection.Listener, HttpReader.MessageListener {
+        private final HttpReader reader = HttpReader.forResponses(this);
+        private Connection link;
 
         @Override
-        public void up() {
+        public void connected() {
             link.out().put(shown);
             ask();
         }
@@ -351,22 +351,22 @@
                             + index.getKey() + "\r\nX-Budget-Ms: " + index.getValue().hardUs / 1000
                             + "\r\nIdempotency-Key: warm\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body);
-            link.later();
+            link.scheduleWrite();
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             try {
                 while (in.size() > 0) {
                     reader.read(in);
                 }
-            } catch (BadMessage e) {
-                link.end(Ending.BAD_INPUT);
+            } catch (MessageRejectedException e) {
+                link.close(CloseReason.BAD_INPUT);
             }
         }
 
         @Override
-        public void over() {
+        public void messageEnded() {
             if (++answered == LOOKUPS) {
                 end();
             } else {
@@ -375,7 +375,7 @@
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             if (--askers == 0) {
                 end();
             }
--- a/src/main/java/tinlink/router/WorkLinks.java
+++ b/src/main/java/tinlink/router/WorkLinks.java
@@ -1,7 +1,7 @@
 package tinlink.router;
 
 import tinlink.decision.Outcome;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.cluster.CompositeStateMachine;
@@ -32,7 +32,7 @@
     /** Held here, or its level is forgotten. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Network network;
     private final Stages stages;
     private final WorkStart start;
@@ -48,7 +48,7 @@
     private boolean shut;
 
     /** @throws IOException where the folder or the address can't be used */
-    WorkLinks(Loop loop, Network network, RouterStart from, Stages stages) throws IOException {
+    WorkLinks(EventLoop loop, Network network, RouterStart from, Stages stages) throws IOException {
         LIBRARY.setLevel(Level.SEVERE); // It tells of each message that could not be sent.
         this.loop = loop;
         this.network = network;
@@ -69,7 +69,7 @@
         PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         ClusterNode clusterNode = new ClusterNode(
                 loop,
-                network.apart(),
+                network.withoutServer(),
                 new ClusterNode.LocalRouter(p.cluster, p.router, p.listen, p.at),
                 new ClusterNode.KnownRouters(p.peers, p.voters),
                 new PeerKeys(p.keys, p.useKey),
@@ -81,7 +81,7 @@
                 books(new ReplicatedMaintenance(), new PolicyStateMachine()));
         maintenance = new MaintenanceService(
                 loop,
-                network.apart(),
+                network.withoutServer(),
                 clusterNode,
                 replicatedState,
                 this,
@@ -119,11 +119,11 @@
             policy.policy().start();
             stages.intake.goesBy(policy);
         }
-        loop.at(loop.now() + start.awaitUs, mayServe);
+        loop.schedule(loop.nowUs() + start.awaitUs, mayServe);
         if (start.control != null) {
             control = new ControlServer(
                     loop,
-                    network.apart(),
+                    network.withoutServer(),
                     maintenance,
                     policy == null ? null : policy.policy(),
                     start.control,
@@ -158,17 +158,17 @@
     }
 
     /** Two that decide in each turn. */
-    private record Both(Loop.Turn one, Loop.Turn two) implements Loop.Turn {
+    private record Both(EventLoop.EventLoopParticipant one, EventLoop.EventLoopParticipant two) implements EventLoop.EventLoopParticipant {
         @Override
-        public void begins(long nowUs) {
-            one.begins(nowUs);
-            two.begins(nowUs);
+        public void turnStarted(long nowUs) {
+            one.turnStarted(nowUs);
+            two.turnStarted(nowUs);
         }
 
         @Override
-        public void decides() {
-            two.decides();
-            one.decides();
+        public void turnEnding() {
+            two.turnEnding();
+            one.turnEnding();
         }
     }
 
@@ -185,7 +185,7 @@
     @Override
     public void setCordoned(String machine, boolean out) {
         stages.roster.leaveOut(machine, out);
-        loop.ready(() -> {}); // The module has an input: one more turn, in which it decides.
+        loop.execute(() -> {}); // The module has an input: one more turn, in which it decides.
     }
 
     /**
@@ -200,7 +200,7 @@
         }
         if (go) {
             stages.intake.notReady();
-            loop.at(loop.now() + Router.CLIENTS_COME_US, this::shut);
+            loop.schedule(loop.nowUs() + Router.CLIENTS_COME_US, this::shut);
         } else {
             open();
         }
@@ -225,7 +225,7 @@
             stages.intake.ready(true);
         } catch (IOException e) {
             LOG.log(Level.WARNING, "event=door_not_open", e);
-            loop.at(loop.now() + start.reportUs, this::open);
+            loop.schedule(loop.nowUs() + start.reportUs, this::open);
         }
     }
 
--- a/src/main/java/tinlink/securechannel/FrameReader.java
+++ b/src/main/java/tinlink/securechannel/FrameReader.java
@@ -1,7 +1,7 @@
 package tinlink.securechannel;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ring;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.RingBuffer;
 
 import java.nio.ByteBuffer;
 
@@ -9,7 +9,7 @@
 final class FrameReader {
     /** What hears the messages. */
     interface Handler {
-        void onFrame(byte type, byte[] frame) throws BadMessage;
+        void onFrame(byte type, byte[] frame) throws MessageRejectedException;
     }
 
     private final Handler handler;
@@ -38,7 +38,7 @@
         return lengthBytesRead == 0;
     }
 
-    void read(Ring in) throws BadMessage {
+    void read(RingBuffer in) throws MessageRejectedException {
         while (in.size() > 0) {
             if (lengthBytesRead < 4) {
                 length = length << 8 | (in.take() & 0xff);
@@ -49,7 +49,7 @@
                     frame = ByteBuffer.allocate(length);
                 }
             } else {
-                frame.put(in.takeRun(frame.remaining()));
+                frame.put(in.takeContiguous(frame.remaining()));
                 if (!frame.hasRemaining()) {
                     byte[] completeFrame = frame.array();
                     lengthBytesRead = 0;
--- a/src/main/java/tinlink/securechannel/MessageCodec.java
+++ b/src/main/java/tinlink/securechannel/MessageCodec.java
@@ -1,6 +1,6 @@
 package tinlink.securechannel;
 
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
 
 import java.nio.ByteBuffer;
@@ -17,12 +17,12 @@
 
     protected MessageCodec() {}
 
-    public static String readText(ByteBuffer buffer) throws BadMessage {
+    public static String readText(ByteBuffer buffer) throws MessageRejectedException {
         return decodeUtf8(slice(buffer, buffer.get() & 0xff));
     }
 
     /** A text with a length of four bytes, up to that many. */
-    public static String readLongText(ByteBuffer buffer, int maxLength) throws BadMessage {
+    public static String readLongText(ByteBuffer buffer, int maxLength) throws MessageRejectedException {
         int length = buffer.getInt();
         if (length < 0 || length > maxLength) {
             throw malformed("a text of " + length + " bytes");
@@ -30,7 +30,7 @@
         return decodeUtf8(slice(buffer, length));
     }
 
-    private static ByteBuffer slice(ByteBuffer buffer, int length) throws BadMessage {
+    private static ByteBuffer slice(ByteBuffer buffer, int length) throws MessageRejectedException {
         if (length > buffer.remaining()) {
             throw malformed("a text past the message's end");
         }
@@ -39,15 +39,15 @@
         return slice;
     }
 
-    public static String decodeUtf8(ByteBuffer bytes) throws BadMessage {
+    public static String decodeUtf8(ByteBuffer bytes) throws MessageRejectedException {
         try {
-            return JsonReader.utf8(bytes);
+            return JsonReader.decodeUtf8(bytes);
         } catch (CharacterCodingException e) {
             throw malformed("a text that is not UTF-8");
         }
     }
 
-    public static byte[] readBytes(ByteBuffer buffer, int length) throws BadMessage {
+    public static byte[] readBytes(ByteBuffer buffer, int length) throws MessageRejectedException {
         if (length < 0 || length > buffer.remaining()) {
             throw malformed("cut short");
         }
@@ -56,8 +56,8 @@
         return value;
     }
 
-    public static BadMessage malformed(String what) {
-        return new BadMessage(400, what);
+    public static MessageRejectedException malformed(String what) {
+        return new MessageRejectedException(400, what);
     }
 
     /** A message in the making: bounded by what a message may hold. */
--- a/src/main/java/tinlink/securechannel/SecureSession.java
+++ b/src/main/java/tinlink/securechannel/SecureSession.java
@@ -1,10 +1,10 @@
 package tinlink.securechannel;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Loop;
-import tinlink.net.Ring;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.RingBuffer;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -16,17 +16,17 @@
  * One connection between two routers, on either side: messages out and in, sealed once both have
  * proved themselves.
  */
-public abstract class SecureSession implements Link.Owner, FrameReader.Handler {
-    private final Loop loop;
+public abstract class SecureSession implements Connection.Listener, FrameReader.Handler {
+    private final EventLoop loop;
     private final FrameReader frameReader;
-    protected Link connection;
+    protected Connection connection;
     private KeyRing.FrameAuthenticator outboundAuthenticator;
     private KeyRing.FrameAuthenticator inboundAuthenticator;
     /**
      * Runs until both sides have proved themselves, and while a message has begun and not come
      * whole.
      */
-    private Loop.Timer deadline;
+    private EventLoop.Timer deadline;
 
     private final long messageTimeoutUs;
     private boolean authenticated;
@@ -36,21 +36,21 @@
      * @param maxHandshakeLength how long a message may be until both have proved themselves; after that
      *     {@code most}
      */
-    protected SecureSession(Loop loop, long messageTimeoutUs, int maxHandshakeLength, int maxAuthenticatedLength) {
+    protected SecureSession(EventLoop loop, long messageTimeoutUs, int maxHandshakeLength, int maxAuthenticatedLength) {
         this.loop = loop;
         this.messageTimeoutUs = messageTimeoutUs;
         frameReader = new FrameReader(this, maxHandshakeLength, maxAuthenticatedLength);
     }
 
-    public void attach(Link connection, long handshakeTimeoutUs) {
+    public void attach(Connection connection, long handshakeTimeoutUs) {
         this.connection = connection;
         restartHandshakeDeadline(handshakeTimeoutUs);
     }
 
     /** The next message of the handshake has to come within that time. */
     protected void restartHandshakeDeadline(long handshakeTimeoutUs) {
-        loop.takeBack(deadline);
-        deadline = loop.at(loop.now() + handshakeTimeoutUs, () -> connection.end(Ending.NOT_UP));
+        loop.cancel(deadline);
+        deadline = loop.schedule(loop.nowUs() + handshakeTimeoutUs, () -> connection.close(CloseReason.NOT_UP));
     }
 
     /** From here on each message is sealed; the two directions have keys of their own. */
@@ -61,14 +61,14 @@
         inboundAuthenticator = new KeyRing.FrameAuthenticator(isInitiator ? responderToInitiatorKey : initiatorToResponderKey);
         authenticated = true;
         frameReader.peerAuthenticated();
-        loop.takeBack(deadline);
+        loop.cancel(deadline);
         deadline = null;
     }
 
     /** Ends the connection, if it is there yet. */
-    public void close(Ending closeReason) {
+    public void close(CloseReason closeReason) {
         if (connection != null) {
-            connection.end(closeReason);
+            connection.close(closeReason);
         }
     }
 
@@ -78,7 +78,7 @@
     }
 
     public boolean isAuthenticated() {
-        return authenticated && !connection.isOver();
+        return authenticated && !connection.isClosed();
     }
 
     /** Bytes that wait to be taken by the kernel. */
@@ -90,37 +90,37 @@
     public long send(byte type, byte[] body) {
         byte[] tag = outboundAuthenticator == null ? new byte[0] : outboundAuthenticator.nextTag(type, body, 0, body.length);
         int length = 1 + body.length + tag.length;
-        Ring out = connection.out();
+        RingBuffer out = connection.out();
         out.put(new byte[] {
             (byte) (length >> 24), (byte) (length >> 16), (byte) (length >> 8), (byte) length, type
         });
         out.put(body).put(tag);
-        return connection.later();
+        return connection.scheduleWrite();
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         try {
             frameReader.read(in);
-        } catch (BadMessage | BufferUnderflowException e) {
+        } catch (MessageRejectedException | BufferUnderflowException e) {
             logger().log(Level.FINE, "event=malformed_message peer={0} reason=\"{1}\"", new Object[] {
                 peerName(), e.getMessage()
             });
             incrementCounter("spoilt");
-            connection.end(Ending.BAD_INPUT);
+            connection.close(CloseReason.BAD_INPUT);
         }
-        if (authenticated && !connection.isOver() && frameReader.isAtFrameBoundary() != (deadline == null)) {
-            loop.takeBack(deadline);
+        if (authenticated && !connection.isClosed() && frameReader.isAtFrameBoundary() != (deadline == null)) {
+            loop.cancel(deadline);
             // Danger: a message that stops in its middle, or whose length was spoilt, holds up all
             // behind it.
             deadline = frameReader.isAtFrameBoundary()
                     ? null
-                    : loop.at(loop.now() + messageTimeoutUs, () -> connection.end(Ending.BAD_INPUT));
+                    : loop.schedule(loop.nowUs() + messageTimeoutUs, () -> connection.close(CloseReason.BAD_INPUT));
         }
     }
 
     @Override
-    public void onFrame(byte type, byte[] frame) throws BadMessage {
+    public void onFrame(byte type, byte[] frame) throws MessageRejectedException {
         int bodyEnd = frame.length;
         if (authenticated) {
             bodyEnd -= MessageCodec.TAG_BYTES;
@@ -131,14 +131,14 @@
                 throw MessageCodec.malformed("a wrong seal");
             }
         }
-        if (!connection.isOver()) {
+        if (!connection.isClosed()) {
             onMessage(type, ByteBuffer.wrap(frame, 1, bodyEnd - 1), frame);
         }
     }
 
     @Override
-    public void ended(Ending closeReason) {
-        loop.takeBack(deadline);
+    public void connectionClosed(CloseReason closeReason) {
+        loop.cancel(deadline);
         onClosed(closeReason);
     }
 
@@ -147,9 +147,9 @@
      *
      * @param frame type and body, as they came
      */
-    protected abstract void onMessage(byte type, ByteBuffer body, byte[] frame) throws BadMessage;
+    protected abstract void onMessage(byte type, ByteBuffer body, byte[] frame) throws MessageRejectedException;
 
-    protected abstract void onClosed(Ending closeReason);
+    protected abstract void onClosed(CloseReason closeReason);
 
     protected abstract String peerName();
 
--- a/src/main/java/tinlink/start/RouterStart.java
+++ b/src/main/java/tinlink/start/RouterStart.java
@@ -1,7 +1,7 @@
 package tinlink.start;
 
 import tinlink.decision.Index;
-import tinlink.net.BadMessage;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
 
 import java.io.IOException;
@@ -187,13 +187,13 @@
 
     private static Map<?, ?> tree(String file) {
         try {
-            if (JsonReader.of(Files.readString(Path.of(file))) instanceof Map<?, ?> map) {
+            if (JsonReader.parse(Files.readString(Path.of(file))) instanceof Map<?, ?> map) {
                 return map;
             }
             throw new BadInput("config: it is no JSON object");
         } catch (IOException e) {
             throw new BadInput("environment: 'NODE_CONFIG' can't be read: " + e.getMessage());
-        } catch (BadMessage e) {
+        } catch (MessageRejectedException e) {
             throw new BadInput("config: " + e.getMessage());
         }
     }
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -16,7 +16,7 @@
 import tinlink.gateway.forwarding.ForwardingPlayer;
 import tinlink.http2.Http2ConnectionPlayer;
 import tinlink.http2.pool.ConnectionPoolPlayer;
-import tinlink.net.Ending;
+import tinlink.net.CloseReason;
 import tinlink.net.ParserPlayer;
 import tinlink.start.BadInput;
 import tinlink.start.RouterStart;
@@ -169,13 +169,13 @@
 
     /** Danger: a part call whose frame has left and that passes for one that never ran. */
     @ParameterizedTest
-    @EnumSource(Ending.class)
-    void ending(Ending how) {
+    @EnumSource(CloseReason.class)
+    void eachCloseReasonTellsWhetherACallMayHaveRun(CloseReason closeReason) {
         boolean neverUp =
-                EnumSet.of(Ending.REFUSED, Ending.NOT_UP, Ending.NO_SOCKET).contains(how);
+                EnumSet.of(CloseReason.REFUSED, CloseReason.NOT_UP, CloseReason.NO_SOCKET).contains(closeReason);
         for (boolean meant : new boolean[] {true, false}) {
-            assertEquals(neverUp, how.outcome(true, meant).neverRan);
-            assertTrue(how.outcome(false, meant).neverRan);
+            assertEquals(neverUp, closeReason.toOutcome(true, meant).neverRan);
+            assertTrue(closeReason.toOutcome(false, meant).neverRan);
         }
     }
 
--- a/src/test/java/tinlink/cluster/ClusterNodeTest.java
+++ b/src/test/java/tinlink/cluster/ClusterNodeTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.MemberState;
@@ -70,7 +70,7 @@
     }
 
     private final class TestNode {
-        final Loop loop = new Loop();
+        final EventLoop loop = new EventLoop();
         final Network network;
         final RecordingStateMachine stateMachine = new RecordingStateMachine();
         final ClusterNode clusterNode;
@@ -98,24 +98,24 @@
                     new RecordingStateMachine());
             thread = new Thread(() -> loop.run(clusterNode), name);
             thread.setDaemon(true);
-            loop.ready(clusterNode::start);
+            loop.execute(clusterNode::start);
             thread.start();
         }
 
         <T> T callOnLoop(Supplier<T> what) {
-            return loop.ask(what);
+            return loop.submitAndWait(what);
         }
 
         void close() {
             CompletableFuture<Void> done = new CompletableFuture<>();
-            loop.ready(() -> {
+            loop.execute(() -> {
                 try {
                     clusterNode.close();
                 } catch (IOException e) {
                     done.completeExceptionally(e);
                 }
                 network.close();
-                loop.end();
+                loop.stop();
                 done.complete(null);
             });
             done.join();
@@ -159,7 +159,7 @@
     private void proposeUntilAgreed(TestNode node, String line) throws Exception {
         for (int i = 0; i < 100; i++) {
             CompletableFuture<String> reply = new CompletableFuture<>();
-            node.loop.ready(() -> node.clusterNode.propose(line, (text, e) -> reply.complete(text)));
+            node.loop.execute(() -> node.clusterNode.propose(line, (text, e) -> reply.complete(text)));
             String text = reply.completeOnTimeout(null, 2, TimeUnit.SECONDS).get();
             if (text != null) {
                 assertTrue(text.startsWith("no. "), text);
@@ -261,12 +261,12 @@
                         folder.resolve("r2")));
         waitUntil(
                 "it was refused",
-                () -> nodes.get("r0").callOnLoop(() -> nodes.get("r0").clusterNode.counters().of("peers_wrong_proof"))
+                () -> nodes.get("r0").callOnLoop(() -> nodes.get("r0").clusterNode.counters().get("peers_wrong_proof"))
                                 + nodes.get("r2")
                                         .callOnLoop(() -> nodes.get("r2")
                                                 .clusterNode
                                                 .counters()
-                                                .of("peers_wrong_proof"))
+                                                .get("peers_wrong_proof"))
                         > 0);
         assertNull(stateOf(nodes.get("r0"), "r2"));
         assertEquals(List.of(), nodes.get("r2").stateMachine.snapshot());
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -12,7 +12,7 @@
 import tinlink.decision.Outcome;
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.gateway.forwarding.PartStatus;
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.securechannel.MessageCodec;
 
@@ -42,7 +42,7 @@
     private static final GatewayKeys KEYS = new GatewayKeys(
             Map.of("k1", KEY, "k2", "fedcba9876543210".getBytes(StandardCharsets.US_ASCII)), "k1");
     private static final int NONCE = GatewayProtocol.NONCE_BYTES;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final AtomicInteger startedParts = new AtomicInteger();
     private Network network;
     private Gateway gateway;
@@ -100,12 +100,12 @@
         int unauthenticated = -1;
         for (int i = 0; i < 200 && unauthenticated != 0; i++) {
             CompletableFuture<Integer> count = new CompletableFuture<>();
-            loop.ready(() -> count.complete(gateway.unauthenticatedConnections()));
+            loop.execute(() -> count.complete(gateway.unauthenticatedConnections()));
             unauthenticated = count.get();
             Thread.sleep(5);
         }
         assertEquals(0, unauthenticated);
-        loop.ready(loop::end);
+        loop.execute(loop::stop);
         network.close();
     }
 
--- a/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
+++ b/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
@@ -73,7 +73,7 @@
     private void receive(byte[] b) {
         try {
             for (int i = 0; i < b.length && !failed; i++) {
-                connection.read(ParserPlayer.ring(new byte[] {b[i]}));
+                connection.read(ParserPlayer.ringBuffer(new byte[] {b[i]}));
             }
         } catch (Http2Exception e) {
             failed = true;
--- a/src/test/java/tinlink/net/ParserPlayer.java
+++ b/src/test/java/tinlink/net/ParserPlayer.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 
 /** Plays one input through its parser: whole, byte by byte, and cut in two at every byte. */
-public final class ParserPlayer implements HttpReader.Sink, FrameReader.Sink {
-    private final List<String> heard = new ArrayList<>();
+public final class ParserPlayer implements HttpReader.MessageListener, FrameReader.FrameListener {
+    private final List<String> events = new ArrayList<>();
     private StringBuilder body = new StringBuilder();
 
     private ParserPlayer() {}
@@ -31,29 +31,29 @@
                 expected.add(line);
             }
         }
-        byte[] all = in.toByteArray();
+        byte[] input = in.toByteArray();
         String kind = title.split(":", 0)[0];
-        assertEquals(expected, run(kind, all, 0, 1), "byte by byte");
-        for (int cut = 0; cut <= all.length; cut++) {
-            assertEquals(expected, run(kind, all, cut, Integer.MAX_VALUE), "cut at " + cut);
+        assertEquals(expected, run(kind, input, 0, 1), "byte by byte");
+        for (int cut = 0; cut <= input.length; cut++) {
+            assertEquals(expected, run(kind, input, cut, Integer.MAX_VALUE), "cut at " + cut);
         }
-        garbled(kind, all);
+        playChanged(kind, input);
     }
 
     /**
      * Whatever comes in, a parser reads it or refuses it: nothing else is thrown, however it is
      * cut.
      */
-    private static void garbled(String kind, byte[] all) {
-        SplittableRandom chance = new SplittableRandom(all.length);
-        for (int i = 0; i < 200 && all.length > 0; i++) {
-            byte[] other = all.clone();
-            for (int n = chance.nextInt(1, 5); n > 0; n--) {
-                other[chance.nextInt(other.length)] = (byte) chance.nextInt(256);
+    private static void playChanged(String kind, byte[] input) {
+        SplittableRandom random = new SplittableRandom(input.length);
+        for (int i = 0; i < 200 && input.length > 0; i++) {
+            byte[] changed = input.clone();
+            for (int count = random.nextInt(1, 5); count > 0; count--) {
+                changed[random.nextInt(changed.length)] = (byte) random.nextInt(256);
             }
             assertEquals(
-                    run(kind, other, 0, 1),
-                    run(kind, other, chance.nextInt(other.length + 1), 1 << 20));
+                    run(kind, changed, 0, 1),
+                    run(kind, changed, random.nextInt(changed.length + 1), 1 << 20));
         }
     }
 
@@ -83,20 +83,20 @@
         return out.toByteArray();
     }
 
-    private static List<String> run(String kind, byte[] all, int cut, int step) {
-        ParserPlayer p = new ParserPlayer();
-        Ring ring = new Ring(new Rings());
+    private static List<String> run(String kind, byte[] input, int cut, int step) {
+        ParserPlayer player = new ParserPlayer();
+        RingBuffer ring = new RingBuffer(new RingBufferPool());
         HttpReader http =
-                kind.equals("answer") ? HttpReader.ofAnswers(p) : HttpReader.ofRequests(p);
-        FrameReader frames = new FrameReader(p);
+                kind.equals("answer") ? HttpReader.forResponses(player) : HttpReader.forRequests(player);
+        FrameReader frames = new FrameReader(player);
         JsonReader json = new JsonReader();
         try {
-            for (int at = 0; at < all.length; ) {
-                int n = Math.min(step, (at < cut ? cut : all.length) - at);
+            for (int at = 0; at < input.length; ) {
+                int count = Math.min(step, (at < cut ? cut : input.length) - at);
                 if (kind.equals("json")) {
-                    json.read(ByteBuffer.wrap(all, at, n));
+                    json.read(ByteBuffer.wrap(input, at, count));
                 } else {
-                    ring.put(all, at, n);
+                    ring.put(input, at, count);
                     while (ring.size() > 0) {
                         if (kind.equals("frames")) {
                             frames.read(ring);
@@ -105,32 +105,32 @@
                         }
                     }
                 }
-                at += n;
+                at += count;
             }
             if (kind.equals("json")) {
-                p.heard.add("< " + String.valueOf(json.value()).replace('\n', '␊'));
+                player.events.add("< " + String.valueOf(json.value()).replace('\n', '␊'));
             }
-            if (p.body.length() > 0) {
-                p.heard.add("< body " + p.body);
+            if (player.body.length() > 0) {
+                player.events.add("< body " + player.body);
             }
-        } catch (BadMessage e) {
-            p.heard.add("! " + e.status + " " + e.getMessage());
+        } catch (MessageRejectedException e) {
+            player.events.add("! " + e.status + " " + e.getMessage());
         }
-        return p.heard;
+        return player.events;
     }
 
     @Override
-    public void first(String one, String two, String three) {
-        heard.add("< first " + one + "|" + two + "|" + three);
+    public void startLine(String first, String second, String third) {
+        events.add("< first " + first + "|" + second + "|" + third);
     }
 
     @Override
-    public void field(String name, String value) {
-        heard.add("< " + name + ": " + value);
+    public void header(String name, String value) {
+        events.add("< " + name + ": " + value);
     }
 
     @Override
-    public void headOver() {
+    public void headersEnded() {
         body = new StringBuilder();
     }
 
@@ -140,28 +140,28 @@
     }
 
     @Override
-    public void over() {
-        heard.add("< over " + (body.length() > 99 ? body.length() + " bytes" : body));
+    public void messageEnded() {
+        events.add("< over " + (body.length() > 99 ? body.length() + " bytes" : body));
         body = new StringBuilder();
     }
 
     @Override
-    public void begins(String id) {
+    public void answerStarted(String partId) {
         // Each answer is to a call that was sent.
     }
 
     @Override
-    public void ended(String id, String end, String report, String value) {
-        heard.add(("< " + id + " " + end + " " + report + " " + value).replace('\n', '␊'));
+    public void answerReceived(String partId, String status, String loadReport, String value) {
+        events.add(("< " + partId + " " + status + " " + loadReport + " " + value).replace('\n', '␊'));
     }
 
     @Override
-    public void rejected(String words) {
-        heard.add("< rejected " + words);
+    public void frameRejected(String message) {
+        events.add("< rejected " + message);
     }
 
-    /** Bytes as they lie in a link's ring. */
-    public static Ring ring(byte[] bytes) {
-        return new Ring(new Rings()).put(bytes);
+    /** Bytes as they lie in a connection's buffer. */
+    public static RingBuffer ringBuffer(byte[] bytes) {
+        return new RingBuffer(new RingBufferPool()).put(bytes);
     }
 }
--- a/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-import tinlink.net.Loop;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.ClusterNode;
@@ -82,7 +82,7 @@
             }
         }
         CompositeStateMachine books = books();
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         Network network = new Network(loop);
         ClusterNode clusterNode = new ClusterNode(
                 loop,
@@ -111,22 +111,22 @@
         thread.setDaemon(true);
         thread.start();
         try {
-            loop.ready(clusterNode::start);
-            loop.ready(() -> proposeUntilAccepted(loop, clusterNode));
+            loop.execute(clusterNode::start);
+            loop.execute(() -> proposeUntilAccepted(loop, clusterNode));
             List<String> linesBeforeRestart = restoredLines.get(30, TimeUnit.SECONDS).stream()
                     .filter(line -> !line.startsWith("life\tz\t"))
                     .toList();
             assertEquals(lines("voter/expected-lines.txt"), linesBeforeRestart);
         } finally {
             CompletableFuture<Void> closed = new CompletableFuture<>();
-            loop.ready(() -> {
+            loop.execute(() -> {
                 try {
                     clusterNode.close();
                 } catch (IOException e) {
                     closed.completeExceptionally(e);
                 }
                 network.close();
-                loop.end();
+                loop.stop();
                 closed.complete(null);
             });
             closed.get(30, TimeUnit.SECONDS);
@@ -137,10 +137,10 @@
         return new CompositeStateMachine(new ReplicatedMaintenance(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine()));
     }
 
-    private static void proposeUntilAccepted(Loop loop, ClusterNode clusterNode) {
+    private static void proposeUntilAccepted(EventLoop loop, ClusterNode clusterNode) {
         clusterNode.propose("life\tz\tz#1.0", (result, failure) -> {
             if (failure != null) {
-                loop.at(loop.now() + 50_000, () -> proposeUntilAccepted(loop, clusterNode));
+                loop.schedule(loop.nowUs() + 50_000, () -> proposeUntilAccepted(loop, clusterNode));
             }
         });
     }
