--- a/src/main/java/tinlink/lab/TwoSites.java
+++ b/src/main/java/tinlink/lab/TwoSites.java
@@ -128,7 +128,7 @@
 
         /** As a kill of its process: all its connections break. */
         public void kill() throws InterruptedException {
-            router.end();
+            router.stopNow();
             thread.join();
         }
 
@@ -143,7 +143,7 @@
 
         /** Whether it reaches cells of another site. */
         public boolean joined() {
-            return router.farCells() > 0;
+            return router.remoteCells() > 0;
         }
 
         public InetSocketAddress address() throws IOException {
@@ -275,7 +275,7 @@
 
     @Override
     public void close() {
-        routers.values().forEach(r -> r.router.end());
+        routers.values().forEach(r -> r.router.stopNow());
         ground.close();
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -0,0 +1,299 @@
+package tinlink.router;
+
+import tinlink.decision.DataNode;
+import tinlink.decision.Outcome;
+import tinlink.decision.PartCall;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
+import tinlink.start.RouterStart;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.IdentityHashMap;
+import java.util.List;
+import java.util.function.BiConsumer;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * Sends attempts to data nodes: frames, connections, timeouts, and each attempt's one outcome.
+ */
+final class AttemptDispatcher {
+    private static final Logger LOG = Logger.getLogger("tinlink.nodes");
+    private final EventLoop loop;
+    private final Network network;
+    private final DescriptorBudget descriptors;
+    private final DecisionDriver driver;
+    private final RouterStart.Links settings;
+    private final long idleTimeoutUs;
+    private final Http2Dispatcher http2;
+    private ClientAcceptor acceptor;
+    /** Null where nobody wants to know. */
+    private BiConsumer<String, Outcome> outcomeListener;
+    /** Nodes on the list, and those off it with connections; each leaves when it is neither. */
+    private final IdentityHashMap<DataNode, NodeEndpoint> endpoints = new IdentityHashMap<>();
+    /** This turn's frames; emptied at its end. */
+    private final IdentityHashMap<PartCall.Shared, AttemptBatch> batches = new IdentityHashMap<>();
+
+    private final List<AttemptBatch> batchesToSend = new ArrayList<>();
+
+    AttemptDispatcher(
+            EventLoop loop,
+            Network network,
+            DescriptorBudget descriptors,
+            DecisionDriver driver,
+            RouterStart.Links settings) {
+        this.loop = loop;
+        this.network = network;
+        this.descriptors = descriptors;
+        this.driver = driver;
+        this.settings = settings;
+        // Danger: what is written after the node's machine has closed ends as a reset. Ours closes
+        // first, by
+        // as much as a connect may take: no message is under way for longer.
+        idleTimeoutUs = Math.max(settings.idleUs() / 2, settings.idleUs() - settings.connectUs());
+        http2 = new Http2Dispatcher(loop, network, this, settings, idleTimeoutUs);
+    }
+
+    /** A descriptor for one more connection to a data node; an idle client's gives way to it. */
+    boolean canOpenConnection() {
+        return descriptors.hasForNode() || acceptor.closeIdle();
+    }
+
+    DescriptorBudget descriptors() {
+        return descriptors;
+    }
+
+    Http2Dispatcher http2() {
+        return http2;
+    }
+
+    /** Notified of each attempt's outcome at a data node of the list. */
+    void setOutcomeListener(BiConsumer<String, Outcome> listener) {
+        outcomeListener = listener;
+    }
+
+    void setAcceptor(ClientAcceptor acceptor) {
+        this.acceptor = acceptor;
+    }
+
+    long nowUs() {
+        return loop.nowUs();
+    }
+
+    /** A frame comes whole within the time in which a connection comes up. */
+    EventLoop.Timer scheduleFrameTimeout(Runnable task) {
+        return loop.schedule(nowUs() + settings.connectUs(), task);
+    }
+
+    /**
+     * What leaves in this turn has arrived by then; a turn and a way to a node are a part of a
+     * connect.
+     */
+    long maxTransitUs() {
+        return settings.connectUs() / 4;
+    }
+
+    int callsPerConnection() {
+        return settings.callsPerLink();
+    }
+
+    void cancelTimer(EventLoop.Timer timer) {
+        loop.cancel(timer);
+    }
+
+    // ---- Changes of the endpoint list. ----
+
+    NodeEndpoint endpointOf(DataNode node) {
+        return endpoints.computeIfAbsent(node, NodeEndpoint::new);
+    }
+
+    /** Its state or address has changed: what waits for it may be stale, and so may connections. */
+    void endpointChanged(NodeEndpoint endpoint, boolean hasMoved) {
+        for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
+            if (hasMoved) {
+                nodeConnection.retire();
+            }
+            nodeConnection.dropStale();
+            closeUnused(nodeConnection, nodeConnection.closeReasonWhenUnused());
+        }
+        http2.endpointChanged(endpoint, hasMoved);
+        forgetIfRemoved(endpoint);
+    }
+
+    void forgetIfRemoved(NodeEndpoint endpoint) {
+        if (endpoint.node.state == DataNode.State.GONE
+                && endpoint.connections.isEmpty()
+                && (endpoint.http2 == null || endpoint.http2.isIdle())) {
+            endpoints.remove(endpoint.node);
+        }
+    }
+
+    // ---- Decisions. ----
+
+    void send(PartCall call, long deadlineUs) {
+        SentAttempt sent = new SentAttempt(call, deadlineUs);
+        sent.part().sentAttempts.add(sent);
+        NodeEndpoint endpoint = endpointOf(call.node);
+        if (endpoint.remoteSender != null) {
+            endpoint.remoteSender.accept(sent);
+            return;
+        }
+        endpoint.attemptsInFlight++;
+        sent.endpoint = endpoint;
+        sent.timeoutTimer = loop.schedule(deadlineUs, () -> timedOut(sent));
+        if (http2.isOffered(endpoint)) {
+            http2.send(endpoint, sent);
+            return;
+        }
+        sendByFrames(sent);
+    }
+
+    /** With others of this turn that the module lets travel together. */
+    void sendByFrames(SentAttempt sent) {
+        PartCall call = sent.call;
+        AttemptBatch batch = batches.computeIfAbsent(call.shared, key -> new AttemptBatch());
+        if (batch.sentAttempts.isEmpty()) {
+            batchesToSend.add(batch);
+        }
+        batch.sentAttempts.add(sent);
+        batch.attemptsInFlight++;
+        sent.batch = batch;
+        sent.transport = batch;
+    }
+
+    void cancel(PartCall call) {
+        SentAttempt sent = ((QueryPart) call.part).sentAttempts.get(call.number);
+        if (!sent.isEnded) {
+            recordOutcome(sent, sent.transport.isQueued() ? Outcome.NOT_SENT : Outcome.CANCELLED, true);
+        }
+    }
+
+    void release(DataNode node) {
+        for (NodeConnection nodeConnection : List.copyOf(endpointOf(node).connections)) {
+            if (nodeConnection.slotsInUse() == 0) {
+                nodeConnection.close(CloseReason.RELEASED);
+            }
+        }
+        http2.release(endpointOf(node));
+    }
+
+    /** Puts this turn's frames on connections. */
+    void flush() {
+        flushFrames();
+        http2.flush();
+    }
+
+    void flushFrames() {
+        for (AttemptBatch batch : batchesToSend) {
+            if (batch.attemptsInFlight > 0) {
+                assignConnection(batch);
+            }
+        }
+        batchesToSend.clear();
+        batches.clear();
+    }
+
+    private void assignConnection(AttemptBatch batch) {
+        NodeEndpoint endpoint = endpointOf(batch.sentAttempts.get(0).call.node);
+        NodeConnection bestConnection = null;
+        for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
+            if (nodeConnection.slotsInUse() == 0 && nowUs() - nodeConnection.lastUsedUs() >= idleTimeoutUs) {
+                nodeConnection.close(CloseReason.IDLE);
+            } else if (nodeConnection.slotsInUse() < settings.callsPerLink()
+                    && nodeConnection.isUsable()
+                    && batch.sentAttempts.stream().noneMatch(nodeConnection::hasIdInUse)
+                    && (bestConnection == null || (nodeConnection.isUp() && !bestConnection.isUp()))) {
+                bestConnection = nodeConnection;
+            }
+        }
+        bestConnection = bestConnection == null ? openConnection(endpoint) : bestConnection;
+        if (bestConnection != null) {
+            bestConnection.enqueue(batch);
+            return;
+        }
+        for (SentAttempt sent : batch.sentAttempts) {
+            if (!sent.isEnded) {
+                recordOutcome(sent, CloseReason.NO_SOCKET.toOutcome(false, true), false);
+            }
+        }
+    }
+
+    private NodeConnection openConnection(NodeEndpoint endpoint) {
+        if (endpoint.address == null || !canOpenConnection()) {
+            return null;
+        }
+        NodeConnection nodeConnection = new NodeConnection(this, endpoint, nowUs());
+        try {
+            Connection connection = network.connect(endpoint.address, nodeConnection);
+            nodeConnection.attach(connection, loop.schedule(nowUs() + settings.connectUs(), () -> connection.close(CloseReason.NOT_UP)));
+            descriptors.nodeOpened();
+            endpoint.connections.add(nodeConnection);
+            return nodeConnection;
+        } catch (IOException | RuntimeException e) {
+            LOG.log(Level.WARNING, "no connection to " + endpoint.address, e);
+            return null;
+        }
+    }
+
+    /** Nothing more will be sent. */
+    void closeAll() {
+        List.copyOf(endpoints.values())
+                .forEach(endpoint -> List.copyOf(endpoint.connections).forEach(nodeConnection -> nodeConnection.close(CloseReason.DONE)));
+    }
+
+    // ---- Outcomes. ----
+
+    /** The deadline has passed. */
+    private void timedOut(SentAttempt sent) {
+        if (!sent.isEnded) {
+            boolean wasQueued = sent.transport.isQueued();
+            sent.transport.onTimeout(sent);
+            recordOutcome(sent, wasQueued ? Outcome.NOT_SENT : Outcome.NO_ANSWER, true);
+        }
+    }
+
+    /**
+     * The one outcome of an attempt; one that is abandoned is cancelled at its node, where that is
+     * allowed.
+     */
+    void recordOutcome(SentAttempt sent, Outcome how, boolean cancelAtNode) {
+        sent.isEnded = true;
+        loop.cancel(sent.timeoutTimer);
+        sent.timeoutTimer = null;
+        if (sent.endpoint != null) {
+            sent.endpoint.attemptsInFlight--;
+            if (outcomeListener != null && sent.endpoint.uid != null) {
+                outcomeListener.accept(sent.endpoint.uid, how);
+            }
+        }
+        sent.transport.onOutcome(sent, cancelAtNode && settings.mayCancel());
+        driver.outcome(sent, how);
+    }
+
+    // ---- Connections. ----
+
+    /** A connection with no call in flight is closed before its node's machine does it. */
+    EventLoop.Timer scheduleIdleClose(NodeConnection nodeConnection) {
+        CloseReason closeReason = nodeConnection.closeReasonWhenUnused();
+        if (closeReason != null) {
+            loop.execute(() -> closeUnused(nodeConnection, closeReason));
+            return null;
+        }
+        return loop.schedule(nodeConnection.lastUsedUs() + idleTimeoutUs, () -> closeUnused(nodeConnection, CloseReason.IDLE));
+    }
+
+    private static void closeUnused(NodeConnection nodeConnection, CloseReason closeReason) {
+        if (nodeConnection.slotsInUse() == 0 && closeReason != null) {
+            nodeConnection.close(closeReason);
+        }
+    }
+
+    void connectionClosed(NodeConnection nodeConnection) {
+        nodeConnection.endpoint().connections.remove(nodeConnection);
+        descriptors.nodeClosed();
+        forgetIfRemoved(nodeConnection.endpoint());
+    }
+}
--- a/src/main/java/tinlink/router/Descriptors.java
+++ b/src/main/java/tinlink/router/DescriptorBudget.java
@@ -4,21 +4,21 @@
  * The count of open descriptors against the limit. A quarter is kept back for data nodes and an
  * eighth for the process itself, so that clients alone never use up what their lookups need.
  */
-final class Descriptors {
+final class DescriptorBudget {
     private final int limit;
     private final int forClients;
     private final int forNodes;
     private int clients;
     private int nodes;
 
-    Descriptors(int limit) {
+    DescriptorBudget(int limit) {
         this.limit = limit;
         forClients = limit - limit / 4 - limit / 8;
         forNodes = limit - limit / 8;
     }
 
     /**
-     * One more may come to the door: it shows that somebody wants in, and an idle one gives way to
+     * One more may be accepted: it shows that a client wants a connection, and an idle one is closed for
      * it.
      */
     boolean hasForClient() {
@@ -34,8 +34,8 @@
      * would hold all of it until their time is over, and the others find no connection; half of it
      * may stand idle.
      */
-    boolean crowded(int idle) {
-        return idle > limit / 6;
+    boolean hasTooManyIdle(int idleClients) {
+        return idleClients > limit / 6;
     }
 
     void clientOpened() {
--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -18,33 +18,33 @@
  */
 final class DiscoveryConnection implements Connection.Listener, HttpReader.MessageListener {
     /** What a connection belongs to. */
-    interface Owner {
+    interface Handler {
         /** The host that is asked. */
         String host();
 
         /** Whether changes may be asked for; if not, the whole list has to come first. */
-        boolean isNumbered();
+        boolean isRevisionCurrent();
 
         /** The revision of the list, since which changes are asked for. */
         long revision();
 
         /** Whether what this connection says still counts. */
-        boolean counts(DiscoveryConnection connection);
+        boolean isInUse(DiscoveryConnection connection);
 
         /** It has said a line of its watch that could be used. */
-        void alive(DiscoveryConnection connection);
+        void watchAlive(DiscoveryConnection connection);
 
         /**
          * An object has come whole.
          *
          * @return whether it is a list that could be used
          */
-        boolean told(Object list);
+        boolean listReceived(Object list);
 
         /** A list has been told and taken. */
-        void listTaken();
+        void listApplied();
 
-        void ended(DiscoveryConnection connection, CloseReason closeReason);
+        void watchClosed(DiscoveryConnection connection, CloseReason closeReason);
     }
 
     private static final Logger LOG = Logger.getLogger("tinlink.roster");
@@ -53,10 +53,10 @@
      * Danger: what a silent watch misses counts as told after three lines' time. Half of it is left for
      * connections that are refused, hang, or are taken and say nothing.
      */
-    private static final long SILENT_US = 3 * ProtocolLimits.WATCH_KEEPALIVE_US / 2;
+    private static final long SILENCE_TIMEOUT_US = 3 * ProtocolLimits.WATCH_KEEPALIVE_US / 2;
 
     private final EventLoop loop;
-    private final Owner owner;
+    private final Handler handler;
     private final int maxObjectBytes;
     private final HttpReader reader = HttpReader.forResponses(this);
 
@@ -65,63 +65,63 @@
 
     private boolean lineBegun;
     private int objectBytes;
-    private boolean bad;
-    private boolean watches;
-    private Connection link;
-    private EventLoop.Timer silence;
+    private boolean isMalformed;
+    private boolean isWatching;
+    private Connection connection;
+    private EventLoop.Timer silenceTimer;
 
-    DiscoveryConnection(EventLoop loop, Owner owner, int maxObjectBytes) {
+    DiscoveryConnection(EventLoop loop, Handler handler, int maxObjectBytes) {
         this.loop = loop;
-        this.owner = owner;
+        this.handler = handler;
         this.maxObjectBytes = maxObjectBytes;
     }
 
-    void on(Connection link) {
-        this.link = link;
+    void attach(Connection connection) {
+        this.connection = connection;
     }
 
-    void end(CloseReason closeReason) {
-        loop.cancel(silence);
-        link.close(closeReason);
+    void close(CloseReason closeReason) {
+        loop.cancel(silenceTimer);
+        connection.close(closeReason);
     }
 
     @Override
     public void connected() {
-        ask();
+        sendRequest();
     }
 
-    private void ask() {
-        watches = owner.isNumbered();
-        link.out()
-                .put("GET /api/targets" + (watches ? "?watch=1&after=" + owner.revision() : "")
-                        + " HTTP/1.1\r\nHost: " + owner.host() + "\r\n\r\n");
-        link.scheduleWrite();
+    private void sendRequest() {
+        isWatching = handler.isRevisionCurrent();
+        connection.out()
+                .put("GET /api/targets" + (isWatching ? "?watch=1&after=" + handler.revision() : "")
+                        + " HTTP/1.1\r\nHost: " + handler.host() + "\r\n\r\n");
+        connection.scheduleWrite();
     }
 
     /** Danger: bytes that drip in, or noise, are no life: a line that could be read is. */
-    private void alive() {
-        if (!watches) {
+    private void notifyAlive() {
+        if (!isWatching) {
             return; // The whole list says nothing of what comes after it.
         }
-        loop.cancel(silence);
-        silence = loop.schedule(loop.nowUs() + SILENT_US, () -> end(CloseReason.SILENT));
-        owner.alive(this);
+        loop.cancel(silenceTimer);
+        silenceTimer = loop.schedule(loop.nowUs() + SILENCE_TIMEOUT_US, () -> close(CloseReason.SILENT));
+        handler.watchAlive(this);
     }
 
     @Override
     public void bytesReceived(RingBuffer in) {
         try {
-            while (in.size() > 0 && owner.counts(this)) {
+            while (in.size() > 0 && handler.isInUse(this)) {
                 reader.read(in);
             }
         } catch (MessageRejectedException e) {
             LOG.warning("discovery: " + e.getMessage());
-            end(CloseReason.BAD_INPUT);
+            close(CloseReason.BAD_INPUT);
         }
     }
 
     @Override
-    public void startLine(String one, String status, String words) throws MessageRejectedException {
+    public void startLine(String version, String status, String reasonPhrase) throws MessageRejectedException {
         if (!status.equals("200")) {
             throw new MessageRejectedException(502, "the watch was answered with " + status);
         }
@@ -129,16 +129,16 @@
 
     @Override
     public void body(ByteBuffer piece) throws MessageRejectedException {
-        while (piece.hasRemaining() && owner.counts(this)) {
+        while (piece.hasRemaining() && handler.isInUse(this)) {
             byte b = piece.get();
             if (++objectBytes > maxObjectBytes) {
                 throw new MessageRejectedException(502, "a list of over " + maxObjectBytes + " bytes");
             }
             if (b == '\n') {
-                lineOver();
+                lineEnded();
             } else {
-                if (watches && !lineBegun && b == '{' && !object.isEmpty()) {
-                    leaveOut(
+                if (isWatching && !lineBegun && b == '{' && !object.isEmpty()) {
+                    discardObject(
                             "it does not end"); // An object begins here, so the one before was cut.
                 }
                 lineBegun |= b != '\r';
@@ -149,75 +149,75 @@
 
     private void read(byte b) {
         try {
-            if (!bad) {
+            if (!isMalformed) {
                 object.read(b);
             }
         } catch (MessageRejectedException e) {
-            leaveOut(e.getMessage());
-            bad = true;
+            discardObject(e.getMessage());
+            isMalformed = true;
         }
     }
 
-    private void leaveOut(String why) {
-        LOG.warning("discovery: a line is left out: " + why);
-        anew();
+    private void discardObject(String reason) {
+        LOG.warning("discovery: a line is left out: " + reason);
+        resetObject();
     }
 
-    private void anew() {
+    private void resetObject() {
         object = new JsonReader();
         objectBytes = 0;
-        bad = false;
+        isMalformed = false;
     }
 
     /** Danger: what it holds must not be passed over, nor half of it pass for the whole. */
-    private void lineOver() {
-        boolean said = lineBegun;
+    private void lineEnded() {
+        boolean hadContent = lineBegun;
         lineBegun = false;
         read((byte) '\n');
-        if (bad) {
-            anew();
+        if (isMalformed) {
+            resetObject();
         } else if (object.isComplete()) {
-            objectOver();
-        } else if (watches && !said) {
+            objectEnded();
+        } else if (isWatching && !hadContent) {
             if (!object.isEmpty()) {
-                leaveOut("it does not end"); // No line within a list is empty.
+                discardObject("it does not end"); // No line within a list is empty.
             }
-            alive();
+            notifyAlive();
         }
     }
 
-    private void objectOver() {
+    private void objectEnded() {
         try {
-            Object whole = object.value();
-            anew();
-            if (!watches && owner.isNumbered()) {
+            Object list = object.value();
+            resetObject();
+            if (!isWatching && handler.isRevisionCurrent()) {
                 return; // Another has told the whole list, perhaps a newer one.
             }
-            if (owner.told(whole)) {
-                alive();
-                owner.listTaken();
+            if (handler.listReceived(list)) {
+                notifyAlive();
+                handler.listApplied();
             }
         } catch (MessageRejectedException e) {
-            leaveOut(e.getMessage());
+            discardObject(e.getMessage());
         }
     }
 
     /** The whole list is in, and is watched from there on; a watch has no end. */
     @Override
     public void messageEnded() throws MessageRejectedException {
-        if (watches) {
+        if (isWatching) {
             throw new MessageRejectedException(502, "the watch was ended");
         }
-        if (owner.counts(this)) {
-            lineOver();
-            anew();
-            ask();
+        if (handler.isInUse(this)) {
+            lineEnded();
+            resetObject();
+            sendRequest();
         }
     }
 
     @Override
     public void connectionClosed(CloseReason closeReason) {
-        loop.cancel(silence);
-        owner.ended(this, closeReason);
+        loop.cancel(silenceTimer);
+        handler.watchClosed(this, closeReason);
     }
 }
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -14,67 +14,67 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Keeps the list of data nodes up: asks discovery for watches, and goes on where it moves to. */
-final class DiscoveryWatcher implements DiscoveryConnection.Owner {
+/** Keeps the endpoint list up to date: opens watches at discovery, and follows it where it moves to. */
+final class DiscoveryWatcher implements DiscoveryConnection.Handler {
     private static final Logger LOG = Logger.getLogger("tinlink.roster");
 
     /** Asked for at the same time, the newest for at least half as long as each. */
-    private static final int MAX_ASKED = 2;
+    private static final int MAX_PENDING = 2;
 
     private final EventLoop loop;
     private final Network network;
-    private final ModuleTurn turn;
-    private final Roster roster;
-    private InetSocketAddress discovery;
+    private final DecisionDriver driver;
+    private final EndpointList endpointList;
+    private InetSocketAddress discoveryAddress;
     private final SplittableRandom random;
-    private final long askUs;
+    private final long openIntervalUs;
     private final int maxObjectBytes;
 
     /** The revision is one of the place that is asked now. */
-    private boolean numbered = true;
+    private boolean isRevisionCurrent = true;
 
-    /** The one that tells; null while none does. */
-    private DiscoveryConnection watch;
+    /** The watch that delivers updates; null while none does. */
+    private DiscoveryConnection activeWatch;
 
     /** Asked for and silent so far, the oldest first; a few, each leaves as it tells or ends. */
-    private final List<DiscoveryConnection> asked = new ArrayList<>();
+    private final List<DiscoveryConnection> pendingWatches = new ArrayList<>();
 
-    /** When one more is asked for; null while one tells. */
-    private EventLoop.Timer next;
+    /** When one more is opened; null while one is active. */
+    private EventLoop.Timer nextOpenTimer;
 
-    private boolean down;
-    private Runnable whenHeard = () -> {};
+    private boolean isDown;
+    private Runnable whenUpdated = () -> {};
 
     DiscoveryWatcher(
             EventLoop loop,
             Network network,
-            ModuleTurn turn,
-            Roster roster,
-            InetSocketAddress discovery,
-            boolean pushed,
+            DecisionDriver driver,
+            EndpointList endpointList,
+            InetSocketAddress discoveryAddress,
+            boolean isPushed,
             long seed,
             int maxObjectBytes) {
         this.loop = loop;
         this.network = network;
-        this.turn = turn;
-        this.roster = roster;
-        this.discovery = discovery;
+        this.driver = driver;
+        this.endpointList = endpointList;
+        this.discoveryAddress = discoveryAddress;
         // Where lists are pushed, an agent on this router's own machine answers at once and at no
         // cost.
-        askUs = ProtocolLimits.WATCH_KEEPALIVE_US / (pushed ? 8 : 2);
+        openIntervalUs = ProtocolLimits.WATCH_KEEPALIVE_US / (isPushed ? 8 : 2);
         this.maxObjectBytes = maxObjectBytes;
         random = new SplittableRandom(seed);
     }
 
     /** Runs whenever discovery has told something. */
-    void whenHeard(Runnable what) {
-        whenHeard = what;
+    void whenUpdated(Runnable listener) {
+        whenUpdated = listener;
     }
 
     /** Opens a watch, if none tells and none is asked for. */
     void follow() {
-        if (watch == null && next == null) {
-            ask();
+        if (activeWatch == null && nextOpenTimer == null) {
+            openWatch();
         }
     }
 
@@ -83,116 +83,116 @@
      * hangs, or whose discovery is away, takes connections and is silent; whoever waits on one of them alone,
      * or on none for a while, hears of a drain long after it was told. The oldest gives way.
      */
-    private void ask() {
-        next = loop.schedule(loop.nowUs() + askUs - random.nextLong(askUs / 4), this::ask);
-        if (asked.size() == MAX_ASKED) {
-            asked.get(0).end(CloseReason.SILENT);
+    private void openWatch() {
+        nextOpenTimer = loop.schedule(loop.nowUs() + openIntervalUs - random.nextLong(openIntervalUs / 4), this::openWatch);
+        if (pendingWatches.size() == MAX_PENDING) {
+            pendingWatches.get(0).close(CloseReason.SILENT);
         }
         DiscoveryConnection connection = new DiscoveryConnection(loop, this, maxObjectBytes);
         try {
-            connection.on(network.connect(discovery, connection));
-            asked.add(connection);
+            connection.attach(network.connect(discoveryAddress, connection));
+            pendingWatches.add(connection);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.FINE, "discovery: no connection", e);
-            lost(null);
+            watchLost(null);
         }
     }
 
     /** Discovery is elsewhere from now on; the list held stays until the new place tells more. */
-    void moveTo(InetSocketAddress to) {
-        if (to.equals(discovery)) {
+    void moveTo(InetSocketAddress address) {
+        if (address.equals(discoveryAddress)) {
             return;
         }
         LOG.log(
                 Level.INFO,
                 "discovery: it moves to {0}, the list of {1} nodes is kept",
-                new Object[] {to, roster.size()});
-        discovery = to;
+                new Object[] {address, endpointList.size()});
+        discoveryAddress = address;
         // Danger: the new place may number its lists otherwise. Changes since a number of the old
         // one's are
         // not what has changed for us; the whole list is.
-        numbered = false;
-        List<DiscoveryConnection> old = new ArrayList<>(asked);
-        if (watch != null) {
-            old.add(watch);
+        isRevisionCurrent = false;
+        List<DiscoveryConnection> old = new ArrayList<>(pendingWatches);
+        if (activeWatch != null) {
+            old.add(activeWatch);
         }
         // Danger: what the old place still says is old by now, and must not be taken for news.
-        watch = null;
-        asked.clear();
-        old.forEach(w -> w.end(CloseReason.GONE));
-        loop.cancel(next);
-        ask();
+        activeWatch = null;
+        pendingWatches.clear();
+        old.forEach(watch -> watch.close(CloseReason.GONE));
+        loop.cancel(nextOpenTimer);
+        openWatch();
     }
 
     /** This one tells from now on; what was asked for beside it is not needed. */
     @Override
-    public void alive(DiscoveryConnection connection) {
-        if (watch == connection) {
+    public void watchAlive(DiscoveryConnection connection) {
+        if (activeWatch == connection) {
             return;
         }
-        asked.remove(connection);
-        List<DiscoveryConnection> others = List.copyOf(asked);
-        asked.clear();
-        watch = connection;
-        down = false;
-        loop.cancel(next);
-        next = null;
-        others.forEach(o -> o.end(CloseReason.DONE));
+        pendingWatches.remove(connection);
+        List<DiscoveryConnection> others = List.copyOf(pendingWatches);
+        pendingWatches.clear();
+        activeWatch = connection;
+        isDown = false;
+        loop.cancel(nextOpenTimer);
+        nextOpenTimer = null;
+        others.forEach(other -> other.close(CloseReason.DONE));
     }
 
     @Override
-    public void ended(DiscoveryConnection connection, CloseReason closeReason) {
-        if (watch == connection) {
-            watch = null;
-            lost(closeReason);
+    public void watchClosed(DiscoveryConnection connection, CloseReason closeReason) {
+        if (activeWatch == connection) {
+            activeWatch = null;
+            watchLost(closeReason);
             // Danger: routers whose watches end at one moment, and who all come back at once.
-            next = loop.schedule(loop.nowUs() + random.nextLong(askUs / 2), this::ask);
-        } else if (asked.remove(connection)) {
-            lost(closeReason);
+            nextOpenTimer = loop.schedule(loop.nowUs() + random.nextLong(openIntervalUs / 2), this::openWatch);
+        } else if (pendingWatches.remove(connection)) {
+            watchLost(closeReason);
         }
     }
 
-    private void lost(CloseReason closeReason) {
+    private void watchLost(CloseReason closeReason) {
         // Said once, until a line shows that discovery serves again.
         LOG.log(
-                down ? Level.FINE : Level.WARNING,
+                isDown ? Level.FINE : Level.WARNING,
                 "discovery: the watch ended ({0}), the list of {1} nodes is kept",
-                new Object[] {closeReason, roster.size()});
-        down = true;
-        turn.input(m -> m.nodes(Aggregator.News.FAILED));
+                new Object[] {closeReason, endpointList.size()});
+        isDown = true;
+        driver.applyInput(m -> m.nodes(Aggregator.News.FAILED));
     }
 
     // ---- What connections ask and tell. ----
 
     @Override
     public String host() {
-        return discovery.getHostString();
+        return discoveryAddress.getHostString();
     }
 
     @Override
-    public boolean isNumbered() {
-        return numbered;
+    public boolean isRevisionCurrent() {
+        return isRevisionCurrent;
     }
 
     @Override
     public long revision() {
-        return roster.revision();
+        return endpointList.revision();
     }
 
     @Override
-    public boolean counts(DiscoveryConnection connection) {
-        return watch == connection || asked.contains(connection);
+    public boolean isInUse(DiscoveryConnection connection) {
+        return activeWatch == connection || pendingWatches.contains(connection);
     }
 
     @Override
-    public boolean told(Object list) {
-        boolean taken = roster.news(list, Aggregator.News.FULL);
-        numbered |= taken;
-        return taken;
+    public boolean listReceived(Object list) {
+        boolean isApplied = endpointList.apply(list, Aggregator.News.FULL);
+        isRevisionCurrent |= isApplied;
+        return isApplied;
     }
 
     @Override
-    public void listTaken() {
-        whenHeard.run();
+    public void listApplied() {
+        whenUpdated.run();
     }
 }
--- a/src/main/java/tinlink/router/SiteLinks.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -31,26 +31,26 @@
  * stand before the module as data nodes, one a cell; parts that come from other sites are lookups
  * of one part.
  */
-final class SiteLinks implements Gateway.PartHandler, Query.Asker {
+final class GatewayIntegration implements Gateway.PartHandler, Query.ResponseListener {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private final EventLoop loop;
-    private final Stages stages;
+    private final RequestPipeline pipeline;
     private final Gateway gateway;
     private final int cells;
     /** Names of indexes; the module knows them as objects. */
-    private final IdentityHashMap<Index, String> names = new IdentityHashMap<>();
+    private final IdentityHashMap<Index, String> classNames = new IdentityHashMap<>();
     /**
      * Of each far router by cell, made as it first serves one: as many as the settings have cells.
      */
     private final IdentityHashMap<RemoteRouter, DataNode[]> nodes = new IdentityHashMap<>();
 
-    private long begun;
+    private long forwardedQueries;
 
-    SiteLinks(EventLoop loop, Network network, RouterStart start, Stages stages) {
+    GatewayIntegration(EventLoop loop, Network network, RouterStart start, RequestPipeline pipeline) {
         this.loop = loop;
-        this.stages = stages;
+        this.pipeline = pipeline;
         cells = start.cells;
-        start.lookups.indexes().forEach((name, index) -> names.put(index, name));
+        start.lookups.indexes().forEach((name, index) -> classNames.put(index, name));
         GatewayStart g = start.gateway;
         gateway = new Gateway(
                 loop,
@@ -61,7 +61,7 @@
                 new Gateway.Limits(
                         g.takesParts, g.remembers, g.remembersBytes, g.routers, g.waiting),
                 g.far.stream()
-                        .map(f -> new Gateway.RemoteEndpoint(f.site(), f.router(), f.lines()))
+                        .map(remote -> new Gateway.RemoteEndpoint(remote.site(), remote.router(), remote.lines()))
                         .toList(),
                 start.seed,
                 this);
@@ -76,8 +76,8 @@
         if (g.listen != null) {
             gateway.listen(g.listen);
         }
-        stages.roster.tells(gateway::announceCells);
-        stages.turn.beside(gateway.turn());
+        pipeline.endpointList.setCellListener(gateway::announceCells);
+        pipeline.driver.beside(gateway.turn());
         gateway.logCounters();
         LOG.log(
                 Level.INFO,
@@ -88,7 +88,7 @@
     }
 
     /** The keys alone are taken over in service. */
-    void again(GatewayStart g) {
+    void updateKeys(GatewayStart g) {
         gateway.keys(keys(g));
     }
 
@@ -98,10 +98,10 @@
     }
 
     /** From another thread. */
-    int farCells() {
+    int remoteCells() {
         return loop.submitAndWait(() -> (int) nodes.values().stream()
                 .flatMap(Arrays::stream)
-                .filter(n -> n != null && n.state == DataNode.State.READY)
+                .filter(node -> node != null && node.state == DataNode.State.READY)
                 .count());
     }
 
@@ -112,84 +112,84 @@
     // ---- Parts that go out. ----
 
     @Override
-    public void cellsChanged(RemoteRouter router, BitSet which, long lineUs) {
-        DataNode[] known = nodes.computeIfAbsent(router, r -> new DataNode[cells]);
+    public void cellsChanged(RemoteRouter router, BitSet servedCells, long lineUs) {
+        DataNode[] nodesByCell = nodes.computeIfAbsent(router, r -> new DataNode[cells]);
         for (int cell = 0; cell < cells; cell++) {
-            if (known[cell] == null && which.get(cell)) {
-                known[cell] = stages.roster.farNode(gateway.siteOf(router), cell);
-                stages.sends.target(known[cell]).far = s -> forward(router, s);
+            if (nodesByCell[cell] == null && servedCells.get(cell)) {
+                nodesByCell[cell] = pipeline.endpointList.newRemoteNode(gateway.siteOf(router), cell);
+                pipeline.dispatcher.endpointOf(nodesByCell[cell]).remoteSender = sent -> forward(router, sent);
             }
-            DataNode n = known[cell];
-            if (n != null) {
-                n.lineUs = lineUs;
-                DataNode.State now =
-                        which.get(cell) ? DataNode.State.READY : DataNode.State.DRAINING;
-                boolean changed = n.state != now;
-                n.state = now;
-                if (changed) {
-                    stages.turn.input(m -> m.listed(n, false));
+            DataNode node = nodesByCell[cell];
+            if (node != null) {
+                node.lineUs = lineUs;
+                DataNode.State newState =
+                        servedCells.get(cell) ? DataNode.State.READY : DataNode.State.DRAINING;
+                boolean hasChanged = node.state != newState;
+                node.state = newState;
+                if (hasChanged) {
+                    pipeline.driver.applyInput(m -> m.listed(node, false));
                 }
             }
         }
-        stages.turn.input(m -> m.nodes(Aggregator.News.CHANGES));
+        pipeline.driver.applyInput(m -> m.nodes(Aggregator.News.CHANGES));
     }
 
-    private void forward(RemoteRouter to, Sent s) {
-        Query q = s.segment().query();
+    private void forward(RemoteRouter remoteRouter, SentAttempt sent) {
+        Query query = sent.part().query();
         OutgoingPart part = new OutgoingPart(
-                s,
+                sent,
                 loop.nowUs(),
-                s.until,
-                s.call.node.cell,
-                q.index.effect == Index.Effect.IDEMPOTENT,
-                s.segment().id,
-                names.get(q.index),
-                s.segment().shard,
-                q.key,
-                q.text,
-                q.repeat,
-                effectUntil(s));
-        s.by = new Carried() {
+                sent.deadlineUs,
+                sent.call.node.cell,
+                query.index.effect == Index.Effect.IDEMPOTENT,
+                sent.part().id,
+                classNames.get(query.index),
+                sent.part().shard,
+                query.idempotencyKey,
+                query.text,
+                query.repeat,
+                effectUntil(sent));
+        sent.transport = new AttemptTransport() {
             @Override
-            public boolean waits() {
+            public boolean isQueued() {
                 return part.isQueued();
             }
 
             @Override
-            public void unanswered(Sent x) {
+            public void onTimeout(SentAttempt sent) {
                 // The links keep its time themselves.
             }
 
             @Override
-            public void over(Sent x, boolean giveUp) {
-                gateway.cancel(to, part);
+            public void onOutcome(SentAttempt sent, boolean cancelAtNode) {
+                gateway.cancel(remoteRouter, part);
             }
         };
-        gateway.forward(to, part);
+        gateway.forward(remoteRouter, part);
     }
 
     /** Danger: what comes later on a line must not be the first of its key to run. */
-    private static long effectUntil(Sent s) {
-        Index x = s.segment().lookup.index;
+    private static long effectUntil(SentAttempt sent) {
+        Index x = sent.part().lookup.index;
         return x.effect != Index.Effect.FINGERPRINTED
                 ? Long.MAX_VALUE
-                : Math.min(s.effectUntil(), x.windowUs + s.call.sentAt);
+                : Math.min(sent.effectDeadlineUs(), x.windowUs + sent.call.sentAt);
     }
 
     @Override
     public void partEnded(OutgoingPart part, Outcome how, long tookUs) {
-        Sent s = (Sent) part.attachment;
-        if (s.over) {
+        SentAttempt sent = (SentAttempt) part.attachment;
+        if (sent.isEnded) {
             return;
         }
-        s.over = true;
-        Query q = s.segment().query();
+        sent.isEnded = true;
+        Query query = sent.part().query();
         if (how == Outcome.SATISFIED) {
-            s.segment().value = new String(part.value, StandardCharsets.UTF_8);
+            sent.part().value = new String(part.value, StandardCharsets.UTF_8);
         } else if (how == Outcome.TURNED_AWAY) {
-            q.comeBackUs = Math.max(q.comeBackUs, part.retryAfterUs);
+            query.remoteRetryAfterUs = Math.max(query.remoteRetryAfterUs, part.retryAfterUs);
         }
-        stages.turn.outcome(s, how, tookUs);
+        pipeline.driver.outcome(sent, how, tookUs);
     }
 
     // ---- Parts that come in. ----
@@ -197,11 +197,11 @@
     @Override
     public void startPart(IncomingPart part) {
         try {
-            Query q = stages.reader.forwarded(part, "/" + begun++, this);
-            part.attachment = q;
-            q.origin = part;
-            if (stages.intake.hasRoom(q)) {
-                stages.turn.take(q);
+            Query query = pipeline.queryParser.parseForwarded(part, "/" + forwardedQueries++, this);
+            part.attachment = query;
+            query.remoteOrigin = part;
+            if (pipeline.acceptor.hasCapacity(query)) {
+                pipeline.driver.admit(query);
                 return;
             }
         } catch (MessageRejectedException e) {
@@ -212,40 +212,40 @@
 
     @Override
     public void cancelPart(IncomingPart part) {
-        if (part.attachment instanceof Query q && !q.ended) {
-            stages.turn.clientGone(q);
+        if (part.attachment instanceof Query query && !query.ended) {
+            pipeline.driver.clientGone(query);
         }
     }
 
     @Override
-    public void answered(Query q, boolean whole) {
-        String value = ((Segment) q.parts.get(0)).value;
-        gateway.partEnded((IncomingPart) q.origin, PartStatus.DONE, value.getBytes(StandardCharsets.UTF_8), 0);
+    public void onAnswer(Query query, boolean isComplete) {
+        String value = ((QueryPart) query.parts.get(0)).value;
+        gateway.partEnded((IncomingPart) query.remoteOrigin, PartStatus.DONE, value.getBytes(StandardCharsets.UTF_8), 0);
     }
 
     @Override
-    public void nacked(Query q, long comeBackUs) {
-        over(q, comeBackUs);
+    public void onRejection(Query query, long retryAfterUs) {
+        endUnserved(query, retryAfterUs);
     }
 
     @Override
-    public void aborted(Query q) {
-        over(q, 0);
+    public void onAbort(Query query) {
+        endUnserved(query, 0);
     }
 
     @Override
-    public void failed(Query q) {
-        over(q, 0);
+    public void onFailure(Query query) {
+        endUnserved(query, 0);
     }
 
     /**
      * Danger: for an idempotent part a nack says that a repeat is harmless, not that it never ran.
      */
-    private void over(Query q, long comeBackUs) {
-        boolean never = true;
-        for (Part p : q.parts) {
-            never &= p.calls.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
+    private void endUnserved(Query query, long retryAfterUs) {
+        boolean neverRan = true;
+        for (Part p : query.parts) {
+            neverRan &= p.calls.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
         }
-        gateway.partEnded((IncomingPart) q.origin, never ? PartStatus.REFUSED : PartStatus.FAILED, null, comeBackUs);
+        gateway.partEnded((IncomingPart) query.remoteOrigin, neverRan ? PartStatus.REFUSED : PartStatus.FAILED, null, retryAfterUs);
     }
 }
--- a/src/main/java/tinlink/router/WorkLinks.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -27,35 +27,35 @@
  * What a request's stages and work on machines have to do with each other: nodes that are left out,
  * clients that are let go, and what is open here.
  */
-final class WorkLinks implements MaintenanceService.DataPlane {
+final class MaintenanceIntegration implements MaintenanceService.DataPlane {
     private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
     /** Held here, or its level is forgotten. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
     private final EventLoop loop;
     private final Network network;
-    private final Stages stages;
+    private final RequestPipeline pipeline;
     private final WorkStart start;
-    private final InetSocketAddress door;
+    private final InetSocketAddress configuredAddress;
     private final MaintenanceService maintenance;
     /** Null where changes of policy are off. */
-    private final PolicyLinks policy;
+    private final PolicyIntegration policy;
 
     private ControlServer control;
-    private boolean gone;
-    private boolean stops;
-    /** The door was closed, to be opened again. */
-    private boolean shut;
+    private boolean isDrainRequested;
+    private boolean stopping;
+    /** Accepting was stopped, to be resumed. */
+    private boolean isAcceptingStopped;
 
     /** @throws IOException where the folder or the address can't be used */
-    WorkLinks(EventLoop loop, Network network, RouterStart from, Stages stages) throws IOException {
+    MaintenanceIntegration(EventLoop loop, Network network, RouterStart routerConfig, RequestPipeline pipeline) throws IOException {
         LIBRARY.setLevel(Level.SEVERE); // It tells of each message that could not be sent.
         this.loop = loop;
         this.network = network;
-        this.stages = stages;
-        start = from.work;
-        door = from.listen;
-        PeersStart p = from.peers;
+        this.pipeline = pipeline;
+        start = routerConfig.work;
+        configuredAddress = routerConfig.listen;
+        PeersStart p = routerConfig.peers;
         DisruptionLimits limits = new DisruptionLimits(
                 start.holders,
                 start.zoneShare,
@@ -76,9 +76,9 @@
                 new ClusterNode.Timing(p.roundUs, p.helpers, p.secondUs, p.handshakeUs, p.idleUs),
                 new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
                 p.folder,
-                from.seed,
-                books(replicatedState, policyStateMachine),
-                books(new ReplicatedMaintenance(), new PolicyStateMachine()));
+                routerConfig.seed,
+                stateMachines(replicatedState, policyStateMachine),
+                stateMachines(new ReplicatedMaintenance(), new PolicyStateMachine()));
         maintenance = new MaintenanceService(
                 loop,
                 network.withoutServer(),
@@ -95,10 +95,10 @@
                         start.oldUs,
                         start.reportUs),
                 p.folder);
-        policy = start.policy ? new PolicyLinks(loop, clusterNode, policyStateMachine, from) : null;
+        policy = start.policy ? new PolicyIntegration(loop, clusterNode, policyStateMachine, routerConfig) : null;
     }
 
-    private static ReplicatedStateMachine books(ReplicatedMaintenance maintenance, PolicyStateMachine policyStateMachine) {
+    private static ReplicatedStateMachine stateMachines(ReplicatedMaintenance maintenance, PolicyStateMachine policyStateMachine) {
         return new CompositeStateMachine(maintenance, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine));
     }
 
@@ -107,19 +107,19 @@
      * that are out. So clients are served once its start is agreed on, or that has been awaited for
      * long enough: serving never depends on agreement.
      */
-    void start(Runnable mayServe) throws IOException {
-        stages.turn.also(policy == null ? maintenance : new Both(maintenance, policy.policy()));
-        stages.sends.tells((machine, how) -> {
+    void start(Runnable whenReady) throws IOException {
+        pipeline.driver.also(policy == null ? maintenance : new ParticipantPair(maintenance, policy.policy()));
+        pipeline.dispatcher.setOutcomeListener((machine, how) -> {
             if (how != Outcome.NOT_SENT && how != Outcome.CANCELLED) {
                 maintenance.onCallResult(machine, how == Outcome.SATISFIED || how == Outcome.TURNED_AWAY);
             }
         });
-        maintenance.start(mayServe);
+        maintenance.start(whenReady);
         if (policy != null) {
             policy.policy().start();
-            stages.intake.goesBy(policy);
+            pipeline.acceptor.setPolicy(policy);
         }
-        loop.schedule(loop.nowUs() + start.awaitUs, mayServe);
+        loop.schedule(loop.nowUs() + start.awaitUs, whenReady);
         if (start.control != null) {
             control = new ControlServer(
                     loop,
@@ -138,8 +138,8 @@
     /**
      * It ends by SIGTERM: what work on machines would have it do with its clients is done already.
      */
-    void stops() {
-        stops = true;
+    void stopping() {
+        stopping = true;
     }
 
     /** Nothing is in hand any more. */
@@ -158,33 +158,33 @@
     }
 
     /** Two that decide in each turn. */
-    private record Both(EventLoop.EventLoopParticipant one, EventLoop.EventLoopParticipant two) implements EventLoop.EventLoopParticipant {
+    private record ParticipantPair(EventLoop.EventLoopParticipant first, EventLoop.EventLoopParticipant second) implements EventLoop.EventLoopParticipant {
         @Override
         public void turnStarted(long nowUs) {
-            one.turnStarted(nowUs);
-            two.turnStarted(nowUs);
+            first.turnStarted(nowUs);
+            second.turnStarted(nowUs);
         }
 
         @Override
         public void turnEnding() {
-            two.turnEnding();
-            one.turnEnding();
+            second.turnEnding();
+            first.turnEnding();
         }
     }
 
     @Override
     public int partsInFlight(String machine) {
-        return stages.roster.open(machine);
+        return pipeline.endpointList.attemptsInFlight(machine);
     }
 
     @Override
     public int clientsInFlight() {
-        return (shut ? 0 : 1) + stages.intake.clients() + stages.turn.open();
+        return (isAcceptingStopped ? 0 : 1) + pipeline.acceptor.clients() + pipeline.driver.inFlight();
     }
 
     @Override
-    public void setCordoned(String machine, boolean out) {
-        stages.roster.leaveOut(machine, out);
+    public void setCordoned(String machine, boolean isCordoned) {
+        pipeline.endpointList.setCordoned(machine, isCordoned);
         loop.execute(() -> {}); // The module has an input: one more turn, in which it decides.
     }
 
@@ -193,55 +193,55 @@
      * closes.
      */
     @Override
-    public void setDraining(boolean go) {
-        gone = go;
-        if (stops) {
+    public void setDraining(boolean isDraining) {
+        isDrainRequested = isDraining;
+        if (stopping) {
             return;
         }
-        if (go) {
-            stages.intake.notReady();
-            loop.schedule(loop.nowUs() + Router.CLIENTS_COME_US, this::shut);
+        if (isDraining) {
+            pipeline.acceptor.markNotReady();
+            loop.schedule(loop.nowUs() + Router.DRAIN_NOTICE_US, this::stopAccepting);
         } else {
-            open();
+            resumeAccepting();
         }
     }
 
-    private void shut() {
-        if (gone && !shut && !stops) {
-            shut = true;
-            stages.intake.closeDoor();
+    private void stopAccepting() {
+        if (isDrainRequested && !isAcceptingStopped && !stopping) {
+            isAcceptingStopped = true;
+            pipeline.acceptor.stopAccepting();
         }
     }
 
-    private void open() {
-        if (gone || stops) {
+    private void resumeAccepting() {
+        if (isDrainRequested || stopping) {
             return;
         }
         try {
-            if (shut) {
-                stages.intake.openDoor(address());
-                shut = false;
+            if (isAcceptingStopped) {
+                pipeline.acceptor.resumeAccepting(address());
+                isAcceptingStopped = false;
             }
-            stages.intake.ready(true);
+            pipeline.acceptor.setReady(true);
         } catch (IOException e) {
             LOG.log(Level.WARNING, "event=door_not_open", e);
-            loop.schedule(loop.nowUs() + start.reportUs, this::open);
+            loop.schedule(loop.nowUs() + start.reportUs, this::resumeAccepting);
         }
     }
 
-    private InetSocketAddress at;
+    private InetSocketAddress servingAddress;
 
-    /** Where clients are served, once they are: the same when the door opens again. */
-    void servesAt(InetSocketAddress where) {
-        at = where;
+    /** Where clients are served, once they are: the same when accepting resumes. */
+    void setServingAddress(InetSocketAddress address) {
+        servingAddress = address;
     }
 
     private InetSocketAddress address() {
-        return at == null ? door : at;
+        return servingAddress == null ? configuredAddress : servingAddress;
     }
 
     @Override
     public Collection<MaintenanceService.ListedNode> listedNodes() {
-        return stages.roster.listed();
+        return pipeline.endpointList.snapshot();
     }
 }
--- a/src/main/java/tinlink/router/PolicyLinks.java
+++ b/src/main/java/tinlink/router/PolicyIntegration.java
@@ -17,20 +17,20 @@
  * What a request's stages and changes of policy have to do with each other: by which figures a
  * lookup is taken, to its end; and that none is where it is not known which hold.
  */
-final class PolicyLinks {
+final class PolicyIntegration {
     private final RouterStart start;
     private final PolicyRolloutService policyRollout;
     /** As the newest versions have them: two at a time, the one in force and the one before it. */
-    private final Map<Long, PolicyDoc> docs = new java.util.TreeMap<>();
+    private final Map<Long, PolicyDoc> documents = new java.util.TreeMap<>();
 
-    PolicyLinks(EventLoop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterStart start) {
+    PolicyIntegration(EventLoop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterStart start) {
         this.start = start;
         // The one clock that all machines read; nothing else in the router asks it.
         policyRollout = new PolicyRolloutService(
                 loop,
                 clusterNode,
                 policyStateMachine,
-                change -> refuses(change.text()),
+                change -> rejectionOf(change.text()),
                 () -> System.currentTimeMillis() * 1000,
                 start.work.reportUs);
     }
@@ -40,7 +40,7 @@
     }
 
     /** This router's own start checks of a text: why it can't be used, or empty. */
-    private String refuses(String text) {
+    private String rejectionOf(String text) {
         try {
             new PolicyDoc(text, start);
             return "";
@@ -49,39 +49,39 @@
         }
     }
 
-    private PolicyDoc doc() {
+    private PolicyDoc currentDocument() {
         PolicyVersion version = policyRollout.effectiveVersion();
         if (version == null || version.epoch() == 0) {
             return null;
         }
-        PolicyDoc known = docs.get(version.epoch());
-        if (known == null) {
-            docs.keySet().removeIf(old -> old < version.epoch() - 1);
-            known = new PolicyDoc(version.text(), start);
-            docs.put(version.epoch(), known);
+        PolicyDoc document = documents.get(version.epoch());
+        if (document == null) {
+            documents.keySet().removeIf(epoch -> epoch < version.epoch() - 1);
+            document = new PolicyDoc(version.text(), start);
+            documents.put(version.epoch(), document);
         }
-        return known;
+        return document;
     }
 
     /**
      * Figures of lookups that come now. @throws BadMessage where none may be taken: nothing of it
      * was sent
      */
-    Map<String, Index> indexes() throws MessageRejectedException {
-        PolicyDoc d = doc();
-        if (d == null && !policyRollout.unavailableReason().isEmpty()) {
+    Map<String, Index> lookupClasses() throws MessageRejectedException {
+        PolicyDoc document = currentDocument();
+        if (document == null && !policyRollout.unavailableReason().isEmpty()) {
             throw new MessageRejectedException(503, "no lookups are taken: " + policyRollout.unavailableReason());
         }
-        return d == null ? start.lookups.indexes() : d.indexes;
+        return document == null ? start.lookups.indexes() : document.indexes;
     }
 
-    int openCap() {
-        PolicyDoc d = doc();
-        return d == null ? start.lookups.openCap() : d.openCap;
+    int maxInFlight() {
+        PolicyDoc document = currentDocument();
+        return document == null ? start.lookups.openCap() : document.openCap;
     }
 
     /** Why clients are to go elsewhere; empty where they are served. */
-    String why() {
+    String unavailableReason() {
         policyRollout.effectiveVersion();
         return policyRollout.unavailableReason();
     }
--- a/src/main/java/tinlink/router/Query.java
+++ b/src/main/java/tinlink/router/Query.java
@@ -2,45 +2,45 @@
 
 import tinlink.decision.Lookup;
 
-/** A lookup in hand: what has to be passed on with its parts, and who waits for the answer. */
+/** A lookup in flight: what is sent with its parts, and who is notified of its response. */
 final class Query extends Lookup {
-    /** Who hears the end of a query; once, and not after it has left. */
-    interface Asker {
-        void answered(Query q, boolean whole);
+    /** Notified of a query's end; once, and not after its client has left. */
+    interface ResponseListener {
+        void onAnswer(Query query, boolean isComplete);
 
         /**
          * The lookup is refused.
          *
-         * @param comeBackUs 0 for no advice
+         * @param retryAfterUs 0 for no advice
          */
-        void nacked(Query q, long comeBackUs);
+        void onRejection(Query query, long retryAfterUs);
 
-        void aborted(Query q);
+        void onAbort(Query query);
 
-        /** A fault of ours has ended it; it may have run. */
-        void failed(Query q);
+        /** An internal error has ended it; it may have run. */
+        void onFailure(Query query);
     }
 
-    /** Of its own among all that are in hand or just over. */
+    /** Unique among all that are in flight or have just ended. */
     final String callId;
     /** Held once; every part call sends these bytes. */
     final byte[] text;
-    /** The client's fingerprint of the lookup; null where its index needs none. */
-    final String key;
+    /** The client's idempotency key; null where its lookup class needs none. */
+    final String idempotencyKey;
 
-    final Asker asker;
+    final ResponseListener listener;
     /**
-     * The longest time after which a router of another site wants to be asked again; 0 where none
-     * said so.
+     * The longest Retry-After that a router of another site has given, in microseconds; 0 where none
+     * has.
      */
-    long comeBackUs;
+    long remoteRetryAfterUs;
     /** The part of another site that it was made for; null for a client's. */
-    Object origin;
+    Object remoteOrigin;
 
-    Query(String callId, byte[] text, String key, Asker asker) {
+    Query(String callId, byte[] text, String idempotencyKey, ResponseListener listener) {
         this.callId = callId;
         this.text = text;
-        this.key = key;
-        this.asker = asker;
+        this.idempotencyKey = idempotencyKey;
+        this.listener = listener;
     }
 }
--- a/src/main/java/tinlink/router/QueryReader.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -17,37 +17,37 @@
 /**
  * Makes a query from the head and the body of a client's request, or says what is wrong with them.
  */
-final class QueryReader {
+final class QueryParser {
     private static final Pattern CALL_ID = Pattern.compile("[A-Za-z0-9_-]{1,64}");
     private static final Pattern PART_ID = Pattern.compile("[A-Za-z0-9_-]{1,64}\\.[0-9]{1,9}");
     private static final Pattern BUDGET = Pattern.compile("[0-9]{1,9}");
     private static final Pattern KEY = Pattern.compile("[!-+.-~-]{1,128}");
     /** So much may be lost of each share as it is written. */
-    private static final double ROUNDED = 1e-3;
+    private static final double SHARE_ROUNDING = 1e-3;
 
-    private final RouterStart.Lookups may;
+    private final RouterStart.Lookups settings;
 
-    QueryReader(RouterStart.Lookups may) {
-        this.may = may;
+    QueryParser(RouterStart.Lookups settings) {
+        this.settings = settings;
     }
 
-    /** @param by the figures of indexes as they are now; null for those of the start */
-    Query read(
-            Map<String, String> fields,
+    /** @param currentClasses the figures of indexes as they are now; null for those of the start */
+    Query parse(
+            Map<String, String> headers,
             JsonReader body,
-            Client client,
-            long askedAt,
-            Map<String, Index> by)
+            ClientConnection client,
+            long requestedAtUs,
+            Map<String, Index> currentClasses)
             throws MessageRejectedException {
-        String callId = matching(fields, "x-call-id", CALL_ID);
+        String callId = requireMatch(headers, "x-call-id", CALL_ID);
         Index index =
-                (by == null ? may.indexes() : by).get(fields.getOrDefault("x-call-class", ""));
+                (currentClasses == null ? settings.indexes() : currentClasses).get(headers.getOrDefault("x-call-class", ""));
         if (index == null) {
             throw new MessageRejectedException(400, "X-Call-Class: no such class");
         }
-        long budgetUs = 1000 * Long.parseLong(matching(fields, "x-budget-ms", BUDGET));
-        String key = index.effect == Index.Effect.FINGERPRINTED
-                ? matching(fields, "idempotency-key", KEY)
+        long budgetUs = 1000 * Long.parseLong(requireMatch(headers, "x-budget-ms", BUDGET));
+        String idempotencyKey = index.effect == Index.Effect.FINGERPRINTED
+                ? requireMatch(headers, "idempotency-key", KEY)
                 : null;
         if (!(body.value() instanceof Map<?, ?> map)) {
             throw new MessageRejectedException(400, "the body is no object");
@@ -55,12 +55,12 @@
         if (!(map.get("text") instanceof String text)) {
             throw new MessageRejectedException(400, "text: no string");
         }
-        Query q = new Query(callId, text.getBytes(StandardCharsets.UTF_8), key, client);
-        q.index = index;
-        q.repeat = "1".equals(fields.get("x-again"));
-        q.leavesAt = askedAt + budgetUs;
-        segments(q, map.get("segments"));
-        return q;
+        Query query = new Query(callId, text.getBytes(StandardCharsets.UTF_8), idempotencyKey, client);
+        query.index = index;
+        query.repeat = "1".equals(headers.get("x-again"));
+        query.leavesAt = requestedAtUs + budgetUs;
+        parseParts(query, map.get("segments"));
+        return query;
     }
 
     /**
@@ -68,67 +68,67 @@
      *
      * @param id of its own among all in hand
      */
-    Query forwarded(IncomingPart part, String id, Query.Asker asker) throws MessageRejectedException {
-        Index index = may.indexes().get(part.index);
-        if (index == null || part.shard < 0 || part.shard >= may.shards()) {
+    Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener) throws MessageRejectedException {
+        Index index = settings.indexes().get(part.index);
+        if (index == null || part.shard < 0 || part.shard >= settings.shards()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
-        boolean keyed = index.effect == Index.Effect.FINGERPRINTED;
+        boolean needsKey = index.effect == Index.Effect.FINGERPRINTED;
         if (!PART_ID.matcher(part.id).matches()
-                || (keyed && (part.idempotencyKey == null || !KEY.matcher(part.idempotencyKey).matches()))) {
+                || (needsKey && (part.idempotencyKey == null || !KEY.matcher(part.idempotencyKey).matches()))) {
             throw new MessageRejectedException(400, "id or key: not of its form");
         }
-        Query q = new Query(id, part.text, keyed ? part.idempotencyKey : null, asker);
-        q.index = index;
-        q.repeat = part.clientRetry;
-        q.forwarded = true;
-        q.leavesAt = part.arrivedAt + part.remainingUs;
-        q.parts.add(new Segment(q, part.shard, 1, part.id));
-        q.announced = 1;
-        return q;
+        Query query = new Query(id, part.text, needsKey ? part.idempotencyKey : null, listener);
+        query.index = index;
+        query.repeat = part.clientRetry;
+        query.forwarded = true;
+        query.leavesAt = part.arrivedAt + part.remainingUs;
+        query.parts.add(new QueryPart(query, part.shard, 1, part.id));
+        query.announced = 1;
+        return query;
     }
 
-    private static String matching(Map<String, String> fields, String name, Pattern pattern)
+    private static String requireMatch(Map<String, String> headers, String name, Pattern pattern)
             throws MessageRejectedException {
-        String value = fields.get(name);
+        String value = headers.get(name);
         if (value == null || !pattern.matcher(value).matches()) {
             throw new MessageRejectedException(400, name + (value == null ? ": missing" : ": not of its form"));
         }
         return value;
     }
 
-    private void segments(Query q, Object given) throws MessageRejectedException {
+    private void parseParts(Query query, Object given) throws MessageRejectedException {
         if (!(given instanceof List<?> list) || list.isEmpty()) {
             throw new MessageRejectedException(400, "segments: no list, or an empty one");
         }
-        Set<Integer> seen = new HashSet<>();
+        Set<Integer> seenShards = new HashSet<>();
         double sum = 0;
-        for (Object one : list) {
-            if (!(one instanceof Map<?, ?> map)) {
+        for (Object entry : list) {
+            if (!(entry instanceof Map<?, ?> map)) {
                 throw new MessageRejectedException(400, "segments: an entry is no object");
             }
             if (!(map.get("segment") instanceof Double shard)
                     || shard != Math.rint(shard)
                     || shard < 0
-                    || shard >= may.shards()
-                    || !seen.add(shard.intValue())) {
+                    || shard >= settings.shards()
+                    || !seenShards.add(shard.intValue())) {
                 throw new MessageRejectedException(400, "segment: no such shard, or twice");
             }
             if (!(map.get("boost") instanceof Double boost) || !(boost > 0) || boost > 1) {
                 throw new MessageRejectedException(400, "boost: no share");
             }
-            q.parts.add(new Segment(q, shard.intValue(), boost));
+            query.parts.add(new QueryPart(query, shard.intValue(), boost));
             sum += boost;
         }
         // Danger: shares that add up to more than one would let too few parts pass for a whole
         // answer, and
         // parts of a lookup that nobody asked for in this form are void.
-        if (Math.abs(sum - 1) > ROUNDED * (1 + q.parts.size())) {
+        if (Math.abs(sum - 1) > SHARE_ROUNDING * (1 + query.parts.size())) {
             throw new MessageRejectedException(400, "boost: the shares don't add up to 1");
         }
-        for (Part p : q.parts) {
+        for (Part p : query.parts) {
             p.weight /= sum;
         }
-        q.announced = q.parts.size();
+        query.announced = query.parts.size();
     }
 }
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -14,28 +14,28 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** One query router: built from its start, then run until it is told to stop. */
+/** One query router: built from its configuration, then run until it is told to stop. */
 public final class Router {
     private static final Logger LOG = Logger.getLogger("tinlink.router");
     /** After a SIGTERM new connections go on coming for up to 0.4 s. */
-    static final long CLIENTS_COME_US = 500_000;
+    static final long DRAIN_NOTICE_US = 500_000;
     /** What comes later than this after a SIGTERM must not be left unanswered. */
-    private static final long LAST_TAKEN_US = 600_000;
+    private static final long LAST_REQUEST_US = 600_000;
 
     private final EventLoop loop = new EventLoop();
     private final Network network;
-    private final ModuleTurn turn;
-    private final Intake intake;
-    private final PartSends sends;
-    private final Roster roster;
-    private final DiscoveryWatcher discovery;
-    private final Stages stages;
+    private final DecisionDriver driver;
+    private final ClientAcceptor acceptor;
+    private final AttemptDispatcher dispatcher;
+    private final EndpointList endpointList;
+    private final DiscoveryWatcher discoveryWatcher;
+    private final RequestPipeline pipeline;
     /** Null where there are no other sites. */
-    private final SiteLinks sites;
+    private final GatewayIntegration gateway;
     /** Null where work on machines is off. */
-    private final WorkLinks work;
+    private final MaintenanceIntegration maintenance;
     /** Its start is agreed on, has been awaited for long enough, or nobody has to agree on it. */
-    private boolean workKnown = true;
+    private boolean maintenanceReady = true;
     /** As the configuration was last read. */
     private RouterStart start;
     /**
@@ -44,18 +44,18 @@
      */
     private Warmup warmup;
 
-    private boolean warms;
-    /** The code has run, or will not. */
-    private boolean warm;
-    /** Discovery has told its list, or has been awaited long enough. */
-    private boolean listHeard;
+    private boolean warmUpRequested;
+    /** The warm-up has ended, or there is none. */
+    private boolean isWarm;
+    /** Discovery has sent its list, or has been awaited long enough. */
+    private boolean listReceived;
 
-    private boolean serves;
+    private boolean isServing;
     /** Why it could not serve; null where it could. */
-    private IOException notServed;
+    private IOException serveFailure;
 
-    private final CountDownLatch listening = new CountDownLatch(1);
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch servingLatch = new CountDownLatch(1);
+    private final CountDownLatch stoppedLatch = new CountDownLatch(1);
 
     /**
      * @param module what decides; another than the built one only to see how the router bears it
@@ -64,23 +64,23 @@
         this(start, module, Runnable::run);
     }
 
-    /** @param handlers runs a completion handler at once; others only show how late ones are borne */
-    public Router(RouterStart start, Aggregator module, Consumer<Runnable> handlers)
+    /** @param completionRunner runs a completion handler at once; others only show how late ones are borne */
+    public Router(RouterStart start, Aggregator module, Consumer<Runnable> completionRunner)
             throws IOException {
         this.start = start;
-        network = new Network(loop, handlers);
-        stages = new Stages(loop, network, start, module);
-        turn = stages.turn;
-        intake = stages.intake;
-        sends = stages.sends;
-        roster = stages.roster;
-        discovery = stages.discovery;
-        turn.serves(stages.sends, discovery::follow);
+        network = new Network(loop, completionRunner);
+        pipeline = new RequestPipeline(loop, network, start, module);
+        driver = pipeline.driver;
+        acceptor = pipeline.acceptor;
+        dispatcher = pipeline.dispatcher;
+        endpointList = pipeline.endpointList;
+        discoveryWatcher = pipeline.discoveryWatcher;
+        driver.connect(pipeline.dispatcher, discoveryWatcher::follow);
         if (start.http2 != null) {
-            stages.sends.streams().offeredBy(start.http2, n -> roster.isOf(n, start.http2.offers));
+            pipeline.dispatcher.http2().enable(start.http2, node -> endpointList.matches(node, start.http2.offers));
         }
-        sites = start.gateway == null ? null : new SiteLinks(loop, network, start, stages);
-        work = start.work == null ? null : new WorkLinks(loop, network, start, stages);
+        gateway = start.gateway == null ? null : new GatewayIntegration(loop, network, start, pipeline);
+        maintenance = start.work == null ? null : new MaintenanceIntegration(loop, network, start, pipeline);
     }
 
     /**
@@ -88,73 +88,73 @@
      * served.
      */
     public void warmUp() {
-        warms = true;
+        warmUpRequested = true;
     }
 
     /** The warm-up and nothing else. */
     public void onlyWarmUp() throws IOException {
         try {
             network.listen(start.listen);
-            beginWarmup(loop::stop);
-            loop.run(turn);
+            startWarmup(loop::stop);
+            loop.run(driver);
         } finally {
             network.close();
         }
     }
 
-    private void beginWarmup(Runnable then) {
-        long from = System.nanoTime();
+    private void startWarmup(Runnable next) {
+        long startNanos = System.nanoTime();
         try {
-            warmup = new Warmup(start.again(), loop, network, stages, () -> {
+            warmup = new Warmup(start.again(), loop, network, pipeline, () -> {
                 LOG.log(Level.INFO, "{0} has warmed up: {1} lookups in {2} ms", new Object[] {
-                    start.name, warmup.answered(), (System.nanoTime() - from) / 1_000_000
+                    start.name, warmup.lookupsAnswered(), (System.nanoTime() - startNanos) / 1_000_000
                 });
-                then.run();
+                next.run();
             });
-            turn.beside(warmup);
+            driver.beside(warmup);
             network.accept(warmup);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "the router starts cold", e);
             warmup = null;
-            then.run();
+            next.run();
         }
     }
 
     /** Serves until it is told to stop. */
     public void run() throws IOException {
         try {
-            turn.turnStarted(loop.nowUs());
-            roster.known(start.known);
+            driver.turnStarted(loop.nowUs());
+            endpointList.applyCached(start.known);
             // From here on clients can connect; until they are served they wait, and none is
             // refused.
             network.listen(start.listen);
-            if (work != null) {
-                workKnown = false;
-                work.start(this::workKnown);
+            if (maintenance != null) {
+                maintenanceReady = false;
+                maintenance.start(this::maintenanceReady);
             }
-            discovery.whenHeard(this::listHeard);
+            discoveryWatcher.whenUpdated(this::listReceived);
             if (start.pushed) {
-                discovery.follow(); // Where lists are asked for, the module says when.
+                discoveryWatcher.follow(); // Where lists are asked for, the module says when.
             }
-            if (warms) {
-                beginWarmup(this::awaitList);
+            if (warmUpRequested) {
+                startWarmup(this::awaitEndpointList);
             } else {
-                awaitList();
+                awaitEndpointList();
             }
             loop.execute(() -> {}); // The first turn is now: the module may want to ask for the list.
-            loop.run(turn);
-            if (notServed != null) {
-                throw notServed;
+            loop.run(driver);
+            if (serveFailure != null) {
+                throw serveFailure;
             }
-            if (work != null) {
-                work.close();
+            if (maintenance != null) {
+                maintenance.close();
             }
             LOG.log(Level.INFO, "{0} has stopped, {1} lookups and parts in hand", new Object[] {
-                start.name, turn.open()
+                start.name, driver.inFlight()
             });
         } finally {
             network.close();
-            over.countDown();
+            stoppedLatch.countDown();
         }
     }
 
@@ -165,66 +165,66 @@
      * takes to come up. Where lists are asked for, it answers many routers, and is given half of a
      * line's time more.
      */
-    private void awaitList() {
-        warm = true;
-        if (!listHeard) {
+    private void awaitEndpointList() {
+        isWarm = true;
+        if (!listReceived) {
             loop.schedule(
                     loop.nowUs()
                             + start.links.connectUs()
                             + (start.pushed ? 0 : ProtocolLimits.WATCH_KEEPALIVE_US / 2),
-                    this::listHeard);
+                    this::listReceived);
         }
         serveWhenReady();
     }
 
-    private void listHeard() {
-        listHeard = true;
+    private void listReceived() {
+        listReceived = true;
         serveWhenReady();
     }
 
-    private void workKnown() {
-        workKnown = true;
+    private void maintenanceReady() {
+        maintenanceReady = true;
         serveWhenReady();
     }
 
     private void serveWhenReady() {
-        if (serves || !warm || !listHeard || !workKnown) {
+        if (isServing || !isWarm || !listReceived || !maintenanceReady) {
             return;
         }
-        serves = true;
-        turn.beside(null);
+        isServing = true;
+        driver.beside(null);
         try {
-            if (sites != null) {
-                sites.start(start.gateway);
+            if (gateway != null) {
+                gateway.start(start.gateway);
             }
-            network.accept(intake);
+            network.accept(acceptor);
             if (warmup != null) {
-                warmup.handOver();
+                warmup.handOverClients();
                 warmup = null;
             }
-            if (work != null) {
-                work.servesAt(network.address());
+            if (maintenance != null) {
+                maintenance.setServingAddress(network.address());
             }
-            listening.countDown();
+            servingLatch.countDown();
             LOG.log(
                     Level.INFO,
                     "{0} serves at {1} with {2} data nodes, {3} descriptors and {4} MB",
                     new Object[] {
                         start.name,
                         String.valueOf(network.address()),
-                        roster.size(),
+                        endpointList.size(),
                         start.descriptors,
                         start.memoryMb
                     });
         } catch (IOException e) {
-            notServed = e;
+            serveFailure = e;
             loop.stop();
         }
     }
 
     /** From another thread: returns once clients are served. */
     public void awaitListening() throws InterruptedException {
-        listening.await();
+        servingLatch.await();
     }
 
     public InetSocketAddress address() throws IOException {
@@ -233,28 +233,28 @@
 
     /** Where routers of other sites connect. */
     public InetSocketAddress gatewayAddress() throws IOException {
-        return sites.gateway().address();
+        return gateway.gateway().address();
     }
 
     /** From another thread: a counter of the links with other sites. */
     public long gatewayCount(String name) {
-        return name.startsWith("http2_") ? http2Count(name) : sites.count(name);
+        return name.startsWith("http2_") ? http2Count(name) : gateway.count(name);
     }
 
     /**
      * From another thread: how many cells are reached at other sites now, each once for each router
      * there.
      */
-    public int farCells() {
-        return sites.farCells();
+    public int remoteCells() {
+        return gateway.remoteCells();
     }
 
     private long http2Count(String name) {
-        return loop.submitAndWait(() -> sends.streams().counters().get(name));
+        return loop.submitAndWait(() -> dispatcher.http2().counters().get(name));
     }
 
     /** From another thread: ends at once, whatever is in hand. */
-    public void end() {
+    public void stopNow() {
         loop.execute(loop::stop);
     }
 
@@ -266,9 +266,9 @@
         loop.execute(() -> {
             try {
                 start = start.again();
-                discovery.moveTo(start.discovery);
-                if (sites != null && start.gateway != null) {
-                    sites.again(start.gateway);
+                discoveryWatcher.moveTo(start.discovery);
+                if (gateway != null && start.gateway != null) {
+                    gateway.updateKeys(start.gateway);
                 }
                 LOG.log(Level.INFO, "{0} has read its configuration again", start.name);
             } catch (BadInput e) {
@@ -280,54 +280,54 @@
     /** From another thread: stops in order and returns when that is done. */
     public void stopAndWait() throws InterruptedException {
         loop.execute(this::stop);
-        over.await();
+        stoppedLatch.await();
     }
 
     private void stop() {
         LOG.log(Level.INFO, "{0} stops, {1} lookups and parts in hand", new Object[] {
-            start.name, turn.open()
+            start.name, driver.inFlight()
         });
         // Danger: while routers restart one after the other, the next one may stop before the one
         // before it
         // is back. Clients go on using the connections that they have, so these are served for as
         // long as
         // what comes can be answered before the process may be killed.
-        long kill = Math.min(start.longestUs, ProtocolLimits.MAX_KILL_GRACE_US) + ProtocolLimits.KILL_MARGIN_US;
-        long last = loop.nowUs() + LAST_TAKEN_US + start.longestUs;
-        long door = loop.nowUs() + Math.max(CLIENTS_COME_US, kill - 2 * start.longestUs / 3);
+        long killDelayUs = Math.min(start.longestUs, ProtocolLimits.MAX_KILL_GRACE_US) + ProtocolLimits.KILL_MARGIN_US;
+        long lastUs = loop.nowUs() + LAST_REQUEST_US + start.longestUs;
+        long stopAcceptingUs = loop.nowUs() + Math.max(DRAIN_NOTICE_US, killDelayUs - 2 * start.longestUs / 3);
         // Danger: what comes late after the SIGTERM and is still unanswered as the process is
         // killed is lost.
-        long takes = Math.min(last, loop.nowUs() + kill - (ProtocolLimits.KILL_MARGIN_US - LAST_TAKEN_US));
-        loop.schedule(loop.nowUs() + CLIENTS_COME_US, () -> intake.takesUntil(takes));
-        loop.schedule(door, intake::closeDoor);
-        loop.schedule(Math.max(door, loop.nowUs() + LAST_TAKEN_US), () -> endWhenEmpty(last));
-        intake.notReady();
-        workKnown = true;
-        if (work != null) {
-            work.stops();
+        long admitUntilUs = Math.min(lastUs, loop.nowUs() + killDelayUs - (ProtocolLimits.KILL_MARGIN_US - LAST_REQUEST_US));
+        loop.schedule(loop.nowUs() + DRAIN_NOTICE_US, () -> acceptor.admitUntilUs(admitUntilUs));
+        loop.schedule(stopAcceptingUs, acceptor::stopAccepting);
+        loop.schedule(Math.max(stopAcceptingUs, loop.nowUs() + LAST_REQUEST_US), () -> stopWhenEmpty(lastUs));
+        acceptor.markNotReady();
+        maintenanceReady = true;
+        if (maintenance != null) {
+            maintenance.stopping();
         }
         if (warmup != null) {
             warmup.end(); // Who waits for it is served now, while there is time.
         }
-        listHeard();
-        if (sites != null) {
-            sites.gateway().startDraining();
+        listReceived();
+        if (gateway != null) {
+            gateway.gateway().startDraining();
         }
     }
 
-    private void endWhenEmpty(long last) {
-        if ((intake.isEmpty() && (sites == null || sites.gateway().isIdle()))
-                || loop.nowUs() >= last) {
-            if (work == null) {
+    private void stopWhenEmpty(long lastUs) {
+        if ((acceptor.isEmpty() && (gateway == null || gateway.gateway().isIdle()))
+                || loop.nowUs() >= lastUs) {
+            if (maintenance == null) {
                 loop.stop();
             } else {
-                work.leave();
+                maintenance.leave();
                 loop.schedule(
                         loop.nowUs() + start.links.connectUs() / 4,
                         loop::stop); // Its last words leave first.
             }
         } else {
-            loop.schedule(loop.nowUs() + start.links.connectUs() / 8, () -> endWhenEmpty(last));
+            loop.schedule(loop.nowUs() + start.links.connectUs() / 8, () -> stopWhenEmpty(lastUs));
         }
     }
 }
--- a/src/main/java/tinlink/router/Sent.java
+++ b/src/main/java/tinlink/router/SentAttempt.java
@@ -6,29 +6,29 @@
 
 import java.util.OptionalLong;
 
-/** A part call on its way: the frame it travels in, and until when an answer is waited for. */
-final class Sent {
+/** An attempt that was handed to the network: how it travels, and until when an answer is awaited. */
+final class SentAttempt {
     final PartCall call;
-    final long until;
-    EventLoop.Timer limit;
+    final long deadlineUs;
+    EventLoop.Timer timeoutTimer;
     /** Where it goes; null for a router of another site. */
-    Target to;
-    /** How it travels; a bundle, where by frames. */
-    Carried by;
+    NodeEndpoint endpoint;
+    /** How it travels; a batch, where by frames. */
+    AttemptTransport transport;
 
-    Bundle bundle;
+    AttemptBatch batch;
     /** Its outcome is known. */
-    boolean over;
+    boolean isEnded;
     /** The data node has answered it. */
-    boolean answered;
+    boolean isAnswered;
 
-    Sent(PartCall call, long until) {
+    SentAttempt(PartCall call, long deadlineUs) {
         this.call = call;
-        this.until = until;
+        this.deadlineUs = deadlineUs;
     }
 
-    Segment segment() {
-        return (Segment) call.part;
+    QueryPart part() {
+        return (QueryPart) call.part;
     }
 
     /**
@@ -36,14 +36,14 @@
      * effect again. The window is that of the first call that may have run; the end of time where
      * none but this one may.
      */
-    long effectUntil() {
+    long effectDeadlineUs() {
         Index x = call.part.lookup.index;
         if (x.effect != Index.Effect.FINGERPRINTED) {
             return Long.MAX_VALUE;
         }
         OptionalLong first = call.part.calls.stream()
-                .filter(c -> c != call && (c.outcome == null || !c.outcome.neverRan))
-                .mapToLong(c -> c.sentAt)
+                .filter(other -> other != call && (other.outcome == null || !other.outcome.neverRan))
+                .mapToLong(other -> other.sentAt)
                 .min();
         return first.isEmpty()
                 ? Long.MAX_VALUE
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -40,113 +40,113 @@
      */
     private static final int LOOKUPS = 24;
 
-    private static final int ASKERS = 4;
-    private static final int MOST_PARTS = 5;
+    private static final int CLIENTS = 4;
+    private static final int MAX_PARTS = 5;
     /** A frame of the warm-up's own is far shorter. */
-    private static final int MOST_FRAME = 4096;
+    private static final int MAX_FRAME_BYTES = 4096;
     /** Begins what our own clients show; no request begins so. */
-    private static final char OURS = 1;
+    private static final char OWN_CLIENT_MARK = 1;
 
     private final RouterStart start;
     private final EventLoop loop;
     private final Network network;
-    private final Stages real;
-    private final Runnable then;
-    private final Stages stages;
-    private final Intake intake;
+    private final RequestPipeline servingPipeline;
+    private final Runnable whenDone;
+    private final RequestPipeline pipeline;
+    private final ClientAcceptor acceptor;
     /** Begins the ids of our own lookups. */
-    private final String word;
+    private final String idPrefix;
     /** Begins each connection of our own clients'. */
-    private final String shown;
+    private final String clientToken;
 
-    private final List<Map.Entry<String, Index>> indexes;
-    private final List<Asker> own = new ArrayList<>();
+    private final List<Map.Entry<String, Index>> lookupClasses;
+    private final List<WarmupClient> warmupClients = new ArrayList<>();
     /** Accepted and not known as our own; all leave when the warm-up is over. */
-    private final Set<Caller> waiting = new LinkedHashSet<>();
+    private final Set<WaitingConnection> waitingConnections = new LinkedHashSet<>();
     /** Frames come there; whoever sent them, none of it outlives the warm-up. */
-    private final List<Connection> frames = new ArrayList<>();
+    private final List<Connection> nodeConnections = new ArrayList<>();
 
-    private final EventLoop.Timer limit;
-    private boolean over;
-    private int asked;
-    private int answered;
-    private int askers;
+    private final EventLoop.Timer timeLimit;
+    private boolean isEnded;
+    private int lookupsSent;
+    private int lookupsAnswered;
+    private int openClients;
 
     /**
      * @param start read for this alone, since its module is used up
      * @param network listens already; the door is ours until the end
-     * @param real those who will serve, to whom clients that come meanwhile are handed
-     * @param then run once, when all has been played
+     * @param servingPipeline those who will serve, to whom clients that come meanwhile are handed
+     * @param whenDone run once, when all has been played
      */
-    Warmup(RouterStart start, EventLoop loop, Network network, Stages real, Runnable then)
+    Warmup(RouterStart start, EventLoop loop, Network network, RequestPipeline servingPipeline, Runnable whenDone)
             throws IOException {
         this.start = start;
         this.loop = loop;
         this.network = network;
-        this.real = real;
-        this.then = then;
-        word = String.format("%016x", new SplittableRandom(start.seed).split().nextLong());
-        shown = OURS + word;
-        indexes = List.copyOf(start.lookups.indexes().entrySet());
-        stages = new Stages(loop, network.withoutServer(), start, start.built.module);
-        intake = stages.intake;
-        intake.notReady();
-        stages.turn.serves(stages.sends, () -> {}); // Its list is its own; discovery is not asked.
-        stages.turn.turnStarted(loop.nowUs());
-        stages.roster.known(list(network.address()));
-        for (int i = 0; i < ASKERS; i++) {
-            Asker a = new Asker();
-            a.link = network.connect(network.address(), a);
-            own.add(a);
-            askers++;
+        this.servingPipeline = servingPipeline;
+        this.whenDone = whenDone;
+        idPrefix = String.format("%016x", new SplittableRandom(start.seed).split().nextLong());
+        clientToken = OWN_CLIENT_MARK + idPrefix;
+        lookupClasses = List.copyOf(start.lookups.indexes().entrySet());
+        pipeline = new RequestPipeline(loop, network.withoutServer(), start, start.built.module);
+        acceptor = pipeline.acceptor;
+        acceptor.markNotReady();
+        pipeline.driver.connect(pipeline.dispatcher, () -> {}); // Its list is its own; discovery is not asked.
+        pipeline.driver.turnStarted(loop.nowUs());
+        pipeline.endpointList.applyCached(endpoints(network.address()));
+        for (int i = 0; i < CLIENTS; i++) {
+            WarmupClient client = new WarmupClient();
+            client.connection = network.connect(network.address(), client);
+            warmupClients.add(client);
+            openClients++;
         }
-        limit = loop.schedule(loop.nowUs() + start.longestUs, this::end);
+        timeLimit = loop.schedule(loop.nowUs() + start.longestUs, this::end);
     }
 
-    int answered() {
-        return answered;
+    int lookupsAnswered() {
+        return lookupsAnswered;
     }
 
     /** Our own connections are closed; who has come meanwhile goes on waiting. */
     void end() {
-        if (over) {
+        if (isEnded) {
             return;
         }
-        over = true;
-        loop.cancel(limit);
-        own.forEach(a -> a.link.close(CloseReason.DONE));
-        stages.sends.endAll();
-        frames.forEach(l -> l.close(CloseReason.DONE));
-        then.run();
+        isEnded = true;
+        loop.cancel(timeLimit);
+        warmupClients.forEach(client -> client.connection.close(CloseReason.DONE));
+        pipeline.dispatcher.closeAll();
+        nodeConnections.forEach(nodeConnection -> nodeConnection.close(CloseReason.DONE));
+        whenDone.run();
     }
 
     /** Clients that wait come to the real door, each with what it has sent. */
-    void handOver() {
-        List<Caller> clients = List.copyOf(waiting);
-        waiting.clear();
-        for (Caller c : clients) {
-            real.descriptors.clientClosed();
-            c.as = real.intake.newListener();
+    void handOverClients() {
+        List<WaitingConnection> clients = List.copyOf(waitingConnections);
+        waitingConnections.clear();
+        for (WaitingConnection waiting : clients) {
+            servingPipeline.descriptors.clientClosed();
+            waiting.delegate = servingPipeline.acceptor.newListener();
             // Danger: its client's time runs while it waits here; answered by ours, it would come
             // too late.
-            real.intake.opened(c.link, c.as, c.link.acceptedAtUs(), c.said);
-            c.link.resumeReading();
+            servingPipeline.acceptor.accepted(waiting.connection, waiting.delegate, waiting.connection.acceptedAtUs(), waiting.hasSentBytes);
+            waiting.connection.resumeReading();
         }
     }
 
     @Override
     public void turnStarted(long nowUs) {
-        stages.turn.turnStarted(nowUs);
+        pipeline.driver.turnStarted(nowUs);
     }
 
     @Override
     public void turnEnding() {
-        stages.turn.turnEnding();
+        pipeline.driver.turnEnding();
     }
 
     /** A data node for each shard, at our own address. */
-    private Map<?, ?> list(InetSocketAddress at) {
-        String endpoint = at.getAddress().getHostAddress() + ":" + at.getPort();
+    private Map<?, ?> endpoints(InetSocketAddress address) {
+        String endpoint = address.getAddress().getHostAddress() + ":" + address.getPort();
         return Map.of(
                 "rev",
                 0.0,
@@ -164,28 +164,28 @@
                         .toList());
     }
 
-    // ---- The door. ----
+    // ---- Accepting. ----
 
     @Override
     public Connection.Listener newListener() {
-        return new Caller();
+        return new WaitingConnection();
     }
 
     @Override
-    public void accepted(Connection link, Connection.Listener owner) {
-        Caller c = (Caller) owner;
-        c.link = link;
-        waiting.add(c);
-        real.descriptors.clientOpened();
+    public void accepted(Connection connection, Connection.Listener listener) {
+        WaitingConnection waiting = (WaitingConnection) listener;
+        waiting.connection = connection;
+        waitingConnections.add(waiting);
+        servingPipeline.descriptors.clientOpened();
     }
 
     @Override
     public boolean canAccept() {
-        return real.intake.canAccept();
+        return servingPipeline.acceptor.canAccept();
     }
 
     @Override
-    public void acceptFailed(Throwable why) {
+    public void acceptFailed(Throwable cause) {
         end();
     }
 
@@ -193,93 +193,93 @@
      * Whoever connects: a frame's length begins with a zero byte, our own clients with their mark
      * and word.
      */
-    private final class Caller implements Connection.Listener {
-        private final StringBuilder shows = new StringBuilder();
-        private Connection link;
-        private Connection.Listener as;
-        private boolean said;
+    private final class WaitingConnection implements Connection.Listener {
+        private final StringBuilder received = new StringBuilder();
+        private Connection connection;
+        private Connection.Listener delegate;
+        private boolean hasSentBytes;
 
         @Override
         public void bytesReceived(RingBuffer in) {
-            said |= in.size() > 0;
-            if (as == null && in.size() > 0 && !over) {
+            hasSentBytes |= in.size() > 0;
+            if (delegate == null && in.size() > 0 && !isEnded) {
                 if (in.peek() == 0) {
-                    known(new Answerer(link));
-                    frames.add(link);
-                } else if (!shows.isEmpty() || in.peek() == OURS) {
-                    show(in);
+                    delegateTo(new WarmupDataNode(connection));
+                    nodeConnections.add(connection);
+                } else if (!received.isEmpty() || in.peek() == OWN_CLIENT_MARK) {
+                    readToken(in);
                 }
             }
-            if (as != null) {
-                as.bytesReceived(in);
+            if (delegate != null) {
+                delegate.bytesReceived(in);
             }
         }
 
-        private void show(RingBuffer in) {
-            while (in.size() > 0 && shows.length() < shown.length()) {
-                shows.append((char) in.take());
+        private void readToken(RingBuffer in) {
+            while (in.size() > 0 && received.length() < clientToken.length()) {
+                received.append((char) in.take());
             }
-            if (shows.length() == shown.length()) {
-                if (shown.contentEquals(shows)) {
-                    Connection.Listener client = intake.newListener();
-                    known(client);
-                    intake.accepted(link, client);
+            if (received.length() == clientToken.length()) {
+                if (clientToken.contentEquals(received)) {
+                    Connection.Listener client = acceptor.newListener();
+                    delegateTo(client);
+                    acceptor.accepted(connection, client);
                 } else {
-                    link.close(CloseReason.BAD_INPUT); // No request begins so, whoever it is.
+                    connection.close(CloseReason.BAD_INPUT); // No request begins so, whoever it is.
                 }
             }
         }
 
         /** It is not one that waits for the real door. */
-        private void known(Connection.Listener who) {
-            as = who;
-            if (waiting.remove(this)) {
-                real.descriptors.clientClosed();
+        private void delegateTo(Connection.Listener listener) {
+            delegate = listener;
+            if (waitingConnections.remove(this)) {
+                servingPipeline.descriptors.clientClosed();
             }
         }
 
         @Override
         public void writesCompleted() {
-            if (as != null) {
-                as.writesCompleted();
+            if (delegate != null) {
+                delegate.writesCompleted();
             }
         }
 
         @Override
         public void connectionClosed(CloseReason closeReason) {
-            if (as != null) {
-                as.connectionClosed(closeReason);
+            if (delegate != null) {
+                delegate.connectionClosed(closeReason);
             } else {
-                known(null);
+                delegateTo(null);
                 network.accept(Warmup.this);
             }
         }
     }
 
     /** A data node: answers each part, now and then with an error or by turning it away. */
-    private final class Answerer implements Connection.Listener {
-        private final Connection link;
+    private final class WarmupDataNode implements Connection.Listener {
+        private final Connection connection;
         private final byte[] length = new byte[4];
-        private int head;
+        private int lengthBytes;
         private ByteBuffer frame;
         private int parts;
 
-        Answerer(Connection link) {
-            this.link = link;
+        WarmupDataNode(Connection connection) {
+            this.connection = connection;
         }
 
         @Override
         public void bytesReceived(RingBuffer in) {
             while (in.size() > 0) {
-                if (head < length.length) {
-                    length[head++] = in.take();
-                    if (head == length.length && !begins(ByteBuffer.wrap(length).getInt())) {
+                if (lengthBytes < length.length) {
+                    length[lengthBytes++] = in.take();
+                    if (lengthBytes == length.length && !startFrame(ByteBuffer.wrap(length).getInt())) {
                         return;
                     }
                 } else {
                     frame.put(in.takeContiguous(frame.remaining()));
                     if (!frame.hasRemaining()) {
-                        head = 0;
+                        lengthBytes = 0;
                         answer(new String(frame.array(), StandardCharsets.UTF_8));
                     }
                 }
@@ -287,31 +287,31 @@
         }
 
         /** Danger: anybody may have sent this, not only our own. */
-        private boolean begins(int size) {
-            if (size < 0 || size > MOST_FRAME) {
-                link.close(CloseReason.BAD_INPUT);
+        private boolean startFrame(int size) {
+            if (size < 0 || size > MAX_FRAME_BYTES) {
+                connection.close(CloseReason.BAD_INPUT);
                 return false;
             }
             frame = ByteBuffer.allocate(size);
             return true;
         }
 
-        private void answer(String whole) {
-            for (int at = 1; whole.charAt(0) == 'R' && at < whole.length(); parts++) {
-                int lf = whole.indexOf('\n', at);
-                String[] words =
-                        lf < 0 ? new String[0] : whole.substring(at, lf).split(" ");
-                if (words.length != 4 || !words[0].startsWith(word)) {
-                    link.close(CloseReason.BAD_INPUT);
+        private void answer(String frameText) {
+            for (int position = 1; frameText.charAt(0) == 'R' && position < frameText.length(); parts++) {
+                int lineEnd = frameText.indexOf('\n', position);
+                String[] fields =
+                        lineEnd < 0 ? new String[0] : frameText.substring(position, lineEnd).split(" ");
+                if (fields.length != 4 || !fields[0].startsWith(idPrefix)) {
+                    connection.close(CloseReason.BAD_INPUT);
                     return;
                 }
-                at = lf + 1 + Integer.parseInt(words[3]);
-                String end = parts % 32 == 30 ? "ERROR" : parts % 32 == 14 ? "REJECTED" : "OK";
-                byte[] y = ("Y" + words[0] + " " + end + " 1 -\n" + words[0])
+                position = lineEnd + 1 + Integer.parseInt(fields[3]);
+                String status = parts % 32 == 30 ? "ERROR" : parts % 32 == 14 ? "REJECTED" : "OK";
+                byte[] answer = ("Y" + fields[0] + " " + status + " 1 -\n" + fields[0])
                         .getBytes(StandardCharsets.UTF_8);
-                link.out().put(ByteBuffer.allocate(4).putInt(y.length).array()).put(y);
+                connection.out().put(ByteBuffer.allocate(4).putInt(answer.length).array()).put(answer);
             }
-            link.scheduleWrite();
+            connection.scheduleWrite();
         }
 
         @Override
@@ -324,34 +324,34 @@
      * A client that asks again as soon as it is answered; whatever the answer is, it has run the
      * code.
      */
-    private final class Asker implements Connection.Listener, HttpReader.MessageListener {
+    private final class WarmupClient implements Connection.Listener, HttpReader.MessageListener {
         private final HttpReader reader = HttpReader.forResponses(this);
-        private Connection link;
+        private Connection connection;
 
         @Override
         public void connected() {
-            link.out().put(shown);
-            ask();
+            connection.out().put(clientToken);
+            sendLookup();
         }
 
-        private void ask() {
-            if (asked == LOOKUPS) {
+        private void sendLookup() {
+            if (lookupsSent == LOOKUPS) {
                 return;
             }
-            Map.Entry<String, Index> index = indexes.get(asked % indexes.size());
-            int parts = Math.min(MOST_PARTS, start.lookups.shards());
+            Map.Entry<String, Index> lookupClass = lookupClasses.get(lookupsSent % lookupClasses.size());
+            int parts = Math.min(MAX_PARTS, start.lookups.shards());
             List<String> segments = new ArrayList<>();
             for (int i = 0; i < parts; i++) {
                 segments.add("{\"segment\":" + i + ",\"boost\":" + 1.0 / parts + "}");
             }
             String body = "{\"segments\":[" + String.join(",", segments) + "],\"text\":\"warm\"}";
-            link.out()
-                    .put("POST /api HTTP/1.1\r\nHost: warm\r\nX-Call-Id: " + word + asked++
+            connection.out()
+                    .put("POST /api HTTP/1.1\r\nHost: warm\r\nX-Call-Id: " + idPrefix + lookupsSent++
                             + "\r\nX-Call-Class: "
-                            + index.getKey() + "\r\nX-Budget-Ms: " + index.getValue().hardUs / 1000
+                            + lookupClass.getKey() + "\r\nX-Budget-Ms: " + lookupClass.getValue().hardUs / 1000
                             + "\r\nIdempotency-Key: warm\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body);
-            link.scheduleWrite();
+            connection.scheduleWrite();
         }
 
         @Override
@@ -361,22 +361,22 @@
                     reader.read(in);
                 }
             } catch (MessageRejectedException e) {
-                link.close(CloseReason.BAD_INPUT);
+                connection.close(CloseReason.BAD_INPUT);
             }
         }
 
         @Override
         public void messageEnded() {
-            if (++answered == LOOKUPS) {
+            if (++lookupsAnswered == LOOKUPS) {
                 end();
             } else {
-                ask();
+                sendLookup();
             }
         }
 
         @Override
         public void connectionClosed(CloseReason closeReason) {
-            if (--askers == 0) {
+            if (--openClients == 0) {
                 end();
             }
         }
--- a/src/test/java/tinlink/RouterPlayer.java
+++ b/src/test/java/tinlink/RouterPlayer.java
@@ -1160,7 +1160,7 @@
         LOG.removeHandler(handler);
         release(List.of(gate, timers, reads));
         if (router != null) {
-            router.end();
+            router.stopNow();
         }
         if (process != null) {
             process.destroyForcibly();
