--- a/src/main/java/tinlink/cli/CapacityCommands.java
+++ b/src/main/java/tinlink/cli/CapacityCommands.java
@@ -3,8 +3,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-import tinlink.lab.scale.CapacityPage;
-import tinlink.lab.scale.ServingLab;
+import tinlink.experiment.scale.CapacityPage;
+import tinlink.experiment.scale.ServingExperiment;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new ServingLab(shortForm, seed, notes).run(out) ? 0 : 1;
+            return new ServingExperiment(shortForm, seed, notes).run(out) ? 0 : 1;
         }
     }
 
--- a/src/main/java/tinlink/cli/Commands.java
+++ b/src/main/java/tinlink/cli/Commands.java
@@ -5,13 +5,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-import tinlink.lab.Emulation;
-import tinlink.lab.GatewayLab;
-import tinlink.lab.PolicySimLab;
-import tinlink.lab.WorkSimLab;
-import tinlink.lab.processes.PolicyLab;
-import tinlink.lab.processes.WorkLab;
-import tinlink.lab.scale.SimulatedControlLab;
+import tinlink.experiment.Emulation;
+import tinlink.experiment.GatewayExperiment;
+import tinlink.experiment.PolicySimulationExperiment;
+import tinlink.experiment.MaintenanceSimulationExperiment;
+import tinlink.experiment.processes.PolicyExperiment;
+import tinlink.experiment.processes.MaintenanceExperiment;
+import tinlink.experiment.scale.SimulatedControlExperiment;
 import tinlink.start.BadInput;
 
 import java.nio.file.Path;
@@ -161,7 +161,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new GatewayLab(seed, delayMs, seconds, out).run() ? 0 : 1;
+            return new GatewayExperiment(seed, delayMs, seconds, out).run() ? 0 : 1;
         }
     }
 
@@ -194,7 +194,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new PolicyLab(seed, routers, changes, faults, seconds, absent, out).run()
+            return new PolicyExperiment(seed, routers, changes, faults, seconds, absent, out).run()
                     ? 0
                     : 1;
         }
@@ -225,7 +225,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new PolicySimLab(seed, routers, schedules, planted, out).run() ? 0 : 1;
+            return new PolicySimulationExperiment(seed, routers, schedules, planted, out).run() ? 0 : 1;
         }
     }
 
@@ -253,7 +253,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new SimulatedControlLab(seed, repeats, routers, out).run() ? 0 : 1;
+            return new SimulatedControlExperiment(seed, repeats, routers, out).run() ? 0 : 1;
         }
     }
 
@@ -287,7 +287,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new WorkSimLab(seed, routers, schedules, planted, out).run() ? 0 : 1;
+            return new MaintenanceSimulationExperiment(seed, routers, schedules, planted, out).run() ? 0 : 1;
         }
     }
 
@@ -325,7 +325,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new WorkLab(seed, routers, nodes, faults, seconds, file, out).run() ? 0 : 1;
+            return new MaintenanceExperiment(seed, routers, nodes, faults, seconds, file, out).run() ? 0 : 1;
         }
     }
 }
--- a/src/main/java/tinlink/cli/ScaleCommand.java
+++ b/src/main/java/tinlink/cli/ScaleCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-import tinlink.lab.scale.ControlScaleLab;
+import tinlink.experiment.scale.ControlScaleExperiment;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -47,7 +47,7 @@
     @Override
     public Integer call() throws Exception {
         int hollowRouters = hollow == null ? routers - REAL : hollow;
-        return new ControlScaleLab(seed, routers, hollowRouters, nodes, nodeSizes, notes, out).run()
+        return new ControlScaleExperiment(seed, routers, hollowRouters, nodes, nodeSizes, notes, out).run()
                 ? 0
                 : 1;
     }
--- a/src/main/java/tinlink/emulator/EmulatedClient.java
+++ b/src/main/java/tinlink/emulator/EmulatedClient.java
@@ -27,7 +27,7 @@
      *
      * @param key null where the index needs none
      */
-    public record Ask(
+    public record LookupRequest(
             String id,
             String index,
             long budgetMs,
@@ -39,9 +39,9 @@
      * What a client was answered.
      *
      * @param status 0 where the connection ended without a whole answer
-     * @param comeBackUs 0 where it has no Retry-After
+     * @param retryAfterUs 0 where it has no Retry-After
      */
-    public record Answer(int status, String body, long atUs, long comeBackUs) {
+    public record LookupResponse(int status, String body, long atUs, long retryAfterUs) {
         /** The values by shard; empty where there are none. */
         public java.util.Map<Integer, String> values() {
             java.util.Map<Integer, String> all = new java.util.TreeMap<>();
@@ -60,77 +60,77 @@
             return all;
         }
 
-        public boolean whole() {
+        public boolean isComplete() {
             return status == 200 && body.startsWith("{\"all_in\":true");
         }
     }
 
-    private final Ground ground;
+    private final EmulatorLoop emulatorLoop;
     private InetSocketAddress router;
-    private final ArrayDeque<Conn> idle = new ArrayDeque<>();
+    private final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
     /** Bytes or answers that came when nothing was asked. */
-    private int stray;
+    private int unsolicited;
 
-    public EmulatedClient(Ground ground, InetSocketAddress router) {
-        this.ground = ground;
+    public EmulatedClient(EmulatorLoop emulatorLoop, InetSocketAddress router) {
+        this.emulatorLoop = emulatorLoop;
         this.router = router;
     }
 
     /** Asks there from now on. */
-    public void to(InetSocketAddress where) {
-        ground.run(() -> {
+    public void connectTo(InetSocketAddress where) {
+        emulatorLoop.run(() -> {
             router = where;
             List.copyOf(idle).forEach(c -> c.link.close(CloseReason.DONE));
         });
     }
 
-    public int stray() {
-        return ground.on(() -> stray);
+    public int unsolicited() {
+        return emulatorLoop.call(() -> unsolicited);
     }
 
     /** Whoever asked may leave: the connection is closed. */
-    public interface Asked {
-        void leave();
+    public interface PendingLookup {
+        void abandon();
     }
 
     /**
      * Sends a lookup.
      *
-     * @param hears of the end, once, on the emulator's thread; never after the asker has left
+     * @param listener of the end, once, on the emulator's thread; never after the asker has left
      */
-    public Asked ask(Ask a, Consumer<Answer> hears) {
-        return ground.on(() -> {
-            Conn c = idle.poll();
+    public PendingLookup send(LookupRequest a, Consumer<LookupResponse> listener) {
+        return emulatorLoop.call(() -> {
+            HttpConnection c = idle.poll();
             if (c == null) {
-                c = new Conn();
+                c = new HttpConnection();
                 try {
-                    c.link = ground.network.connect(router, c);
+                    c.link = emulatorLoop.network.connect(router, c);
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             }
-            c.ask(a, hears);
-            Conn at = c;
-            return () -> ground.run(() -> {
-                if (at.hears == hears) {
-                    at.hears = null;
+            c.send(a, listener);
+            HttpConnection at = c;
+            return () -> emulatorLoop.run(() -> {
+                if (at.listener == listener) {
+                    at.listener = null;
                     at.link.close(CloseReason.DONE);
                 }
             });
         });
     }
 
-    private final class Conn implements Connection.Listener, HttpReader.MessageListener {
+    private final class HttpConnection implements Connection.Listener, HttpReader.MessageListener {
         private final HttpReader reader = HttpReader.forResponses(this);
         private Connection link;
-        private Consumer<Answer> hears;
+        private Consumer<LookupResponse> listener;
         private int status;
-        private long comeBackUs;
+        private long retryAfterUs;
         private boolean closes;
         private final StringBuilder body = new StringBuilder();
 
-        void ask(Ask a, Consumer<Answer> hears) {
-            this.hears = hears;
+        void send(LookupRequest a, Consumer<LookupResponse> listener) {
+            this.listener = listener;
             StringJoiner parts = new StringJoiner(",");
             for (int s : a.shards()) {
                 parts.add("{\"segment\":" + s + ",\"boost\":" + 1.0 / a.shards().size() + "}");
@@ -156,7 +156,7 @@
         public void bytesReceived(RingBuffer in) {
             try {
                 while (in.size() > 0) {
-                    stray += hears == null ? 1 : 0;
+                    unsolicited += listener == null ? 1 : 0;
                     reader.read(in);
                 }
             } catch (MessageRejectedException e) {
@@ -167,7 +167,7 @@
         @Override
         public void startLine(String version, String status, String words) {
             this.status = Integer.parseInt(status);
-            comeBackUs = 0;
+            retryAfterUs = 0;
             closes = false;
             body.setLength(0);
         }
@@ -175,7 +175,7 @@
         @Override
         public void header(String name, String value) {
             if (name.toLowerCase(Locale.ROOT).equals("retry-after")) {
-                comeBackUs = Math.round(1e6 * Double.parseDouble(value));
+                retryAfterUs = Math.round(1e6 * Double.parseDouble(value));
             }
             closes |= name.toLowerCase(Locale.ROOT).equals("connection") && value.contains("close");
         }
@@ -187,7 +187,7 @@
 
         @Override
         public void messageEnded() {
-            tell(new Answer(status, body.toString().strip(), ground.now(), comeBackUs));
+            deliver(new LookupResponse(status, body.toString().strip(), emulatorLoop.now(), retryAfterUs));
             if (closes) {
                 link.close(CloseReason.DONE);
             } else if (!link.isClosed()) {
@@ -195,18 +195,18 @@
             }
         }
 
-        private void tell(Answer a) {
-            Consumer<Answer> who = hears;
-            hears = null;
+        private void deliver(LookupResponse response) {
+            Consumer<LookupResponse> who = listener;
+            listener = null;
             if (who != null) {
-                who.accept(a);
+                who.accept(response);
             }
         }
 
         @Override
         public void connectionClosed(CloseReason closeReason) {
             idle.remove(this);
-            tell(new Answer(0, closeReason.name(), ground.now(), 0));
+            deliver(new LookupResponse(0, closeReason.name(), emulatorLoop.now(), 0));
         }
     }
 }
--- a/src/main/java/tinlink/emulator/EmulatedDiscovery.java
+++ b/src/main/java/tinlink/emulator/EmulatedDiscovery.java
@@ -22,7 +22,7 @@
  * while nothing does.
  */
 public final class EmulatedDiscovery {
-    private final Ground ground;
+    private final EmulatorLoop emulatorLoop;
     private final Network.ListeningSocket listening;
     private final Set<Watch> watches = new HashSet<>();
     /** By uid, the fields of each entry as they were last told. */
@@ -37,9 +37,9 @@
      *
      * @throws IOException where it can't listen
      */
-    public EmulatedDiscovery(Ground ground) throws IOException {
-        this.ground = ground;
-        listening = ground.listen(Ground.loopback(0), Watch::new);
+    public EmulatedDiscovery(EmulatorLoop emulatorLoop) throws IOException {
+        this.emulatorLoop = emulatorLoop;
+        listening = emulatorLoop.listen(EmulatorLoop.loopback(0), Watch::new);
     }
 
     public InetSocketAddress address() throws IOException {
@@ -51,8 +51,8 @@
      *
      * @param state in_service, terminating or terminated
      */
-    public void tell(EmulatedNode n, String zone, String state) {
-        tell(n, n.address(), zone, state);
+    public void publish(EmulatedNode n, String zone, String state) {
+        publish(n, n.address(), zone, state);
     }
 
     /**
@@ -60,8 +60,8 @@
      *
      * @param at where the node is reached by whoever is told
      */
-    public void tell(EmulatedNode n, InetSocketAddress at, String zone, String state) {
-        tell(n.uid, n.cell, at, zone, state);
+    public void publish(EmulatedNode n, InetSocketAddress at, String zone, String state) {
+        publish(n.uid, n.cell, at, zone, state);
     }
 
     /**
@@ -70,8 +70,8 @@
      * @param at where the node is reached by whoever is told
      * @param state in_service, terminating or terminated
      */
-    public void tell(String uid, int cell, InetSocketAddress at, String zone, String state) {
-        ground.run(() -> {
+    public void publish(String uid, int cell, InetSocketAddress at, String zone, String state) {
+        emulatorLoop.run(() -> {
             String entry = "{\"uid\":\"" + uid + "\",\"endpoint\":\"127.0.0.1:" + at.getPort()
                     + "\",\"az\":\"" + zone + "\",\"model\":\"m\",\"pod_group\":" + cell
                     + ",\"state\":\""
@@ -83,39 +83,39 @@
                 entries.put(uid, entry);
             }
             revision++;
-            watches.forEach(w -> w.line(object(false, List.of(entry))));
+            watches.forEach(w -> w.sendLine(message(false, List.of(entry))));
         });
     }
 
     /** Length of the whole list as it is told now, in bytes. */
     public long listBytes() {
-        return ground.on(() ->
-                (long) object(true, entries.values()).getBytes(StandardCharsets.UTF_8).length);
+        return emulatorLoop.call(() ->
+                (long) message(true, entries.values()).getBytes(StandardCharsets.UTF_8).length);
     }
 
     /** Watches that are open now. */
     public int watches() {
-        return ground.on(watches::size);
+        return emulatorLoop.call(watches::size);
     }
 
     /** Bytes of all answers and lines so far, to all watches; heads of answers are not counted. */
     public long bytesSent() {
-        return ground.on(() -> bytesSent);
+        return emulatorLoop.call(() -> bytesSent);
     }
 
-    private String object(boolean all, Iterable<String> some) {
+    private String message(boolean all, Iterable<String> some) {
         return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":["
                 + String.join(",", some) + "]}";
     }
 
-    private final class Watch implements Ground.Owner, HttpReader.MessageListener {
+    private final class Watch implements EmulatorLoop.ConnectionHandler, HttpReader.MessageListener {
         private final HttpReader reader = HttpReader.forRequests(this);
         private Connection link;
         /** Else the whole list is wanted, once. */
-        private boolean standing;
+        private boolean streaming;
 
         @Override
-        public void on(Connection link) {
+        public void connectionAccepted(Connection link) {
             this.link = link;
         }
 
@@ -132,13 +132,13 @@
 
         @Override
         public void startLine(String method, String target, String version) {
-            standing = target.contains("watch=1");
+            streaming = target.contains("watch=1");
         }
 
         @Override
         public void messageEnded() {
-            if (!standing) {
-                byte[] whole = object(true, entries.values()).getBytes(StandardCharsets.UTF_8);
+            if (!streaming) {
+                byte[] whole = message(true, entries.values()).getBytes(StandardCharsets.UTF_8);
                 link.out()
                         .put("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length + "\r\n\r\n")
                         .put(whole);
@@ -147,21 +147,21 @@
                 return;
             }
             link.out().put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            line(object(true, entries.values()));
+            sendLine(message(true, entries.values()));
             watches.add(this);
-            beat();
+            scheduleKeepAlive();
         }
 
-        private void beat() {
-            ground.at(ground.now() + ProtocolLimits.WATCH_KEEPALIVE_US, () -> {
+        private void scheduleKeepAlive() {
+            emulatorLoop.schedule(emulatorLoop.now() + ProtocolLimits.WATCH_KEEPALIVE_US, () -> {
                 if (watches.contains(this)) {
-                    line("");
-                    beat();
+                    sendLine("");
+                    scheduleKeepAlive();
                 }
             });
         }
 
-        void line(String text) {
+        void sendLine(String text) {
             byte[] b = (text + "\n").getBytes(StandardCharsets.UTF_8);
             String size = Integer.toHexString(b.length) + "\r\n";
             link.out().put(size).put(b).put("\r\n");
--- a/src/main/java/tinlink/emulator/EmulatedFleet.java
+++ b/src/main/java/tinlink/emulator/EmulatedFleet.java
@@ -15,24 +15,24 @@
  */
 public final class EmulatedFleet {
     /** A data node and where it stands. */
-    public record Spot(String uid, int cell, String zone) {}
+    public record NodePlacement(String uid, int cell, String zone) {}
 
     /** One router's way to everything. */
-    public final class View {
+    public final class RouterView {
         public final EmulatedDiscovery discovery;
-        public final EmulatedLine toDiscovery;
+        public final EmulatedLink toDiscovery;
         /** By node. */
-        public final Map<String, EmulatedLine> toNodes = new LinkedHashMap<>();
+        public final Map<String, EmulatedLink> toNodes = new LinkedHashMap<>();
 
-        private View() throws IOException {
-            discovery = new EmulatedDiscovery(ground);
-            toDiscovery = line();
-            toDiscovery.to(discovery.address());
-            for (Spot s : spots.values()) {
-                EmulatedLine l = line();
-                l.to(nodes.get(s.uid()).address());
+        private RouterView() throws IOException {
+            discovery = new EmulatedDiscovery(emulatorLoop);
+            toDiscovery = newLink();
+            toDiscovery.target(discovery.address());
+            for (NodePlacement s : placements.values()) {
+                EmulatedLink l = newLink();
+                l.target(nodes.get(s.uid()).address());
                 toNodes.put(s.uid(), l);
-                tell(s.uid(), "in_service");
+                publish(s.uid(), "in_service");
             }
         }
 
@@ -41,43 +41,43 @@
          *
          * @param state as discovery says it
          */
-        public void tell(String uid, String state) {
-            discovery.tell(
-                    nodes.get(uid), toNodes.get(uid).address(), spots.get(uid).zone(), state);
+        public void publish(String uid, String state) {
+            discovery.publish(
+                    nodes.get(uid), toNodes.get(uid).address(), placements.get(uid).zone(), state);
         }
     }
 
-    private final Ground ground;
-    private final EmulatedLine.Way way;
+    private final EmulatorLoop emulatorLoop;
+    private final EmulatedLink.LinkConditions way;
     private long seed;
-    public final Map<String, Spot> spots = new LinkedHashMap<>();
+    public final Map<String, NodePlacement> placements = new LinkedHashMap<>();
     public final Map<String, EmulatedNode> nodes = new LinkedHashMap<>();
-    private final List<View> views = new ArrayList<>();
+    private final List<RouterView> views = new ArrayList<>();
 
     /** @param way of each line, in both directions */
     public EmulatedFleet(
-            Ground ground,
-            Runs runs,
-            List<Spot> all,
-            EmulatedNode.Work work,
-            EmulatedLine.Way way,
+            EmulatorLoop emulatorLoop,
+            RunLog runLog,
+            List<NodePlacement> all,
+            EmulatedNode.ServiceModel work,
+            EmulatedLink.LinkConditions way,
             long seed)
             throws IOException {
-        this.ground = ground;
+        this.emulatorLoop = emulatorLoop;
         this.way = way;
         this.seed = seed;
-        for (Spot s : all) {
-            spots.put(s.uid(), s);
+        for (NodePlacement s : all) {
+            placements.put(s.uid(), s);
             nodes.put(
-                    s.uid(), new EmulatedNode(ground, runs, s.uid(), s.cell(), work, this.seed++));
+                    s.uid(), new EmulatedNode(emulatorLoop, runLog, s.uid(), s.cell(), work, this.seed++));
         }
     }
 
     /** A line that leads nowhere yet. */
-    public EmulatedLine line() {
-        return ground.on(() -> {
+    public EmulatedLink newLink() {
+        return emulatorLoop.call(() -> {
             try {
-                return new EmulatedLine(ground, way, way, seed++);
+                return new EmulatedLink(emulatorLoop, way, way, seed++);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -85,10 +85,10 @@
     }
 
     /** One more router's. */
-    public View view() {
-        return ground.on(() -> {
+    public RouterView addRouterView() {
+        return emulatorLoop.call(() -> {
             try {
-                View v = new View();
+                RouterView v = new RouterView();
                 views.add(v);
                 return v;
             } catch (IOException e) {
@@ -98,13 +98,13 @@
     }
 
     /** Those of all routers, in the order in which they were made. */
-    public List<View> views() {
+    public List<RouterView> views() {
         return List.copyOf(views);
     }
 
     /** A node's place in all lists, at once. */
-    public void tell(String uid, String state) {
-        ground.run(() -> views.forEach(v -> v.tell(uid, state)));
+    public void publish(String uid, String state) {
+        emulatorLoop.run(() -> views.forEach(v -> v.publish(uid, state)));
     }
 
     /** As routers write it. */
--- a/src/main/java/tinlink/emulator/EmulatedLine.java
+++ b/src/main/java/tinlink/emulator/EmulatedLink.java
@@ -22,42 +22,42 @@
  * bandwidth. It can be cut, go silent in one or both ways, change bytes, and be cut at a chosen
  * byte.
  */
-public final class EmulatedLine {
+public final class EmulatedLink {
     /**
      * One direction of a line.
      *
      * @param jitterUs is added evenly from 0 to this
      * @param bytesPerS 0 for no bound
      */
-    public record Way(long delayUs, long jitterUs, long bytesPerS) {}
+    public record LinkConditions(long delayUs, long jitterUs, long bytesPerS) {}
 
-    private final Ground ground;
+    private final EmulatorLoop emulatorLoop;
     private final Network.ListeningSocket listening;
     private final InetSocketAddress address;
     private final SplittableRandom random;
-    private final Set<Pair> pairs = new HashSet<>();
-    private Way there;
-    private Way back;
-    private InetSocketAddress to;
+    private final Set<ProxiedConnection> pairs = new HashSet<>();
+    private LinkConditions there;
+    private LinkConditions back;
+    private InetSocketAddress target;
     private boolean cut;
-    private boolean silentThere;
-    private boolean silentBack;
+    private boolean blackholeThere;
+    private boolean blackholeBack;
     /** The chance that one byte of a chunk is changed. */
-    private double noise;
+    private double corruptionRate;
     /** It is cut once so many more bytes have gone there, or back; below 0 not at all. */
     private long cutAfterThere = -1;
 
     private long cutAfterBack = -1;
-    private long mends;
+    private long heals;
     private final Histogram timesThere = new Histogram(60_000_000, 3);
     private final Histogram timesBack = new Histogram(60_000_000, 3);
 
-    public EmulatedLine(Ground ground, Way there, Way back, long seed) throws IOException {
-        this.ground = ground;
+    public EmulatedLink(EmulatorLoop emulatorLoop, LinkConditions there, LinkConditions back, long seed) throws IOException {
+        this.emulatorLoop = emulatorLoop;
         this.there = there;
         this.back = back;
         random = new SplittableRandom(seed);
-        listening = ground.listen(Ground.loopback(0), Pair::new);
+        listening = emulatorLoop.listen(EmulatorLoop.loopback(0), ProxiedConnection::new);
         address = listening.address();
     }
 
@@ -66,20 +66,20 @@
     }
 
     /** What it has cost bytes to cross, each way, since it was made; with what went before them. */
-    public void addTimes(Histogram there, Histogram back) {
-        ground.run(() -> {
+    public void addTransitTimes(Histogram there, Histogram back) {
+        emulatorLoop.run(() -> {
             there.add(timesThere);
             back.add(timesBack);
         });
     }
 
     /** Where it leads from now on. */
-    public void to(InetSocketAddress where) {
-        ground.run(() -> to = where);
+    public void target(InetSocketAddress where) {
+        emulatorLoop.run(() -> target = where);
     }
 
-    public void ways(Way there, Way back) {
-        ground.run(() -> {
+    public void conditions(LinkConditions there, LinkConditions back) {
+        emulatorLoop.run(() -> {
             this.there = there;
             this.back = back;
         });
@@ -87,71 +87,71 @@
 
     /** Breaks all connections, and each new one at once, until it is mended. */
     public void cut() {
-        ground.run(this::cutNow);
+        emulatorLoop.run(this::cutNow);
     }
 
     private void cutNow() {
         cut = true;
         cutAfterThere = -1;
         cutAfterBack = -1;
-        List.copyOf(pairs).forEach(Pair::end);
+        List.copyOf(pairs).forEach(ProxiedConnection::closeBoth);
     }
 
     /** Breaks all connections; new ones go through. */
-    public void snap() {
-        ground.run(() -> List.copyOf(pairs).forEach(Pair::end));
+    public void resetConnections() {
+        emulatorLoop.run(() -> List.copyOf(pairs).forEach(ProxiedConnection::closeBoth));
     }
 
-    public void mend() {
-        ground.run(() -> {
+    public void heal() {
+        emulatorLoop.run(() -> {
             cut = false;
             cutAfterThere = -1;
             cutAfterBack = -1;
-            mends++;
-            boolean was = silentThere || silentBack;
-            silentThere = false;
-            silentBack = false;
-            noise = 0;
+            heals++;
+            boolean was = blackholeThere || blackholeBack;
+            blackholeThere = false;
+            blackholeBack = false;
+            corruptionRate = 0;
             if (was) {
-                List.copyOf(pairs).forEach(Pair::end); // What was swallowed can't be made good.
+                List.copyOf(pairs).forEach(ProxiedConnection::closeBoth); // What was swallowed can't be made good.
             }
         });
     }
 
     /** What goes that way is swallowed; nothing breaks. */
-    public void silent(boolean there, boolean back) {
-        ground.run(() -> {
-            silentThere = there;
-            silentBack = back;
+    public void blackhole(boolean there, boolean back) {
+        emulatorLoop.run(() -> {
+            blackholeThere = there;
+            blackholeBack = back;
         });
     }
 
-    public void noise(double chance) {
-        ground.run(() -> noise = chance);
+    public void corruptionRate(double chance) {
+        emulatorLoop.run(() -> corruptionRate = chance);
     }
 
     /** Cut when so many more bytes have gone; -1 for never. */
     public void cutAfter(long bytesThere, long bytesBack) {
-        ground.run(() -> {
+        emulatorLoop.run(() -> {
             cutAfterThere = bytesThere;
             cutAfterBack = bytesBack;
         });
     }
 
     /** One connection: two links and what is between them. */
-    private final class Pair implements Ground.Owner {
-        private final Half far = new Half(false);
+    private final class ProxiedConnection implements EmulatorLoop.ConnectionHandler {
+        private final TargetHandler far = new TargetHandler(false);
         private Connection near;
         private long freeThere;
         private long freeBack;
-        private boolean over;
+        private boolean closed;
 
-        private final class Half implements Connection.Listener {
+        private final class TargetHandler implements Connection.Listener {
             private final boolean there;
             private Connection link;
             private final List<byte[]> early = new ArrayList<>();
 
-            Half(boolean there) {
+            TargetHandler(boolean there) {
                 this.there = there;
             }
 
@@ -164,42 +164,42 @@
 
             @Override
             public void bytesReceived(RingBuffer in) {
-                carry(in, there);
+                relay(in, there);
             }
 
             @Override
             public void connectionClosed(CloseReason closeReason) {
-                later(there, Pair.this::end);
+                scheduleArrival(there, ProxiedConnection.this::closeBoth);
             }
         }
 
         @Override
-        public void on(Connection link) {
+        public void connectionAccepted(Connection link) {
             near = link;
             pairs.add(this);
             try {
-                if (cut || to == null) {
-                    end();
+                if (cut || target == null) {
+                    closeBoth();
                 } else {
-                    far.link = ground.network.connect(to, far);
+                    far.link = emulatorLoop.network.connect(target, far);
                 }
             } catch (IOException e) {
-                end();
+                closeBoth();
             }
         }
 
         @Override
         public void bytesReceived(RingBuffer in) {
-            carry(in, true);
+            relay(in, true);
         }
 
         @Override
         public void connectionClosed(CloseReason closeReason) {
-            later(true, this::end);
+            scheduleArrival(true, this::closeBoth);
         }
 
-        private void carry(RingBuffer in, boolean there) {
-            while (in.size() > 0 && !over) {
+        private void relay(RingBuffer in, boolean there) {
+            while (in.size() > 0 && !closed) {
                 ByteBuffer run = in.takeContiguous(in.size());
                 byte[] b = new byte[run.remaining()];
                 run.get(b);
@@ -211,14 +211,14 @@
                     cutAfterThere -= there ? b.length : 0;
                     cutAfterBack -= there ? 0 : b.length;
                 }
-                if (there ? silentThere : silentBack) {
+                if (there ? blackholeThere : blackholeBack) {
                     continue;
                 }
-                if (b.length > 0 && noise > 0 && random.nextDouble() < noise) {
+                if (b.length > 0 && corruptionRate > 0 && random.nextDouble() < corruptionRate) {
                     b[random.nextInt(b.length)] ^= (byte) (1 + random.nextInt(255));
                 }
                 byte[] piece = b;
-                later(there, piece.length, () -> {
+                scheduleArrival(there, piece.length, () -> {
                     if (there && !far.link.isUp() && !far.link.isClosed()) {
                         far.early.add(piece);
                     } else if (!(there ? far.link : near).isClosed()) {
@@ -231,12 +231,12 @@
                     cutAfterThere = -1;
                     cutAfterBack = -1;
                     cut = true;
-                    long before = mends;
-                    later(
+                    long before = heals;
+                    scheduleArrival(
                             there,
                             0,
                             () -> { // Once what came before has arrived.
-                                if (mends == before) {
+                                if (heals == before) {
                                     cutNow();
                                 }
                             });
@@ -244,35 +244,35 @@
             }
         }
 
-        private void later(boolean there, Runnable what) {
-            later(there, 0, what);
+        private void scheduleArrival(boolean there, Runnable what) {
+            scheduleArrival(there, 0, what);
         }
 
-        private void later(boolean there, int bytes, Runnable what) {
-            Way w = there ? EmulatedLine.this.there : back;
+        private void scheduleArrival(boolean there, int bytes, Runnable what) {
+            LinkConditions w = there ? EmulatedLink.this.there : back;
             long free = there ? freeThere : freeBack;
             long at = Math.max(
                             free,
-                            ground.now()
+                            emulatorLoop.now()
                                     + w.delayUs()
                                     + (w.jitterUs() > 0 ? random.nextLong(w.jitterUs()) : 0))
                     + (w.bytesPerS() > 0 ? 1_000_000L * bytes / w.bytesPerS() : 0);
             freeThere = there ? at : freeThere;
             freeBack = there ? freeBack : at;
-            long from = ground.now();
-            ground.at(at, () -> {
+            long from = emulatorLoop.now();
+            emulatorLoop.schedule(at, () -> {
                 if (bytes > 0) {
                     (there ? timesThere : timesBack)
-                            .recordValue(Math.min(ground.now() - from, 59_000_000));
+                            .recordValue(Math.min(emulatorLoop.now() - from, 59_000_000));
                 }
-                if (!over) {
+                if (!closed) {
                     what.run();
                 }
             });
         }
 
-        void end() {
-            over = true;
+        void closeBoth() {
+            closed = true;
             pairs.remove(this);
             near.close(CloseReason.DONE);
             if (far.link != null) {
--- a/src/main/java/tinlink/emulator/EmulatedNode.java
+++ b/src/main/java/tinlink/emulator/EmulatedNode.java
@@ -27,7 +27,7 @@
  */
 public final class EmulatedNode {
     /** How it does its work at the moment. */
-    public enum Mood {
+    public enum Behavior {
         WELL,
         STALLED,
         FAILING,
@@ -39,25 +39,25 @@
      *
      * @param medianUs of the time that a part takes; sigma of its logarithm
      */
-    public record Work(int cores, int queue, double medianUs, double sigma) {}
+    public record ServiceModel(int cores, int queue, double medianUs, double sigma) {}
 
     public final String uid;
     public final int cell;
-    private final Ground ground;
-    private final Runs runs;
-    private final Work work;
+    private final EmulatorLoop emulatorLoop;
+    private final RunLog runLog;
+    private final ServiceModel work;
     private final LogNormalDistribution times;
     private final SplittableRandom random;
-    private final Set<Door> doors = new HashSet<>();
+    private final Set<AcceptedConnection> connections = new HashSet<>();
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     /** Parts that it has begun and, stalled, does not go on with. */
-    private final List<Job> held = new ArrayList<>();
+    private final List<Job> stalled = new ArrayList<>();
 
     private Network.ListeningSocket listening;
     private InetSocketAddress address;
-    private Mood mood = Mood.WELL;
+    private Behavior behavior = Behavior.WELL;
     private int busy;
-    private long life;
+    private long generation;
     private boolean up = true;
 
     record Job(Caller from, String id, String key, String text) {}
@@ -70,36 +70,36 @@
     }
 
     /** How it behaves as a server of HTTP/2; it takes either protocol at its one address. */
-    public final Http2Ways http2 = new Http2Ways();
+    public final Http2Behavior http2 = new Http2Behavior();
 
     /** Figures that may be changed at any time, on the emulation's thread. */
-    public static final class Http2Ways {
+    public static final class Http2Behavior {
         /** It takes HTTP/2 at all. */
-        public boolean spoken = true;
+        public boolean supported = true;
         /** Streams at a time; below 0 it does not say. */
         public long streams = 100;
 
-        public int firstWindow = 65_535;
+        public int initialWindow = 65_535;
         /** Windows are given back as they are used. */
-        public boolean givesBack = true;
+        public boolean returnsWindow = true;
         /**
          * The next so many requests are refused, or reset once they have run, instead of answered.
          */
-        public int refuses;
+        public int refuseNext;
 
-        public int resets;
+        public int resetNext;
     }
 
-    EmulatedNode(Ground ground, Runs runs, String uid, int cell, Work work, long seed)
+    EmulatedNode(EmulatorLoop emulatorLoop, RunLog runLog, String uid, int cell, ServiceModel work, long seed)
             throws IOException {
-        this.ground = ground;
-        this.runs = runs;
+        this.emulatorLoop = emulatorLoop;
+        this.runLog = runLog;
         this.uid = uid;
         this.cell = cell;
         this.work = work;
         times = LogNormalDistribution.of(Math.log(work.medianUs()), work.sigma());
         random = new SplittableRandom(seed);
-        listening = ground.listen(Ground.loopback(0), Door::new);
+        listening = emulatorLoop.listen(EmulatorLoop.loopback(0), AcceptedConnection::new);
         address = listening.address();
     }
 
@@ -107,13 +107,13 @@
         return address;
     }
 
-    public void mood(Mood now) {
-        ground.run(() -> {
-            mood = now;
-            if (now != Mood.STALLED) {
-                List<Job> all = List.copyOf(held);
-                held.clear();
-                all.forEach(this::done);
+    public void behavior(Behavior now) {
+        emulatorLoop.run(() -> {
+            behavior = now;
+            if (now != Behavior.STALLED) {
+                List<Job> all = List.copyOf(stalled);
+                stalled.clear();
+                all.forEach(this::finish);
             }
         });
     }
@@ -122,26 +122,26 @@
      * Its process is gone: connections break, new ones are refused, what was in hand is never
      * answered.
      */
-    public void die() {
-        ground.run(() -> {
+    public void kill() {
+        emulatorLoop.run(() -> {
             listening.close();
             up = false;
-            life++;
+            generation++;
             queue.clear();
-            held.clear();
+            stalled.clear();
             busy = 0;
-            List.copyOf(doors).forEach(d -> d.link.close(CloseReason.DONE));
+            List.copyOf(connections).forEach(d -> d.link.close(CloseReason.DONE));
         });
     }
 
     /** It is back at its address, if it was gone. */
-    public void live() {
-        ground.run(() -> {
+    public void restart() {
+        emulatorLoop.run(() -> {
             if (up) {
                 return;
             }
             try {
-                listening = ground.listen(address, Door::new);
+                listening = emulatorLoop.listen(address, AcceptedConnection::new);
                 up = true;
             } catch (IOException e) {
                 throw new IllegalStateException(e);
@@ -151,39 +151,39 @@
 
     // ---- Its work. ----
 
-    private void take(Job j) {
-        if (mood == Mood.REFUSING || queue.size() >= work.queue()) {
+    private void enqueue(Job j) {
+        if (behavior == Behavior.REFUSING || queue.size() >= work.queue()) {
             answer(j, "REJECTED", "");
         } else {
             queue.add(j);
-            next();
+            startNext();
         }
     }
 
-    private void next() {
+    private void startNext() {
         while (busy < work.cores() && !queue.isEmpty()) {
             Job j = queue.poll();
             busy++;
-            runs.ran(new Runs.Run(j.id, uid, ground.now(), j.key));
-            long now = life;
+            runLog.add(new RunLog.Run(j.id, uid, emulatorLoop.now(), j.key));
+            long now = generation;
             double us = times.inverseCumulativeProbability(0.0005 + 0.999 * random.nextDouble());
-            ground.at(ground.now() + Math.max(1, Math.round(us)), () -> {
-                if (life == now) {
-                    done(j);
+            emulatorLoop.schedule(emulatorLoop.now() + Math.max(1, Math.round(us)), () -> {
+                if (generation == now) {
+                    finish(j);
                 }
             });
         }
     }
 
-    private void done(Job j) {
-        if (mood == Mood.STALLED) {
-            held.add(j);
+    private void finish(Job j) {
+        if (behavior == Behavior.STALLED) {
+            stalled.add(j);
             return;
         }
         busy--;
-        boolean fails = mood == Mood.FAILING;
-        answer(j, fails ? "ERROR" : "OK", fails ? "" : Runs.value(j.id, j.text));
-        next();
+        boolean fails = behavior == Behavior.FAILING;
+        answer(j, fails ? "ERROR" : "OK", fails ? "" : RunLog.value(j.id, j.text));
+        startNext();
     }
 
     private static void answer(Job j, String end, String value) {
@@ -195,12 +195,12 @@
     // ---- For connections. ----
 
     /** Changes how it behaves over HTTP/2. */
-    public void http2(Consumer<Http2Ways> change) {
-        ground.run(() -> {
+    public void http2(Consumer<Http2Behavior> change) {
+        emulatorLoop.run(() -> {
             long before = http2.streams;
             change.accept(http2);
             if (http2.streams != before) {
-                doors.stream()
+                connections.stream()
                         .filter(d -> d.as instanceof Http2Caller)
                         .forEach(d -> ((Http2Caller) d.as).streams((int) http2.streams));
             }
@@ -208,38 +208,38 @@
     }
 
     boolean isSilent() {
-        return mood == Mood.STALLED;
+        return behavior == Behavior.STALLED;
     }
 
     /** Whether that part has begun to run. */
-    boolean begun(Caller from, String id) {
+    boolean hasBegun(Caller from, String id) {
         return queue.stream().noneMatch(j -> j.from == from && j.id.equals(id))
-                && !runs.of(id).isEmpty();
+                && !runLog.runsOf(id).isEmpty();
     }
 
-    void came(Job j) {
-        take(j);
+    void callReceived(Job j) {
+        enqueue(j);
     }
 
-    void dropped(Caller from, String id) {
+    void cancel(Caller from, String id) {
         queue.removeIf(j -> j.from == from && (id == null || j.id.equals(id)));
     }
 
     /** Whoever connects: HTTP/2 begins with its preface, a frame's length with a zero byte. */
-    private final class Door implements Ground.Owner {
+    private final class AcceptedConnection implements EmulatorLoop.ConnectionHandler {
         private Connection link;
         private Caller as;
 
         @Override
-        public void on(Connection link) {
+        public void connectionAccepted(Connection link) {
             this.link = link;
-            doors.add(this);
+            connections.add(this);
         }
 
         @Override
         public void bytesReceived(RingBuffer in) {
             if (as == null && in.size() > 0) {
-                as = in.peek() == 'P' && http2.spoken
+                as = in.peek() == 'P' && http2.supported
                         ? new Http2Caller(EmulatedNode.this, link)
                         : new FrameCaller(link);
             }
@@ -250,9 +250,9 @@
 
         @Override
         public void connectionClosed(CloseReason closeReason) {
-            doors.remove(this);
+            connections.remove(this);
             if (as != null) {
-                dropped(as, null);
+                cancel(as, null);
                 as.connectionClosed(closeReason);
             }
         }
@@ -262,19 +262,19 @@
      * Says goodbye on all connections by HTTP/2: nothing above what has come so far, less so many,
      * has run.
      */
-    public void goodbye(int less, boolean twice) {
-        ground.run(() -> {
-            for (Door d : List.copyOf(doors)) {
+    public void goAway(int less, boolean twice) {
+        emulatorLoop.run(() -> {
+            for (AcceptedConnection d : List.copyOf(connections)) {
                 if (d.as instanceof Http2Caller c) {
-                    c.goodbye(less, twice);
+                    c.goAway(less, twice);
                 }
             }
         });
     }
 
     /** Connections that are open now. */
-    public int connections() {
-        return ground.on(doors::size);
+    public int connectionCount() {
+        return emulatorLoop.call(connections::size);
     }
 
     /** A router's connection by frames. */
@@ -325,7 +325,7 @@
             byte letter = f.get();
             if (letter == 'A') {
                 String id = StandardCharsets.UTF_8.decode(f).toString();
-                dropped(this, id);
+                cancel(this, id);
             } else if (letter == 'R') {
                 while (f.hasRemaining()) {
                     if (!part(f)) {
@@ -358,9 +358,9 @@
             int n = Integer.parseInt(w[3]);
             int at = w[2].indexOf("k=");
             if (w[2].matches("d=[0-9]{1,9}(,.*)?")) {
-                runs.came(w[0], Long.parseLong(w[2].substring(2).replaceFirst(",.*", "")));
+                runLog.callReceived(w[0], Long.parseLong(w[2].substring(2).replaceFirst(",.*", "")));
             }
-            take(new Job(
+            enqueue(new Job(
                     this,
                     w[0],
                     at < 0 ? null : w[2].substring(at + 2),
@@ -371,7 +371,7 @@
 
         private void unusable(String why) {
             frame('N', why);
-            ground.at(ground.now() + 1000, () -> link.close(CloseReason.BAD_INPUT));
+            emulatorLoop.schedule(emulatorLoop.now() + 1000, () -> link.close(CloseReason.BAD_INPUT));
         }
 
         private void frame(char letter, String rest) {
--- a/src/main/java/tinlink/emulator/EmulatedSite.java
+++ b/src/main/java/tinlink/emulator/EmulatedSite.java
@@ -18,33 +18,33 @@
      * @param settings of a router, as JSON: what its configuration has under that key
      */
     public record Plan(
-            String name, List<Integer> cells, EmulatedNode.Work work, String settings, long seed) {}
+            String name, List<Integer> cells, EmulatedNode.ServiceModel work, String settings, long seed) {}
 
     public final String name;
     public final List<EmulatedNode> nodes = new ArrayList<>();
     public final EmulatedDiscovery discovery;
     private final Plan plan;
 
-    public EmulatedSite(Ground ground, Runs runs, Plan plan) throws IOException {
+    public EmulatedSite(EmulatorLoop emulatorLoop, RunLog runLog, Plan plan) throws IOException {
         this.plan = plan;
         name = plan.name();
-        discovery = new EmulatedDiscovery(ground);
+        discovery = new EmulatedDiscovery(emulatorLoop);
         long seed = plan.seed();
         for (int cell : plan.cells()) {
             EmulatedNode n = new EmulatedNode(
-                    ground,
-                    runs,
+                    emulatorLoop,
+                    runLog,
                     name + "-" + cell + "-" + nodes.size(),
                     cell,
                     plan.work(),
                     seed++);
             nodes.add(n);
-            discovery.tell(n, name, "in_service");
+            discovery.publish(n, name, "in_service");
         }
     }
 
     /** A router of another site, as it is reached from here. */
-    public record Far(String site, String router, List<InetSocketAddress> lines) {}
+    public record RemoteRouterLinks(String site, String router, List<InetSocketAddress> links) {}
 
     /**
      * Writes a router's two files into a folder.
@@ -64,13 +64,13 @@
             String gateway,
             String http2,
             List<String> accepts,
-            List<Far> far) {
+            List<RemoteRouterLinks> far) {
         Map<String, List<String>> sites = new LinkedHashMap<>();
-        for (Far f : far) {
+        for (RemoteRouterLinks f : far) {
             sites.computeIfAbsent(f.site(), s -> new ArrayList<>())
                     .add("{router: '" + f.router()
                             + "', lines: "
-                            + f.lines().stream()
+                            + f.links().stream()
                                     .map(a -> "'127.0.0.1:" + a.getPort() + "'")
                                     .toList()
                             + "}");
--- a/src/main/java/tinlink/emulator/Ground.java
+++ b/src/main/java/tinlink/emulator/EmulatorLoop.java
@@ -14,15 +14,15 @@
 
 /**
  * The loop on which all stand-ins of an emulation run, on a thread of its own. Its state belongs to
- * that thread; {@link #on} reaches it from others.
+ * that thread; {@link #call} reaches it from others.
  */
-public final class Ground implements AutoCloseable {
+public final class EmulatorLoop implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("tinlink.emulator");
     final EventLoop loop = new EventLoop();
     final Network network;
     private final Thread thread;
 
-    public Ground() throws IOException {
+    public EmulatorLoop() throws IOException {
         network = new Network(loop);
         thread = new Thread(
                 () -> loop.run(new EventLoop.EventLoopParticipant() {
@@ -42,7 +42,7 @@
     }
 
     /** Runs on the loop's thread, and returns what came of it; on that thread itself, at once. */
-    public <T> T on(Supplier<T> what) {
+    public <T> T call(Supplier<T> what) {
         if (Thread.currentThread() == thread) {
             return what.get();
         }
@@ -58,7 +58,7 @@
     }
 
     public void run(Runnable what) {
-        on(() -> {
+        call(() -> {
             what.run();
             return null;
         });
@@ -69,7 +69,7 @@
         return loop.nowUs();
     }
 
-    public void at(long us, Runnable what) {
+    public void schedule(long us, Runnable what) {
         loop.schedule(us, what);
     }
 
@@ -79,7 +79,7 @@
     }
 
     /** Whoever connects there gets an owner made by the door. */
-    Network.ListeningSocket listen(InetSocketAddress at, Supplier<Owner> owners) throws IOException {
+    Network.ListeningSocket listen(InetSocketAddress at, Supplier<ConnectionHandler> owners) throws IOException {
         Network.ListeningSocket listening = network.listenAt(at);
         listening.accept(new Network.AcceptHandler() {
             @Override
@@ -89,7 +89,7 @@
 
             @Override
             public void accepted(Connection link, Connection.Listener owner) {
-                ((Owner) owner).on(link);
+                ((ConnectionHandler) owner).connectionAccepted(link);
             }
 
             @Override
@@ -106,8 +106,8 @@
     }
 
     /** The owner of a connection that a stand-in has accepted. */
-    interface Owner extends Connection.Listener {
-        void on(Connection link);
+    interface ConnectionHandler extends Connection.Listener {
+        void connectionAccepted(Connection link);
     }
 
     @Override
--- a/src/main/java/tinlink/emulator/Http2Caller.java
+++ b/src/main/java/tinlink/emulator/Http2Caller.java
@@ -53,7 +53,7 @@
     Http2Caller(EmulatedNode node, Connection link) {
         this.node = node;
         this.link = link;
-        ByteBuffer s = ByteBuffer.allocate(12).putShort((short) 4).putInt(node.http2.firstWindow);
+        ByteBuffer s = ByteBuffer.allocate(12).putShort((short) 4).putInt(node.http2.initialWindow);
         if (node.http2.streams >= 0) {
             s.putShort((short) 3).putInt((int) node.http2.streams);
         }
@@ -86,7 +86,7 @@
     }
 
     /** Whoever was below what is named is served; the others were never begun. */
-    void goodbye(int less, boolean twice) {
+    void goAway(int less, boolean twice) {
         if (twice) {
             frame(
                     7,
@@ -98,9 +98,9 @@
         for (Map.Entry<Integer, Request> r :
                 Map.copyOf(open.tailMap(lastTaken, false)).entrySet()) {
             if (r.getValue().end == null
-                    && !node.begun(this, r.getValue().fields.get("x-part-id"))) {
+                    && !node.hasBegun(this, r.getValue().fields.get("x-part-id"))) {
                 open.remove(r.getKey());
-                node.dropped(this, r.getValue().fields.get("x-part-id"));
+                node.cancel(this, r.getValue().fields.get("x-part-id"));
             } else {
                 lastTaken = Math.max(
                         lastTaken, r.getKey()); // It has run: it can't be said never to have.
@@ -145,7 +145,7 @@
                 if (r != null) {
                     r.body.write(p.array(), p.arrayOffset() + p.position(), p.remaining());
                 }
-                if (node.http2.givesBack && p.hasRemaining()) {
+                if (node.http2.returnsWindow && p.hasRemaining()) {
                     frame(8, 0, p.remaining());
                     if (r != null && (flags & 1) == 0) {
                         frame(8, stream, p.remaining());
@@ -177,7 +177,7 @@
             case 3 -> {
                 Request r = open.remove(stream);
                 if (r != null) {
-                    node.dropped(this, r.fields.get("x-part-id"));
+                    node.cancel(this, r.fields.get("x-part-id"));
                 }
             }
             case 4 -> {
@@ -215,15 +215,15 @@
     }
 
     private void whole(int stream, Request r) {
-        if (node.http2.refuses > 0) {
-            node.http2.refuses--;
+        if (node.http2.refuseNext > 0) {
+            node.http2.refuseNext--;
             open.remove(stream);
             frame(3, stream, 7);
             return;
         }
         String id = r.fields.get("x-part-id");
         streams.put(id, stream);
-        node.came(new EmulatedNode.Job(
+        node.callReceived(new EmulatedNode.Job(
                 this,
                 id,
                 r.fields.get("idempotency-key"),
@@ -237,8 +237,8 @@
         if (r == null) {
             return;
         }
-        if (node.http2.resets > 0) {
-            node.http2.resets--;
+        if (node.http2.resetNext > 0) {
+            node.http2.resetNext--;
             open.remove(stream);
             frame(3, stream, 2);
             return;
--- a/src/main/java/tinlink/lab/Charts.java
+++ b/src/main/java/tinlink/experiment/Charts.java
@@ -1,4 +1,4 @@
-package tinlink.lab;
+package tinlink.experiment;
 
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramIterationValue;
--- a/src/main/java/tinlink/lab/Emulation.java
+++ b/src/main/java/tinlink/experiment/Emulation.java
@@ -1,6 +1,6 @@
-package tinlink.lab;
+package tinlink.experiment;
 
-import tinlink.emulator.EmulatedLine;
+import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
 import tinlink.start.JsonFile;
 
@@ -22,7 +22,7 @@
                     world.joined(10_000)
                             ? "Both sites are up and see each other."
                             : "Both sites are up; some line is not.");
-            for (TwoSites.Running r : world.routers.values()) {
+            for (TwoSites.RunningRouter r : world.routers.values()) {
                 System.out.println(
                         "  router " + r.name + " of site " + r.site.name + " at " + r.address());
             }
@@ -30,7 +30,7 @@
                     .values()
                     .forEach(s -> System.out.println("  site " + s.name + " holds shards "
                             + s.nodes.stream().map(n -> n.cell).distinct().toList()));
-            TwoSites.Running first = world.routers.values().iterator().next();
+            TwoSites.RunningRouter first = world.routers.values().iterator().next();
             int last = plan.allCells() - 1;
             System.out.println("Shard " + last + " is asked of " + first.name
                     + " by\n  curl -i http://127.0.0.1:"
@@ -67,7 +67,7 @@
         long delay = line.micros("delay_ms", 20, 0, 10_000);
         long jitter = line.micros("jitter_ms", 2, 0, 10_000);
         long kb = line.whole("kb_per_s", 10_000, 1, 1_000_000);
-        EmulatedLine.Way way = new EmulatedLine.Way(delay, jitter, 1000 * kb);
+        EmulatedLink.LinkConditions way = new EmulatedLink.LinkConditions(delay, jitter, 1000 * kb);
         JsonFile work = f.object("nodes");
         TwoSites.Plan plan = new TwoSites.Plan(
                 cells,
@@ -76,7 +76,7 @@
                 f.whole("lines", 1, 1, 16),
                 way,
                 way,
-                new EmulatedNode.Work(
+                new EmulatedNode.ServiceModel(
                         work.whole("cores", 4, 1, 1024),
                         work.whole("queue", 64, 1, 65_536),
                         work.micros("median_ms", 5, 0.01, 60_000),
--- a/src/main/java/tinlink/lab/GatewayLab.java
+++ b/src/main/java/tinlink/experiment/GatewayExperiment.java
@@ -1,8 +1,8 @@
-package tinlink.lab;
+package tinlink.experiment;
 
 import org.HdrHistogram.Histogram;
 
-import tinlink.emulator.EmulatedLine;
+import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
 
 import java.io.IOException;
@@ -24,17 +24,17 @@
  * lines that are cut, silent or noisy and a far router killed; and the same trouble with no fates
  * asked.
  */
-public final class GatewayLab {
+public final class GatewayExperiment {
     private static final Logger LOG = Logger.getLogger("tinlink");
     private static final long BUDGET_MS = 3000;
     private static final double PER_SECOND = 40;
     private static final double FAR_SHARE = 1.0 / 3;
     /** Effects as data nodes have them: idempotent, partial ones too; fingerprinted; once-only. */
-    private static final List<Load.Kind> KINDS = List.of(
-            new Load.Kind("find", false, false, 0, 0.3),
-            new Load.Kind("sum", false, false, 0, 1),
-            new Load.Kind("pay", true, false, 1_500_000, 1),
-            new Load.Kind("once", false, true, 0, 1));
+    private static final List<LoadGenerator.LookupKind> KINDS = List.of(
+            new LoadGenerator.LookupKind("find", false, false, 0, 0.3),
+            new LoadGenerator.LookupKind("sum", false, false, 0, 1),
+            new LoadGenerator.LookupKind("pay", true, false, 1_500_000, 1),
+            new LoadGenerator.LookupKind("once", false, true, 0, 1));
 
     private static final String PROFILES =
             profile("find", "pure", 0) + "," + profile("sum", "pure", 0) + ","
@@ -45,9 +45,9 @@
     private final Path folder;
 
     /** What one side showed. */
-    private static final class Side {
+    private static final class Scenario {
         final String name;
-        final Rules rules = new Rules();
+        final LookupRules rules = new LookupRules();
         final Histogram all = new Histogram(60_000_000, 3);
         final Histogram near = new Histogram(60_000_000, 3);
         final Histogram far = new Histogram(60_000_000, 3);
@@ -76,7 +76,7 @@
         long recovered;
         final Map<String, Integer> troubles = new LinkedHashMap<>();
 
-        Side(String name) {
+        Scenario(String name) {
             this.name = name;
         }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    public GatewayLab(long seed, long delayMs, double seconds, Path folder) {
+    public GatewayExperiment(long seed, long delayMs, double seconds, Path folder) {
         this.seed = seed;
         this.delayMs = delayMs;
         this.seconds = seconds;
@@ -99,8 +99,8 @@
     }
 
     private TwoSites world(boolean fates, boolean jitter) throws IOException, InterruptedException {
-        EmulatedLine.Way way =
-                new EmulatedLine.Way(1000 * delayMs, jitter ? 100 * delayMs : 0, 2_000_000);
+        EmulatedLink.LinkConditions way =
+                new EmulatedLink.LinkConditions(1000 * delayMs, jitter ? 100 * delayMs : 0, 2_000_000);
         return new TwoSites(new TwoSites.Plan(
                 Map.of(
                         "east",
@@ -112,7 +112,7 @@
                 1,
                 way,
                 way,
-                new EmulatedNode.Work(4, 64, 4000, 0.5),
+                new EmulatedNode.ServiceModel(4, 64, 4000, 0.5),
                 TwoSites.LIMITS,
                 PROFILES,
                 "\"completeFrom\":[1,1,1,1],\"minShare\":[0.3,1,1,1],"
@@ -126,10 +126,10 @@
     /** Returns whether the rules were kept and all that must be shown was shown. */
     public boolean run() throws IOException, InterruptedException {
         LOG.setLevel(Level.SEVERE); // Lines that go down are the purpose here.
-        Side calm = side("calm", seconds / 4, false, true);
-        Side fates = side("trouble", seconds, true, true);
-        Side without = side("trouble, no fates asked", seconds / 2, true, false);
-        List<Side> sides = List.of(calm, fates, without);
+        Scenario calm = side("calm", seconds / 4, false, true);
+        Scenario fates = side("trouble", seconds, true, true);
+        Scenario without = side("trouble, no fates asked", seconds / 2, true, false);
+        List<Scenario> sides = List.of(calm, fates, without);
         String table = table(sides);
         System.out.println(table);
         Files.createDirectories(folder);
@@ -165,8 +165,8 @@
                 fates.recovered,
                 fates.unsure);
         List<String> broken = new ArrayList<>();
-        for (Side s : sides) {
-            Rules r = s.rules;
+        for (Scenario s : sides) {
+            LookupRules r = s.rules;
             note(broken, s.name + " lost", r.lost);
             note(broken, s.name + " late", r.late);
             note(broken, s.name + " repeated", r.repeated);
@@ -206,13 +206,13 @@
         }
     }
 
-    private Side side(String name, double seconds, boolean trouble, boolean fates)
+    private Scenario side(String name, double seconds, boolean trouble, boolean fates)
             throws IOException, InterruptedException {
-        Side side = new Side(name);
+        Scenario side = new Scenario(name);
         try (TwoSites world = world(fates, trouble)) {
             world.joined(10_000);
             // Code that runs for the first time is slow: some lookups go before what counts.
-            Load warm = new Load(world.ground, world.routers.values());
+            LoadGenerator warm = new LoadGenerator(world.emulatorLoop, world.routers.values());
             warm.run(
                     new SplittableRandom(seed),
                     "warm",
@@ -222,7 +222,7 @@
                     FAR_SHARE,
                     BUDGET_MS);
             warm.await(5000);
-            Load load = new Load(world.ground, world.routers.values());
+            LoadGenerator load = new LoadGenerator(world.emulatorLoop, world.routers.values());
             load.run(
                     new SplittableRandom(seed + 1),
                     "q",
@@ -240,13 +240,13 @@
             Thread.sleep(
                     300); // What is sent after a final answer, or runs after a nack, would come
             // now.
-            Predicate<Load.Asked> any = a -> true;
-            List<Load.Asked> all = load.asked(any);
-            world.ground.run(() -> side.rules.check(all, world.runs));
+            Predicate<LoadGenerator.LookupRecord> any = a -> true;
+            List<LoadGenerator.LookupRecord> all = load.records(any);
+            world.emulatorLoop.run(() -> side.rules.check(all, world.runLog));
             sum(side, all);
-            world.lines.values().forEach(l -> l.addTimes(side.there, side.back));
-            for (TwoSites.Running r : world.routers.values()) {
-                side.stray += r.clients.stray();
+            world.lines.values().forEach(l -> l.addTransitTimes(side.there, side.back));
+            for (TwoSites.RunningRouter r : world.routers.values()) {
+                side.stray += r.clients.unsolicited();
                 for (String end :
                         List.of("done", "failed", "refused", "never_begun", "never_left")) {
                     side.recovered += r.count("near_unsure_" + end);
@@ -260,25 +260,25 @@
         return side;
     }
 
-    private static void sum(Side s, List<Load.Asked> all) {
-        for (Load.Asked a : all) {
+    private static void sum(Scenario s, List<LoadGenerator.LookupRecord> all) {
+        for (LoadGenerator.LookupRecord a : all) {
             s.lookups++;
-            if (a.gone || a.answer == null) {
+            if (a.excused || a.answer == null) {
                 s.killed++;
                 continue;
             }
-            s.whole += a.answer.whole() ? 1 : 0;
-            s.partial += a.satisfied() && !a.answer.whole() ? 1 : 0;
-            s.nacked += a.nacked() ? 1 : 0;
-            boolean aborted = !a.satisfied() && !a.nacked();
+            s.whole += a.answer.isComplete() ? 1 : 0;
+            s.partial += a.isSatisfied() && !a.answer.isComplete() ? 1 : 0;
+            s.nacked += a.isRejected() ? 1 : 0;
+            boolean aborted = !a.isSatisfied() && !a.isRejected();
             s.aborted += aborted ? 1 : 0;
-            s.onceAborted += aborted && !a.kind.idempotent() ? 1 : 0;
-            if (a.satisfied()) {
-                long us = Math.max(1, Math.min(a.tookUs(), 59_000_000));
+            s.onceAborted += aborted && !a.kind.isIdempotent() ? 1 : 0;
+            if (a.isSatisfied()) {
+                long us = Math.max(1, Math.min(a.latencyUs(), 59_000_000));
                 s.all.recordValue(us);
-                (a.near ? s.near : s.far).recordValue(us);
+                (a.local ? s.near : s.far).recordValue(us);
                 if (a.ask.shards().size() == 1) {
-                    (a.near ? s.oneNear : s.oneFar).recordValue(us);
+                    (a.local ? s.oneNear : s.oneFar).recordValue(us);
                 }
             }
         }
@@ -289,21 +289,21 @@
      * killed and back.
      */
     private void trouble(
-            TwoSites world, Load load, SplittableRandom random, double seconds, Side side)
+            TwoSites world, LoadGenerator load, SplittableRandom random, double seconds, Scenario side)
             throws InterruptedException, IOException {
         long end = System.nanoTime() + Math.round(1e9 * seconds);
         long killAt =
                 System.nanoTime() + Math.round(1e9 * seconds * (0.3 + 0.3 * random.nextDouble()));
-        List<TwoSites.Running> routers = List.copyOf(world.routers.values());
-        TwoSites.Running victim = routers.get(random.nextInt(routers.size()));
-        List<EmulatedLine> lines = List.copyOf(world.lines.values());
+        List<TwoSites.RunningRouter> routers = List.copyOf(world.routers.values());
+        TwoSites.RunningRouter victim = routers.get(random.nextInt(routers.size()));
+        List<EmulatedLink> lines = List.copyOf(world.lines.values());
         while (System.nanoTime() < end) {
             Thread.sleep(200 + random.nextInt(800));
-            EmulatedLine line = lines.get(random.nextInt(lines.size()));
+            EmulatedLink line = lines.get(random.nextInt(lines.size()));
             String what =
                     switch (random.nextInt(6)) {
                         case 0, 1 -> {
-                            line.snap();
+                            line.resetConnections();
                             yield "snap";
                         }
                         case 2 -> {
@@ -311,36 +311,36 @@
                             yield "cut";
                         }
                         case 3 -> {
-                            line.silent(true, true);
+                            line.blackhole(true, true);
                             yield "silent";
                         }
                         case 4 -> {
-                            line.silent(random.nextBoolean(), false);
-                            line.silent(false, true);
+                            line.blackhole(random.nextBoolean(), false);
+                            line.blackhole(false, true);
                             yield "silent one way";
                         }
                         default -> {
-                            line.noise(0.3);
+                            line.corruptionRate(0.3);
                             yield "noise";
                         }
                     };
             side.troubles.merge(what, 1, Integer::sum);
             Thread.sleep(100 + random.nextInt(500));
-            line.mend();
+            line.heal();
             if (victim != null && System.nanoTime() >= killAt) {
-                long from = world.ground.on(world.ground::now);
-                load.killed(victim);
+                long from = world.emulatorLoop.call(world.emulatorLoop::now);
+                load.routerKilled(victim);
                 victim.kill();
                 Thread.sleep(500 + random.nextInt(1000));
                 victim.start();
-                load.away(victim, from, world.ground.on(world.ground::now) + 100_000);
+                load.routerAway(victim, from, world.emulatorLoop.call(world.emulatorLoop::now) + 100_000);
                 side.troubles.merge("router killed", 1, Integer::sum);
                 victim = null;
             }
         }
     }
 
-    private String table(List<Side> sides) {
+    private String table(List<Scenario> sides) {
         StringBuilder t = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%d ms each way, seed %d; emulated data nodes%n"
@@ -359,7 +359,7 @@
                 "near p99",
                 "far p50",
                 "far p99"));
-        for (Side s : sides) {
+        for (Scenario s : sides) {
             t.append(String.format(
                     Locale.ROOT,
                     "%-24s %8d %7d %7d %7d %8d %9d %7d %9.1f %9.1f %9.1f %9.1f%n",
--- a/src/main/java/tinlink/lab/Load.java
+++ b/src/main/java/tinlink/experiment/LoadGenerator.java
@@ -1,8 +1,8 @@
-package tinlink.lab;
+package tinlink.experiment;
 
-import tinlink.emulator.EmulatedClient.Answer;
-import tinlink.emulator.EmulatedClient.Ask;
-import tinlink.emulator.Ground;
+import tinlink.emulator.EmulatedClient.LookupResponse;
+import tinlink.emulator.EmulatedClient.LookupRequest;
+import tinlink.emulator.EmulatorLoop;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,71 +18,71 @@
  * not, and keeps what came of each against the time when it was due (so a router that stands still
  * is charged for all who wait).
  */
-public final class Load {
+public final class LoadGenerator {
     /** Where lookups are asked. */
-    public interface Asker {
+    public interface LookupTarget {
         String name();
 
         /** Cells that are held where it is, and those that are not. */
-        List<Integer> near();
+        List<Integer> localCells();
 
-        List<Integer> far();
+        List<Integer> remoteCells();
 
         /**
          * Sends a lookup.
          *
          * @param hears of the end, once, on the emulation's thread
          */
-        void ask(Asked a, Consumer<Answer> hears);
+        void send(LookupRecord a, Consumer<LookupResponse> hears);
     }
 
     /** An index: its name, its effect, and for a fingerprinted one the window of its key. */
-    public record Kind(String name, boolean keyed, boolean onceOnly, long windowUs, double floor) {
-        public boolean idempotent() {
+    public record LookupKind(String name, boolean keyed, boolean onceOnly, long windowUs, double floor) {
+        public boolean isIdempotent() {
             return !keyed && !onceOnly;
         }
     }
 
     /** One lookup and what came of it. */
-    public static final class Asked {
-        public final Ask ask;
-        public final Kind kind;
-        final Asker at;
+    public static final class LookupRecord {
+        public final LookupRequest ask;
+        public final LookupKind kind;
+        final LookupTarget at;
         /** All of its parts are held at the site where it was asked. */
-        final boolean near;
+        final boolean local;
 
         public long dueUs;
-        public Answer answer;
+        public LookupResponse answer;
         /** Its router was killed while it was open, or its client left: it is owed nothing more. */
-        public boolean gone;
+        public boolean excused;
 
-        Asked(Ask ask, Kind kind, Asker at, boolean near) {
+        LookupRecord(LookupRequest ask, LookupKind kind, LookupTarget at, boolean near) {
             this.ask = ask;
             this.kind = kind;
             this.at = at;
-            this.near = near;
+            this.local = near;
         }
 
-        public long tookUs() {
+        public long latencyUs() {
             return answer.atUs() - dueUs;
         }
 
-        public boolean satisfied() {
+        public boolean isSatisfied() {
             return answer != null && answer.status() == 200;
         }
 
-        public boolean nacked() {
+        public boolean isRejected() {
             return answer != null && (answer.status() == 429 || answer.status() == 503);
         }
     }
 
-    private final Ground ground;
-    private final Collection<? extends Asker> askers;
-    private final List<Asked> all = new ArrayList<>();
-    private final Map<Asker, List<Asked>> open = new LinkedHashMap<>();
+    private final EmulatorLoop emulatorLoop;
+    private final Collection<? extends LookupTarget> askers;
+    private final List<LookupRecord> all = new ArrayList<>();
+    private final Map<LookupTarget, List<LookupRecord>> open = new LinkedHashMap<>();
 
-    public Load(Ground ground, Collection<? extends Asker> askers) {
-        this.ground = ground;
+    public LoadGenerator(EmulatorLoop emulatorLoop, Collection<? extends LookupTarget> askers) {
+        this.emulatorLoop = emulatorLoop;
         this.askers = askers;
     }
 
@@ -96,14 +96,14 @@
             String name,
             double seconds,
             double perSecond,
-            List<Kind> kinds,
+            List<LookupKind> kinds,
             double farShare,
             long budgetMs) {
-        long from = ground.on(ground::now) + 20_000;
+        long from = emulatorLoop.call(emulatorLoop::now) + 20_000;
         int n = 0;
-        for (Asker r : askers) {
-            List<Integer> near = r.near();
-            List<Integer> far = r.far();
+        for (LookupTarget r : askers) {
+            List<Integer> near = r.localCells();
+            List<Integer> far = r.remoteCells();
             double at = 0;
             while (true) {
                 at += -Math.log(1 - random.nextDouble()) / perSecond;
@@ -111,15 +111,15 @@
                     break;
                 }
                 boolean crosses = random.nextDouble() < farShare;
-                Kind kind = kinds.get(random.nextInt(kinds.size()));
+                LookupKind kind = kinds.get(random.nextInt(kinds.size()));
                 List<Integer> shards = new ArrayList<>(
                         pick(random, near, crosses ? random.nextInt(2) : 1 + random.nextInt(2)));
                 if (crosses) {
                     shards.addAll(pick(random, far, 1));
                 }
                 String id = name + "-" + r.name() + "-" + n++;
-                Asked a = new Asked(
-                        new Ask(
+                LookupRecord a = new LookupRecord(
+                        new LookupRequest(
                                 id,
                                 kind.name(),
                                 budgetMs,
@@ -133,9 +133,9 @@
                 all.add(a);
             }
         }
-        ground.run(() -> all.stream()
+        emulatorLoop.run(() -> all.stream()
                 .filter(a -> a.dueUs >= from)
-                .forEach(a -> ground.at(a.dueUs, () -> send(a))));
+                .forEach(a -> emulatorLoop.schedule(a.dueUs, () -> send(a))));
     }
 
     private static List<Integer> pick(SplittableRandom random, List<Integer> from, int n) {
@@ -147,41 +147,41 @@
         return some;
     }
 
-    private void send(Asked a) {
-        List<Asked> with = open.computeIfAbsent(a.at, r -> new ArrayList<>());
+    private void send(LookupRecord a) {
+        List<LookupRecord> with = open.computeIfAbsent(a.at, r -> new ArrayList<>());
         with.add(a);
-        a.at.ask(a, answer -> {
+        a.at.send(a, answer -> {
             a.answer = answer;
             with.remove(a);
         });
     }
 
     /** Before a router is killed: those open there have lost their router, whatever it does. */
-    void killed(Asker r) {
-        ground.run(() -> open.getOrDefault(r, List.of()).forEach(a -> a.gone = true));
+    void routerKilled(LookupTarget r) {
+        emulatorLoop.run(() -> open.getOrDefault(r, List.of()).forEach(a -> a.excused = true));
     }
 
     /**
      * Lookups that came while their router was away find nobody; they count as those of a killed
      * one.
      */
-    void away(Asker r, long fromUs, long toUs) {
-        ground.run(() -> all.stream()
+    void routerAway(LookupTarget r, long fromUs, long toUs) {
+        emulatorLoop.run(() -> all.stream()
                 .filter(a -> a.at == r && a.dueUs >= fromUs && a.dueUs <= toUs)
-                .forEach(a -> a.gone = true));
+                .forEach(a -> a.excused = true));
     }
 
     /** Waits until all have come to an end, or can't any more. */
     public void await(long mostMs) throws InterruptedException {
         for (long i = 0; i < mostMs / 20; i++) {
-            if (ground.on(() -> all.stream().allMatch(a -> a.answer != null))) {
+            if (emulatorLoop.call(() -> all.stream().allMatch(a -> a.answer != null))) {
                 return;
             }
             Thread.sleep(20);
         }
     }
 
-    public List<Asked> asked(Predicate<Asked> which) {
-        return ground.on(() -> all.stream().filter(which).toList());
+    public List<LookupRecord> records(Predicate<LookupRecord> which) {
+        return emulatorLoop.call(() -> all.stream().filter(which).toList());
     }
 }
--- a/src/main/java/tinlink/lab/WorkSimLab.java
+++ b/src/main/java/tinlink/experiment/MaintenanceSimulationExperiment.java
@@ -1,9 +1,9 @@
-package tinlink.lab;
+package tinlink.experiment;
 
-import tinlink.lab.plays.BestOrder;
-import tinlink.lab.plays.WorkEvent;
-import tinlink.lab.plays.WorkPlay;
-import tinlink.lab.plays.WorkSchedule;
+import tinlink.experiment.simulation.OptimalSchedule;
+import tinlink.experiment.simulation.MaintenanceEvent;
+import tinlink.experiment.simulation.MaintenanceSimulation;
+import tinlink.experiment.simulation.MaintenanceSchedule;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,10 +16,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Many schedules of faults against the choices of the routers in simulated time. The first that
+ * Many schedules of faults against the decision logic of the routers in simulated time. The first that
  * breaks a rule is made as small as it goes and written out, to be played again alone.
  */
-public final class WorkSimLab {
+public final class MaintenanceSimulationExperiment {
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
     private static final int REQUESTS = 10;
     private static final int FAULTS = 6;
@@ -27,31 +27,31 @@
     private static final int PIECES = 6;
     private static final long OVER_US = 30_000_000;
     private final long seed;
-    private final WorkPlay.Size size;
+    private final MaintenanceSimulation.Size size;
     private final int schedules;
     private final Path out;
 
     /** @param planted a fault that has to be found, so that the checks are seen to bite */
-    public WorkSimLab(long seed, int routers, int schedules, boolean planted, Path out) {
+    public MaintenanceSimulationExperiment(long seed, int routers, int schedules, boolean planted, Path out) {
         this.seed = seed;
         this.schedules = schedules;
         this.out = out;
         int voters = routers < 5 ? 3 : routers < 20 ? 5 : 7;
-        size = new WorkPlay.Size(routers, voters, Math.max(4, routers / 5), 3, planted);
+        size = new MaintenanceSimulation.Size(routers, voters, Math.max(4, routers / 5), 3, planted);
     }
 
-    private List<WorkEvent> schedule(long s) {
-        return WorkSchedule.of(s, size, REQUESTS, FAULTS, OVER_US);
+    private List<MaintenanceEvent> schedule(long s) {
+        return MaintenanceSchedule.of(s, size, REQUESTS, FAULTS, OVER_US);
     }
 
     /** Whether the rules were kept. */
     public boolean run() throws IOException {
         LIBRARY.setLevel(Level.OFF); // What it says of lost messages is the purpose here.
         long from = System.nanoTime();
-        WorkPlay.Outcome[] came = new WorkPlay.Outcome[schedules];
+        MaintenanceSimulation.Outcome[] came = new MaintenanceSimulation.Outcome[schedules];
         IntStream.range(0, schedules)
                 .parallel()
-                .forEach(i -> came[i] = WorkPlay.play(seed + i, size, schedule(seed + i)));
+                .forEach(i -> came[i] = MaintenanceSimulation.play(seed + i, size, schedule(seed + i)));
         double seconds = (System.nanoTime() - from) / 1e9;
         long steps = 0;
         long digest = 0;
@@ -91,8 +91,8 @@
         if (first >= 0) {
             long bad = seed + first;
             report.add("seed " + bad + ": " + came[first].violations());
-            List<WorkEvent> small = WorkPlay.shrink(bad, size, schedule(bad));
-            report.add("made smaller: " + WorkPlay.play(bad, size, small).violations());
+            List<MaintenanceEvent> small = MaintenanceSimulation.shrink(bad, size, schedule(bad));
+            report.add("made smaller: " + MaintenanceSimulation.play(bad, size, small).violations());
             small.forEach(e -> report.add("    " + e));
         }
         Files.write(out.resolve("work-sim.txt"), report);
@@ -117,7 +117,7 @@
         double toSerial = 0;
         double toBest = 0;
         for (int i = 0; i < SMALL; i++) {
-            BestOrder.Waits w = BestOrder.of(seed + i, PIECES);
+            OptimalSchedule.Waits w = OptimalSchedule.of(seed + i, PIECES);
             toSerial += w.oneByOne() == 0 ? 0 : w.granted() / w.oneByOne() / SMALL;
             toBest += w.best() == 0 ? 1.0 / SMALL : w.granted() / w.best() / SMALL;
         }
--- a/src/main/java/tinlink/lab/PolicySimLab.java
+++ b/src/main/java/tinlink/experiment/PolicySimulationExperiment.java
@@ -1,8 +1,8 @@
-package tinlink.lab;
+package tinlink.experiment;
 
-import tinlink.lab.plays.PolicyEvent;
-import tinlink.lab.plays.PolicyPlay;
-import tinlink.lab.plays.PolicySchedule;
+import tinlink.experiment.simulation.PolicyEvent;
+import tinlink.experiment.simulation.PolicySimulation;
+import tinlink.experiment.simulation.PolicySchedule;
 import tinlink.policy.rollout.AbsencePolicy;
 
 import java.io.IOException;
@@ -14,11 +14,11 @@
 import java.util.stream.IntStream;
 
 /**
- * Many schedules of changes of policy and faults against the choices of the routers in simulated
+ * Many schedules of changes of policy and faults against the decision logic of the routers in simulated
  * time, a third for each rule on routers that are absent. The first that breaks a rule is made as
  * small as it goes.
  */
-public final class PolicySimLab {
+public final class PolicySimulationExperiment {
     private static final int CHANGES = 8;
     private static final int FAULTS = 6;
     private static final long OVER_US = 20_000_000;
@@ -29,7 +29,7 @@
     private final Path out;
 
     /** @param planted a fault that has to be found, so that the checks are seen to bite */
-    public PolicySimLab(long seed, int routers, int schedules, boolean planted, Path out) {
+    public PolicySimulationExperiment(long seed, int routers, int schedules, boolean planted, Path out) {
         this.seed = seed;
         this.routers = routers;
         this.schedules = schedules;
@@ -38,8 +38,8 @@
     }
 
     @SuppressWarnings("EnumOrdinal") // The rules take turns, schedule by schedule.
-    private PolicyPlay.Size size(int i) {
-        return new PolicyPlay.Size(
+    private PolicySimulation.Size size(int i) {
+        return new PolicySimulation.Size(
                 routers, AbsencePolicy.Rule.values()[i % AbsencePolicy.Rule.values().length], planted);
     }
 
@@ -51,10 +51,10 @@
     @SuppressWarnings("EnumOrdinal") // As above: schedules are counted by whose turn it was.
     public boolean run() throws IOException {
         long from = System.nanoTime();
-        PolicyPlay.Outcome[] came = new PolicyPlay.Outcome[schedules];
+        PolicySimulation.Outcome[] came = new PolicySimulation.Outcome[schedules];
         IntStream.range(0, schedules)
                 .parallel()
-                .forEach(i -> came[i] = PolicyPlay.play(seed + i, size(i), schedule(i)));
+                .forEach(i -> came[i] = PolicySimulation.play(seed + i, size(i), schedule(i)));
         double seconds = (System.nanoTime() - from) / 1e9;
         long steps = 0;
         long digest = 0;
@@ -96,10 +96,10 @@
         }
         if (first >= 0) {
             int at = first;
-            List<PolicyEvent> small = PolicyPlay.shrink(seed + at, size(at), schedule(at));
+            List<PolicyEvent> small = PolicySimulation.shrink(seed + at, size(at), schedule(at));
             report.add("seed " + (seed + at) + ": " + came[at].violations().get(0));
             report.add("made smaller: "
-                    + PolicyPlay.play(seed + at, size(at), small).violations().get(0));
+                    + PolicySimulation.play(seed + at, size(at), small).violations().get(0));
             small.forEach(e -> report.add("    " + e));
         }
         Files.createDirectories(out);
--- a/src/main/java/tinlink/lab/TwoSites.java
+++ b/src/main/java/tinlink/experiment/TwoSites.java
@@ -1,11 +1,11 @@
-package tinlink.lab;
+package tinlink.experiment;
 
 import tinlink.emulator.EmulatedClient;
-import tinlink.emulator.EmulatedLine;
+import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
 import tinlink.emulator.EmulatedSite;
-import tinlink.emulator.Ground;
-import tinlink.emulator.Runs;
+import tinlink.emulator.EmulatorLoop;
+import tinlink.emulator.RunLog;
 import tinlink.router.Router;
 import tinlink.start.RouterStart;
 
@@ -42,9 +42,9 @@
             int allCells,
             int routers,
             int lines,
-            EmulatedLine.Way there,
-            EmulatedLine.Way back,
-            EmulatedNode.Work work,
+            EmulatedLink.LinkConditions there,
+            EmulatedLink.LinkConditions back,
+            EmulatedNode.ServiceModel work,
             String limits,
             String profiles,
             String info,
@@ -54,7 +54,7 @@
             long seed) {}
 
     /** One router and what belongs to it. */
-    public final class Running implements Load.Asker {
+    public final class RunningRouter implements LoadGenerator.LookupTarget {
         public final String name;
         public final EmulatedSite site;
         public final EmulatedClient clients;
@@ -63,11 +63,11 @@
         private Router router;
         private Thread thread;
 
-        private Running(String name, EmulatedSite site, int port) {
+        private RunningRouter(String name, EmulatedSite site, int port) {
             this.name = name;
             this.site = site;
             this.port = port;
-            clients = new EmulatedClient(ground, null);
+            clients = new EmulatedClient(emulatorLoop, null);
         }
 
         @Override
@@ -76,13 +76,13 @@
         }
 
         @Override
-        public List<Integer> near() {
+        public List<Integer> localCells() {
             return site.nodes.stream().map(x -> x.cell).distinct().toList();
         }
 
         @Override
-        public List<Integer> far() {
-            List<Integer> near = near();
+        public List<Integer> remoteCells() {
+            List<Integer> near = localCells();
             return sites.values().stream()
                     .filter(s -> s != site)
                     .flatMap(s -> s.nodes.stream())
@@ -93,8 +93,8 @@
         }
 
         @Override
-        public void ask(Load.Asked a, Consumer<EmulatedClient.Answer> hears) {
-            clients.ask(a.ask, hears);
+        public void send(LoadGenerator.LookupRecord a, Consumer<EmulatedClient.LookupResponse> hears) {
+            clients.send(a.ask, hears);
         }
 
         /** Starts it, anew if it had run before; returns once clients can connect. */
@@ -114,11 +114,11 @@
             thread.start();
             r.awaitListening();
             router = r;
-            clients.to(r.address());
+            clients.connectTo(r.address());
             lines.forEach((ends, line) -> {
                 if (ends.contains(">" + name + "#")) {
                     try {
-                        line.to(r.gatewayAddress());
+                        line.target(r.gatewayAddress());
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
                     }
@@ -171,13 +171,13 @@
 
     public static final String KEYS =
             "keys: {k1: '00112233445566778899aabbccddeeff'}, use_key: 'k1'";
-    public final Ground ground = new Ground();
-    public final Runs runs = new Runs(1 << 20);
+    public final EmulatorLoop emulatorLoop = new EmulatorLoop();
+    public final RunLog runLog = new RunLog(1 << 20);
     public final Map<String, EmulatedSite> sites = new LinkedHashMap<>();
     /** By name: the first letter of the site, and a number. */
-    public final Map<String, Running> routers = new LinkedHashMap<>();
+    public final Map<String, RunningRouter> routers = new LinkedHashMap<>();
     /** By its ends and number, "e1>w2#0". */
-    public final Map<String, EmulatedLine> lines = new TreeMap<>();
+    public final Map<String, EmulatedLink> lines = new TreeMap<>();
 
     private final Path folder;
 
@@ -188,8 +188,8 @@
         int port = plan.firstPort();
         for (String name : names) {
             EmulatedSite site = new EmulatedSite(
-                    ground,
-                    runs,
+                    emulatorLoop,
+                    runLog,
                     new EmulatedSite.Plan(
                             name,
                             plan.cells().get(name),
@@ -199,21 +199,21 @@
             sites.put(name, site);
             for (int i = 1; i <= plan.routers(); i++) {
                 String r = name.substring(0, 1) + i;
-                routers.put(r, new Running(r, site, port));
+                routers.put(r, new RunningRouter(r, site, port));
                 port += port > 0 ? 1 : 0;
             }
         }
-        for (Running near : routers.values()) {
-            List<EmulatedSite.Far> far = new ArrayList<>();
-            for (Running f : routers.values()) {
+        for (RunningRouter near : routers.values()) {
+            List<EmulatedSite.RemoteRouterLinks> far = new ArrayList<>();
+            for (RunningRouter f : routers.values()) {
                 if (f.site != near.site) {
                     List<InetSocketAddress> at = new ArrayList<>();
                     for (int i = 0; i < plan.lines(); i++) {
-                        EmulatedLine line = ground.on(() -> line(plan));
+                        EmulatedLink line = emulatorLoop.call(() -> line(plan));
                         lines.put(near.name + ">" + f.name + "#" + i, line);
                         at.add(line.address());
                     }
-                    far.add(new EmulatedSite.Far(f.site.name, f.name, at));
+                    far.add(new EmulatedSite.RemoteRouterLinks(f.site.name, f.name, at));
                 }
             }
             near.env = near.site.router(
@@ -228,17 +228,17 @@
                     names.stream().filter(n -> !n.equals(near.site.name)).toList(),
                     far);
         }
-        for (Running r : routers.values()) {
+        for (RunningRouter r : routers.values()) {
             r.start();
         }
     }
 
     private long lineSeed;
 
-    private EmulatedLine line(Plan plan) {
+    private EmulatedLink line(Plan plan) {
         try {
-            return new EmulatedLine(
-                    ground, plan.there(), plan.back(), plan.seed() + 77 * ++lineSeed);
+            return new EmulatedLink(
+                    emulatorLoop, plan.there(), plan.back(), plan.seed() + 77 * ++lineSeed);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -265,7 +265,7 @@
      */
     public boolean joined(long mostMs) throws InterruptedException {
         for (long i = 0; i < mostMs / 10; i++) {
-            if (routers.values().stream().allMatch(Running::joined)) {
+            if (routers.values().stream().allMatch(RunningRouter::joined)) {
                 return true;
             }
             Thread.sleep(10);
@@ -276,6 +276,6 @@
     @Override
     public void close() {
         routers.values().forEach(r -> r.router.stopNow());
-        ground.close();
+        emulatorLoop.close();
     }
 }
--- a/src/main/java/tinlink/lab/processes/Faults.java
+++ b/src/main/java/tinlink/experiment/processes/FaultInjector.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -14,7 +14,7 @@
  * Faults between and to processes along a time line, from a seed or from a file that was printed
  * before. Each heals by itself, so that after the last one the fleet can come to rest.
  */
-public final class Faults {
+public final class FaultInjector {
     /** Each is named for what happens. */
     public enum Kind {
         KILL,
@@ -74,7 +74,7 @@
             Kind.RESTART_ALL);
 
     private final Fleet fleet;
-    private final History history;
+    private final MachineHistory history;
     public int kills;
     public int cuts;
     public int pauses;
@@ -83,7 +83,7 @@
 
     private final List<String> nodesDead = new ArrayList<>();
 
-    public Faults(Fleet fleet) {
+    public FaultInjector(Fleet fleet) {
         this.fleet = fleet;
         history = fleet.history;
     }
@@ -133,7 +133,7 @@
     /**
      * Plays them from now on, one thread, each to its end or until the next is due; then heals all.
      */
-    public void play(List<Fault> all) throws InterruptedException, IOException {
+    public void run(List<Fault> all) throws InterruptedException, IOException {
         long from = System.nanoTime();
         List<Heal> heals = new ArrayList<>();
         for (Fault f : all) {
@@ -151,7 +151,7 @@
                 }
                 heals.remove(0).what().run();
             }
-            strike(f, heals, (System.nanoTime() - from) / 1_000_000);
+            inject(f, heals, (System.nanoTime() - from) / 1_000_000);
         }
         heals.sort(Comparator.comparingLong(Heal::atMs));
         for (Heal h : heals) {
@@ -161,12 +161,12 @@
             }
             h.what().run();
         }
-        fleet.mendAll();
+        fleet.healAll();
     }
 
-    private record Heal(long atMs, Step what) {}
+    private record Heal(long atMs, Action what) {}
 
-    private interface Step {
+    private interface Action {
         void run() throws InterruptedException, IOException;
     }
 
@@ -174,14 +174,14 @@
         return history.takenAt(machine, null) >= 0;
     }
 
-    private void strike(Fault f, List<Heal> heals, long nowMs)
+    private void inject(Fault f, List<Heal> heals, long nowMs)
             throws InterruptedException, IOException {
-        Child c = fleet.routers.get(f.who());
+        RouterProcess c = fleet.routers.get(f.who());
         long heal = nowMs + f.forMs();
         switch (f.kind()) {
             case KILL -> kill(c, heals, heal, null);
             case KILL_LEADER -> {
-                Child l = fleet.leader();
+                RouterProcess l = fleet.leader();
                 if (l != null) {
                     kill(l, heals, heal, null);
                 }
@@ -203,13 +203,13 @@
             case PAUSE -> {
                 synchronized (c) {
                     if (c.isUp() && !c.isPaused() && !isTaken(c.name)) {
-                        fleet.fronts.get(c.name).lost();
+                        fleet.clientGroups.get(c.name).routerLost();
                         c.pause();
                         pauses++;
                         heals.add(new Heal(heal + 2000, () -> {
                             synchronized (c) {
-                                c.goOn();
-                                fleet.fronts.get(c.name).back();
+                                c.resume();
+                                fleet.clientGroups.get(c.name).routerBack();
                             }
                         }));
                     }
@@ -219,35 +219,35 @@
                 fleet.cutBoth(f.who(), f.other());
                 cuts++;
                 heals.add(new Heal(heal, () -> {
-                    fleet.mend(f.who(), f.other());
-                    fleet.mend(f.other(), f.who());
+                    fleet.heal(f.who(), f.other());
+                    fleet.heal(f.other(), f.who());
                 }));
             }
             case CUT_ONE_WAY -> {
                 fleet.cut(f.who(), f.other());
                 cuts++;
-                heals.add(new Heal(heal, () -> fleet.mend(f.who(), f.other())));
+                heals.add(new Heal(heal, () -> fleet.heal(f.who(), f.other())));
             }
             case SPLIT -> {
-                fleet.cutOff(x -> fleet.site(fleet.zoneOf(x)).equals("s0"));
+                fleet.isolate(x -> fleet.site(fleet.zoneOf(x)).equals("s0"));
                 cuts++;
-                heals.add(new Heal(heal, fleet::mendAll));
+                heals.add(new Heal(heal, fleet::healAll));
             }
             case NODE_DIES -> {
                 String node = f.who().replace("/", "-");
                 if (!isTaken(node) && !nodesDead.contains(node)) {
                     nodesDead.add(node);
-                    history.add(now(), History.What.FAILED, node, "");
-                    fleet.around.nodes.get(node).mood(tinlink.emulator.EmulatedNode.Mood.STALLED);
+                    history.add(now(), MachineHistory.EventKind.FAILED, node, "");
+                    fleet.emulated.nodes.get(node).behavior(tinlink.emulator.EmulatedNode.Behavior.STALLED);
                     heals.add(new Heal(heal, () -> {
                         nodesDead.remove(node);
-                        fleet.around.nodes.get(node).mood(tinlink.emulator.EmulatedNode.Mood.WELL);
-                        history.add(now(), History.What.HEALED, node, "");
+                        fleet.emulated.nodes.get(node).behavior(tinlink.emulator.EmulatedNode.Behavior.WELL);
+                        history.add(now(), MachineHistory.EventKind.HEALED, node, "");
                     }));
                 }
             }
             default -> {
-                for (Child x : fleet.routers.values()) {
+                for (RouterProcess x : fleet.routers.values()) {
                     kill(x, heals, heal, null);
                 }
             }
@@ -255,15 +255,15 @@
     }
 
     private long now() {
-        return fleet.ground.on(fleet.ground::now);
+        return fleet.emulatorLoop.call(fleet.emulatorLoop::now);
     }
 
-    private void kill(Child c, List<Heal> heals, long heal, Path disk) throws InterruptedException {
+    private void kill(RouterProcess c, List<Heal> heals, long heal, Path disk) throws InterruptedException {
         synchronized (c) {
             if (!c.isUp() || c.isPaused() || isTaken(c.name)) {
                 return;
             }
-            fleet.fronts.get(c.name).lost();
+            fleet.clientGroups.get(c.name).routerLost();
             c.kill();
             kills++;
             heals.add(new Heal(heal, () -> {
--- a/src/main/java/tinlink/lab/processes/Fleet.java
+++ b/src/main/java/tinlink/experiment/processes/Fleet.java
@@ -1,13 +1,13 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 import tinlink.emulator.EmulatedFleet;
-import tinlink.emulator.EmulatedLine;
+import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
-import tinlink.emulator.Ground;
-import tinlink.emulator.Runs;
+import tinlink.emulator.EmulatorLoop;
+import tinlink.emulator.RunLog;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -68,8 +68,8 @@
      *
      * @param status 0 where nobody answered
      */
-    public record Told(int status, JsonNode body) {
-        public String said() {
+    public record ControlResponse(int status, JsonNode body) {
+        public String message() {
             return body.path("said").asText();
         }
     }
@@ -78,21 +78,21 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEYS =
             "keys: {k1: '00112233445566778899aabbccddeeff'}, use_key: 'k1'";
-    public final Ground ground = new Ground();
-    public final Runs runs = new Runs(1 << 20);
+    public final EmulatorLoop emulatorLoop = new EmulatorLoop();
+    public final RunLog runLog = new RunLog(1 << 20);
     /** What operators and faults do to its machines. */
-    public final History history = new History();
+    public final MachineHistory history = new MachineHistory();
 
-    public final EmulatedFleet around;
+    public final EmulatedFleet emulated;
     /** By name. */
-    public final Map<String, Child> routers = new LinkedHashMap<>();
+    public final Map<String, RouterProcess> routers = new LinkedHashMap<>();
 
-    public final Map<String, Front> fronts = new LinkedHashMap<>();
+    public final Map<String, ClientGroup> clientGroups = new LinkedHashMap<>();
     /**
      * What one router says to another, by both names as "r1>r2"; who was called answers on a line
      * of its own.
      */
-    public final Map<String, EmulatedLine> lines = new TreeMap<>();
+    public final Map<String, EmulatedLink> links = new TreeMap<>();
 
     public final Path folder;
     private final Plan plan;
@@ -100,30 +100,30 @@
     public Fleet(Plan plan) throws IOException {
         this.plan = plan;
         folder = Files.createTempDirectory("tinlink-processes");
-        List<EmulatedFleet.Spot> spots = new ArrayList<>();
+        List<EmulatedFleet.NodePlacement> spots = new ArrayList<>();
         for (int b = 0; b < plan.blocks(); b++) {
             for (int h = 0; h < plan.holders(); h++) {
-                spots.add(new EmulatedFleet.Spot("n" + b + "-" + h, b, zone(b + h)));
+                spots.add(new EmulatedFleet.NodePlacement("n" + b + "-" + h, b, zone(b + h)));
             }
         }
-        around = new EmulatedFleet(
-                ground,
-                runs,
+        emulated = new EmulatedFleet(
+                emulatorLoop,
+                runLog,
                 spots,
-                new EmulatedNode.Work(4, 64, 3000, 0.4),
-                new EmulatedLine.Way(200, 200, 0),
+                new EmulatedNode.ServiceModel(4, 64, 3000, 0.4),
+                new EmulatedLink.LinkConditions(200, 200, 0),
                 plan.seed());
         List<String> names =
                 IntStream.range(0, plan.routers()).mapToObj(i -> "r" + i).toList();
         for (String a : names) {
             for (String b : names) {
                 if (!a.equals(b)) {
-                    lines.put(a + ">" + b, around.line());
+                    links.put(a + ">" + b, emulated.newLink());
                 }
             }
         }
         for (int i = 0; i < names.size(); i++) {
-            child(names.get(i), i, names);
+            addRouter(names.get(i), i, names);
         }
     }
 
@@ -136,13 +136,13 @@
         return Integer.parseInt(zone.substring(1)) < (plan.zones() + 1) / 2 ? "s0" : "s1";
     }
 
-    public String zoneOf(Child c) {
+    public String zoneOf(RouterProcess c) {
         return zone(Integer.parseInt(c.name.substring(1)));
     }
 
-    private void child(String name, int number, List<String> names) throws IOException {
+    private void addRouter(String name, int number, List<String> names) throws IOException {
         Path own = Files.createDirectories(folder.resolve(name));
-        EmulatedFleet.View view = around.view();
+        EmulatedFleet.RouterView view = emulated.addRouterView();
         Path config = Files.writeString(
                 own.resolve("config.json"),
                 "{\"name\":\"" + name
@@ -157,7 +157,7 @@
         for (String o : names) {
             if (!o.equals(name)) {
                 others.add(o + ": '"
-                        + EmulatedFleet.address(lines.get(name + ">" + o).address()) + "'");
+                        + EmulatedFleet.address(links.get(name + ">" + o).address()) + "'");
             }
         }
         Path peers = Files.writeString(
@@ -181,7 +181,7 @@
                         + "report_ms: 200}, await_ms: 2000,\ncontrol: {listen: '127.0.0.1:0', token: '"
                         + TOKEN
                         + "', answer_ms: 2000}}\n");
-        Child c = new Child(
+        RouterProcess c = new RouterProcess(
                 name,
                 own,
                 Map.of(
@@ -194,9 +194,9 @@
                         "NODE_LOG",
                         "INFO"));
         routers.put(name, c);
-        fronts.put(
+        clientGroups.put(
                 name,
-                new Front(this, c, IntStream.range(0, plan.blocks()).boxed().toList()));
+                new ClientGroup(this, c, IntStream.range(0, plan.blocks()).boxed().toList()));
     }
 
     private String settings(boolean small) {
@@ -220,7 +220,7 @@
 
     private static String profile(String name, String effect, long windowMs) {
         return "{\"name\":\"" + name + "\",\"effect\":\"" + effect
-                + "\",\"onTimeMs\":1000,\"deadlineMs\":" + Front.BUDGET_MS + ",\"windowMs\":"
+                + "\",\"onTimeMs\":1000,\"deadlineMs\":" + ClientGroup.BUDGET_MS + ",\"windowMs\":"
                 + windowMs + ",\"worth\":1,\"lateWorth\":0.3}";
     }
 
@@ -228,48 +228,48 @@
 
     /** Starts all that don't run, and waits until they serve. */
     public void startAll() throws IOException, InterruptedException {
-        List<Child> some = routers.values().stream().filter(c -> !c.isUp()).toList();
-        for (Child c : some) {
+        List<RouterProcess> some = routers.values().stream().filter(c -> !c.isUp()).toList();
+        for (RouterProcess c : some) {
             c.start();
         }
-        for (Child c : some) {
-            begun(c);
+        for (RouterProcess c : some) {
+            connectPeers(c);
         }
-        for (Child c : some) {
-            c.awaitServes(30_000);
-            serves(c);
+        for (RouterProcess c : some) {
+            c.awaitServing(30_000);
+            connectClients(c);
         }
     }
 
-    public void start(Child c) throws IOException, InterruptedException {
+    public void start(RouterProcess c) throws IOException, InterruptedException {
         c.start();
-        begun(c);
-        c.awaitServes(30_000);
-        serves(c);
+        connectPeers(c);
+        c.awaitServing(30_000);
+        connectClients(c);
     }
 
     /** Others reach it at its new address. */
-    private void begun(Child c) throws IOException, InterruptedException {
-        c.awaitListens(30_000);
-        if (c.peers() != null) {
-            lines.forEach((ends, l) -> {
+    private void connectPeers(RouterProcess c) throws IOException, InterruptedException {
+        c.awaitListening(30_000);
+        if (c.peerAddress() != null) {
+            links.forEach((ends, l) -> {
                 if (ends.endsWith(">" + c.name)) {
-                    l.to(c.peers());
+                    l.target(c.peerAddress());
                 }
             });
         }
     }
 
-    private void serves(Child c) throws IOException {
-        if (c.serves() == null) {
-            throw new IllegalStateException(c.name + " has ended:\n" + c.said());
+    private void connectClients(RouterProcess c) throws IOException {
+        if (c.clientAddress() == null) {
+            throw new IllegalStateException(c.name + " has ended:\n" + c.output());
         }
-        fronts.get(c.name).to(c.serves());
+        clientGroups.get(c.name).connectTo(c.clientAddress());
     }
 
     /** Cuts what the first says to the second, and what was on its way. */
     public void cut(String a, String b) {
-        lines.get(a + ">" + b).silent(true, true);
+        links.get(a + ">" + b).blackhole(true, true);
     }
 
     public void cutBoth(String a, String b) {
@@ -277,18 +277,18 @@
         cut(b, a);
     }
 
-    public void mend(String a, String b) {
-        lines.get(a + ">" + b).mend();
+    public void heal(String a, String b) {
+        links.get(a + ">" + b).heal();
     }
 
-    public void mendAll() {
-        lines.values().forEach(EmulatedLine::mend);
+    public void healAll() {
+        links.values().forEach(EmulatedLink::heal);
     }
 
     /** All lines between routers of which one is of these and one is not. */
-    public void cutOff(Predicate<Child> some) {
-        for (Child a : routers.values()) {
-            for (Child b : routers.values()) {
+    public void isolate(Predicate<RouterProcess> some) {
+        for (RouterProcess a : routers.values()) {
+            for (RouterProcess b : routers.values()) {
                 if (some.test(a) && !some.test(b)) {
                     cutBoth(a.name, b.name);
                 }
@@ -296,15 +296,15 @@
         }
     }
 
-    public Collection<Child> up() {
+    public Collection<RouterProcess> running() {
         return routers.values().stream().filter(c -> c.isUp() && !c.isPaused()).toList();
     }
 
     /** Who leads, by the word of most that are asked; null where none is known. */
-    public Child leader() {
+    public RouterProcess leader() {
         Map<String, Integer> votes = new TreeMap<>();
-        for (Child c : up()) {
-            String l = say(c, Map.of("do", "router")).body().path("leader").asText();
+        for (RouterProcess c : running()) {
+            String l = send(c, Map.of("do", "router")).body().path("leader").asText();
             if (!l.isEmpty()) {
                 votes.merge(l, 1, Integer::sum);
             }
@@ -317,9 +317,9 @@
 
     /** Waits until all that run know one leader and count as routers that may serve. */
     public void awaitAgreed(long mostMs) throws InterruptedException {
-        until(mostMs, "all know one leader", () -> {
-            List<JsonNode> all = up().stream()
-                    .map(c -> say(c, Map.of("do", "router")).body())
+        await(mostMs, "all know one leader", () -> {
+            List<JsonNode> all = running().stream()
+                    .map(c -> send(c, Map.of("do", "router")).body())
                     .toList();
             return all.stream()
                             .allMatch(b -> b.path("known").asBoolean()
@@ -336,9 +336,9 @@
      * Looks until it is so. @throws IllegalStateException after that time, naming what was waited
      * for
      */
-    public static void until(long mostMs, String what, Is is) throws InterruptedException {
+    public static void await(long mostMs, String what, Condition is) throws InterruptedException {
         long end = System.nanoTime() + 1_000_000 * mostMs;
-        while (!is.so()) {
+        while (!is.isMet()) {
             if (System.nanoTime() > end) {
                 throw new IllegalStateException("waited " + mostMs + " ms for: " + what);
             }
@@ -347,21 +347,21 @@
     }
 
     /** What is waited for. */
-    public interface Is {
-        boolean so() throws InterruptedException;
+    public interface Condition {
+        boolean isMet() throws InterruptedException;
     }
 
     // ---- Operators' words. ----
 
     /** Says it to that router's control address. */
-    public static Told say(Child c, Map<String, ?> what) {
-        return say(c, TOKEN, what);
+    public static ControlResponse send(RouterProcess c, Map<String, ?> what) {
+        return send(c, TOKEN, what);
     }
 
-    public static Told say(Child c, String token, Map<String, ?> what) {
-        InetSocketAddress at = c.control();
+    public static ControlResponse send(RouterProcess c, String token, Map<String, ?> what) {
+        InetSocketAddress at = c.controlAddress();
         if (at == null || !c.isUp() || c.isPaused()) {
-            return new Told(0, JSON.createObjectNode());
+            return new ControlResponse(0, JSON.createObjectNode());
         }
         try {
             HttpURLConnection h = (HttpURLConnection)
@@ -373,18 +373,18 @@
             h.getOutputStream().write(JSON.writeValueAsBytes(what));
             int status = h.getResponseCode();
             try (InputStream in = status < 400 ? h.getInputStream() : h.getErrorStream()) {
-                return new Told(
+                return new ControlResponse(
                         status,
                         JSON.readTree(new String(in.readAllBytes(), StandardCharsets.UTF_8)));
             }
         } catch (IOException e) {
-            return new Told(0, JSON.createObjectNode());
+            return new ControlResponse(0, JSON.createObjectNode());
         }
     }
 
     /** A machine's state in a request, by that router; empty where it does not know. */
-    public static String state(Child c, String request, String machine) {
-        for (JsonNode m : say(c, Map.of("do", "show", "id", request))
+    public static String state(RouterProcess c, String request, String machine) {
+        for (JsonNode m : send(c, Map.of("do", "show", "id", request))
                 .body()
                 .path("request")
                 .path("machines")) {
@@ -398,14 +398,14 @@
     /** Ends all children by their own ids, and what is emulated. */
     @Override
     public void close() throws IOException {
-        for (Child c : routers.values()) {
+        for (RouterProcess c : routers.values()) {
             try {
                 c.kill();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        ground.close();
+        emulatorLoop.close();
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path p : all.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(p);
--- a/src/main/java/tinlink/lab/processes/History.java
+++ b/src/main/java/tinlink/experiment/processes/MachineHistory.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -9,9 +9,9 @@
  * What was done to machines and when, as those wrote it down who did it: operators that took a
  * machine and gave it back, faults that befell one. What routers say of it is not in it.
  */
-public final class History {
+public final class MachineHistory {
     /** Each is named for what happens. */
-    public enum What {
+    public enum EventKind {
         ASKED,
         TAKEN,
         GIVEN_BACK,
@@ -25,11 +25,11 @@
      *
      * @param request empty for a fault
      */
-    public record Event(long atUs, What what, String machine, String request) {}
+    public record Event(long atUs, EventKind what, String machine, String request) {}
 
     private final List<Event> events = new ArrayList<>();
 
-    public synchronized void add(long atUs, What what, String machine, String request) {
+    public synchronized void add(long atUs, EventKind what, String machine, String request) {
         events.add(new Event(atUs, what, machine, request));
     }
 
@@ -42,9 +42,9 @@
     public synchronized boolean isAskedFor(String machine) {
         Set<String> by = new HashSet<>();
         for (Event e : events) {
-            if (e.machine.equals(machine) && e.what == What.ASKED) {
+            if (e.machine.equals(machine) && e.what == EventKind.ASKED) {
                 by.add(e.request);
-            } else if (e.machine.equals(machine) && e.what == What.OVER) {
+            } else if (e.machine.equals(machine) && e.what == EventKind.OVER) {
                 by.remove(e.request);
             }
         }
@@ -59,7 +59,7 @@
         long at = -1;
         for (Event e : events) {
             if (e.machine.equals(machine) && (request == null || e.request.equals(request))) {
-                at = e.what == What.TAKEN ? e.atUs : e.what == What.GIVEN_BACK ? -1 : at;
+                at = e.what == EventKind.TAKEN ? e.atUs : e.what == EventKind.GIVEN_BACK ? -1 : at;
             }
         }
         return at;
--- a/src/main/java/tinlink/lab/processes/WorkChecks.java
+++ b/src/main/java/tinlink/experiment/processes/MaintenanceChecks.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,13 +13,13 @@
  * The bounds of work on machines, checked against what was done to machines. It knows nothing of
  * how routers come to their grants: it counts who is away.
  */
-public final class WorkChecks {
+public final class MaintenanceChecks {
     /**
      * A machine, for counting.
      *
      * @param cell below 0 for a router
      */
-    public record Spot(String id, int cell, String zone, String site, boolean voter) {}
+    public record MachinePlacement(String id, int cell, String zone, String site, boolean voter) {}
 
     /**
      * What has to be left while machines are away.
@@ -29,26 +29,26 @@
      *     each zone and each site keeps
      * @param knownUs a machine that has failed for less is nobody's fault
      */
-    public record Bounds(int holders, double share, long knownUs) {}
+    public record Limits(int holders, double share, long knownUs) {}
 
     public final List<String> belowFloor = new ArrayList<>();
     public final List<String> bothOut = new ArrayList<>();
     public final List<String> doubleGrant = new ArrayList<>();
-    private final Map<String, Spot> spots = new TreeMap<>();
-    private final Bounds bounds;
+    private final Map<String, MachinePlacement> spots = new TreeMap<>();
+    private final Limits bounds;
     private final Map<String, String> taken = new HashMap<>();
     private final Map<String, Long> failed = new HashMap<>();
     /** Taken while failed: it lost nothing more, whatever it does later. */
     private final Set<String> takenDead = new HashSet<>();
 
-    public WorkChecks(List<Spot> all, Bounds bounds) {
+    public MaintenanceChecks(List<MachinePlacement> all, Limits bounds) {
         all.forEach(s -> spots.put(s.id(), s));
         this.bounds = bounds;
     }
 
-    public void check(List<History.Event> events) {
-        for (History.Event e : events) {
-            Spot s = spots.get(e.machine());
+    public void check(List<MachineHistory.Event> events) {
+        for (MachineHistory.Event e : events) {
+            MachinePlacement s = spots.get(e.machine());
             switch (e.what()) {
                 case FAILED -> failed.putIfAbsent(e.machine(), e.atUs());
                 case HEALED -> failed.remove(e.machine());
@@ -63,7 +63,7 @@
         }
     }
 
-    private void take(Spot s, History.Event e) {
+    private void take(MachinePlacement s, MachineHistory.Event e) {
         String before = taken.put(s.id(), e.request());
         if (before != null) {
             doubleGrant.add(s.id() + " for " + before + " and " + e.request());
@@ -93,10 +93,10 @@
                 bothOut.add(s.id() + " taken beside another of its block");
             }
         }
-        share(s, Spot::zone, "zone");
-        share(s, Spot::site, "site");
+        share(s, MachinePlacement::zone, "zone");
+        share(s, MachinePlacement::site, "site");
         if (s.voter()) {
-            long all = spots.values().stream().filter(Spot::voter).count();
+            long all = spots.values().stream().filter(MachinePlacement::voter).count();
             long left = spots.values().stream()
                     .filter(o -> o.voter() && !taken.containsKey(o.id()))
                     .count();
@@ -110,8 +110,8 @@
      * Of what it stands with, nodes or routers alike. Those that failed by themselves are not
      * counted.
      */
-    private void share(Spot s, Function<Spot, String> where, String what) {
-        List<Spot> like = spots.values().stream()
+    private void share(MachinePlacement s, Function<MachinePlacement, String> where, String what) {
+        List<MachinePlacement> like = spots.values().stream()
                 .filter(o -> o.cell() < 0 == s.cell() < 0 && where.apply(o).equals(where.apply(s)))
                 .toList();
         long left = like.stream()
--- a/src/main/java/tinlink/lab/processes/WorkLab.java
+++ b/src/main/java/tinlink/experiment/processes/MaintenanceExperiment.java
@@ -1,7 +1,7 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
-import tinlink.lab.Load;
-import tinlink.lab.Rules;
+import tinlink.experiment.LoadGenerator;
+import tinlink.experiment.LookupRules;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -21,7 +21,7 @@
  * requests for nodes and routers at several of them, and faults to and between the processes along
  * a time line.
  */
-public final class WorkLab {
+public final class MaintenanceExperiment {
     private static final int HOLDERS = 3;
     private static final int FLOOR = 2;
     private static final double SHARE = 0.5;
@@ -33,10 +33,10 @@
      */
     private static final long REST_MS = 10_000;
 
-    private static final List<Load.Kind> KINDS = List.of(
-            new Load.Kind("find", false, false, 0, 0.3),
-            new Load.Kind("pay", true, false, 1_500_000, 1),
-            new Load.Kind("once", false, true, 0, 1));
+    private static final List<LoadGenerator.LookupKind> KINDS = List.of(
+            new LoadGenerator.LookupKind("find", false, false, 0, 0.3),
+            new LoadGenerator.LookupKind("pay", true, false, 1_500_000, 1),
+            new LoadGenerator.LookupKind("once", false, true, 0, 1));
     private final long seed;
     private final int routers;
     private final int nodes;
@@ -46,7 +46,7 @@
     private final Path folder;
 
     /** @param file faults as they were printed before; null for those of the seed */
-    public WorkLab(
+    public MaintenanceExperiment(
             long seed, int routers, int nodes, int faults, double seconds, Path file, Path folder) {
         this.seed = seed;
         this.routers = routers;
@@ -72,19 +72,19 @@
                         + ", warm_ms: 300, begin_ms: 3000, aging_ms: 5000, kept: 5000, most: 5000",
                 seed);
         try (Fleet fleet = new Fleet(plan)) {
-            History history = fleet.history;
+            MachineHistory history = fleet.history;
             fleet.startAll();
             fleet.awaitAgreed(30_000);
-            Child first = fleet.routers.get("r0");
-            Fleet.until(20_000, "all machines are known", () -> {
+            RouterProcess first = fleet.routers.get("r0");
+            Fleet.await(20_000, "all machines are known", () -> {
                 long known = 0;
-                for (var m : Fleet.say(first, Map.of("do", "machines")).body().path("machines")) {
+                for (var m : Fleet.send(first, Map.of("do", "machines")).body().path("machines")) {
                     known += m.path("sound").asBoolean() ? 1 : 0;
                 }
-                return known == routers + fleet.around.nodes.size();
+                return known == routers + fleet.emulated.nodes.size();
             });
-            List<Faults.Fault> line = schedule(fleet, voters);
-            Load load = new Load(fleet.ground, fleet.fronts.values());
+            List<FaultInjector.Fault> line = schedule(fleet, voters);
+            LoadGenerator load = new LoadGenerator(fleet.emulatorLoop, fleet.clientGroups.values());
             load.run(
                     new SplittableRandom(seed + 1),
                     "q",
@@ -92,20 +92,20 @@
                     PER_SECOND,
                     KINDS,
                     0,
-                    Front.BUDGET_MS);
-            Operators ops = new Operators(fleet, seed + 2);
+                    ClientGroup.BUDGET_MS);
+            SimulatedOperators ops = new SimulatedOperators(fleet, seed + 2);
             Thread asks = asks(fleet, ops, new SplittableRandom(seed + 3));
-            Faults f = new Faults(fleet);
-            f.play(line);
+            FaultInjector f = new FaultInjector(fleet);
+            f.run(line);
             asks.join();
             long healed = System.nanoTime();
             ops.awaitRest(REST_MS, 6 * REST_MS);
             Map<String, String> stuck = ops.open();
             double rest = (System.nanoTime() - healed) / 1e9;
-            for (Child c : stuck.isEmpty() ? List.<Child>of() : List.copyOf(fleet.up())) {
+            for (RouterProcess c : stuck.isEmpty() ? List.<RouterProcess>of() : List.copyOf(fleet.running())) {
                 System.out.println(
-                        c.name + " " + Fleet.say(c, Map.of("do", "router")).body() + " "
-                                + Fleet.say(c, Map.of("do", "machines")).body());
+                        c.name + " " + Fleet.send(c, Map.of("do", "router")).body() + " "
+                                + Fleet.send(c, Map.of("do", "machines")).body());
             }
             ops.end();
             load.await(Math.round(1000 * seconds) + 8000);
@@ -116,22 +116,22 @@
         }
     }
 
-    private List<Faults.Fault> schedule(Fleet fleet, int voters) throws IOException {
-        List<Faults.Fault> line = new ArrayList<>();
+    private List<FaultInjector.Fault> schedule(Fleet fleet, int voters) throws IOException {
+        List<FaultInjector.Fault> line = new ArrayList<>();
         if (file != null) {
             for (String l : Files.readAllLines(file)) {
                 if (!l.isBlank() && !l.startsWith("#")) {
-                    line.add(Faults.Fault.of(l));
+                    line.add(FaultInjector.Fault.of(l));
                 }
             }
             return line;
         }
         List<String> names = List.copyOf(fleet.routers.keySet());
-        return Faults.schedule(
+        return FaultInjector.schedule(
                 seed,
                 names,
                 names.subList(0, voters),
-                List.copyOf(fleet.around.nodes.keySet()),
+                List.copyOf(fleet.emulated.nodes.keySet()),
                 faults,
                 Math.round(1000 * seconds * 0.75));
     }
@@ -140,8 +140,8 @@
      * Requests over the time: nodes, routers, a whole block or two holders of one in the same
      * instant.
      */
-    private Thread asks(Fleet fleet, Operators ops, SplittableRandom r) {
-        List<String> nodeNames = List.copyOf(fleet.around.nodes.keySet());
+    private Thread asks(Fleet fleet, SimulatedOperators ops, SplittableRandom r) {
+        List<String> nodeNames = List.copyOf(fleet.emulated.nodes.keySet());
         List<String> routerNames = List.copyOf(fleet.routers.keySet());
         long everyMs = Math.max(250, Math.round(1000 * seconds * 0.6 / 24));
         Thread t = new Thread(
@@ -153,13 +153,13 @@
                             String block = node.substring(0, node.indexOf('-'));
                             switch (r.nextInt(6)) {
                                 case 0 ->
-                                    ops.ask(
+                                    ops.submit(
                                             "q" + i,
                                             List.of(routerNames.get(r.nextInt(routerNames.size()))),
                                             OUT_MS,
                                             r.nextInt(10));
                                 case 1 ->
-                                    ops.ask(
+                                    ops.submit(
                                             "q" + i,
                                             nodeNames.stream()
                                                     .filter(n -> n.startsWith(block + "-"))
@@ -167,14 +167,14 @@
                                             OUT_MS,
                                             r.nextInt(10));
                                 case 2 -> {
-                                    ops.ask("q" + i, List.of(block + "-0"), OUT_MS, r.nextInt(10));
-                                    ops.ask(
+                                    ops.submit("q" + i, List.of(block + "-0"), OUT_MS, r.nextInt(10));
+                                    ops.submit(
                                             "q" + i + "b",
                                             List.of(block + "-1"),
                                             OUT_MS,
                                             r.nextInt(10));
                                 }
-                                default -> ops.ask("q" + i, List.of(node), OUT_MS, r.nextInt(10));
+                                default -> ops.submit("q" + i, List.of(node), OUT_MS, r.nextInt(10));
                             }
                             if (r.nextInt(8) == 0) {
                                 ops.callOff("q" + i);
@@ -191,41 +191,41 @@
     }
 
     /** The bounds as the checks count them, which share nothing with the routers' own. */
-    private static WorkChecks checks(Fleet fleet, Fleet.Plan plan) {
-        List<WorkChecks.Spot> spots = new ArrayList<>();
-        fleet.around
-                .spots
+    private static MaintenanceChecks checks(Fleet fleet, Fleet.Plan plan) {
+        List<MaintenanceChecks.MachinePlacement> spots = new ArrayList<>();
+        fleet.emulated
+                .placements
                 .values()
-                .forEach(s -> spots.add(new WorkChecks.Spot(
+                .forEach(s -> spots.add(new MaintenanceChecks.MachinePlacement(
                         s.uid(), s.cell(), s.zone(), fleet.site(s.zone()), false)));
         int i = 0;
-        for (Child c : fleet.routers.values()) {
-            spots.add(new WorkChecks.Spot(
+        for (RouterProcess c : fleet.routers.values()) {
+            spots.add(new MaintenanceChecks.MachinePlacement(
                     c.name, -1, fleet.zoneOf(c), fleet.site(fleet.zoneOf(c)), i++ < plan.voters()));
         }
-        return new WorkChecks(spots, new WorkChecks.Bounds(FLOOR, SHARE, 4_000_000));
+        return new MaintenanceChecks(spots, new MaintenanceChecks.Limits(FLOOR, SHARE, 4_000_000));
     }
 
     private boolean report(
             Fleet fleet,
             Fleet.Plan plan,
-            History history,
-            Operators ops,
-            Faults f,
-            Load load,
-            List<Faults.Fault> line,
+            MachineHistory history,
+            SimulatedOperators ops,
+            FaultInjector f,
+            LoadGenerator load,
+            List<FaultInjector.Fault> line,
             Map<String, String> stuck,
             double rest)
             throws IOException {
-        WorkChecks checks = checks(fleet, plan);
+        MaintenanceChecks checks = checks(fleet, plan);
         checks.check(history.events());
-        Rules rules = new Rules();
-        List<Load.Asked> all = load.asked(a -> true);
-        fleet.ground.run(() -> rules.check(all, fleet.runs));
+        LookupRules rules = new LookupRules();
+        List<LoadGenerator.LookupRecord> all = load.records(a -> true);
+        fleet.emulatorLoop.run(() -> rules.check(all, fleet.runLog));
         Map<String, Integer> ends = new java.util.TreeMap<>();
         ops.ended().values().forEach(s -> ends.merge(s, 1, Integer::sum));
         int granted = (int) history.events().stream()
-                .filter(e -> e.what() == History.What.TAKEN)
+                .filter(e -> e.what() == MachineHistory.EventKind.TAKEN)
                 .count();
         double waits = waits(history);
         List<String> broken = new ArrayList<>();
@@ -242,8 +242,8 @@
                 broken,
                 "stuck",
                 List.copyOf(stuck.entrySet()).stream().map(String::valueOf).toList());
-        long satisfied = all.stream().filter(Load.Asked::satisfied).count();
-        long gone = all.stream().filter(a -> a.gone).count();
+        long satisfied = all.stream().filter(LoadGenerator.LookupRecord::isSatisfied).count();
+        long gone = all.stream().filter(a -> a.excused).count();
         List<String> report = new ArrayList<>();
         report.add(String.format(
                 Locale.ROOT,
@@ -252,7 +252,7 @@
                 seed,
                 routers,
                 plan.voters(),
-                fleet.around.nodes.size(),
+                fleet.emulated.nodes.size(),
                 plan.blocks(),
                 HOLDERS,
                 ZONES,
@@ -281,8 +281,8 @@
                 history.events().stream().map(String::valueOf).toList());
         report.forEach(System.out::println);
         int requests = (int) history.events().stream()
-                .filter(e -> e.what() == History.What.ASKED)
-                .map(History.Event::request)
+                .filter(e -> e.what() == MachineHistory.EventKind.ASKED)
+                .map(MachineHistory.Event::request)
                 .distinct()
                 .count();
         System.out.printf(
@@ -324,12 +324,12 @@
      * order, each out as long as it was: the next one begins as the one before is over, or is asked
      * for.
      */
-    private static double waits(History history) {
+    private static double waits(MachineHistory history) {
         Map<String, Long> asked = new HashMap<>();
         Map<String, Long> out = new HashMap<>();
         record Job(long asked, long out, long over) {}
         List<Job> jobs = new ArrayList<>();
-        for (History.Event e : history.events()) {
+        for (MachineHistory.Event e : history.events()) {
             String key = e.request() + "/" + e.machine();
             switch (e.what()) {
                 case ASKED -> asked.put(key, e.atUs());
--- a/src/main/java/tinlink/lab/processes/PolicyLab.java
+++ b/src/main/java/tinlink/experiment/processes/PolicyExperiment.java
@@ -1,12 +1,12 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
 import org.HdrHistogram.Histogram;
 
-import tinlink.emulator.Runs;
-import tinlink.lab.Load;
-import tinlink.lab.Rules;
+import tinlink.emulator.RunLog;
+import tinlink.experiment.LoadGenerator;
+import tinlink.experiment.LookupRules;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -30,7 +30,7 @@
  * which policy a lookup was taken is seen from the time that its first part call gives the data
  * node; when, from when it was asked and when that call came.
  */
-public final class PolicyLab {
+public final class PolicyExperiment {
     private static final int ZONES = 3;
     private static final int ONE_MS = 250;
     private static final int OTHER_MS = 700;
@@ -41,8 +41,8 @@
 
     private static final double PER_SECOND = 25;
     private static final long REST_MS = 10_000;
-    private static final List<Load.Kind> KINDS =
-            List.of(new Load.Kind("find", false, false, 0, 0.3));
+    private static final List<LoadGenerator.LookupKind> KINDS =
+            List.of(new LoadGenerator.LookupKind("find", false, false, 0, 0.3));
     private final long seed;
     private final int routers;
     private final int changes;
@@ -62,7 +62,7 @@
             boolean oneDown) {}
 
     /** @param rule on routers that are absent: wait, withdraw or fence */
-    public PolicyLab(
+    public PolicyExperiment(
             long seed,
             int routers,
             int changes,
@@ -109,7 +109,7 @@
             SplittableRandom r = new SplittableRandom(seed + 4);
             ended.add(change(fleet, "first", false, 30_000, r));
             Thread.sleep(1000);
-            Load load = new Load(fleet.ground, fleet.fronts.values());
+            LoadGenerator load = new LoadGenerator(fleet.emulatorLoop, fleet.clientGroups.values());
             load.run(
                     new SplittableRandom(seed + 1),
                     "q",
@@ -117,23 +117,23 @@
                     PER_SECOND,
                     KINDS,
                     0,
-                    Front.BUDGET_MS);
+                    ClientGroup.BUDGET_MS);
             List<String> names = List.copyOf(fleet.routers.keySet());
             // One router is down for a third of the time, on top of the faults of the seed.
-            List<Faults.Fault> line = new ArrayList<>(Faults.schedule(
+            List<FaultInjector.Fault> line = new ArrayList<>(FaultInjector.schedule(
                     seed,
                     names.subList(0, names.size() - 1),
                     names.subList(0, voters),
-                    List.copyOf(fleet.around.nodes.keySet()),
+                    List.copyOf(fleet.emulated.nodes.keySet()),
                     faults,
                     Math.round(1000 * seconds * 0.55)));
-            line.add(new Faults.Fault(
+            line.add(new FaultInjector.Fault(
                     Math.round(1000 * seconds * 0.6),
-                    Faults.Kind.KILL,
+                    FaultInjector.Kind.KILL,
                     names.get(names.size() - 1),
                     "",
                     Math.round(1000 * seconds * 0.3)));
-            Child last = fleet.routers.get(names.get(names.size() - 1));
+            RouterProcess last = fleet.routers.get(names.get(names.size() - 1));
             long from = System.nanoTime();
             Thread asks = new Thread(
                     () -> {
@@ -166,13 +166,13 @@
                     "asks");
             asks.setDaemon(true);
             asks.start();
-            Faults f = new Faults(fleet);
-            f.play(line);
+            FaultInjector f = new FaultInjector(fleet);
+            f.run(line);
             asks.join(Math.round(2000 * seconds));
             fleet.startAll();
             long healed = System.nanoTime();
             while (!open.isEmpty() && System.nanoTime() < healed + 1_000_000 * REST_MS) {
-                open.removeIf(id -> fleet.up().stream().anyMatch(c -> {
+                open.removeIf(id -> fleet.running().stream().anyMatch(c -> {
                     String s = status(c, id).path("state").asText();
                     return s.equals("in force") || s.equals("withdrawn") || s.isEmpty();
                 }));
@@ -184,8 +184,8 @@
         }
     }
 
-    private static JsonNode status(Child c, String id) {
-        return Fleet.say(c, Map.of("do", "policy-status", "id", id)).body().path("change");
+    private static JsonNode status(RouterProcess c, String id) {
+        return Fleet.send(c, Map.of("do", "policy-status", "id", id)).body().path("change");
     }
 
     /**
@@ -196,9 +196,9 @@
             throws InterruptedException {
         long from = System.nanoTime();
         while (System.nanoTime() < from + 1_000_000 * mostMs) {
-            List<Child> up = List.copyOf(fleet.up());
+            List<RouterProcess> up = List.copyOf(fleet.running());
             if (!up.isEmpty()) {
-                Child c = up.get(r.nextInt(up.size()));
+                RouterProcess c = up.get(r.nextInt(up.size()));
                 JsonNode s = status(c, id);
                 String state = s.path("state").asText();
                 long tookMs = (System.nanoTime() - from) / 1_000_000;
@@ -214,8 +214,8 @@
                 }
                 if (state.isEmpty()) {
                     JsonNode now =
-                            Fleet.say(c, Map.of("do", "policy-show")).body().path("in_force");
-                    Fleet.say(
+                            Fleet.send(c, Map.of("do", "policy-show")).body().path("in_force");
+                    Fleet.send(
                             c,
                             Map.of(
                                     "do",
@@ -242,14 +242,14 @@
         final Set<Long> mixed = new TreeSet<>();
     }
 
-    private static Seen seen(List<Load.Asked> all, Runs runs, NavigableMap<Long, Boolean> holds) {
+    private static Seen seen(List<LoadGenerator.LookupRecord> all, RunLog runLog, NavigableMap<Long, Boolean> holds) {
         Seen s = new Seen();
         Map<Long, Set<Boolean>> windows = new TreeMap<>();
-        for (Load.Asked a : all) {
+        for (LoadGenerator.LookupRecord a : all) {
             for (int shard : a.ask.shards()) {
                 String part = a.ask.id() + "." + shard;
-                List<Runs.Run> ran = runs.of(part);
-                long waits = runs.waitOf(part);
+                List<RunLog.Run> ran = runLog.runsOf(part);
+                long waits = runLog.timeoutMsOf(part);
                 Boolean other = (waits > ONE_MS && waits <= OTHER_MS && waits > OTHER_MS - 100)
                         ? Boolean.TRUE
                         : (waits <= ONE_MS && waits > ONE_MS - 60) ? Boolean.FALSE : null;
@@ -290,9 +290,9 @@
 
     private boolean report(
             Fleet fleet,
-            Faults f,
-            Load load,
-            List<Faults.Fault> line,
+            FaultInjector f,
+            LoadGenerator load,
+            List<FaultInjector.Fault> line,
             List<Ended> ended,
             Set<String> open)
             throws IOException {
@@ -300,16 +300,16 @@
         ended.stream()
                 .filter(e -> e != null && e.state.equals("in force"))
                 .forEach(e -> holds.put(e.atUs, e.other));
-        List<Load.Asked> all = load.asked(a -> true);
-        Rules rules = new Rules();
+        List<LoadGenerator.LookupRecord> all = load.records(a -> true);
+        LookupRules rules = new LookupRules();
         Seen[] seen = new Seen[1];
-        fleet.ground.run(() -> {
-            rules.check(all, fleet.runs);
-            seen[0] = seen(all, fleet.runs, holds);
+        fleet.emulatorLoop.run(() -> {
+            rules.check(all, fleet.runLog);
+            seen[0] = seen(all, fleet.runLog, holds);
         });
         List<String> flipped = new ArrayList<>();
         for (Ended e : ended) {
-            for (Child c : fleet.up()) {
+            for (RouterProcess c : fleet.running()) {
                 JsonNode s = status(c, e.id);
                 if (!s.isMissingNode()
                         && !s.path("state").asText().equals("not settled")
@@ -357,9 +357,9 @@
                 "lookups %d, satisfied %d, refused for want of a policy %d, with a "
                         + "router that was taken from them %d",
                 all.size(),
-                all.stream().filter(Load.Asked::satisfied).count(),
+                all.stream().filter(LoadGenerator.LookupRecord::isSatisfied).count(),
                 refused,
-                all.stream().filter(a -> a.gone).count()));
+                all.stream().filter(a -> a.excused).count()));
         report.add(String.format(
                 Locale.ROOT, "with one router down: %d of %d changes in force", downInForce, down));
         report.add("faults:");
--- a/src/main/java/tinlink/lab/processes/Child.java
+++ b/src/main/java/tinlink/experiment/processes/RouterProcess.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,7 +22,7 @@
  * id alone: whatever is done to it is done to that id, and it is ended with the one that started
  * it.
  */
-public final class Child {
+public final class RouterProcess {
     /** As in deploy/balancer.toml; a test holds the two together. */
     public static final List<String> BOUNDS = List.of(
             "-Djava.net.preferIPv4Stack=true",
@@ -61,12 +61,12 @@
     private Path log;
     private int starts;
     private volatile boolean paused;
-    private volatile InetSocketAddress serves;
-    private volatile InetSocketAddress peers;
-    private volatile InetSocketAddress control;
+    private volatile InetSocketAddress clientAddress;
+    private volatile InetSocketAddress peerAddress;
+    private volatile InetSocketAddress controlAddress;
 
     /** @param folder of its own: its disk is below, its logs are in it */
-    public Child(String name, Path folder, Map<String, String> env) {
+    public RouterProcess(String name, Path folder, Map<String, String> env) {
         this.name = name;
         this.folder = folder;
         this.env = new LinkedHashMap<>(env);
@@ -85,7 +85,7 @@
         all.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         all.addAll(BOUNDS);
         try {
-            Path from = Path.of(Child.class
+            Path from = Path.of(RouterProcess.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
@@ -104,16 +104,16 @@
         return all;
     }
 
-    /** Starts it; what it listens at is known by {@link #awaitServes}. */
+    /** Starts it; what it listens at is known by {@link #awaitServing}. */
     @SuppressWarnings("FutureReturnValueIgnored") // The process itself is what is waited for.
     public void start() throws IOException {
         if (isUp()) {
             throw new IllegalStateException(name + " runs already");
         }
         Files.createDirectories(folder);
-        serves = null;
-        peers = null;
-        control = null;
+        clientAddress = null;
+        peerAddress = null;
+        controlAddress = null;
         paused = false;
         log = folder.resolve(name + "-" + ++starts + ".log");
         ProcessBuilder b = new ProcessBuilder(command())
@@ -141,22 +141,22 @@
     /**
      * Reads what it has said of itself so far. @return whether its peers and operators can reach it
      */
-    boolean look() throws IOException {
-        if (log == null || (serves != null && control != null)) {
-            return control != null;
+    boolean readLog() throws IOException {
+        if (log == null || (clientAddress != null && controlAddress != null)) {
+            return controlAddress != null;
         }
         for (String line : Files.readAllLines(log, StandardCharsets.UTF_8)) {
             Matcher s = SERVES.matcher(line);
             if (s.find()) {
-                serves = address(s.group(1));
+                clientAddress = address(s.group(1));
             }
             Matcher l = LISTENS.matcher(line);
             if (l.find()) {
-                peers = address(l.group(1));
-                control = l.group(2).equals("-") ? null : address(l.group(2));
+                peerAddress = address(l.group(1));
+                controlAddress = l.group(2).equals("-") ? null : address(l.group(2));
             }
         }
-        return control != null;
+        return controlAddress != null;
     }
 
     private static InetSocketAddress address(String text) {
@@ -166,53 +166,53 @@
     }
 
     /** Where clients connect; null before it serves. */
-    public InetSocketAddress serves() {
-        return serves;
+    public InetSocketAddress clientAddress() {
+        return clientAddress;
     }
 
     /** Where other routers connect; null before it listens. */
-    public InetSocketAddress peers() {
-        return peers;
+    public InetSocketAddress peerAddress() {
+        return peerAddress;
     }
 
     /** Where operators connect; null before it listens. */
-    public InetSocketAddress control() {
-        return control;
+    public InetSocketAddress controlAddress() {
+        return controlAddress;
     }
 
     /** Waits until it listens to its peers, or has ended. */
-    public void awaitListens(long mostMs) throws IOException, InterruptedException {
-        await(mostMs, "its links", () -> look() || !isUp());
+    public void awaitListening(long mostMs) throws IOException, InterruptedException {
+        await(mostMs, "its links", () -> readLog() || !isUp());
     }
 
-    public void awaitServes(long mostMs) throws IOException, InterruptedException {
+    public void awaitServing(long mostMs) throws IOException, InterruptedException {
         await(mostMs, "it serves", () -> {
-            look();
-            return serves != null || !isUp();
+            readLog();
+            return clientAddress != null || !isUp();
         });
     }
 
     /**
      * Waits by looking, for a bounded time. @throws IllegalStateException naming what it waited for
      */
-    private void await(long mostMs, String what, Looks looks)
+    private void await(long mostMs, String what, Condition looks)
             throws IOException, InterruptedException {
         long end = System.nanoTime() + 1_000_000 * mostMs;
-        while (!looks.look()) {
+        while (!looks.isMet()) {
             if (System.nanoTime() > end) {
                 throw new IllegalStateException(
-                        name + ": waited " + mostMs + " ms for: " + what + "\n" + said());
+                        name + ": waited " + mostMs + " ms for: " + what + "\n" + output());
             }
             Thread.sleep(20);
         }
     }
 
-    private interface Looks {
-        boolean look() throws IOException;
+    private interface Condition {
+        boolean isMet() throws IOException;
     }
 
     /** What it has said since it was started last. */
-    public String said() throws IOException {
+    public String output() throws IOException {
         return log == null ? "" : Files.readString(log);
     }
 
@@ -244,7 +244,7 @@
         }
     }
 
-    public void goOn() throws IOException, InterruptedException {
+    public void resume() throws IOException, InterruptedException {
         if (isUp() && paused) {
             signal("CONT");
             paused = false;
--- a/src/main/java/tinlink/lab/processes/Operators.java
+++ b/src/main/java/tinlink/experiment/processes/SimulatedOperators.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -20,12 +20,12 @@
  * router says that it is out, works on it for a while, gives it back, and asks on until it is over.
  * One thread a request.
  */
-public final class Operators {
+public final class SimulatedOperators {
     /** What is sent to a taken data node for so long after "out" is held against the routers. */
     static final long WATCHED_MS = 300;
 
     private final Fleet fleet;
-    private final History history;
+    private final MachineHistory history;
     private final SplittableRandom random;
     private final List<Thread> threads = new ArrayList<>();
     /** Requests that are not over yet, and how they last stood. */
@@ -38,7 +38,7 @@
     private final Set<String> calledOff = ConcurrentHashMap.newKeySet();
     private volatile boolean stop;
 
-    public Operators(Fleet fleet, long seed) {
+    public SimulatedOperators(Fleet fleet, long seed) {
         this.fleet = fleet;
         history = fleet.history;
         random = new SplittableRandom(seed);
@@ -59,15 +59,15 @@
     }
 
     /** Asks for these machines, each out for so long. */
-    public synchronized void ask(String id, List<String> machines, long forMs, int urgency) {
+    public synchronized void submit(String id, List<String> machines, long forMs, int urgency) {
         open.put(id, "asked");
         machines.forEach(
-                m -> history.add(fleet.ground.on(fleet.ground::now), History.What.ASKED, m, id));
+                m -> history.add(fleet.emulatorLoop.call(fleet.emulatorLoop::now), MachineHistory.EventKind.ASKED, m, id));
         SplittableRandom own = random.split();
         Thread t = new Thread(
                 () -> {
                     try {
-                        tend(id, machines, forMs, urgency, own);
+                        followRequest(id, machines, forMs, urgency, own);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     } catch (IOException | RuntimeException e) {
@@ -80,15 +80,15 @@
         t.start();
     }
 
-    private Fleet.Told say(SplittableRandom own, Map<String, ?> what) {
-        List<Child> up = new ArrayList<>(fleet.up());
+    private Fleet.ControlResponse send(SplittableRandom own, Map<String, ?> what) {
+        List<RouterProcess> up = new ArrayList<>(fleet.running());
         return up.isEmpty()
-                ? new Fleet.Told(
+                ? new Fleet.ControlResponse(
                         0, new com.fasterxml.jackson.databind.ObjectMapper().createObjectNode())
-                : Fleet.say(up.get(own.nextInt(up.size())), what);
+                : Fleet.send(up.get(own.nextInt(up.size())), what);
     }
 
-    private void tend(
+    private void followRequest(
             String id, List<String> machines, long forMs, int urgency, SplittableRandom own)
             throws InterruptedException, IOException {
         Map<String, Object> ask = Map.of(
@@ -111,7 +111,7 @@
         boolean asked = false;
         while (!stop) {
             Thread.sleep(60 + own.nextInt(120));
-            Fleet.Told t = asked ? say(own, Map.of("do", "show", "id", id)) : say(own, ask);
+            Fleet.ControlResponse t = asked ? send(own, Map.of("do", "show", "id", id)) : send(own, ask);
             asked |= t.status() == 200;
             JsonNode r = t.body().path("request");
             if (t.status() != 200 || r.isMissingNode()) {
@@ -133,19 +133,19 @@
                     if (given.put(machine, true) == null) {
                         giveBack(machine, id);
                     }
-                    say(own, Map.of("do", "done", "id", id, "machine", machine));
+                    send(own, Map.of("do", "done", "id", id, "machine", machine));
                 }
             }
             open.put(id, String.join("; ", states));
             if (calledOff.contains(id) && takenAt.isEmpty()) {
-                say(own, Map.of("do", "call-off", "id", id));
+                send(own, Map.of("do", "call-off", "id", id));
             }
             if (r.path("over").asBoolean()) {
                 for (JsonNode m : r.path("machines")) {
                     ended.put(
                             id + "/" + m.path("machine").asText(),
                             m.path("state").asText());
-                    history.add(now(), History.What.OVER, m.path("machine").asText(), id);
+                    history.add(now(), MachineHistory.EventKind.OVER, m.path("machine").asText(), id);
                 }
                 open.remove(id);
                 return;
@@ -154,31 +154,31 @@
     }
 
     private long now() {
-        return fleet.ground.on(fleet.ground::now);
+        return fleet.emulatorLoop.call(fleet.emulatorLoop::now);
     }
 
     private void take(String machine, String id) throws InterruptedException, IOException {
         long at = now();
-        history.add(at, History.What.TAKEN, machine, id);
-        EmulatedNode n = fleet.around.nodes.get(machine);
+        history.add(at, MachineHistory.EventKind.TAKEN, machine, id);
+        EmulatedNode n = fleet.emulated.nodes.get(machine);
         if (n != null) {
             Thread.sleep(WATCHED_MS);
-            long ran = fleet.ground.on(() -> fleet.runs.between(machine, at, Long.MAX_VALUE));
+            long ran = fleet.emulatorLoop.call(() -> fleet.runLog.countBetween(machine, at, Long.MAX_VALUE));
             if (ran > 0) {
                 staleActs.add(
                         machine + " ran " + ran + " parts after it was told as out for " + id);
             }
-            n.die();
+            n.kill();
             return;
         }
-        Child c = fleet.routers.get(machine);
+        RouterProcess c = fleet.routers.get(machine);
         synchronized (c) {
-            fleet.fronts.get(machine).stopped();
+            fleet.clientGroups.get(machine).stopped();
             if (c.isUp() && !c.isPaused()) {
                 int status = c.stop(10_000);
                 if (status != 0 && status != 143) {
                     faults.add(
-                            machine + " ended with " + status + " as it was stopped:\n" + c.said());
+                            machine + " ended with " + status + " as it was stopped:\n" + c.output());
                 }
             } else {
                 c.kill();
@@ -187,18 +187,18 @@
     }
 
     private void giveBack(String machine, String id) throws IOException, InterruptedException {
-        EmulatedNode n = fleet.around.nodes.get(machine);
+        EmulatedNode n = fleet.emulated.nodes.get(machine);
         if (n != null) {
-            n.live();
+            n.restart();
         } else {
-            Child c = fleet.routers.get(machine);
+            RouterProcess c = fleet.routers.get(machine);
             synchronized (c) {
                 if (!c.isUp()) {
                     fleet.start(c);
                 }
             }
         }
-        history.add(now(), History.What.GIVEN_BACK, machine, id);
+        history.add(now(), MachineHistory.EventKind.GIVEN_BACK, machine, id);
     }
 
     /** Waits until all are over; what is not by then is left in {@link #open}. */
--- a/src/main/java/tinlink/lab/scale/CapacityFigures.java
+++ b/src/main/java/tinlink/experiment/scale/CapacityFigures.java
@@ -1,6 +1,6 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
-import tinlink.lab.scale.CapacityFigure.Budget;
+import tinlink.experiment.scale.CapacityFigure.Budget;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/tinlink/lab/scale/CapacityTables.java
+++ b/src/main/java/tinlink/experiment/scale/CapacityTables.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,7 +13,7 @@
     private static final int DIGITS = 3;
 
     /** A figure and what one measurement says of it. */
-    private record Held(CapacityFigure figure, CapacityEstimate estimate) {
+    private record FigureEstimate(CapacityFigure figure, CapacityEstimate estimate) {
         double value() {
             return figure.rate() * estimate.value();
         }
@@ -32,10 +32,10 @@
         measurements = files.stream().flatMap(f -> f.measurements().stream()).toList();
     }
 
-    private List<Held> held(CapacityFigure figure) {
+    private List<FigureEstimate> held(CapacityFigure figure) {
         return measurements.stream()
                 .filter(figure::isOf)
-                .map(m -> new Held(figure, CapacityEstimate.of(m)))
+                .map(m -> new FigureEstimate(figure, CapacityEstimate.of(m)))
                 .toList();
     }
 
@@ -90,7 +90,7 @@
                 + " within budget up to | carried by | command |");
         lines.add("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (CapacityFigure figure : figures) {
-            List<Held> all = held(figure);
+            List<FigureEstimate> all = held(figure);
             if (all.isEmpty()) {
                 lines.add(row(figure, NOT_MEASURED, "", "", "", "", "", ""));
             }
@@ -99,7 +99,7 @@
         return String.join("\n", lines);
     }
 
-    private static String row(Held held) {
+    private static String row(FigureEstimate held) {
         CapacityEstimate estimate = held.estimate;
         double rate = held.figure.rate();
         String unit = held.figure.unit();
@@ -132,7 +132,7 @@
     }
 
     /** The size at which a figure reaches its budget, all else as planned. */
-    private static String breaks(Held held) {
+    private static String breaks(FigureEstimate held) {
         if (held.figure.budget().isEmpty() || held.figure.budget().get().isFloor()) {
             return "";
         }
@@ -183,7 +183,7 @@
         figures.stream()
                 .flatMap(f -> held(f).stream())
                 .filter(h -> h.shareUsed() > 1)
-                .sorted(Comparator.comparingDouble(Held::shareUsed).reversed())
+                .sorted(Comparator.comparingDouble(FigureEstimate::shareUsed).reversed())
                 .forEach(h -> lines.add((lines.size() + 1) + ". Over budget, "
                         + number(h.shareUsed()) + " times: " + h.figure.group() + ", "
                         + h.figure.title() + " (" + number(h.value()) + " of "
--- a/src/main/java/tinlink/lab/scale/ControlFiles.java
+++ b/src/main/java/tinlink/experiment/scale/ControlFiles.java
@@ -1,6 +1,6 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
-import tinlink.lab.processes.Fleet;
+import tinlink.experiment.processes.Fleet;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/tinlink/lab/scale/ControlFleet.java
+++ b/src/main/java/tinlink/experiment/scale/ControlFleet.java
@@ -1,11 +1,11 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import tinlink.emulator.EmulatedFleet;
-import tinlink.emulator.EmulatedLine;
+import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
-import tinlink.emulator.Ground;
-import tinlink.emulator.Runs;
-import tinlink.lab.processes.Child;
+import tinlink.emulator.EmulatorLoop;
+import tinlink.emulator.RunLog;
+import tinlink.experiment.processes.RouterProcess;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -35,8 +35,8 @@
     private final HollowNodes nodes;
     private final List<HollowProcess> processes = new ArrayList<>();
     private final Map<String, HollowProcess> byRouter = new LinkedHashMap<>();
-    private final Map<String, Child> real = new LinkedHashMap<>();
-    private final Ground ground = new Ground();
+    private final Map<String, RouterProcess> real = new LinkedHashMap<>();
+    private final EmulatorLoop emulatorLoop = new EmulatorLoop();
     /** Routers that are down on purpose. */
     private final List<String> down = new ArrayList<>();
 
@@ -139,21 +139,21 @@
 
     private void startReal() throws IOException, InterruptedException {
         EmulatedFleet around = new EmulatedFleet(
-                ground,
-                new Runs(1),
+                emulatorLoop,
+                new RunLog(1),
                 List.of(),
-                new EmulatedNode.Work(1, 1, 1000, 0.4),
-                new EmulatedLine.Way(0, 0, 0),
+                new EmulatedNode.ServiceModel(1, 1, 1000, 0.4),
+                new EmulatedLink.LinkConditions(0, 0, 0),
                 plan.seed());
         for (String name : plan.realNames()) {
-            String discovery = EmulatedFleet.address(around.view().toDiscovery.address());
-            Child child =
-                    new Child(name, folder.resolve(name), files.write(name, voters, discovery));
+            String discovery = EmulatedFleet.address(around.addRouterView().toDiscovery.address());
+            RouterProcess child =
+                    new RouterProcess(name, folder.resolve(name), files.write(name, voters, discovery));
             real.put(name, child);
             child.start();
         }
-        for (Child child : real.values()) {
-            child.awaitListens(MOST_START_MS);
+        for (RouterProcess child : real.values()) {
+            child.awaitListening(MOST_START_MS);
         }
     }
 
@@ -161,7 +161,7 @@
         return processes.size() + real.size() + 1;
     }
 
-    Collection<Child> real() {
+    Collection<RouterProcess> real() {
         return real.values();
     }
 
@@ -285,14 +285,14 @@
     @Override
     public void close() throws IOException {
         processes.forEach(HollowProcess::close);
-        for (Child child : real.values()) {
+        for (RouterProcess child : real.values()) {
             try {
                 child.kill();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        ground.close();
+        emulatorLoop.close();
         nodes.close();
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/main/java/tinlink/lab/scale/ControlReal.java
+++ b/src/main/java/tinlink/experiment/scale/ControlReal.java
@@ -1,6 +1,6 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
-import tinlink.lab.processes.Child;
+import tinlink.experiment.processes.RouterProcess;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,7 +16,7 @@
     private ControlReal() {}
 
     /** Of all its threads that are there now, nanoseconds since their start, as the kernel counts them. */
-    static long cpuNs(Child child) throws IOException {
+    static long cpuNs(RouterProcess child) throws IOException {
         long sum = 0;
         try (Stream<Path> tasks =
                 Files.list(Path.of("/proc", Long.toString(child.pid()), "task"))) {
@@ -29,7 +29,7 @@
     }
 
     /** After a collection; the process is asked by the JDK's own tool. */
-    static double heapMb(Child child) throws IOException, InterruptedException {
+    static double heapMb(RouterProcess child) throws IOException, InterruptedException {
         tool(child, "GC.run");
         double usedKb = 0;
         for (String line : tool(child, "GC.heap_info")) {
@@ -41,7 +41,7 @@
         return usedKb / 1024;
     }
 
-    private static List<String> tool(Child child, String command)
+    private static List<String> tool(RouterProcess child, String command)
             throws IOException, InterruptedException {
         Process p = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
--- a/src/main/java/tinlink/lab/scale/ControlRun.java
+++ b/src/main/java/tinlink/experiment/scale/ControlRun.java
@@ -1,9 +1,9 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import org.HdrHistogram.Histogram;
 
-import tinlink.lab.processes.Child;
-import tinlink.lab.processes.Fleet;
+import tinlink.experiment.processes.RouterProcess;
+import tinlink.experiment.processes.Fleet;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -94,21 +94,21 @@
 
     /** The same of routers that serve, though nobody asks them anything; and whether they hear of changes. */
     private void realAtRest() throws IOException, InterruptedException {
-        Map<Child, Long> before = new LinkedHashMap<>();
-        for (Child child : fleet.real()) {
+        Map<RouterProcess, Long> before = new LinkedHashMap<>();
+        for (RouterProcess child : fleet.real()) {
             before.put(child, ControlReal.cpuNs(child));
         }
         Thread.sleep(effort.idleMs());
-        for (Map.Entry<Child, Long> one : before.entrySet()) {
+        for (Map.Entry<RouterProcess, Long> one : before.entrySet()) {
             double ms = (ControlReal.cpuNs(one.getKey()) - one.getValue()) / 1e6;
             result.realCpuMsPerSecond =
                     Math.max(result.realCpuMsPerSecond, 1000 * ms / effort.idleMs());
         }
-        for (Child child : fleet.real()) {
+        for (RouterProcess child : fleet.real()) {
             result.realHeapMb = Math.max(result.realHeapMb, ControlReal.heapMb(child));
             ControlFleet.until(
                     child.name + " hears of epoch " + epoch,
-                    () -> Fleet.say(child, Map.of("do", "policy-show"))
+                    () -> Fleet.send(child, Map.of("do", "policy-show"))
                                     .body()
                                     .path("in_force")
                                     .path("epoch")
--- a/src/main/java/tinlink/lab/scale/ControlScaleLab.java
+++ b/src/main/java/tinlink/experiment/scale/ControlScaleExperiment.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -12,7 +12,7 @@
  * The experiment of what the control side costs by the number of routers and of data nodes: hollow
  * routers beside real ones, at rest, while the policy changes, and as routers and the leader fail.
  */
-public final class ControlScaleLab {
+public final class ControlScaleExperiment {
     /** What a router may spend on control, as {@code docs/CAPACITY.md} states it. */
     private static final double CPU_BUDGET_PCT = 2.2;
 
@@ -43,7 +43,7 @@
      * @param notes to be saved with the results
      * @param file where the results are saved
      */
-    public ControlScaleLab(
+    public ControlScaleExperiment(
             long seed,
             int routers,
             int hollow,
--- a/src/main/java/tinlink/lab/scale/GrowthFit.java
+++ b/src/main/java/tinlink/experiment/scale/GrowthFit.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
--- a/src/main/java/tinlink/lab/scale/HollowNodes.java
+++ b/src/main/java/tinlink/experiment/scale/HollowNodes.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/tinlink/lab/scale/HollowProcess.java
+++ b/src/main/java/tinlink/experiment/scale/HollowProcess.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/tinlink/lab/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
--- a/src/main/java/tinlink/lab/scale/ServingLab.java
+++ b/src/main/java/tinlink/experiment/scale/ServingExperiment.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import org.HdrHistogram.Histogram;
 
@@ -20,7 +20,7 @@
  * and the largest rate it bears. The verdict goes by counts and bytes alone, so a slow machine
  * changes nothing in it.
  */
-public final class ServingLab {
+public final class ServingExperiment {
     private final ServingPlan plan;
     private final long seed;
     private final List<String> notes;
@@ -32,7 +32,7 @@
      * @param shortForm a run of seconds at small sizes, for its verdict alone
      * @param notes kept with the results, for example what else the machine did meanwhile
      */
-    public ServingLab(boolean shortForm, long seed, List<String> notes) {
+    public ServingExperiment(boolean shortForm, long seed, List<String> notes) {
         plan = shortForm ? ServingPlan.shortForm() : ServingPlan.full();
         this.seed = seed;
         this.notes = new ArrayList<>(notes);
--- a/src/main/java/tinlink/lab/scale/ServingLoad.java
+++ b/src/main/java/tinlink/experiment/scale/ServingLoad.java
@@ -1,11 +1,11 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import org.HdrHistogram.Histogram;
 
 import tinlink.emulator.EmulatedClient;
-import tinlink.emulator.EmulatedClient.Answer;
-import tinlink.emulator.EmulatedClient.Ask;
-import tinlink.emulator.Ground;
+import tinlink.emulator.EmulatedClient.LookupResponse;
+import tinlink.emulator.EmulatedClient.LookupRequest;
+import tinlink.emulator.EmulatorLoop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -58,7 +58,7 @@
     private static final long LAST_ANSWER_S = 10;
     private static final long FIRST_DUE_US = 20_000;
     private static final String TEXT = "an example of a text to look up.";
-    private final Ground ground;
+    private final EmulatorLoop emulatorLoop;
     private final EmulatedClient client;
     private final ServingSlowest slowest;
     private final SplittableRandom random;
@@ -69,8 +69,8 @@
     ServingLoad(InetSocketAddress router, long budgetMs, ServingSlowest slowest, long seed)
             throws IOException {
         this.budgetMs = budgetMs;
-        ground = new Ground();
-        client = new EmulatedClient(ground, router);
+        emulatorLoop = new EmulatorLoop();
+        client = new EmulatedClient(emulatorLoop, router);
         this.slowest = slowest;
         random = new SplittableRandom(seed);
     }
@@ -78,7 +78,7 @@
     /** Asks for so long, with exponential gaps between lookups, and waits for the last answer. */
     Result run(double perSecond, double seconds, Shards shards) throws InterruptedException {
         Run run = new Run(shards);
-        ground.run(() -> run.plan(perSecond, seconds));
+        emulatorLoop.run(() -> run.plan(perSecond, seconds));
         try {
             return run.over.get((long) seconds + LAST_ANSWER_S, TimeUnit.SECONDS);
         } catch (TimeoutException | ExecutionException e) {
@@ -88,7 +88,7 @@
 
     @Override
     public void close() {
-        ground.close();
+        emulatorLoop.close();
     }
 
     /** All of it on the emulation's thread. */
@@ -108,7 +108,7 @@
         }
 
         void plan(double perSecond, double seconds) {
-            long from = ground.now() + FIRST_DUE_US;
+            long from = emulatorLoop.now() + FIRST_DUE_US;
             double at = 0;
             while (at < seconds) {
                 due.add(from + Math.round(at * 1e6));
@@ -119,28 +119,28 @@
 
         private void sendNext() {
             if (sent < due.size()) {
-                ground.at(due.get(sent), this::send);
+                emulatorLoop.schedule(due.get(sent), this::send);
             }
         }
 
         private void send() {
             long dueUs = due.get(sent++);
             sendNext();
-            late.recordValue(Math.max(0, ground.now() - dueUs));
+            late.recordValue(Math.max(0, emulatorLoop.now() - dueUs));
             long number = asked++;
             slowest.begins(number);
-            Ask ask = new Ask(
+            LookupRequest ask = new LookupRequest(
                     ServingSlowest.lookupId(number),
                     ServingRouter.INDEX,
                     budgetMs,
                     shards.next(random),
                     TEXT,
                     null);
-            client.ask(ask, answer -> answered(number, dueUs, answer));
+            client.send(ask, answer -> answered(number, dueUs, answer));
         }
 
-        private void answered(long number, long dueUs, Answer answer) {
-            if (answer.whole()) {
+        private void answered(long number, long dueUs, LookupResponse answer) {
+            if (answer.isComplete()) {
                 long tookUs = Math.max(0, answer.atUs() - dueUs);
                 whole++;
                 latency.recordValue(tookUs);
--- a/src/main/java/tinlink/lab/scale/ServingNames.java
+++ b/src/main/java/tinlink/experiment/scale/ServingNames.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 /** The names of roles and dimensions that the serving measurement and docs/CAPACITY.md share. */
 final class ServingNames {
--- a/src/main/java/tinlink/lab/scale/ServingNodes.java
+++ b/src/main/java/tinlink/experiment/scale/ServingNodes.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
@@ -56,7 +56,7 @@
         }
     }
 
-    private static final Logger LOG = Logger.getLogger("tinlink.lab");
+    private static final Logger LOG = Logger.getLogger("tinlink.experiment");
     private static final int LONGEST_FRAME = 1 << 20;
     private static final int READ_BYTES = 1 << 16;
     /** How long a thread rests while an answer is due within a millisecond. */
--- a/src/main/java/tinlink/lab/scale/ServingRouter.java
+++ b/src/main/java/tinlink/experiment/scale/ServingRouter.java
@@ -1,7 +1,7 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import tinlink.Main;
-import tinlink.lab.processes.Child;
+import tinlink.experiment.processes.RouterProcess;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -123,7 +123,7 @@
     private static List<String> command(Settings settings) {
         List<String> all = new ArrayList<>();
         all.add(tool("java"));
-        all.addAll(Child.BOUNDS);
+        all.addAll(RouterProcess.BOUNDS);
         if (settings.tracksMemory) {
             all.add("-XX:NativeMemoryTracking=summary");
         }
--- a/src/main/java/tinlink/lab/scale/ServingWorld.java
+++ b/src/main/java/tinlink/experiment/scale/ServingWorld.java
@@ -1,7 +1,7 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import tinlink.emulator.EmulatedDiscovery;
-import tinlink.emulator.Ground;
+import tinlink.emulator.EmulatorLoop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
     final EmulatedDiscovery discovery;
     final ServingRouter router;
     final ServingLoad load;
-    private final Ground ground;
+    private final EmulatorLoop emulatorLoop;
     private final Path folder;
     private final int cells;
 
@@ -41,16 +41,16 @@
                 ServingPlan.VALUE_BYTES,
                 slowest,
                 seed);
-        ground = new Ground();
+        emulatorLoop = new EmulatorLoop();
         try {
-            discovery = new EmulatedDiscovery(ground);
+            discovery = new EmulatedDiscovery(emulatorLoop);
             for (int i = 0; i < settings.nodes(); i++) {
                 tell(i, "in_service");
             }
             router = new ServingRouter(settings, discovery.address(), folder);
         } catch (IOException | InterruptedException | RuntimeException e) {
             nodes.close();
-            ground.close();
+            emulatorLoop.close();
             deleteFolder();
             throw e;
         }
@@ -60,7 +60,7 @@
     /** What discovery says of a node from now on. */
     void tell(int node, String state) {
         InetSocketAddress at = nodes.address(node);
-        discovery.tell("n" + node, node % cells, at, "z" + node % ZONES, state);
+        discovery.publish("n" + node, node % cells, at, "z" + node % ZONES, state);
     }
 
     /** Lookups of that many parts, each on a shard drawn from all. */
@@ -85,7 +85,7 @@
         load.close();
         router.close();
         nodes.close();
-        ground.close();
+        emulatorLoop.close();
         deleteFolder();
     }
 
--- a/src/main/java/tinlink/lab/scale/SimulatedControlLab.java
+++ b/src/main/java/tinlink/experiment/scale/SimulatedControlExperiment.java
@@ -1,14 +1,14 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import org.apache.commons.math3.stat.descriptive.rank.Percentile;
 
-import tinlink.lab.plays.ControlPlay;
-import tinlink.lab.plays.ControlPlay.Changed;
-import tinlink.lab.plays.ControlPlay.Outcome;
-import tinlink.lab.plays.ControlPlay.Role;
-import tinlink.lab.plays.ControlPlay.Traffic;
-import tinlink.lab.plays.MembershipPlay;
-import tinlink.lab.plays.MessageKind;
+import tinlink.experiment.simulation.ControlSimulation;
+import tinlink.experiment.simulation.ControlSimulation.Changed;
+import tinlink.experiment.simulation.ControlSimulation.Outcome;
+import tinlink.experiment.simulation.ControlSimulation.Role;
+import tinlink.experiment.simulation.ControlSimulation.Traffic;
+import tinlink.experiment.simulation.MembershipSimulation;
+import tinlink.experiment.simulation.MessageKind;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -24,10 +24,10 @@
 import java.util.stream.IntStream;
 
 /**
- * What control costs by number of routers, in simulated time: plays {@link ControlPlay} and
- * {@link MembershipPlay} at several sizes and seeds, prints how each cost grows, and saves the values.
+ * What control costs by number of routers, in simulated time: plays {@link ControlSimulation} and
+ * {@link MembershipSimulation} at several sizes and seeds, prints how each cost grows, and saves the values.
  */
-public final class SimulatedControlLab {
+public final class SimulatedControlExperiment {
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
     /** Routers and data nodes of the deployment that is planned for. */
     private static final int PLANNED_ROUTERS = 560;
@@ -54,7 +54,7 @@
      * @param sizes numbers of routers
      * @param out the file of results
      */
-    public SimulatedControlLab(long seed, int repeats, List<Integer> sizes, Path out) {
+    public SimulatedControlExperiment(long seed, int repeats, List<Integer> sizes, Path out) {
         this.seed = seed;
         this.repeats = repeats;
         this.sizes = List.copyOf(sizes);
@@ -67,7 +67,7 @@
         for (int routers : sizes) {
             IntStream.range(0, repeats)
                     .parallel()
-                    .mapToObj(i -> Played.of(seed + i, routers))
+                    .mapToObj(i -> SimulatedRun.of(seed + i, routers))
                     .toList()
                     .forEach(this::add);
         }
@@ -91,27 +91,27 @@
     }
 
     /** Both plays of one seed and size, and how long they took. */
-    private record Played(
+    private record SimulatedRun(
             long seed,
             int routers,
             Outcome control,
-            MembershipPlay.Idle membership,
+            MembershipSimulation.Idle membership,
             double seconds) {
-        static Played of(long seed, int routers) {
+        static SimulatedRun of(long seed, int routers) {
             int nodes = Math.round((float) routers * PLANNED_NODES / PLANNED_ROUTERS);
             int voters = routers < FEW_ROUTERS ? FEW_VOTERS : VOTERS;
             long from = System.nanoTime();
-            Outcome control = ControlPlay.play(
-                    seed, new ControlPlay.Size(routers, voters, nodes, DOWN_SHARE, CHANGES));
-            MembershipPlay.Idle membership = MembershipPlay.idle(seed, routers);
-            return new Played(seed, routers, control, membership, (System.nanoTime() - from) / 1e9);
+            Outcome control = ControlSimulation.play(
+                    seed, new ControlSimulation.Size(routers, voters, nodes, DOWN_SHARE, CHANGES));
+            MembershipSimulation.Idle membership = MembershipSimulation.idle(seed, routers);
+            return new SimulatedRun(seed, routers, control, membership, (System.nanoTime() - from) / 1e9);
         }
     }
 
-    private void add(Played played) {
+    private void add(SimulatedRun played) {
         int routers = played.routers();
         Outcome control = played.control();
-        MembershipPlay.Idle membership = played.membership();
+        MembershipSimulation.Idle membership = played.membership();
         control.violations()
                 .forEach(v ->
                         violations.add("routers=" + routers + " seed=" + played.seed() + ": " + v));
@@ -149,7 +149,7 @@
                 played.seconds());
     }
 
-    private void idle(String role, int routers, Traffic idle, MembershipPlay.Idle membership) {
+    private void idle(String role, int routers, Traffic idle, MembershipSimulation.Idle membership) {
         add(role, "messages a second", "1/s", routers, idle.messages() + membership.messages());
         add(role, "bytes a second", "B/s", routers, idle.bytes() + membership.bytes());
         add(
--- a/src/main/java/tinlink/lab/plays/AgreedLog.java
+++ b/src/main/java/tinlink/experiment/simulation/CommittedLog.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.util.List;
 import java.util.Map;
@@ -6,11 +6,11 @@
 import java.util.function.BiConsumer;
 
 /** All lines that any router has found agreed, by index: two lines at one index break the agreement. */
-final class AgreedLog {
+final class CommittedLog {
     private final List<String> violations;
     private final TreeMap<Long, String> lines = new TreeMap<>();
 
-    AgreedLog(List<String> violations) {
+    CommittedLog(List<String> violations) {
         this.violations = violations;
     }
 
--- a/src/main/java/tinlink/lab/plays/AgreementGroup.java
+++ b/src/main/java/tinlink/experiment/simulation/ConsensusGroup.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import tinlink.cluster.ReplicatedStateMachine;
 
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 
 /** The members of one play that agree on one log: some vote, the others learn from those. */
-final class AgreementGroup {
+final class ConsensusGroup {
     /**
      * How the group is paced and bounded.
      *
@@ -22,11 +22,11 @@
      */
     record Settings(long libraryMillisecondUs, int linesKept, int snapshotEvery, long entryUs) {}
 
-    final Play play;
+    final Simulation simulation;
     final SimulatedNetwork network;
     final Settings settings;
     final List<String> violations = new ArrayList<>();
-    final AgreedLog log = new AgreedLog(violations);
+    final CommittedLog log = new CommittedLog(violations);
     /** By name, in the order of their numbers. */
     final Map<String, SimulatedMember> members = new LinkedHashMap<>();
     /** Makes a replica of the agreed state as it is before the first line. */
@@ -36,9 +36,9 @@
 
     private List<SimulatedMember> voters = List.of();
 
-    AgreementGroup(
-            Play play, SimulatedNetwork network, Settings settings, Supplier<ReplicatedStateMachine> replicas) {
-        this.play = play;
+    ConsensusGroup(
+            Simulation simulation, SimulatedNetwork network, Settings settings, Supplier<ReplicatedStateMachine> replicas) {
+        this.simulation = simulation;
         this.network = network;
         this.settings = settings;
         this.replicas = replicas;
--- a/src/main/java/tinlink/lab/plays/ControlFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlFleet.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.cluster.membership.Incarnation;
@@ -34,22 +34,22 @@
     private static final int LINES_KEPT = 2000;
     private static final int WATCHERS = 3;
     private static final int HOLDERS = 3;
-    private static final AgreementGroup.Settings SETTINGS =
-            new AgreementGroup.Settings(LIBRARY_MILLISECOND_US, LINES_KEPT, LINES_KEPT, 2 * SEC);
-    private static final SimulatedNetwork.Path IN_ZONE = new SimulatedNetwork.Path(100, 400, 0, 0);
-    private static final SimulatedNetwork.Path IN_REGION =
-            new SimulatedNetwork.Path(300, 1500, 0.0001, 0);
-    private static final SimulatedNetwork.Path BETWEEN_REGIONS =
-            new SimulatedNetwork.Path(15 * MS, 40 * MS, 0.005, 0);
+    private static final ConsensusGroup.Settings SETTINGS =
+            new ConsensusGroup.Settings(LIBRARY_MILLISECOND_US, LINES_KEPT, LINES_KEPT, 2 * SEC);
+    private static final SimulatedNetwork.LinkConditions IN_ZONE = new SimulatedNetwork.LinkConditions(100, 400, 0, 0);
+    private static final SimulatedNetwork.LinkConditions IN_REGION =
+            new SimulatedNetwork.LinkConditions(300, 1500, 0.0001, 0);
+    private static final SimulatedNetwork.LinkConditions BETWEEN_REGIONS =
+            new SimulatedNetwork.LinkConditions(15 * MS, 40 * MS, 0.005, 0);
     /** Until a first change says otherwise; as in service. */
     private static final AbsencePolicy FIRST = new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10 * SEC, SEC, 0, 50 * MS);
 
-    final Play play;
+    final Simulation simulation;
     final SimulatedNetwork network;
     final TrafficMeter meter = new TrafficMeter();
-    final AgreementGroup group;
+    final ConsensusGroup group;
     final Map<String, ControlRouter> routers = new LinkedHashMap<>();
-    final SharedReplicas<PolicyChanges> states = new SharedReplicas<>(new ChangesMachine(FIRST));
+    final SharedReplicas<PolicyChanges> states = new SharedReplicas<>(new SharedPolicyStateMachine(FIRST));
     /** What each router reports as its list of data nodes: it is the same for all of a region. */
     private final List<String> nodeLists = new ArrayList<>();
 
@@ -58,11 +58,11 @@
     private final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(new DisruptionLimits(1, 0.5, 0.5, SEC, SEC, SEC, 1000, 4096));
 
     ControlFleet(long seed, int routerCount, int voterCount, int nodeCount) {
-        play = new Play(seed);
-        network = new SimulatedNetwork(play, this::path);
+        simulation = new Simulation(seed);
+        network = new SimulatedNetwork(simulation, this::path);
         network.meter(meter);
-        group = new AgreementGroup(
-                play, network, SETTINGS, () -> new SharedAgreed(states.replica()));
+        group = new ConsensusGroup(
+                simulation, network, SETTINGS, () -> new SharedPolicyReplica(states.replica()));
         for (int i = 0; i < routerCount; i++) {
             int zone = i % REGION_OF_ZONE.length;
             Machine machine = machine("router-" + i, Machine.Kind.ROUTER, -1, zone, i < voterCount);
@@ -83,7 +83,7 @@
         routers.values().forEach(router -> stateMachine.apply(MaintenanceStateMachine.machineLine(router.machine)));
         routers.keySet()
                 .forEach(name -> stateMachine.apply(MaintenanceStateMachine.routerLine(
-                        name, new Incarnation(name, 1, play.random.nextLong()).toString())));
+                        name, new Incarnation(name, 1, simulation.random.nextLong()).toString())));
         nodes.forEach(node -> watch(node.id()));
         routers.keySet().forEach(this::watch);
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    private SimulatedNetwork.Path path(String from, String to) {
+    private SimulatedNetwork.LinkConditions path(String from, String to) {
         ControlRouter a = routers.get(from);
         ControlRouter b = routers.get(to);
         if (a.region != b.region) {
@@ -119,7 +119,7 @@
     List<String> stateLines() {
         List<String> all = new ArrayList<>(stateMachine.snapshot());
         SharedReplicas<PolicyChanges>.Replica replica = leader().replica();
-        all.addAll(replica.lines());
+        all.addAll(replica.snapshot());
         return all;
     }
 
@@ -139,7 +139,7 @@
     /** The router that leads; null where none does. */
     ControlRouter leader() {
         return routers.values().stream()
-                .filter(r -> r.up && r.leads())
+                .filter(r -> r.up && r.isLeader())
                 .max(Comparator.comparingInt(r -> r.raft.term()))
                 .orElse(null);
     }
@@ -158,20 +158,20 @@
     }
 
     /** A shared replica as that which is agreed on. */
-    record SharedAgreed(SharedReplicas<PolicyChanges>.Replica replica) implements ReplicatedStateMachine {
+    record SharedPolicyReplica(SharedReplicas<PolicyChanges>.Replica replica) implements ReplicatedStateMachine {
         @Override
         public String apply(String line) {
-            return replica.play(line);
+            return replica.apply(line);
         }
 
         @Override
         public List<String> snapshot() {
-            return replica.lines();
+            return replica.snapshot();
         }
 
         @Override
         public void restore(List<String> lines) {
-            replica.from(lines);
+            replica.restore(lines);
         }
     }
 }
--- a/src/main/java/tinlink/lab/plays/ControlRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlRouter.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.rollout.AbsencePolicy;
@@ -57,18 +57,18 @@
             replica.release();
         }
         replica = fleet.states.replica();
-        startMember(new ControlFleet.SharedAgreed(replica));
+        startMember(new ControlFleet.SharedPolicyReplica(replica));
         participant =
                 new ChangeParticipant(name, incarnation.toString(), incarnation.startCount(), REPORT_US, change -> "");
         coordinator = new ChangeCoordinator(REPORT_US);
         listToldAt = Long.MIN_VALUE / 2;
         confirmed = -1;
         awaitedEpoch = -1;
-        enterGroup();
+        joinGroup();
         long run = generation;
-        every(run, BEAT_US, this::beat);
-        every(run, REPORT_US, this::report);
-        every(run, LEASE_US, this::renewLease);
+        scheduleEvery(run, BEAT_US, this::beat);
+        scheduleEvery(run, REPORT_US, this::report);
+        scheduleEvery(run, LEASE_US, this::renewLease);
     }
 
     PolicyChanges changes() {
@@ -80,9 +80,9 @@
     }
 
     private void beat() {
-        tendAgreement();
+        restartReplicaIfStuck();
         sayDisk();
-        agreedMore();
+        logAdvanced();
     }
 
     private void tellLeader(MessageKind kind, int body, Runnable arrives) {
@@ -93,7 +93,7 @@
                     leader.name,
                     kind,
                     () -> WireSize.word(name, body),
-                    () -> leader.takes(arrives));
+                    () -> leader.deliver(arrives));
         }
     }
 
@@ -104,8 +104,8 @@
     private void report() {
         report(MessageKind.REPORT, MaintenanceCoordinator.selfReportLine(machine));
         report(MessageKind.REPORT, fleet.soundness(name));
-        if (play.now() - listToldAt > REPORT_COUNTS_US / 3) {
-            listToldAt = play.now();
+        if (simulation.now() - listToldAt > REPORT_COUNTS_US / 3) {
+            listToldAt = simulation.now();
             report(MessageKind.NODE_LIST, fleet.nodeList(region));
         }
     }
@@ -123,8 +123,8 @@
         if (!leased) {
             return;
         }
-        long askedAt = play.now();
-        if (leads()) {
+        long askedAt = simulation.now();
+        if (isLeader()) {
             raft.confirmCommitIndex((index, failure) -> leaseConfirmed(askedAt, index, failure));
             return;
         }
@@ -134,7 +134,7 @@
     /** Runs at whoever is held to lead, for this router. */
     private void leaderConfirms(long askedAt) {
         ControlRouter leader = fleet.routers.get(leaderHint);
-        if (leader != null && leader.leads()) {
+        if (leader != null && leader.isLeader()) {
             leader.raft.confirmCommitIndex(
                     (index, failure) -> leader.confirm(this, askedAt, index, failure));
         }
@@ -147,7 +147,7 @@
                     asker.name,
                     MessageKind.CONFIRMED,
                     () -> WireSize.word(name, 2 * WireSize.LONG),
-                    () -> asker.takes(() -> asker.leaseConfirmed(askedAt, index, null)));
+                    () -> asker.deliver(() -> asker.leaseConfirmed(askedAt, index, null)));
         }
     }
 
@@ -155,23 +155,23 @@
         if (failure == null && confirmed < 0) {
             confirmed = index;
             confirmedAskedAt = askedAt;
-            agreedMore();
+            logAdvanced();
         }
     }
 
     // ---- Changes of policy. ----
 
     @Override
-    void agreedMore() {
+    void logAdvanced() {
         PolicyChanges changes = changes();
-        participant.updateClocks(play.now(), play.now());
+        participant.updateClocks(simulation.now(), simulation.now());
         if (confirmed >= 0 && learnerLog.index() >= confirmed) {
             participant.leaseGranted(confirmedAskedAt, changes.inForce().absencePolicy().leaseUs());
             confirmed = -1;
         }
         participant.decide(changes, this::propose);
-        coordinator.updateClocks(play.now(), play.now());
-        coordinator.setLeader(leads());
+        coordinator.updateClocks(simulation.now(), simulation.now());
+        coordinator.setLeader(isLeader());
         coordinator.decide(changes, this::propose);
         lookAtPolicy(changes);
     }
@@ -187,16 +187,16 @@
             return;
         }
         if (participant.effectivePolicy(changes).epoch() == newest.epoch()) {
-            inForceAt.put(newest.epoch(), play.now());
+            inForceAt.put(newest.epoch(), simulation.now());
         } else if (awaitedEpoch != newest.epoch()) {
             awaitedEpoch = newest.epoch();
-            later(Math.max(0, newest.effectiveAtUs() - play.now()), this::agreedMore);
+            scheduleIn(Math.max(0, newest.effectiveAtUs() - simulation.now()), this::logAdvanced);
         }
     }
 
     /** Whether lookups are taken here by that epoch, or none are. */
     long takesBy() {
-        participant.updateClocks(play.now(), play.now());
+        participant.updateClocks(simulation.now(), simulation.now());
         return participant.effectivePolicy(changes()).epoch();
     }
 
