--- a/src/main/java/tinlink/lab/plays/ControlPlay.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlSimulation.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.rollout.AbsencePolicy;
@@ -24,7 +24,7 @@
  * routers there, some down, and a region cut off. Agreement, learning and changes are the real code's,
  * and so are their messages; reports are made by the real code and counted.
  */
-public final class ControlPlay {
+public final class ControlSimulation {
     /**
      * @param routers of them {@code voters} vote
      * @param nodes data nodes that are listed and watched
@@ -108,49 +108,49 @@
 
     private final Size size;
     private final ControlFleet fleet;
-    private final Play play;
+    private final Simulation simulation;
     private final List<String> violations;
     private int proposals;
 
-    private ControlPlay(long seed, Size size) {
+    private ControlSimulation(long seed, Size size) {
         this.size = size;
         fleet = new ControlFleet(seed, size.routers(), size.voters(), size.nodes());
-        play = fleet.play;
+        simulation = fleet.simulation;
         violations = fleet.group.violations;
     }
 
     /** Plays it; what is random comes from the seed. */
     public static Outcome play(long seed, Size size) {
-        return new ControlPlay(seed, size).run();
+        return new ControlSimulation(seed, size).run();
     }
 
     private Outcome run() {
         for (ControlRouter router : fleet.routers.values()) {
             router.disk.id = 1;
-            play.in(play.random.nextLong(SEC), router::start);
+            simulation.scheduleIn(simulation.random.nextLong(SEC), router::start);
         }
-        play.run(START_US);
+        simulation.run(START_US);
         change(r -> true);
-        play.run(play.now() + IDLE_US);
+        simulation.run(simulation.now() + IDLE_US);
 
         Map<String, Map<MessageKind, TrafficMeter.Count>> before = counts();
-        play.run(play.now() + IDLE_US);
+        simulation.run(simulation.now() + IDLE_US);
         Map<String, Map<MessageKind, TrafficMeter.Count>> idle = difference(before, counts());
 
         before = counts();
-        long from = play.now();
+        long from = simulation.now();
         long lines = linesAgreed();
         Changed allThere = changes(r -> true);
         Map<String, Map<MessageKind, TrafficMeter.Count>> changed = difference(before, counts());
-        double windows = (play.now() - from) / (double) IDLE_US;
+        double windows = (simulation.now() - from) / (double) IDLE_US;
         lines = linesAgreed() - lines;
 
         List<String> state = fleet.stateLines();
         Changed someDown = someDown();
         Changed regionCut = regionCut();
         return new Outcome(
-                play.steps(),
-                play.digest(),
+                simulation.steps(),
+                simulation.digest(),
                 traffic(idle, Map.of(), 0, IDLE_US / (double) SEC),
                 traffic(only(OF_A_CHANGE, changed), idle, windows, size.changes()),
                 allThere,
@@ -183,11 +183,11 @@
 
     /** One change, until it is in force at all that are there; then until it has left nothing behind. */
     private Changed change(Predicate<ControlRouter> there) {
-        long proposedAt = play.now();
+        long proposedAt = simulation.now();
         String id = "change-" + ++proposals;
         long epoch = askUntilKnown(id, there);
-        while (play.now() - proposedAt < MOST_CHANGE_US && !isInForce(epoch, there)) {
-            play.run(play.now() + STEP_US);
+        while (simulation.now() - proposedAt < MOST_CHANGE_US && !isInForce(epoch, there)) {
+            simulation.run(simulation.now() + STEP_US);
         }
         List<Long> times = new ArrayList<>();
         int missing = 0;
@@ -197,13 +197,13 @@
                 missing++;
             } else {
                 times.add(at - proposedAt);
-                play.note(router.name + " " + epoch + " " + at);
+                simulation.addToDigest(router.name + " " + epoch + " " + at);
             }
         }
         if (missing > 0) {
             violations.add(id + " is not in force at " + missing + " routers that are there");
         }
-        play.run(Math.max(play.now(), proposedAt + CHANGE_US));
+        simulation.run(Math.max(simulation.now(), proposedAt + CHANGE_US));
         return new Changed(times, missing);
     }
 
@@ -214,19 +214,19 @@
     /** An operator asks at one router, under the same id until that has heard of it. */
     private long askUntilKnown(String id, Predicate<ControlRouter> there) {
         List<ControlRouter> all = fleet.those(there);
-        ControlRouter asked = all.get(play.random.nextInt(all.size()));
+        ControlRouter asked = all.get(simulation.random.nextInt(all.size()));
         long epoch = asked.changes().inForce().epoch();
         String line = LineCodec.encode(PolicyCommandCodec.encode(new PolicyCommand.Propose(
                         id, epoch, "0".repeat(64), DOCUMENT, "operator", "a reason", FENCE))
                 .toArray());
-        long nextAsk = play.now();
-        long until = play.now() + MOST_CHANGE_US;
-        while (asked.changes().change(id) == null && play.now() < until) {
-            if (play.now() >= nextAsk) {
+        long nextAsk = simulation.now();
+        long until = simulation.now() + MOST_CHANGE_US;
+        while (asked.changes().change(id) == null && simulation.now() < until) {
+            if (simulation.now() >= nextAsk) {
                 asked.propose(line);
-                nextAsk = play.now() + ASK_AGAIN_US;
+                nextAsk = simulation.now() + ASK_AGAIN_US;
             }
-            play.run(play.now() + 10 * MS);
+            simulation.run(simulation.now() + 10 * MS);
         }
         PolicyChange known = asked.changes().change(id);
         if (known == null) {
@@ -240,7 +240,7 @@
         List<ControlRouter> ordinary = fleet.those(r -> !r.voter);
         List<ControlRouter> down = new ArrayList<>();
         while (down.size() < Math.min(count, ordinary.size())) {
-            ControlRouter one = ordinary.get(play.random.nextInt(ordinary.size()));
+            ControlRouter one = ordinary.get(simulation.random.nextInt(ordinary.size()));
             if (!down.contains(one)) {
                 one.kill();
                 down.add(one);
@@ -248,7 +248,7 @@
         }
         Changed changed = changes(r -> r.up);
         down.forEach(ControlRouter::start);
-        play.run(play.now() + START_US);
+        simulation.run(simulation.now() + START_US);
         return changed;
     }
 
@@ -272,8 +272,8 @@
                         + ", not " + newest);
             }
         }
-        fleet.network.mendAll();
-        play.run(play.now() + CHANGE_US);
+        fleet.network.healAll();
+        simulation.run(simulation.now() + CHANGE_US);
         return changed;
     }
 
--- a/src/main/java/tinlink/lab/plays/WorkChecks.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceChecks.java
@@ -1,6 +1,6 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.maintenance.scheduling.MaintenanceTask;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
@@ -9,14 +9,14 @@
  * What must hold when an operator takes a machine, by what machines and calls are, not by what routers say of
  * them.
  */
-final class WorkChecks {
+final class MaintenanceChecks {
     /** What has failed so long ago is known; machines that failed later are nobody's fault. */
     private static final long KNOWN_AFTER_US = 6 * SEC;
 
     private static final int LEAST_HOLDERS = 2;
-    private final WorkFleet fleet;
+    private final MaintenanceFleet fleet;
 
-    WorkChecks(WorkFleet fleet) {
+    MaintenanceChecks(MaintenanceFleet fleet) {
         this.fleet = fleet;
     }
 
@@ -25,14 +25,14 @@
     }
 
     private boolean isRecent(long since) {
-        return fleet.play.now() - since < KNOWN_AFTER_US;
+        return fleet.simulation.now() - since < KNOWN_AFTER_US;
     }
 
     void taken(SimulatedRouter router) {
         if (router.stoppedForWork) {
             violated(router.name + " is taken twice");
         }
-        if (router.up && !router.lettingGo && router.drainController.isRegistered(router.order())) {
+        if (router.up && !router.draining && router.drainController.isRegistered(router.order())) {
             violated(router.name + " is taken while it serves");
         }
         long left = fleet.voters().stream()
--- a/src/main/java/tinlink/lab/plays/WorkEvent.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceEvent.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.util.Locale;
 
@@ -6,7 +6,7 @@
  * What happens to whom, and when, in a play of work on machines. Requests are events too, so that a schedule
  * can be made smaller.
  */
-public record WorkEvent(long atUs, Kind kind, int who, int other) {
+public record MaintenanceEvent(long atUs, Kind kind, int who, int other) {
     /** Each is named for what happens. */
     public enum Kind {
         ASK,
--- a/src/main/java/tinlink/lab/plays/WorkFaults.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceFaults.java
@@ -1,26 +1,26 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** Carries out the events of a schedule, and heals what they have broken. */
-final class WorkFaults {
+final class MaintenanceFaults {
     private static final long MOST_RESTART_US = 2 * SEC;
     private static final long LEADER_BACK_US = 3 * SEC;
 
-    private final WorkFleet fleet;
-    private final WorkOperators operators;
+    private final MaintenanceFleet fleet;
+    private final MaintenanceOperators operators;
     private int oldCopies;
 
-    WorkFaults(WorkFleet fleet, WorkOperators operators) {
+    MaintenanceFaults(MaintenanceFleet fleet, MaintenanceOperators operators) {
         this.fleet = fleet;
         this.operators = operators;
     }
 
-    void happens(WorkEvent event) {
-        fleet.play.note(event);
+    void happens(MaintenanceEvent event) {
+        fleet.simulation.addToDigest(event);
         SimulatedRouter router = fleet.routers.get("r" + event.who());
         switch (event.kind()) {
             case ASK -> operators.ask("q" + event.other(), List.of(machine(event.who())));
@@ -35,7 +35,7 @@
             case PAUSE -> router.paused |= router.up;
             case GO_ON -> {
                 if (router.paused && router.up) {
-                    router.goOn();
+                    router.resume();
                 }
             }
             case CUT -> {
@@ -44,7 +44,7 @@
             }
             case CUT_ONE_WAY -> fleet.network.cut(router.name, "r" + event.other());
             case SPLIT -> split();
-            case MEND -> fleet.network.mendAll();
+            case MEND -> fleet.network.healAll();
             case NODE_DIES -> node(event.who(), false);
             case NODE_BACK -> node(event.who(), true);
             case COPY -> router.oldCopy = router.disk.copy();
@@ -87,7 +87,7 @@
         SimulatedDataNode node = new ArrayList<>(fleet.nodes.values()).get(number);
         if (node.takenBy == null && node.up != up) {
             node.up = up;
-            node.since = fleet.play.now();
+            node.since = fleet.simulation.now();
         }
     }
 
@@ -104,17 +104,17 @@
         for (SimulatedRouter router : fleet.routers.values()) {
             if (router.up && !router.stoppedForWork) {
                 router.kill();
-                fleet.play.in(
-                        fleet.play.random.nextLong(MOST_RESTART_US), () -> startIfDown(router));
+                fleet.simulation.scheduleIn(
+                        fleet.simulation.random.nextLong(MOST_RESTART_US), () -> startIfDown(router));
             }
         }
     }
 
     private void killLeader() {
         for (SimulatedRouter router : fleet.routers.values()) {
-            if (router.up && router.leads()) {
+            if (router.up && router.isLeader()) {
                 router.kill();
-                fleet.play.in(LEADER_BACK_US, () -> startIfDown(router));
+                fleet.simulation.scheduleIn(LEADER_BACK_US, () -> startIfDown(router));
                 return;
             }
         }
@@ -122,10 +122,10 @@
 
     /** All lines are mended, and all runs that no operator has stopped. */
     void heal() {
-        fleet.network.mendAll();
+        fleet.network.healAll();
         for (SimulatedRouter router : fleet.routers.values()) {
             if (router.paused) {
-                router.goOn();
+                router.resume();
             }
             if (router.hasOldDisk && !router.stoppedForWork) {
                 router.kill();
--- a/src/main/java/tinlink/lab/plays/WorkFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceFleet.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
@@ -18,23 +18,23 @@
 import java.util.function.Supplier;
 
 /** The machines of one play of work, and what is agreed among its routers. */
-final class WorkFleet {
+final class MaintenanceFleet {
     static final DisruptionLimits BOUNDS = new DisruptionLimits(2, 0.5, 0.5, SEC, 4 * SEC, 20 * SEC, 2000, 4000);
     private static final int WATCHERS = 3;
-    private static final AgreementGroup.Settings SETTINGS =
-            new AgreementGroup.Settings(MS, 64, 40, 2 * SEC);
-    private static final SimulatedNetwork.Path PATH =
-            new SimulatedNetwork.Path(300, 8_000, 0.01, 0.01);
+    private static final ConsensusGroup.Settings SETTINGS =
+            new ConsensusGroup.Settings(MS, 64, 40, 2 * SEC);
+    private static final SimulatedNetwork.LinkConditions PATH =
+            new SimulatedNetwork.LinkConditions(300, 8_000, 0.01, 0.01);
 
-    final WorkPlay.Size size;
-    final Play play;
+    final MaintenanceSimulation.Size size;
+    final Simulation simulation;
     final SimulatedNetwork network;
-    final AgreementGroup group;
+    final ConsensusGroup group;
     final Map<String, SimulatedRouter> routers = new LinkedHashMap<>();
     final Map<String, SimulatedDataNode> nodes = new LinkedHashMap<>();
     final List<String> violations;
 
-    private final Supplier<WorkReplica> replicas;
+    private final Supplier<MaintenanceReplica> replicas;
     /** By machine, who watches it: the same for all routers, so settled once. */
     private final Map<String, List<String>> watchers = new HashMap<>();
     /** By site, what its routers report as their list of data nodes. */
@@ -43,15 +43,15 @@
     private final ReplicatedMaintenance truth = new ReplicatedMaintenance(BOUNDS);
     private long truthIndex;
 
-    WorkFleet(long seed, WorkPlay.Size size, boolean sharesState) {
+    MaintenanceFleet(long seed, MaintenanceSimulation.Size size, boolean sharesState) {
         this.size = size;
-        play = new Play(seed);
-        network = new SimulatedNetwork(play, PATH);
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        simulation = new Simulation(seed);
+        network = new SimulatedNetwork(simulation, PATH);
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         replicas = sharesState
-                ? () -> new WorkReplica.Shared(shared.replica())
-                : () -> new WorkReplica.Own(BOUNDS);
-        group = new AgreementGroup(play, network, SETTINGS, replicas::get);
+                ? () -> new MaintenanceReplica.Shared(shared.replica())
+                : () -> new MaintenanceReplica.Own(BOUNDS);
+        group = new ConsensusGroup(simulation, network, SETTINGS, replicas::get);
         violations = group.violations;
         for (int i = 0; i < size.routers(); i++) {
             addRouter(i);
@@ -90,7 +90,7 @@
     }
 
     /** A replica of the order of work, as before the first line. */
-    WorkReplica replica() {
+    MaintenanceReplica replica() {
         return replicas.get();
     }
 
@@ -128,6 +128,6 @@
                 running.add(router);
             }
         }
-        return running.isEmpty() ? null : running.get(play.random.nextInt(running.size()));
+        return running.isEmpty() ? null : running.get(simulation.random.nextInt(running.size()));
     }
 }
--- a/src/main/java/tinlink/lab/plays/WorkOperators.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceOperators.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
@@ -16,13 +16,13 @@
 import java.util.Set;
 
 /** Operators who ask for machines, look at some router now and then, and do what it says that may be done. */
-final class WorkOperators {
+final class MaintenanceOperators {
     private static final long WORK_US = 3 * SEC;
     private static final long LOOK_LEAST_US = 200 * MS;
     private static final long LOOK_MORE_US = 400 * MS;
 
-    private final WorkFleet fleet;
-    private final WorkChecks checks;
+    private final MaintenanceFleet fleet;
+    private final MaintenanceChecks checks;
     /** Ids of requests, in the order in which they were made. */
     private final Set<String> asked = new LinkedHashSet<>();
 
@@ -33,9 +33,9 @@
     private int taken;
     private int finished;
 
-    WorkOperators(WorkFleet fleet) {
+    MaintenanceOperators(MaintenanceFleet fleet) {
         this.fleet = fleet;
-        checks = new WorkChecks(fleet);
+        checks = new MaintenanceChecks(fleet);
     }
 
     /** Machines that were taken out. */
@@ -49,7 +49,7 @@
     }
 
     void ask(String id, List<String> machines) {
-        int urgency = fleet.play.random.nextInt(10);
+        int urgency = fleet.simulation.random.nextInt(10);
         asked.add(id);
         tend(new MaintenanceRequest(id, machines, WORK_US, Long.MAX_VALUE, urgency, "op", "work"));
     }
@@ -75,8 +75,8 @@
         if (router != null && isOver(request, router)) {
             return;
         }
-        long next = LOOK_LEAST_US + fleet.play.random.nextLong(LOOK_MORE_US);
-        fleet.play.in(next, () -> tend(request));
+        long next = LOOK_LEAST_US + fleet.simulation.random.nextLong(LOOK_MORE_US);
+        fleet.simulation.scheduleIn(next, () -> tend(request));
     }
 
     /** Looks at that router and acts; @return whether all of the request is over by what it says */
@@ -90,7 +90,7 @@
             return true;
         }
         if (calledOff.contains(request.id())
-                && pieces.stream().anyMatch(WorkOperators::mayBeCalledOff)) {
+                && pieces.stream().anyMatch(MaintenanceOperators::mayBeCalledOff)) {
             router.propose(MaintenanceStateMachine.cancelLine(request.id(), "called off"));
         }
         pieces.forEach(task -> tend(request, task, router));
@@ -109,11 +109,11 @@
         if (!out) {
             return;
         }
-        Long since = takenAt.putIfAbsent(key, fleet.play.now());
+        Long since = takenAt.putIfAbsent(key, fleet.simulation.now());
         if (since == null) {
             taken++;
             takeOut(request, task);
-        } else if (fleet.play.now() - since > request.durationUs() / 2) {
+        } else if (fleet.simulation.now() - since > request.durationUs() / 2) {
             giveBack(request, task);
             router.propose(MaintenanceStateMachine.doneLine(request.id(), task.machine(), false));
         }
@@ -133,7 +133,7 @@
         checks.taken(node, request, task);
         node.takenBy = request.id();
         node.up = false;
-        node.since = fleet.play.now();
+        node.since = fleet.simulation.now();
     }
 
     private void giveBack(MaintenanceRequest request, MaintenanceTask task) {
@@ -149,7 +149,7 @@
         if (request.id().equals(node.takenBy)) {
             node.takenBy = null;
             node.up = true;
-            node.since = fleet.play.now();
+            node.since = fleet.simulation.now();
         }
     }
 }
--- a/src/main/java/tinlink/lab/plays/WorkReplica.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceReplica.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.maintenance.ReplicatedMaintenance;
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /** One router's replica of the order of work. */
-interface WorkReplica extends ReplicatedStateMachine {
+interface MaintenanceReplica extends ReplicatedStateMachine {
     MaintenanceStateMachine order();
 
     /** The replica is not used any more. */
     void release();
 
     /** A replica with a state of its own, as in a router that serves. */
-    final class Own implements WorkReplica {
+    final class Own implements MaintenanceReplica {
         private final ReplicatedMaintenance replicatedState;
 
         Own(DisruptionLimits limits) {
@@ -49,7 +49,7 @@
     }
 
     /** A replica that has its state in common with all that have heard the same lines. */
-    final class Shared implements WorkReplica {
+    final class Shared implements MaintenanceReplica {
         private final SharedReplicas<MaintenanceStateMachine>.Replica replica;
 
         Shared(SharedReplicas<MaintenanceStateMachine>.Replica replica) {
@@ -68,17 +68,17 @@
 
         @Override
         public String apply(String line) {
-            return replica.play(line);
+            return replica.apply(line);
         }
 
         @Override
         public List<String> snapshot() {
-            return replica.lines();
+            return replica.snapshot();
         }
 
         @Override
         public void restore(List<String> lines) {
-            replica.from(lines);
+            replica.restore(lines);
         }
     }
 }
--- a/src/main/java/tinlink/lab/plays/MembershipPlay.java
+++ b/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.Member;
@@ -17,7 +17,7 @@
  * Routers that find each other over a lossy network, some killed, paused, cut off, started again, started
  * twice. What is checked is what they hold of each other against what they are.
  */
-public final class MembershipPlay {
+public final class MembershipSimulation {
     private static final long ROUND = 200_000;
     /** A whole fleet has to agree so many rounds after the last fault has healed. */
     private static final int REST_ROUNDS = 400;
@@ -46,12 +46,12 @@
         final List<String> toldOfSelf = new ArrayList<>();
 
         Router(String name) {
-            super(MembershipPlay.this.play, name, Integer.MAX_VALUE);
+            super(MembershipSimulation.this.simulation, name, Integer.MAX_VALUE);
         }
 
         void start(long starts) {
             this.starts = starts;
-            incarnation = new Incarnation(name, starts, play.random.nextLong(1, Long.MAX_VALUE));
+            incarnation = new Incarnation(name, starts, simulation.random.nextLong(1, Long.MAX_VALUE));
             List<String> seeds =
                     new ArrayList<>(routers.keySet()).subList(0, Math.min(3, routers.size()));
             membership = new Membership(
@@ -59,21 +59,21 @@
                     name,
                     seeds,
                     new Membership.Settings(roundUs, 3, 4 * routers.size() + 8),
-                    play.random.split());
+                    simulation.random.split());
             newest.clear();
-            begin();
+            beginRun();
             turn();
         }
 
         @Override
         void perform(Runnable action) {
-            membership.advanceClock(play.now());
+            membership.advanceClock(simulation.now());
             action.run();
             turn();
         }
 
         private void turn() {
-            membership.advanceClock(play.now());
+            membership.advanceClock(simulation.now());
             while (membership.decide(this)) {
                 // Each has been carried out.
             }
@@ -92,7 +92,7 @@
                         at,
                         MessageKind.MEMBERSHIP,
                         () -> WireSize.membership(target, rumors),
-                        () -> to.takes(arrives));
+                        () -> to.deliver(arrives));
             }
         }
 
@@ -125,7 +125,7 @@
 
         @Override
         public void onMemberChanged(Member member) {
-            play.note(name + " holds " + member.incarnation() + " " + member.state());
+            simulation.addToDigest(name + " holds " + member.incarnation() + " " + member.state());
             Long before = newest.put(member.router(), member.incarnation().startCount());
             if (before != null && before > member.incarnation().startCount()) {
                 violations.add(name + " went back to an earlier life of " + member.router());
@@ -147,31 +147,31 @@
         @Override
         public void scheduleWakeUp(long atUs) {
             Incarnation mine = incarnation;
-            play.at(atUs, () -> {
+            simulation.scheduleAt(atUs, () -> {
                 if (incarnation == mine) {
-                    takes(() -> {});
+                    deliver(() -> {});
                 }
             });
         }
     }
 
     private final long roundUs;
-    private final Play play;
+    private final Simulation simulation;
     private final SimulatedNetwork net;
     private final Map<String, Router> routers = new LinkedHashMap<>();
     private final List<String> violations = new ArrayList<>();
     private boolean troubled = true;
     private int falseDeaths;
 
-    private MembershipPlay(long seed, int count, SimulatedNetwork.Path path) {
+    private MembershipSimulation(long seed, int count, SimulatedNetwork.LinkConditions path) {
         this(seed, count, path, ROUND, "r");
     }
 
-    private MembershipPlay(
-            long seed, int count, SimulatedNetwork.Path path, long roundUs, String prefix) {
+    private MembershipSimulation(
+            long seed, int count, SimulatedNetwork.LinkConditions path, long roundUs, String prefix) {
         this.roundUs = roundUs;
-        play = new Play(seed);
-        net = new SimulatedNetwork(play, path);
+        simulation = new Simulation(seed);
+        net = new SimulatedNetwork(simulation, path);
         for (int i = 0; i < count; i++) {
             routers.put(prefix + i, new Router(prefix + i));
         }
@@ -184,7 +184,7 @@
      * @param twin a router is also started a second time from a copy of its folder, and ended again
      */
     public static Outcome play(long seed, int count, int faults, boolean twin) {
-        return new MembershipPlay(seed, count, new SimulatedNetwork.Path(500, 20_000, 0.02, 0.02))
+        return new MembershipSimulation(seed, count, new SimulatedNetwork.LinkConditions(500, 20_000, 0.02, 0.02))
                 .go(faults, twin);
     }
 
@@ -199,22 +199,22 @@
 
     /** A fleet with the rounds of service, started at once; each router knows three to begin with. */
     public static Idle idle(long seed, int count) {
-        SimulatedNetwork.Path path = new SimulatedNetwork.Path(500, 20_000, 0, 0);
-        return new MembershipPlay(seed, count, path, SERVICE_ROUND_US, "router-").idle();
+        SimulatedNetwork.LinkConditions path = new SimulatedNetwork.LinkConditions(500, 20_000, 0, 0);
+        return new MembershipSimulation(seed, count, path, SERVICE_ROUND_US, "router-").idle();
     }
 
     private Idle idle() {
         TrafficMeter meter = new TrafficMeter();
         net.meter(meter);
-        routers.values().forEach(r -> play.in(play.random.nextLong(roundUs), () -> r.start(1)));
-        while (play.now() < MOST_JOIN_US && (play.now() == 0 || disagreement() != null)) {
-            play.run(play.now() + roundUs);
+        routers.values().forEach(r -> simulation.scheduleIn(simulation.random.nextLong(roundUs), () -> r.start(1)));
+        while (simulation.now() < MOST_JOIN_US && (simulation.now() == 0 || disagreement() != null)) {
+            simulation.run(simulation.now() + roundUs);
         }
-        long joinedUs = play.now();
+        long joinedUs = simulation.now();
         TrafficMeter.Count joining = total(meter);
-        play.run(play.now() + SETTLE_US + SETTLE_JOINS * joinedUs);
+        simulation.run(simulation.now() + SETTLE_US + SETTLE_JOINS * joinedUs);
         TrafficMeter.Count before = total(meter);
-        play.run(play.now() + IDLE_US);
+        simulation.run(simulation.now() + IDLE_US);
         TrafficMeter.Count idle = total(meter).minus(before);
         double units = routers.size() * (IDLE_US / 1e6);
         return new Idle(
@@ -232,36 +232,36 @@
     }
 
     private Outcome go(int faults, boolean twin) {
-        routers.values().forEach(r -> play.in(play.random.nextLong(ROUND), () -> r.start(1)));
-        play.run(60 * ROUND);
+        routers.values().forEach(r -> simulation.scheduleIn(simulation.random.nextLong(ROUND), () -> r.start(1)));
+        simulation.run(60 * ROUND);
         troubled = false;
-        play.run(play.now() + 60 * ROUND);
+        simulation.run(simulation.now() + 60 * ROUND);
         troubled = faults > 0;
         for (int i = 0; i < faults; i++) {
             fault();
-            play.run(play.now() + play.random.nextLong(60 * ROUND));
+            simulation.run(simulation.now() + simulation.random.nextLong(60 * ROUND));
         }
         if (twin) {
             showsTwin();
         }
-        net.mendAll();
+        net.healAll();
         for (Router r : routers.values()) {
             if (r.paused) {
-                r.goOn();
+                r.resume();
             }
             if (!r.up) {
                 r.start(r.starts + 1);
             }
         }
-        long until = play.now() + REST_ROUNDS * ROUND;
-        while (play.now() < until && disagreement() != null) {
-            play.run(play.now() + ROUND);
+        long until = simulation.now() + REST_ROUNDS * ROUND;
+        while (simulation.now() < until && disagreement() != null) {
+            simulation.run(simulation.now() + ROUND);
         }
         String not = disagreement();
         if (not != null) {
             violations.add("not at rest: " + not);
         }
-        return new Outcome(play.steps(), play.digest(), falseDeaths, List.copyOf(violations));
+        return new Outcome(simulation.steps(), simulation.digest(), falseDeaths, List.copyOf(violations));
     }
 
     private String disagreement() {
@@ -283,17 +283,17 @@
 
     private Router some() {
         List<Router> all = new ArrayList<>(routers.values());
-        return all.get(play.random.nextInt(all.size()));
+        return all.get(simulation.random.nextInt(all.size()));
     }
 
     private void fault() {
         Router r = some();
         Router o = some();
-        switch (play.random.nextInt(7)) {
+        switch (simulation.random.nextInt(7)) {
             case 0 -> r.kill();
             case 1 -> {
                 r.kill();
-                play.in(play.random.nextLong(20 * ROUND), () -> {
+                simulation.scheduleIn(simulation.random.nextLong(20 * ROUND), () -> {
                     if (!r.up) {
                         r.start(r.starts + 1);
                     }
@@ -301,9 +301,9 @@
             }
             case 2 -> {
                 r.paused = true;
-                play.in(play.random.nextLong(80 * ROUND), () -> {
+                simulation.scheduleIn(simulation.random.nextLong(80 * ROUND), () -> {
                     if (r.paused) {
-                        r.goOn();
+                        r.resume();
                     }
                 });
             }
@@ -321,20 +321,20 @@
                     }
                 }
             }
-            default -> net.mendAll();
+            default -> net.healAll();
         }
-        play.note("fault at " + r.name + " " + o.name);
+        simulation.addToDigest("fault at " + r.name + " " + o.name);
     }
 
     /** A second process with the same folder's starts: some router has to see both, and so has it itself. */
     private void showsTwin() {
-        net.mendAll();
-        routers.values().stream().filter(r -> r.paused).forEach(Router::goOn);
-        play.run(play.now() + 60 * ROUND);
+        net.healAll();
+        routers.values().stream().filter(r -> r.paused).forEach(Router::resume);
+        simulation.run(simulation.now() + 60 * ROUND);
         Router r = routers.get("r0");
         if (!r.up) {
             r.start(r.starts + 1);
-            play.run(play.now() + 60 * ROUND);
+            simulation.run(simulation.now() + 60 * ROUND);
         }
         Router twin = new Router("r0");
         // It is reached at the same name here, so that what others answer goes to the first of the
@@ -343,10 +343,10 @@
         Router seen = routers.get("r1");
         if (!seen.up) {
             seen.start(seen.starts + 1);
-            play.run(play.now() + 60 * ROUND);
+            simulation.run(simulation.now() + 60 * ROUND);
         }
-        seen.takes(() -> seen.membership.onRumors(new Rumor(twin.incarnation, 1, MemberState.ALIVE, "r0", "")));
-        play.run(play.now() + 60 * ROUND);
+        seen.deliver(() -> seen.membership.onRumors(new Rumor(twin.incarnation, 1, MemberState.ALIVE, "r0", "")));
+        simulation.run(simulation.now() + 60 * ROUND);
         if (r.toldOfSelf.stream().noneMatch(s -> s.startsWith("TWIN"))) {
             violations.add("r0 was not told of its twin");
         }
--- a/src/main/java/tinlink/lab/plays/MessageKind.java
+++ b/src/main/java/tinlink/experiment/simulation/MessageKind.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 /** Kinds of messages between routers, as their traffic is counted. */
 public enum MessageKind {
--- a/src/main/java/tinlink/lab/plays/BestOrder.java
+++ b/src/main/java/tinlink/experiment/simulation/OptimalSchedule.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
@@ -19,7 +19,7 @@
  * the best order there is, found by trying all orders (each piece starts as early as the bounds let
  * it after those before it). All that is asked for is asked for at once; simulated time.
  */
-public final class BestOrder {
+public final class OptimalSchedule {
     /** Mean waits, in microseconds. */
     public record Waits(double granted, double oneByOne, double best) {}
 
@@ -34,7 +34,7 @@
     private final List<Long> forUs = new ArrayList<>();
     private long best = Long.MAX_VALUE;
 
-    private BestOrder(long seed, int pieces) {
+    private OptimalSchedule(long seed, int pieces) {
         SplittableRandom r = new SplittableRandom(seed);
         for (int b = 0; b < BLOCKS; b++) {
             for (int h = 0; h < HOLDERS; h++) {
@@ -55,7 +55,7 @@
      * @param pieces of work; all orders of them are tried, so 8 at most
      */
     public static Waits of(long seed, int pieces) {
-        BestOrder o = new BestOrder(seed, pieces);
+        OptimalSchedule o = new OptimalSchedule(seed, pieces);
         o.search(new ArrayList<>(), new boolean[pieces], new long[pieces], 0);
         long serial = 0;
         long free = 0;
--- a/src/main/java/tinlink/lab/plays/PolicyChecks.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicyChecks.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import tinlink.policy.rollout.PolicyChange;
 import tinlink.policy.rollout.PolicyCommand;
--- a/src/main/java/tinlink/lab/plays/PolicyEvent.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicyEvent.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.util.Locale;
 
--- a/src/main/java/tinlink/lab/plays/PolicySchedule.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicySchedule.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -31,7 +31,7 @@
 
     /** Proposals and faults at times from the seed, in the order of their times. */
     public static List<PolicyEvent> of(
-            long seed, PolicyPlay.Size size, int changes, int faults, long overUs) {
+            long seed, PolicySimulation.Size size, int changes, int faults, long overUs) {
         SplittableRandom random = new SplittableRandom(seed);
         List<PolicyEvent> events = new ArrayList<>();
         for (int i = 0; i < changes; i++) {
--- a/src/main/java/tinlink/lab/plays/PolicyPlay.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicySimulation.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyChange;
@@ -15,12 +15,12 @@
 import java.util.List;
 
 /**
- * Changes of policy in simulated time: the choices of all routers over an agreement that is taken as
- * given (one order of lines, which {@link WorkPlay} plays for itself), with words that get lost, come
- * late and twice, routers that are killed, paused and cut off, leaders that change, and clocks that
+ * Changes of policy in simulated time: the decision logic of all routers over an agreement that is taken as
+ * given (one order of lines, which {@link MaintenanceSimulation} plays for itself), with words that get lost,
+ * come late and twice, routers that are killed, paused and cut off, leaders that change, and clocks that
  * differ. What is checked is by which policy lookups were taken and when, by {@link PolicyChecks}.
  */
-public final class PolicyPlay {
+public final class PolicySimulation {
     /** By how much clocks may differ, as it is stated to the choices. */
     private static final long ERROR = 20 * MS;
 
@@ -58,12 +58,12 @@
         int mustKnow = -1;
 
         Router(int number) {
-            super(PolicyPlay.this.play, "r" + number, MOST_WAITING);
+            super(PolicySimulation.this.simulation, "r" + number, MOST_WAITING);
             this.number = number;
         }
 
         void start() {
-            begin();
+            beginRun();
             life++;
             index = 0;
             askedAt = -1;
@@ -73,20 +73,20 @@
                     name, "l" + life, life, 150 * MS, change -> refuses ? "it is too small" : "");
             coordinator = new ChangeCoordinator(150 * MS);
             long run = generation;
-            every(run, 50 * MS, this::beat);
-            every(run, 10 * MS, this::take);
-            every(run, 100 * MS, this::lease);
+            scheduleEvery(run, 50 * MS, this::beat);
+            scheduleEvery(run, 10 * MS, this::take);
+            scheduleEvery(run, 100 * MS, this::lease);
         }
 
         long shared() {
-            return play.now() + skew;
+            return simulation.now() + skew;
         }
 
         void beat() {
             learn();
-            participant.updateClocks(shared(), play.now());
+            participant.updateClocks(shared(), simulation.now());
             participant.decide(view, this::propose);
-            coordinator.updateClocks(play.now(), shared());
+            coordinator.updateClocks(simulation.now(), shared());
             coordinator.setLeader(leader == this);
             coordinator.decide(view, this::propose);
             told();
@@ -98,13 +98,13 @@
                 int from = index;
                 // What there was when it was asked for, some way behind.
                 List<PolicyCommand> some = List.copyOf(log.subList(from, log.size()));
-                play.in(delay(), () -> {
+                simulation.scheduleIn(delay(), () -> {
                     if (mine == generation) {
-                        takes(() -> {
+                        deliver(() -> {
                             if (index == from) {
                                 some.forEach(view::apply);
                                 index += some.size();
-                                if (play.random.nextInt(20) == 0) {
+                                if (simulation.random.nextInt(20) == 0) {
                                     view = again(view);
                                 }
                             }
@@ -115,10 +115,10 @@
         }
 
         void propose(PolicyCommand command) {
-            int times = play.random.nextInt(20) == 0 ? 2 : 1;
+            int times = simulation.random.nextInt(20) == 0 ? 2 : 1;
             for (int i = 0; i < times; i++) {
-                if (!cutOut && play.random.nextInt(10) > 0) {
-                    play.in(delay(), () -> agree(command));
+                if (!cutOut && simulation.random.nextInt(10) > 0) {
+                    simulation.scheduleIn(delay(), () -> agree(command));
                 }
             }
         }
@@ -126,13 +126,13 @@
         /** A majority confirms how much there is; it counts once that has been heard of. */
         void lease() {
             if (!cutOut && !cutIn && !noMajority) {
-                long asked = play.now();
+                long asked = simulation.now();
                 long mine = generation;
-                play.in(delay(), () -> {
+                simulation.scheduleIn(delay(), () -> {
                     int all = log.size();
-                    play.in(delay(), () -> {
+                    simulation.scheduleIn(delay(), () -> {
                         if (mine == generation) {
-                            takes(() -> {
+                            deliver(() -> {
                                 if (askedAt < 0) {
                                     askedAt = asked;
                                     mustKnow = all;
@@ -149,11 +149,11 @@
         }
 
         void take() {
-            participant.updateClocks(shared(), play.now());
+            participant.updateClocks(shared(), simulation.now());
             ChangeParticipant.EffectivePolicy effectivePolicy = participant.effectivePolicy(view);
             long epoch = size.planted() ? view.inForce().epoch() : effectivePolicy.epoch();
             if (epoch >= 0) {
-                checks.taken(play.now(), epoch, number);
+                checks.taken(simulation.now(), epoch, number);
             } else {
                 fencedUs += 10 * MS;
             }
@@ -170,7 +170,7 @@
     }
 
     private final Size size;
-    private final Play play;
+    private final Simulation simulation;
     private final List<Router> routers = new ArrayList<>();
     private final List<PolicyCommand> log = new ArrayList<>();
     private final PolicyChecks checks = new PolicyChecks(ERROR);
@@ -178,12 +178,12 @@
     private boolean noMajority;
     private long fencedUs;
 
-    private PolicyPlay(long seed, Size size) {
+    private PolicySimulation(long seed, Size size) {
         this.size = size;
-        play = new Play(seed);
+        simulation = new Simulation(seed);
         for (int i = 0; i < size.routers(); i++) {
             Router r = new Router(i);
-            r.skew = play.random.nextLong(ERROR) - ERROR / 2;
+            r.skew = simulation.random.nextLong(ERROR) - ERROR / 2;
             routers.add(r);
         }
         leader = routers.get(0);
@@ -207,28 +207,28 @@
     }
 
     private long delay() {
-        return 300 + play.random.nextLong(play.random.nextInt(10) == 0 ? 300 * MS : 8 * MS);
+        return 300 + simulation.random.nextLong(simulation.random.nextInt(10) == 0 ? 300 * MS : 8 * MS);
     }
 
     private void agree(PolicyCommand command) {
         if (!noMajority && leader.up && !leader.paused) {
             List<String> words = PolicyCommandCodec.encode(command);
             log.add(PolicyCommandCodec.decode(words));
-            checks.agreed(play.now(), command);
-            play.note(words);
+            checks.agreed(simulation.now(), command);
+            simulation.addToDigest(words);
         }
     }
 
     /** Plays the schedule; what is random besides comes from the seed. */
     public static Outcome play(long seed, Size size, List<PolicyEvent> schedule) {
-        return new PolicyPlay(seed, size).go(schedule);
+        return new PolicySimulation(seed, size).go(schedule);
     }
 
     private Outcome go(List<PolicyEvent> schedule) {
-        routers.forEach(r -> play.in(play.random.nextLong(300 * MS), r::start));
-        schedule.forEach(e -> play.at(e.atUs(), () -> happens(e)));
+        routers.forEach(r -> simulation.scheduleIn(simulation.random.nextLong(300 * MS), r::start));
+        schedule.forEach(e -> simulation.scheduleAt(e.atUs(), () -> happens(e)));
         long last = schedule.stream().mapToLong(e -> e.atUs() + e.forUs()).max().orElse(0) + SEC;
-        play.run(last);
+        simulation.run(last);
         noMajority = false;
         for (Router r : routers) {
             r.cutIn = false;
@@ -239,12 +239,12 @@
                 r.start();
             }
         }
-        play.run(last + REST);
+        simulation.run(last + REST);
         checks.check(last);
         checkSettled();
         return new Outcome(
-                play.steps(),
-                play.digest(),
+                simulation.steps(),
+                simulation.digest(),
                 checks.inForce(),
                 checks.settled() - checks.inForce(),
                 (double) fencedUs / (fencedUs + 10 * MS * checks.takenCount()),
@@ -267,22 +267,22 @@
 
     private static void goOn(Router r) {
         if (r.paused) {
-            r.goOn();
+            r.resume();
         }
     }
 
     private void happens(PolicyEvent e) {
-        play.note(e);
+        simulation.addToDigest(e);
         Router r = routers.get(
                 e.kind() == PolicyEvent.Kind.PROPOSE || e.kind() == PolicyEvent.Kind.WITHDRAW
-                        ? play.random.nextInt(routers.size())
+                        ? simulation.random.nextInt(routers.size())
                         : e.who());
         switch (e.kind()) {
             case PROPOSE -> ask("c" + e.who(), 0);
             case WITHDRAW -> r.propose(new PolicyCommand.Abort("c" + e.who(), "called back"));
             case KILL -> {
                 r.kill();
-                play.in(e.forUs(), () -> {
+                simulation.scheduleIn(e.forUs(), () -> {
                     if (!r.up) {
                         r.start();
                     }
@@ -290,47 +290,47 @@
             }
             case PAUSE -> {
                 r.paused = r.up;
-                play.in(e.forUs(), () -> goOn(r));
+                simulation.scheduleIn(e.forUs(), () -> goOn(r));
             }
             case CUT -> {
                 r.cutIn = true;
                 r.cutOut = true;
-                play.in(e.forUs(), () -> {
+                simulation.scheduleIn(e.forUs(), () -> {
                     r.cutIn = false;
                     r.cutOut = false;
                 });
             }
             case CUT_OUT -> {
                 r.cutOut = true;
-                play.in(e.forUs(), () -> r.cutOut = false);
+                simulation.scheduleIn(e.forUs(), () -> r.cutOut = false);
             }
             case LEADER -> leader = r;
             case NO_MAJORITY -> {
                 noMajority = true;
-                play.in(e.forUs(), () -> noMajority = false);
+                simulation.scheduleIn(e.forUs(), () -> noMajority = false);
             }
             case REFUSES -> {
                 r.refuses = true;
-                play.in(e.forUs(), () -> r.refuses = false);
+                simulation.scheduleIn(e.forUs(), () -> r.refuses = false);
             }
-            default -> r.skew = play.random.nextLong(ERROR) - ERROR / 2;
+            default -> r.skew = simulation.random.nextLong(ERROR) - ERROR / 2;
         }
     }
 
     /** An operator asks at any router, again and again under the same id, until it is told how it stands. */
     private void ask(String id, int tries) {
-        Router r = routers.get(play.random.nextInt(routers.size()));
+        Router r = routers.get(simulation.random.nextInt(routers.size()));
         if (r.up && !r.paused && r.view.change(id) == null && tries < 200) {
             r.propose(new PolicyCommand.Propose(
                     id, r.view.inForce().epoch(), "d" + id, "t" + id, "op", "why", absent()));
         }
         if (tries < 200 && (r.view == null || r.view.change(id) == null)) {
-            play.in(300 * MS, () -> ask(id, tries + 1));
+            simulation.scheduleIn(300 * MS, () -> ask(id, tries + 1));
         }
     }
 
     /** The smallest part of a schedule, found by leaving events out, that breaks the rules too. */
     public static List<PolicyEvent> shrink(long seed, Size size, List<PolicyEvent> schedule) {
-        return Shrunk.of(schedule, s -> !play(seed, size, s).violations().isEmpty());
+        return ScheduleShrinker.shrink(schedule, s -> !play(seed, size, s).violations().isEmpty());
     }
 }
--- a/src/main/java/tinlink/lab/plays/Shrunk.java
+++ b/src/main/java/tinlink/experiment/simulation/ScheduleShrinker.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,10 +8,10 @@
  * Schedules made smaller: pieces are left out, smaller and smaller ones, while what is left still
  * fails.
  */
-final class Shrunk {
-    private Shrunk() {}
+final class ScheduleShrinker {
+    private ScheduleShrinker() {}
 
-    static <T> List<T> of(List<T> whole, Predicate<List<T>> fails) {
+    static <T> List<T> shrink(List<T> whole, Predicate<List<T>> fails) {
         List<T> small = new ArrayList<>(whole);
         int piece = Math.max(1, small.size() / 2);
         while (true) {
--- a/src/main/java/tinlink/lab/plays/OrderMachine.java
+++ b/src/main/java/tinlink/experiment/simulation/SharedMaintenanceStateMachine.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /** The order of work as a state machine whose states replicas can share. */
-final class OrderMachine implements SharedReplicas.StateMachine<MaintenanceStateMachine> {
+final class SharedMaintenanceStateMachine implements SharedReplicas.StateMachine<MaintenanceStateMachine> {
     private final DisruptionLimits limits;
 
-    OrderMachine(DisruptionLimits limits) {
+    SharedMaintenanceStateMachine(DisruptionLimits limits) {
         this.limits = limits;
     }
 
@@ -24,17 +24,17 @@
     }
 
     @Override
-    public String play(MaintenanceStateMachine state, String line) {
+    public String apply(MaintenanceStateMachine state, String line) {
         return state.apply(line);
     }
 
     @Override
-    public List<String> lines(MaintenanceStateMachine state) {
+    public List<String> snapshot(MaintenanceStateMachine state) {
         return state.snapshot();
     }
 
     @Override
-    public MaintenanceStateMachine of(List<String> lines) {
+    public MaintenanceStateMachine restore(List<String> lines) {
         return MaintenanceStateMachine.restore(lines);
     }
 }
--- a/src/main/java/tinlink/lab/plays/ChangesMachine.java
+++ b/src/main/java/tinlink/experiment/simulation/SharedPolicyStateMachine.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import tinlink.cluster.membership.LineCodec;
 import tinlink.policy.rollout.AbsencePolicy;
@@ -8,13 +8,13 @@
 import java.util.List;
 
 /** Changes of policy as a state machine whose states replicas can share. */
-final class ChangesMachine implements SharedReplicas.StateMachine<PolicyChanges> {
+final class SharedPolicyStateMachine implements SharedReplicas.StateMachine<PolicyChanges> {
     private static final int KEPT = 100;
     private static final int MOST_ROUTERS = 4096;
     private final AbsencePolicy first;
 
     /** @param first what is done about absent routers until a first change says otherwise */
-    ChangesMachine(AbsencePolicy first) {
+    SharedPolicyStateMachine(AbsencePolicy first) {
         this.first = first;
     }
 
@@ -25,21 +25,21 @@
 
     @Override
     public PolicyChanges copy(PolicyChanges state) {
-        return of(lines(state));
+        return restore(snapshot(state));
     }
 
     @Override
-    public String play(PolicyChanges state, String line) {
+    public String apply(PolicyChanges state, String line) {
         return state.apply(PolicyCommandCodec.decode(LineCodec.decode(line))).message();
     }
 
     @Override
-    public List<String> lines(PolicyChanges state) {
+    public List<String> snapshot(PolicyChanges state) {
         return state.snapshot().stream().map(words -> LineCodec.encode(words.toArray())).toList();
     }
 
     @Override
-    public PolicyChanges of(List<String> lines) {
+    public PolicyChanges restore(List<String> lines) {
         return PolicyChanges.fromSnapshot(
                 KEPT, MOST_ROUTERS, first, lines.stream().map(LineCodec::decode).toList());
     }
--- a/src/main/java/tinlink/lab/plays/SharedReplicas.java
+++ b/src/main/java/tinlink/experiment/simulation/SharedReplicas.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -23,11 +23,11 @@
         S copy(S state);
 
         /** Changes the state; @return what is said to whoever proposed the line */
-        String play(S state, String line);
+        String apply(S state, String line);
 
-        List<String> lines(S state);
+        List<String> snapshot(S state);
 
-        S of(List<String> lines);
+        S restore(List<String> lines);
     }
 
     /** What stands after some lines. */
@@ -81,7 +81,7 @@
     /** Versions whose lines have been asked for or started from, newest first. */
     private final Deque<Version> described = new ArrayDeque<>();
 
-    private long plays;
+    private long linesApplied;
     private long copies;
 
     SharedReplicas(StateMachine<S> machine) {
@@ -95,8 +95,8 @@
     }
 
     /** Lines that were played, by all replicas together. */
-    long plays() {
-        return plays;
+    long linesApplied() {
+        return linesApplied;
     }
 
     /** States that were copied. */
@@ -134,8 +134,8 @@
             copies++;
         }
         for (Version step : path) {
-            step.reply = machine.play(state, step.line);
-            plays++;
+            step.reply = machine.apply(state, step.line);
+            linesApplied++;
         }
         version.state = state;
         if (version.number % CHECKPOINT_EVERY == 0) {
@@ -165,7 +165,7 @@
 
     private List<String> lines(Version version) {
         if (version.lines == null) {
-            version.lines = List.copyOf(machine.lines(state(version)));
+            version.lines = List.copyOf(machine.snapshot(state(version)));
             describe(version);
         }
         return version.lines;
@@ -188,7 +188,7 @@
             }
         }
         Version fresh = new Version(null, "");
-        fresh.state = machine.of(lines);
+        fresh.state = machine.restore(lines);
         fresh.source = List.copyOf(lines);
         describe(fresh);
         return fresh;
@@ -208,17 +208,17 @@
             return SharedReplicas.this.state(version);
         }
 
-        String play(String line) {
+        String apply(String line) {
             Version next = after(version, line);
             move(next);
             return reply(next);
         }
 
-        List<String> lines() {
+        List<String> snapshot() {
             return SharedReplicas.this.lines(version);
         }
 
-        void from(List<String> lines) {
+        void restore(List<String> lines) {
             move(of(lines));
         }
 
--- a/src/main/java/tinlink/lab/plays/SimulatedClock.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedClock.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.time.Clock;
 import java.time.Instant;
@@ -7,12 +7,12 @@
 
 /** The play's time as the agreement's library reads it: monotonic, in milliseconds of the library's own. */
 final class SimulatedClock extends Clock {
-    private final Play play;
+    private final Simulation simulation;
     private final long millisecondUs;
 
     /** @param millisecondUs how much simulated time one of the library's milliseconds takes */
-    SimulatedClock(Play play, long millisecondUs) {
-        this.play = play;
+    SimulatedClock(Simulation simulation, long millisecondUs) {
+        this.simulation = simulation;
         this.millisecondUs = millisecondUs;
     }
 
@@ -33,6 +33,6 @@
 
     @Override
     public long millis() {
-        return play.now() / millisecondUs;
+        return simulation.now() / millisecondUs;
     }
 }
--- a/src/main/java/tinlink/lab/plays/SimulatedMember.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.RaftMessage;
@@ -38,7 +38,7 @@
     private static final BiConsumer<String, Throwable> IGNORED = (said, failure) -> {};
     private static final Throwable NOT_LEADER = new IllegalStateException("it does not lead");
 
-    final AgreementGroup group;
+    final ConsensusGroup group;
     final boolean voter;
     SimulatedDisk disk = new SimulatedDisk();
     /** It was found out that its disk is an old copy: it never votes by it. */
@@ -56,24 +56,24 @@
     /** How far others' disks have been heard to be; lost with the process. */
     private final Map<Voter, VoterAdmission.LogPosition> heard = new HashMap<>();
 
-    SimulatedMember(AgreementGroup group, String name, boolean voter) {
-        super(group.play, name, MOST_WAITING);
+    SimulatedMember(ConsensusGroup group, String name, boolean voter) {
+        super(group.simulation, name, MOST_WAITING);
         this.group = group;
         this.voter = voter;
     }
 
     /** Something new has been agreed, or heard of. */
-    abstract void agreedMore();
+    abstract void logAdvanced();
 
     final SplittableRandom random() {
-        return play.random;
+        return simulation.random;
     }
 
     final Voter self() {
         return new Voter(name, disk.id);
     }
 
-    final boolean leads() {
+    final boolean isLeader() {
         return raft != null && raft.isLeader();
     }
 
@@ -81,7 +81,7 @@
 
     /** Starts the process with its disk; @param replica of the agreed state, as before the first line */
     final void startMember(ReplicatedStateMachine replica) {
-        begin();
+        beginRun();
         heard.clear();
         disk.crash();
         disk.starts++;
@@ -92,13 +92,13 @@
     }
 
     /** Votes at once at the very first start, and else once the others have been asked about its disk. */
-    final void enterGroup() {
+    final void joinGroup() {
         if (!voter) {
             return;
         }
         stateStore = openDisk();
         if (disk.isEmpty()) {
-            vote();
+            startVoting();
         } else {
             long[] reached = stateStore.lastPosition();
             voterAdmission = new VoterAdmission(
@@ -120,8 +120,8 @@
         }
     }
 
-    private void vote() {
-        SimulatedClock clock = new SimulatedClock(play, group.settings.libraryMillisecondUs());
+    private void startVoting() {
+        SimulatedClock clock = new SimulatedClock(simulation, group.settings.libraryMillisecondUs());
         List<Voter> first = group.voters().stream().map(SimulatedMember::self).toList();
         raft = new RaftReplica(
                 self(),
@@ -133,7 +133,7 @@
                         this,
                         clock,
                         new Random(random().nextLong()),
-                        this::sendAgreement,
+                        this::sendRaftMessage,
                         v -> true),
                 group.settings.snapshotEvery());
         raft.start();
@@ -141,7 +141,7 @@
 
     // ---- Messages of the agreement. ----
 
-    private void sendAgreement(Voter to, RaftMessage message) {
+    private void sendRaftMessage(Voter to, RaftMessage message) {
         byte[] bytes = RaftCodec.encode(message);
         SimulatedMember target = group.members.get(to.router());
         if (target == null) {
@@ -153,10 +153,10 @@
                 to.router(),
                 MessageKind.AGREEMENT,
                 () -> WireSize.agreement(to.toString(), bytes.length),
-                () -> target.takes(() -> target.hearAgreement(from, to, bytes)));
+                () -> target.deliver(() -> target.onRaftMessage(from, to, bytes)));
     }
 
-    private void hearAgreement(Voter from, Voter to, byte[] bytes) {
+    private void onRaftMessage(Voter from, Voter to, byte[] bytes) {
         if (raft == null || !self().equals(to)) {
             return;
         }
@@ -176,14 +176,14 @@
     public void onApplied(long index, String line) {
         group.log.record(index, line);
         if (learnerLog.append(index, line)) {
-            agreedMore();
+            logAdvanced();
         }
     }
 
     @Override
     public void onRestored(long index, List<String> lines) {
         if (learnerLog.restore(index, lines)) {
-            agreedMore();
+            logAdvanced();
         }
     }
 
@@ -196,24 +196,24 @@
 
     @Override
     public void submit(Runnable task) {
-        later(HAND_OVER_US, task);
+        scheduleIn(HAND_OVER_US, task);
     }
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        later(unit.toMicros(delay) * group.settings.libraryMillisecondUs() / 1000, task);
+        scheduleIn(unit.toMicros(delay) * group.settings.libraryMillisecondUs() / 1000, task);
     }
 
     // ---- Its part in agreeing, to be called in each beat. ----
 
     /** Goes on with entering the group, and learns where it does not vote. */
-    final void tendAgreement() {
+    final void restartReplicaIfStuck() {
         if (voterAdmission != null && raft == null) {
-            askAboutDisk();
-            enterIfMay();
+            sendAdmissionQuery();
+            admitIfAllowed();
         } else if (voterAdmission != null) {
             if (leaderHint.isEmpty() && !raft.hasReachedFloor()) {
-                askAboutDisk();
+                sendAdmissionQuery();
             }
             raft.setFloor(voterAdmission.floor());
         }
@@ -221,41 +221,41 @@
             leaderHint = raft.leader() == null ? "" : raft.leader().router();
         }
         if (!voter || raft == null) {
-            learn();
+            requestLearnerBatch();
         } else {
             raft.restartIfStuck();
         }
     }
 
-    private void askAboutDisk() {
+    private void sendAdmissionQuery() {
         for (String other : voterAdmission.votersToAsk()) {
             SimulatedMember asked = group.members.get(other);
             Voter self = self();
             group.network.send(
-                    name, other, () -> asked.takes(() -> asked.tellAboutDisk(this, self)));
+                    name, other, () -> asked.deliver(() -> asked.answerAdmissionQuery(this, self)));
         }
     }
 
-    private void tellAboutDisk(SimulatedMember asker, Voter disk) {
+    private void answerAdmissionQuery(SimulatedMember asker, Voter disk) {
         VoterAdmission.LogPosition position = heard.get(disk);
         Incarnation knownIncarnation = livesKnown.get(asker.name);
         RecoveryFloor logEnd = stateStore == null ? RecoveryFloor.NONE : stateStore.logEnd();
         group.network.send(
                 name,
                 asker.name,
-                () -> asker.takes(() -> asker.hearAboutDisk(name, knownIncarnation, position, logEnd)));
+                () -> asker.deliver(() -> asker.onAdmissionAnswer(name, knownIncarnation, position, logEnd)));
     }
 
-    private void hearAboutDisk(String from, Incarnation knownIncarnation, VoterAdmission.LogPosition position, RecoveryFloor logEnd) {
+    private void onAdmissionAnswer(String from, Incarnation knownIncarnation, VoterAdmission.LogPosition position, RecoveryFloor logEnd) {
         if (voterAdmission != null) {
-            voterAdmission.answered(from, knownIncarnation, position, logEnd, play.now());
+            voterAdmission.answered(from, knownIncarnation, position, logEnd, simulation.now());
         }
     }
 
-    private void enterIfMay() {
-        switch (voterAdmission.decide(play.now(), group.settings.entryUs())) {
+    private void admitIfAllowed() {
+        switch (voterAdmission.decide(simulation.now(), group.settings.entryUs())) {
             case ADMITTED -> {
-                vote();
+                startVoting();
                 raft.setFloor(voterAdmission.floor());
             }
             case STALE_DISK -> {
@@ -268,7 +268,7 @@
         }
     }
 
-    private void learn() {
+    private void requestLearnerBatch() {
         List<SimulatedMember> voters = group.voters();
         SimulatedMember asked = voters.get(random().nextInt(voters.size()));
         long after = learnerLog.index();
@@ -277,10 +277,10 @@
                 asked.name,
                 MessageKind.LEARN,
                 () -> WireSize.word(name, WireSize.LONG),
-                () -> asked.takes(() -> asked.teach(this, after)));
+                () -> asked.deliver(() -> asked.sendLearnerBatch(this, after)));
     }
 
-    private void teach(SimulatedMember learner, long after) {
+    private void sendLearnerBatch(SimulatedMember learner, long after) {
         LearnerLog.Batch batch = learnerLog.batchAfter(after);
         String leader = leaderHint;
         group.network.send(
@@ -288,7 +288,7 @@
                 learner.name,
                 MessageKind.LEARNED,
                 () -> learnedBytes(leader, batch),
-                () -> learner.takes(() -> learner.learned(leader, after, batch)));
+                () -> learner.deliver(() -> learner.onLearnerBatch(leader, after, batch)));
     }
 
     private int learnedBytes(String leader, LearnerLog.Batch batch) {
@@ -297,10 +297,10 @@
                 name, batch == null ? body : body + WireSize.LONG + WireSize.lines(batch.lines()));
     }
 
-    private void learned(String leader, long after, LearnerLog.Batch batch) {
+    private void onLearnerBatch(String leader, long after, LearnerLog.Batch batch) {
         leaderHint = leader.isEmpty() ? leaderHint : leader;
         if (batch != null && learnerLog.appendBatch(after, batch)) {
-            agreedMore();
+            logAdvanced();
         }
     }
 
@@ -315,12 +315,12 @@
                     leader.name,
                     MessageKind.PROPOSE,
                     () -> WireSize.word(name, WireSize.LONG + WireSize.longText(line)),
-                    () -> leader.takes(() -> leader.proposedBy(this, line)));
+                    () -> leader.deliver(() -> leader.onProposal(this, line)));
         }
     }
 
-    private void proposedBy(SimulatedMember from, String line) {
-        if (leads()) {
+    private void onProposal(SimulatedMember from, String line) {
+        if (isLeader()) {
             raft.propose(line, (said, failure) -> answerProposal(from, said, failure));
         } else {
             answerProposal(from, null, NOT_LEADER);
@@ -333,7 +333,7 @@
     }
 
     /** How it stands in agreeing, for who looks into a play that got stuck. */
-    String standing() {
+    String summary() {
         return name
                 + (up ? "" : " down")
                 + (hasOldDisk ? " old disk" : "")
--- a/src/main/java/tinlink/lab/plays/SimulatedNetwork.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -9,29 +9,29 @@
  * both.
  */
 final class SimulatedNetwork {
-    /** @param leastUs and up to {@code mostUs}: each message's own delay, so they overtake each other */
-    record Path(long leastUs, long mostUs, double dropRate, double duplicateRate) {}
+    /** @param minDelayUs and up to {@code mostUs}: each message's own delay, so they overtake each other */
+    record LinkConditions(long minDelayUs, long maxDelayUs, double dropRate, double duplicateRate) {}
 
     /** Which path a message takes. */
     interface Paths {
-        Path between(String from, String to);
+        LinkConditions between(String from, String to);
     }
 
-    private record Ends(String from, String to) {}
+    private record Direction(String from, String to) {}
 
-    private final Play play;
+    private final Simulation simulation;
     private final Paths paths;
     /** As many as there are pairs. */
-    private final Set<Ends> cuts = new HashSet<>();
+    private final Set<Direction> cuts = new HashSet<>();
     /** Counts what is sent and received; null where nobody asks. */
     private TrafficMeter meter;
 
-    SimulatedNetwork(Play play, Path path) {
-        this(play, (from, to) -> path);
+    SimulatedNetwork(Simulation simulation, LinkConditions path) {
+        this(simulation, (from, to) -> path);
     }
 
-    SimulatedNetwork(Play play, Paths paths) {
-        this.play = play;
+    SimulatedNetwork(Simulation simulation, Paths paths) {
+        this.simulation = simulation;
         this.paths = paths;
     }
 
@@ -40,10 +40,10 @@
     }
 
     void cut(String from, String to) {
-        cuts.add(new Ends(from, to));
+        cuts.add(new Direction(from, to));
     }
 
-    void mendAll() {
+    void healAll() {
         cuts.clear();
     }
 
@@ -59,15 +59,15 @@
         if (counts != null) {
             counts.sent(from, kind, size);
         }
-        Path path = paths.between(from, to);
-        if (isCut(from, to) || play.random.nextDouble() < path.dropRate()) {
+        LinkConditions path = paths.between(from, to);
+        if (isCut(from, to) || simulation.random.nextDouble() < path.dropRate()) {
             return;
         }
-        int copies = play.random.nextDouble() < path.duplicateRate() ? 2 : 1;
+        int copies = simulation.random.nextDouble() < path.duplicateRate() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             long delayUs =
-                    path.leastUs() + play.random.nextLong(path.mostUs() - path.leastUs() + 1);
-            play.in(delayUs, () -> {
+                    path.minDelayUs() + simulation.random.nextLong(path.maxDelayUs() - path.minDelayUs() + 1);
+            simulation.scheduleIn(delayUs, () -> {
                 if (!isCut(from, to)) {
                     if (counts != null) {
                         counts.received(to, kind, size);
@@ -79,6 +79,6 @@
     }
 
     private boolean isCut(String from, String to) {
-        return !cuts.isEmpty() && cuts.contains(new Ends(from, to));
+        return !cuts.isEmpty() && cuts.contains(new Direction(from, to));
     }
 }
--- a/src/main/java/tinlink/lab/plays/SimulatedRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedRouter.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.maintenance.scheduling.DrainController;
 import tinlink.maintenance.scheduling.MaintenanceCoordinator;
@@ -40,14 +40,14 @@
     /** Since when it has been up or down. */
     long since;
 
-    boolean lettingGo;
+    boolean draining;
     DrainController drainController;
 
-    private final WorkFleet fleet;
+    private final MaintenanceFleet fleet;
     private final Map<String, Integer> openCalls = new TreeMap<>();
-    private final Set<String> leftOut = new TreeSet<>();
+    private final Set<String> cordonedNodes = new TreeSet<>();
     private final Map<String, Long> pongs = new HashMap<>();
-    private WorkReplica replica;
+    private MaintenanceReplica replica;
     private MaintenanceCoordinator coordinator;
     private int clients;
     /** What it watches; settled at its first look, the fleet does not change. */
@@ -56,7 +56,7 @@
     private List<SimulatedRouter> watchedRouters;
     private Set<String> seated;
 
-    SimulatedRouter(WorkFleet fleet, Machine machine) {
+    SimulatedRouter(MaintenanceFleet fleet, Machine machine) {
         super(fleet.group, machine.id(), machine.voter());
         this.fleet = fleet;
         this.machine = machine;
@@ -68,25 +68,25 @@
         }
         replica = fleet.replica();
         startMember(replica);
-        since = play.now();
+        since = simulation.now();
         openCalls.clear();
-        leftOut.clear();
+        cordonedNodes.clear();
         pongs.clear();
         clients = 0;
-        lettingGo = false;
+        draining = false;
         drainController = new DrainController(name, incarnation.toString(), SAY_AGAIN_US);
-        coordinator = new MaintenanceCoordinator(WorkFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
-        enterGroup();
+        coordinator = new MaintenanceCoordinator(MaintenanceFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
+        joinGroup();
         long run = generation;
-        every(run, BEAT_US, this::beat);
-        every(run, SERVE_US, this::serve);
-        every(run, WATCH_US, this::probeRouters);
+        scheduleEvery(run, BEAT_US, this::sendHeartbeat);
+        scheduleEvery(run, SERVE_US, this::serve);
+        scheduleEvery(run, WATCH_US, this::probeRouters);
     }
 
     @Override
     void kill() {
         super.kill();
-        since = play.now();
+        since = simulation.now();
         openCalls.clear();
     }
 
@@ -95,21 +95,21 @@
     }
 
     @Override
-    void agreedMore() {
+    void logAdvanced() {
         decide();
     }
 
     private void decide() {
-        drainController.setTime(play.now());
+        drainController.setTime(simulation.now());
         while (drainController.decide(order(), this, this)) {
             // Each has been carried out.
         }
     }
 
-    private void beat() {
-        tendAgreement();
+    private void sendHeartbeat() {
+        restartReplicaIfStuck();
         decide();
-        coordinator.setTime(play.now());
+        coordinator.setTime(simulation.now());
         report();
         lead();
     }
@@ -118,7 +118,7 @@
         if (seated == null) {
             seated = group.voters().stream().map(v -> v.name).collect(Collectors.toSet());
         }
-        coordinator.setLeader(leads());
+        coordinator.setLeader(isLeader());
         coordinator.setVoters(seated);
         while (coordinator.decide(
                 order(), line -> raft.propose(line, (said, failure) -> coordinator.onProposalCompleted()))) {
@@ -144,14 +144,14 @@
         settleWatch();
         for (SimulatedRouter router : watchedRouters) {
             fleet.network.send(
-                    name, router.name, () -> router.takes(() -> router.answerProbe(this)));
+                    name, router.name, () -> router.deliver(() -> router.answerProbe(this)));
         }
     }
 
     private void answerProbe(SimulatedRouter from) {
         if (!stoppedForWork) {
             fleet.network.send(
-                    name, from.name, () -> from.takes(() -> from.pongs.put(name, play.now())));
+                    name, from.name, () -> from.deliver(() -> from.pongs.put(name, simulation.now())));
         }
     }
 
@@ -163,7 +163,7 @@
         }
         for (SimulatedRouter router : watchedRouters) {
             sound.put(
-                    router.name, play.now() - pongs.getOrDefault(router.name, 0L) < PONG_COUNTS_US);
+                    router.name, simulation.now() - pongs.getOrDefault(router.name, 0L) < PONG_COUNTS_US);
         }
         return sound;
     }
@@ -174,14 +174,14 @@
                 MaintenanceCoordinator.selfReportLine(machine),
                 MaintenanceCoordinator.healthReportLine(soundness()),
                 fleet.nodeList(machine.site()));
-        SimulatedRouter leader = leads() ? this : fleet.routers.get(leaderHint);
+        SimulatedRouter leader = isLeader() ? this : fleet.routers.get(leaderHint);
         if (leader == this) {
             lines.forEach(line -> coordinator.onReport(name, line));
         } else if (leader != null) {
             fleet.network.send(
                     name,
                     leaderHint,
-                    () -> leader.takes(() -> {
+                    () -> leader.deliver(() -> {
                         leader.livesKnown.put(name, incarnation);
                         lines.forEach(line -> leader.coordinator.onReport(name, line));
                     }));
@@ -194,7 +194,7 @@
         if (!drainController.isRegistered(order())) {
             return; // In service it waits for a bounded time.
         }
-        if (lettingGo) {
+        if (draining) {
             clients = Math.max(0, clients - 1 - random().nextInt(3));
         } else {
             clients = 1 + random().nextInt(4);
@@ -206,7 +206,7 @@
     private void callSomeNode() {
         List<SimulatedDataNode> usable = new ArrayList<>();
         for (SimulatedDataNode node : fleet.nodes.values()) {
-            if (node.up && node.takenBy == null && !leftOut.contains(node.machine.id())) {
+            if (node.up && node.takenBy == null && !cordonedNodes.contains(node.machine.id())) {
                 usable.add(node);
             }
         }
@@ -215,7 +215,7 @@
         }
         String id = usable.get(random().nextInt(usable.size())).machine.id();
         openCalls.merge(id, 1, Integer::sum);
-        later(
+        scheduleIn(
                 random().nextLong(MOST_CALL_US),
                 () -> openCalls.computeIfPresent(id, (k, n) -> n == 1 ? null : n - 1));
     }
@@ -240,15 +240,15 @@
     @Override
     public void setCordoned(String node, boolean out) {
         if (out) {
-            leftOut.add(node);
+            cordonedNodes.add(node);
         } else {
-            leftOut.remove(node);
+            cordonedNodes.remove(node);
         }
     }
 
     @Override
     public void setDraining(boolean go) {
-        lettingGo = go;
+        draining = go;
         // What it has played may be behind what was agreed; what it does by it must be counted for.
         if (go && fleet.truth().activeTask(name) == null) {
             group.violations.add(name + " lets its clients go by a grant that is over");
@@ -257,11 +257,11 @@
 
     @Override
     public void wakeAt(long atUs) {
-        later(Math.max(0, atUs - play.now()), this::decide);
+        scheduleIn(Math.max(0, atUs - simulation.now()), this::decide);
     }
 
     @Override
-    String standing() {
-        return super.standing() + (stoppedForWork ? " taken" : "");
+    String summary() {
+        return super.summary() + (stoppedForWork ? " taken" : "");
     }
 }
--- a/src/main/java/tinlink/lab/plays/Play.java
+++ b/src/main/java/tinlink/experiment/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
@@ -7,8 +7,8 @@
  * Simulated time: what is due next happens next, in one thread, and the same seed gives the same trace. A
  * digest over all that was noted tells whether two plays were the same.
  */
-final class Play {
-    /** A millisecond and a second, in the play's microseconds. */
+final class Simulation {
+    /** A millisecond and a second, in the simulation's microseconds. */
     static final long MS = 1000;
 
     static final long SEC = 1_000_000;
@@ -29,7 +29,7 @@
     private long steps;
     private long digest = 0xcbf29ce484222325L;
 
-    Play(long seed) {
+    Simulation(long seed) {
         random = new SplittableRandom(seed);
     }
 
@@ -41,16 +41,16 @@
         return steps;
     }
 
-    void at(long us, Runnable what) {
+    void scheduleAt(long us, Runnable what) {
         events.add(new Event(Math.max(us, now), order++, what));
     }
 
-    void in(long us, Runnable what) {
-        at(now + us, what);
+    void scheduleIn(long us, Runnable what) {
+        scheduleAt(now + us, what);
     }
 
     /** FNV-1a over what was noted, with the time. */
-    void note(Object what) {
+    void addToDigest(Object what) {
         String s = now + " " + what;
         for (int i = 0; i < s.length(); i++) {
             digest = (digest ^ s.charAt(i)) * 0x100000001b3L;
--- a/src/test/java/tinlink/RouterPlayer.java
+++ b/src/test/java/tinlink/RouterPlayer.java
@@ -9,7 +9,7 @@
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.decision.PartCall;
-import tinlink.lab.processes.Child;
+import tinlink.experiment.processes.RouterProcess;
 import tinlink.net.ParserPlayer;
 import tinlink.router.Router;
 import tinlink.start.Hangup;
@@ -390,7 +390,7 @@
                 "ulimit -n " + descriptors + "; exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        command.addAll(Child.BOUNDS);
+        command.addAll(RouterProcess.BOUNDS);
         command.addAll(List.of(
                 "-cp",
                 Path.of(Main.class
--- a/src/test/java/tinlink/lab/RulesTest.java
+++ b/src/test/java/tinlink/experiment/LookupRulesTest.java
@@ -1,13 +1,13 @@
-package tinlink.lab;
+package tinlink.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-import tinlink.emulator.EmulatedClient.Answer;
-import tinlink.emulator.EmulatedClient.Ask;
-import tinlink.emulator.Runs;
+import tinlink.emulator.EmulatedClient.LookupResponse;
+import tinlink.emulator.EmulatedClient.LookupRequest;
+import tinlink.emulator.RunLog;
 
 import java.util.List;
 
@@ -15,9 +15,9 @@
  * Each check of the rules is shown a breach of its rule, made on purpose, and beside it the case
  * that is none.
  */
-class RulesTest {
-    private static final String V0 = Runs.value("q.0", "t");
-    private static final String V1 = Runs.value("q.1", "t");
+class LookupRulesTest {
+    private static final String V0 = RunLog.value("q.0", "t");
+    private static final String V1 = RunLog.value("q.1", "t");
 
     private static String body(boolean whole, String... values) {
         StringBuilder b = new StringBuilder("{\"all_in\":" + whole + ",\"matches\":[");
@@ -58,15 +58,15 @@
             long tookMs,
             long ranMs,
             long againMs) {
-        Load.Kind k = new Load.Kind(
+        LoadGenerator.LookupKind k = new LoadGenerator.LookupKind(
                 kind,
                 kind.equals("pay"),
                 kind.equals("once"),
                 500_000,
                 kind.equals("find") ? 0.3 : 1);
-        Load.Asked a =
-                new Load.Asked(new Ask("q", kind, 1000, List.of(0, 1), "t", null), k, null, true);
-        a.answer = new Answer(
+        LoadGenerator.LookupRecord a =
+                new LoadGenerator.LookupRecord(new LookupRequest("q", kind, 1000, List.of(0, 1), "t", null), k, null, true);
+        a.answer = new LookupResponse(
                 status,
                 switch (told) {
                     case "whole" -> body(true, V0, V1);
@@ -77,14 +77,14 @@
                 },
                 1000 * tookMs,
                 0);
-        Runs runs = new Runs(10);
+        RunLog runLog = new RunLog(10);
         for (long ms : new long[] {ranMs, againMs}) {
             if (ms >= 0) {
-                runs.ran(new Runs.Run("q.0", "n", 1000 * ms, null));
+                runLog.add(new RunLog.Run("q.0", "n", 1000 * ms, null));
             }
         }
-        Rules r = new Rules();
-        r.check(List.of(a), runs);
+        LookupRules r = new LookupRules();
+        r.check(List.of(a), runLog);
         assertEquals(
                 expected,
                 !r.lost.isEmpty()
@@ -94,6 +94,6 @@
                                 : !r.repeated.isEmpty()
                                         ? "repeated"
                                         : !r.dishonest.isEmpty() ? "dishonest" : "kept");
-        assertEquals(expected.equals("kept"), r.kept());
+        assertEquals(expected.equals("kept"), r.areKept());
     }
 }
--- a/src/test/java/tinlink/lab/SitesPlayer.java
+++ b/src/test/java/tinlink/experiment/TwoSitesPlayer.java
@@ -1,11 +1,11 @@
-package tinlink.lab;
+package tinlink.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import tinlink.Scenarios;
 import tinlink.emulator.EmulatedClient;
-import tinlink.emulator.EmulatedLine;
+import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
 
 import java.nio.file.Files;
@@ -22,17 +22,17 @@
  * Plays a scenario of two whole sites with real routers; docs/scenarios.md has the notation. After
  * each one the rules are checked from what the data nodes ran and the clients were told.
  */
-final class SitesPlayer implements AutoCloseable {
+final class TwoSitesPlayer implements AutoCloseable {
     private static final int PATIENCE_MS = 10_000;
-    private static final Map<String, Load.Kind> KINDS = Map.of(
+    private static final Map<String, LoadGenerator.LookupKind> KINDS = Map.of(
             "find",
-            new Load.Kind("find", false, false, 0, 0.3),
+            new LoadGenerator.LookupKind("find", false, false, 0, 0.3),
             "sum",
-            new Load.Kind("sum", false, false, 0, 1),
+            new LoadGenerator.LookupKind("sum", false, false, 0, 1),
             "pay",
-            new Load.Kind("pay", true, false, 400_000, 1),
+            new LoadGenerator.LookupKind("pay", true, false, 400_000, 1),
             "once",
-            new Load.Kind("once", false, true, 0, 1));
+            new LoadGenerator.LookupKind("once", false, true, 0, 1));
     private final Map<String, String> figures = new HashMap<>(Map.of(
             "delay",
             "10",
@@ -48,8 +48,8 @@
             "64",
             "cores",
             "4"));
-    private final Map<String, Load.Asked> asked = new LinkedHashMap<>();
-    private final Map<String, EmulatedClient.Asked> clients = new HashMap<>();
+    private final Map<String, LoadGenerator.LookupRecord> asked = new LinkedHashMap<>();
+    private final Map<String, EmulatedClient.PendingLookup> clients = new HashMap<>();
     private TwoSites world;
     private Thread stopping;
 
@@ -60,14 +60,14 @@
 
     void rules() throws InterruptedException {
         Thread.sleep(100); // What breaks a rule after a final answer comes now.
-        Rules rules = new Rules();
-        world.ground.run(() -> rules.check(List.copyOf(asked.values()), world.runs));
+        LookupRules rules = new LookupRules();
+        world.emulatorLoop.run(() -> rules.check(List.copyOf(asked.values()), world.runLog));
         assertEquals(
                 "[] [] [] []",
                 rules.lost + " " + rules.late + " " + rules.repeated + " " + rules.dishonest,
                 "lost, late, repeated, dishonest");
-        for (TwoSites.Running r : world.routers.values()) {
-            assertEquals(0, r.clients.stray(), "said after the final answer");
+        for (TwoSites.RunningRouter r : world.routers.values()) {
+            assertEquals(0, r.clients.unsolicited(), "said after the final answer");
         }
     }
 
@@ -89,17 +89,17 @@
                         () -> w.length > 1
                                 ? !world.routers.get(w[1]).joined()
                                 : world.routers.values().stream()
-                                        .noneMatch(TwoSites.Running::joined),
+                                        .noneMatch(TwoSites.RunningRouter::joined),
                         "still joined");
             case "pause" -> Thread.sleep(Long.parseLong(w[1]));
             case "kill" -> {
                 asked.values().stream()
                         .filter(a -> a.at.name().equals(w[1]) && a.answer == null)
-                        .forEach(a -> a.gone = true);
+                        .forEach(a -> a.excused = true);
                 world.routers.get(w[1]).kill();
             }
             case "stop" -> {
-                TwoSites.Running r = world.routers.get(w[1]);
+                TwoSites.RunningRouter r = world.routers.get(w[1]);
                 stopping = new Thread(() -> {
                     try {
                         r.stop();
@@ -114,15 +114,15 @@
                 assertEquals(false, stopping.isAlive(), "still stopping");
             }
             case "keys" -> {
-                TwoSites.Running r = world.routers.get(w[1]);
+                TwoSites.RunningRouter r = world.routers.get(w[1]);
                 String now = Files.readString(r.gatewayFile()).replaceAll("keys: .*", rest + ",");
                 Files.writeString(r.gatewayFile(), now);
                 r.reload();
             }
             case "ask" -> ask(w);
             case "leaves" -> {
-                asked.get(w[1]).gone = true;
-                clients.get(w[1]).leave();
+                asked.get(w[1]).excused = true;
+                clients.get(w[1]).abandon();
             }
             case "line" ->
                 world.lines.entrySet().stream()
@@ -138,21 +138,21 @@
                         .values()
                         .forEach(s -> s.nodes.stream()
                                 .filter(n -> n.uid.matches(w[1].replace("*", ".*")))
-                                .forEach(n -> s.discovery.tell(n, s.name, w[2])));
+                                .forEach(n -> s.discovery.publish(n, s.name, w[2])));
             case "links" ->
                 until(
                         () -> world.sites.values().stream()
                                         .flatMap(s -> s.nodes.stream())
                                         .filter(n -> n.uid.matches(w[1].replace("*", ".*")))
-                                        .mapToInt(EmulatedNode::connections)
+                                        .mapToInt(EmulatedNode::connectionCount)
                                         .sum()
                                 == Integer.parseInt(w[2]),
                         "other connections");
             case "ran" ->
                 until(
-                        () -> world.ground.on(() -> world.runs.of(w[1]).size())
+                        () -> world.emulatorLoop.call(() -> world.runLog.runsOf(w[1]).size())
                                 == Integer.parseInt(w[2]),
-                        "ran " + world.ground.on(() -> world.runs.of(w[1]).size()) + " times");
+                        "ran " + world.emulatorLoop.call(() -> world.runLog.runsOf(w[1]).size()) + " times");
             case "count" ->
                 until(
                         () -> world.routers.get(w[1]).count(w[2]) >= Long.parseLong(w[3]),
@@ -178,8 +178,8 @@
 
     private void start() throws Exception {
         long delay = 1000 * Long.parseLong(figures.get("delay"));
-        EmulatedLine.Way way =
-                new EmulatedLine.Way(delay, 1000 * Long.parseLong(figures.get("jitter")), 0);
+        EmulatedLink.LinkConditions way =
+                new EmulatedLink.LinkConditions(delay, 1000 * Long.parseLong(figures.get("jitter")), 0);
         Map<String, List<Integer>> cells = new LinkedHashMap<>();
         cells.put("east", List.of(0, 1, 2));
         cells.put("west", List.of(2, 3, 4, 4));
@@ -190,7 +190,7 @@
                 Integer.parseInt(figures.get("lines")),
                 way,
                 way,
-                new EmulatedNode.Work(
+                new EmulatedNode.ServiceModel(
                         Integer.parseInt(figures.get("cores")),
                         Integer.parseInt(figures.get("queue")),
                         3000,
@@ -212,12 +212,12 @@
 
     /** ask ID KIND BUDGET SHARDS ROUTER */
     private void ask(String[] w) {
-        Load.Kind kind = KINDS.get(w[2]);
-        TwoSites.Running at = world.routers.get(w[5]);
+        LoadGenerator.LookupKind kind = KINDS.get(w[2]);
+        TwoSites.RunningRouter at = world.routers.get(w[5]);
         List<Integer> shards = new ArrayList<>(
                 Arrays.stream(w[4].split(",")).map(Integer::parseInt).toList());
-        Load.Asked a = new Load.Asked(
-                new EmulatedClient.Ask(
+        LoadGenerator.LookupRecord a = new LoadGenerator.LookupRecord(
+                new EmulatedClient.LookupRequest(
                         w[1],
                         w[2],
                         Long.parseLong(w[3]),
@@ -228,44 +228,44 @@
                 at,
                 false);
         asked.put(w[1], a);
-        clients.put(w[1], world.ground.on(() -> {
-            a.dueUs = world.ground.now();
-            return at.clients.ask(a.ask, answer -> a.answer = answer);
+        clients.put(w[1], world.emulatorLoop.call(() -> {
+            a.dueUs = world.emulatorLoop.now();
+            return at.clients.send(a.ask, answer -> a.answer = answer);
         }));
     }
 
     /** ID &lt; whole|partial|nacked|aborted|any [within MS] [again] */
-    private void hears(Load.Asked a, String[] w) throws Exception {
-        until(() -> world.ground.on(() -> a.answer != null), "no answer");
-        EmulatedClient.Answer got = a.answer;
-        String ending = got.whole()
+    private void hears(LoadGenerator.LookupRecord a, String[] w) throws Exception {
+        until(() -> world.emulatorLoop.call(() -> a.answer != null), "no answer");
+        EmulatedClient.LookupResponse got = a.answer;
+        String ending = got.isComplete()
                 ? "whole"
                 : got.status() == 200
                         ? "partial"
-                        : a.nacked()
+                        : a.isRejected()
                                 ? "nacked"
                                 : got.status() == 504 ? "aborted" : String.valueOf(got.status());
         assertTrue(
                 Arrays.asList(w[2].split("\\|")).contains(ending) || w[2].equals("any"),
-                ending + " after " + a.tookUs() / 1000 + " ms");
+                ending + " after " + a.latencyUs() / 1000 + " ms");
         for (int i = 3; i < w.length; i++) {
             if (w[i].equals("within")) {
                 assertTrue(
-                        a.tookUs() <= 1000 * Long.parseLong(w[++i]),
-                        "after " + a.tookUs() / 1000 + " ms");
+                        a.latencyUs() <= 1000 * Long.parseLong(w[++i]),
+                        "after " + a.latencyUs() / 1000 + " ms");
             } else {
-                assertTrue(got.comeBackUs() > 0, "no time to come back");
+                assertTrue(got.retryAfterUs() > 0, "no time to come back");
             }
         }
     }
 
-    private static void say(EmulatedLine line, String[] w) {
+    private static void say(EmulatedLink line, String[] w) {
         switch (w[2]) {
             case "cut" -> line.cut();
-            case "snap" -> line.snap();
-            case "mend" -> line.mend();
-            case "silent" -> line.silent(!w[3].equals("back"), !w[3].equals("there"));
-            case "noise" -> line.noise(Double.parseDouble(w[3]));
+            case "snap" -> line.resetConnections();
+            case "mend" -> line.heal();
+            case "silent" -> line.blackhole(!w[3].equals("back"), !w[3].equals("there"));
+            case "noise" -> line.corruptionRate(Double.parseDouble(w[3]));
             case "after" ->
                 line.cutAfter(
                         w[3].equals("there") ? Long.parseLong(w[4]) : -1,
@@ -276,15 +276,15 @@
 
     private static void say(EmulatedNode node, String[] w) {
         switch (w[2]) {
-            case "goodbye" -> node.goodbye(Integer.parseInt(w[3]), w.length > 4);
+            case "goodbye" -> node.goAway(Integer.parseInt(w[3]), w.length > 4);
             case "streams" -> node.http2(h -> h.streams = Integer.parseInt(w[3]));
-            case "refuses" -> node.http2(h -> h.refuses = Integer.parseInt(w[3]));
-            case "resets" -> node.http2(h -> h.resets = Integer.parseInt(w[3]));
-            case "frames" -> node.http2(h -> h.spoken = false);
-            case "window" -> node.http2(h -> h.firstWindow = Integer.parseInt(w[3]));
-            case "dies" -> node.die();
-            case "lives" -> node.live();
-            default -> node.mood(EmulatedNode.Mood.valueOf(w[2].toUpperCase(Locale.ROOT)));
+            case "refuses" -> node.http2(h -> h.refuseNext = Integer.parseInt(w[3]));
+            case "resets" -> node.http2(h -> h.resetNext = Integer.parseInt(w[3]));
+            case "frames" -> node.http2(h -> h.supported = false);
+            case "window" -> node.http2(h -> h.initialWindow = Integer.parseInt(w[3]));
+            case "dies" -> node.kill();
+            case "lives" -> node.restart();
+            default -> node.behavior(EmulatedNode.Behavior.valueOf(w[2].toUpperCase(Locale.ROOT)));
         }
     }
 
--- a/src/test/java/tinlink/lab/SitesTest.java
+++ b/src/test/java/tinlink/experiment/TwoSitesTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab;
+package tinlink.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -24,7 +24,7 @@
  * Two whole sites, real routers between emulated servers: what the gateway promises, with its
  * failures caused.
  */
-class SitesTest {
+class TwoSitesTest {
     private static final Logger LOG = Logger.getLogger("tinlink");
 
     @BeforeAll
@@ -40,7 +40,7 @@
     @MethodSource
     @Timeout(60)
     void sites(String title, List<String> script) throws Exception {
-        try (SitesPlayer p = new SitesPlayer()) {
+        try (TwoSitesPlayer p = new TwoSitesPlayer()) {
             p.play(script);
         }
     }
@@ -53,7 +53,7 @@
     @CsvSource({"once, there", "once, back", "pay, there", "pay, back", "sum, there", "sum, back"})
     @Timeout(120)
     void cutAtEachByte(String kind, String way) throws Exception {
-        try (SitesPlayer p = new SitesPlayer()) {
+        try (TwoSitesPlayer p = new TwoSitesPlayer()) {
             p.line("start".split(" "));
             for (int at = 0; at < 260; at += 26) {
                 p.line("joined".split(" "));
@@ -71,7 +71,7 @@
     @ValueSource(longs = 5)
     @Timeout(60)
     void lab(long seed, @TempDir Path folder) throws Exception {
-        assertTrue(new GatewayLab(seed, 20, 4, folder).run());
+        assertTrue(new GatewayExperiment(seed, 20, 4, folder).run());
         assertTrue(folder.resolve("latency.png").toFile().length() > 1000);
         assertEquals(true, folder.resolve("table.txt").toFile().exists());
     }
--- a/src/test/java/tinlink/lab/processes/ChildTest.java
+++ b/src/test/java/tinlink/experiment/processes/ChildTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,6 +10,6 @@
 class ChildTest {
     @Test
     void theMainClassOfAChildIsTheProgramsEntry() {
-        assertEquals(Main.class.getName(), Child.MAIN_CLASS);
+        assertEquals(Main.class.getName(), RouterProcess.MAIN_CLASS);
     }
 }
--- a/src/test/java/tinlink/lab/processes/WorkProcessesTest.java
+++ b/src/test/java/tinlink/experiment/processes/MaintenanceProcessesTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,8 +14,8 @@
 import tinlink.cli.Commands;
 import tinlink.emulator.EmulatedFleet;
 import tinlink.emulator.EmulatedNode;
-import tinlink.lab.Load;
-import tinlink.lab.Rules;
+import tinlink.experiment.LoadGenerator;
+import tinlink.experiment.LookupRules;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -33,7 +33,7 @@
  * One fleet serves all of them; before each the whole fleet has to be at rest.
  */
 @Timeout(120)
-class WorkProcessesTest {
+class MaintenanceProcessesTest {
     private static final long PATIENCE_MS = 30_000;
     private static Fleet fleet;
     private static int asked;
@@ -55,31 +55,31 @@
     @AfterAll
     static void end() throws IOException {
         fleet.close();
-        assertEquals(0, Child.running(), "processes left behind");
+        assertEquals(0, RouterProcess.running(), "processes left behind");
     }
 
     /** All routers run and know each other, all machines are sound and here, no work is in hand. */
     @BeforeEach
     void atRest() throws IOException, InterruptedException {
-        fleet.mendAll();
-        for (Child c : fleet.routers.values()) {
-            c.goOn();
+        fleet.healAll();
+        for (RouterProcess c : fleet.routers.values()) {
+            c.resume();
         }
-        fleet.around.nodes.forEach((id, n) -> {
-            n.live();
-            fleet.around.tell(id, "in_service");
+        fleet.emulated.nodes.forEach((id, n) -> {
+            n.restart();
+            fleet.emulated.publish(id, "in_service");
         });
         fleet.startAll();
         fleet.awaitAgreed(PATIENCE_MS);
-        for (var r : Fleet.say(router(0), Map.of("do", "list")).body().path("requests")) {
+        for (var r : Fleet.send(router(0), Map.of("do", "list")).body().path("requests")) {
             if (!r.path("over").asBoolean()) { // Left by a case that failed.
-                Fleet.say(router(0), Map.of("do", "call-off", "id", r.path("id").asText()));
-                Fleet.say(router(0), Map.of("do", "done", "id", r.path("id").asText()));
+                Fleet.send(router(0), Map.of("do", "call-off", "id", r.path("id").asText()));
+                Fleet.send(router(0), Map.of("do", "done", "id", r.path("id").asText()));
             }
         }
-        Fleet.until(PATIENCE_MS, "all machines sound and here", () -> {
-            for (Child c : fleet.routers.values()) {
-                var all = Fleet.say(c, Map.of("do", "machines")).body().path("machines");
+        Fleet.await(PATIENCE_MS, "all machines sound and here", () -> {
+            for (RouterProcess c : fleet.routers.values()) {
+                var all = Fleet.send(c, Map.of("do", "machines")).body().path("machines");
                 int well = 0;
                 for (var m : all) {
                     well += m.path("sound").asBoolean()
@@ -95,15 +95,15 @@
         });
     }
 
-    private static Child router(int n) {
+    private static RouterProcess router(int n) {
         return fleet.routers.get("r" + n);
     }
 
-    private static Fleet.Told ask(Child at, String id, List<String> machines, long forMs)
+    private static Fleet.ControlResponse ask(RouterProcess at, String id, List<String> machines, long forMs)
             throws InterruptedException {
-        Fleet.Told t = new Fleet.Told(0, null);
+        Fleet.ControlResponse t = new Fleet.ControlResponse(0, null);
         for (int i = 0; i < 50 && t.status() != 200; i++) {
-            t = Fleet.say(at, Map.of("do", "ask", "id", id, "machines", machines, "for_ms", forMs));
+            t = Fleet.send(at, Map.of("do", "ask", "id", id, "machines", machines, "for_ms", forMs));
             Thread.sleep(t.status() == 200 ? 0 : 200);
         }
         assertEquals(200, t.status(), id);
@@ -112,25 +112,25 @@
 
     private static String ask(String... machines) throws InterruptedException {
         String id = "w" + asked++;
-        assertEquals("", ask(router(0), id, List.of(machines), 60_000).said());
+        assertEquals("", ask(router(0), id, List.of(machines), 60_000).message());
         return id;
     }
 
-    private static void is(Child at, String id, String machine, String... states)
+    private static void is(RouterProcess at, String id, String machine, String... states)
             throws InterruptedException {
         try {
-            Fleet.until(
+            Fleet.await(
                     PATIENCE_MS, "", () -> List.of(states).contains(Fleet.state(at, id, machine)));
         } catch (IllegalStateException e) {
             throw new AssertionError(
                     machine + " of " + id + " is not " + String.join(" or ", states) + ": "
-                            + Fleet.say(at, Map.of("do", "show", "id", id)).body(),
+                            + Fleet.send(at, Map.of("do", "show", "id", id)).body(),
                     e);
         }
     }
 
-    private static String why(Child at, String id) {
-        return Fleet.say(at, Map.of("do", "show", "id", id))
+    private static String why(RouterProcess at, String id) {
+        return Fleet.send(at, Map.of("do", "show", "id", id))
                 .body()
                 .path("request")
                 .path("machines")
@@ -139,13 +139,13 @@
                 .asText();
     }
 
-    private static void whySays(Child at, String id, String words) throws InterruptedException {
-        Fleet.until(
+    private static void whySays(RouterProcess at, String id, String words) throws InterruptedException {
+        Fleet.await(
                 PATIENCE_MS, words + ", not: " + why(at, id), () -> why(at, id).contains(words));
     }
 
     private static long fence(String id) {
-        return Fleet.say(router(0), Map.of("do", "show", "id", id))
+        return Fleet.send(router(0), Map.of("do", "show", "id", id))
                 .body()
                 .path("request")
                 .path("machines")
@@ -155,45 +155,45 @@
     }
 
     /** Says it until it is known to be agreed. */
-    private static void say(Child at, Map<String, ?> what) throws InterruptedException {
-        Fleet.until(PATIENCE_MS, what + " is agreed", () -> Fleet.say(at, what).status() == 200);
+    private static void say(RouterProcess at, Map<String, ?> what) throws InterruptedException {
+        Fleet.await(PATIENCE_MS, what + " is agreed", () -> Fleet.send(at, what).status() == 200);
     }
 
     private static void done(String id) throws InterruptedException {
-        say(fleet.up().iterator().next(), Map.of("do", "done", "id", id));
+        say(fleet.running().iterator().next(), Map.of("do", "done", "id", id));
     }
 
     @Test
     void aNodeGoesAndComesBackUnderLoadAndNothingIsSentToItWhileItIsOut() throws Exception {
-        Load load = new Load(fleet.ground, fleet.fronts.values());
+        LoadGenerator load = new LoadGenerator(fleet.emulatorLoop, fleet.clientGroups.values());
         load.run(
                 new SplittableRandom(1),
                 "load",
                 4,
                 20,
                 List.of(
-                        new Load.Kind("find", false, false, 0, 0.3),
-                        new Load.Kind("pay", true, false, 1_500_000, 1),
-                        new Load.Kind("once", false, true, 0, 1)),
+                        new LoadGenerator.LookupKind("find", false, false, 0, 0.3),
+                        new LoadGenerator.LookupKind("pay", true, false, 1_500_000, 1),
+                        new LoadGenerator.LookupKind("once", false, true, 0, 1)),
                 0,
-                Front.BUDGET_MS);
-        Operators ops = new Operators(fleet, 2);
-        ops.ask("n-load", List.of("n0-0"), 500, 5);
-        ops.ask("r-load", List.of("r5"), 500, 5);
+                ClientGroup.BUDGET_MS);
+        SimulatedOperators ops = new SimulatedOperators(fleet, 2);
+        ops.submit("n-load", List.of("n0-0"), 500, 5);
+        ops.submit("r-load", List.of("r5"), 500, 5);
         ops.await(PATIENCE_MS);
         load.await(PATIENCE_MS);
         ops.end();
         assertEquals(Map.of("n-load/n0-0", "back", "r-load/r5", "back"), ops.ended());
         assertEquals(List.of(), List.copyOf(ops.staleActs));
         assertEquals(List.of(), List.copyOf(ops.faults));
-        Rules rules = new Rules();
-        List<Load.Asked> all = load.asked(a -> true);
-        fleet.ground.run(() -> rules.check(all, fleet.runs));
+        LookupRules rules = new LookupRules();
+        List<LoadGenerator.LookupRecord> all = load.records(a -> true);
+        fleet.emulatorLoop.run(() -> rules.check(all, fleet.runLog));
         // How fast is not judged here: the machine may be busy with something else.
         assertEquals(List.of(), rules.lost);
         assertEquals(List.of(), rules.repeated);
         assertEquals(List.of(), rules.dishonest);
-        assertTrue(all.stream().filter(Load.Asked::satisfied).count() > all.size() / 2);
+        assertTrue(all.stream().filter(LoadGenerator.LookupRecord::isSatisfied).count() > all.size() / 2);
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // What the routers hold is asserted below.
@@ -206,7 +206,7 @@
         assertTrue(two.awaitTermination(PATIENCE_MS, TimeUnit.MILLISECONDS));
         is(router(2), "both-a", "n1-0", "out", "waiting");
         is(router(2), "both-b", "n1-1", "out", "waiting");
-        Fleet.until(
+        Fleet.await(
                 PATIENCE_MS,
                 "one is out",
                 () -> Fleet.state(router(2), "both-a", "n1-0").equals("out")
@@ -224,7 +224,7 @@
     void askedTwiceItIsOneRequestAndAnotherOfThatIdIsRefused() throws Exception {
         ask(router(0), "twice", List.of("n2-0"), 60_000);
         is(router(0), "twice", "n2-0", "out");
-        assertEquals("", ask(router(1), "twice", List.of("n2-0"), 60_000).said());
+        assertEquals("", ask(router(1), "twice", List.of("n2-0"), 60_000).message());
         assertEquals("out", Fleet.state(router(1), "twice", "n2-0"));
         done("twice");
         is(router(0), "twice", "n2-0", "back");
@@ -237,18 +237,18 @@
         String id = ask("no-such-machine");
         is(router(0), id, "no-such-machine", "refused");
         assertEquals("no machine has that name", why(router(0), id));
-        Fleet.Told t = Fleet.say(router(0), "wrong-token-of-somebody", Map.of("do", "list"));
+        Fleet.ControlResponse t = Fleet.send(router(0), "wrong-token-of-somebody", Map.of("do", "list"));
         assertEquals(401, t.status());
         assertTrue(t.body().path("requests").isMissingNode());
-        assertEquals(400, Fleet.say(router(0), Map.of("do", "dance")).status());
+        assertEquals(400, Fleet.send(router(0), Map.of("do", "dance")).status());
     }
 
     @Test
     void theLeaderIsKilledAsItGrantsAndTheGrantStands() throws Exception {
-        Child leader = fleet.leader();
-        Child other = fleet.up().stream().filter(c -> c != leader).findFirst().orElseThrow();
+        RouterProcess leader = fleet.leader();
+        RouterProcess other = fleet.running().stream().filter(c -> c != leader).findFirst().orElseThrow();
         String id = ask("n0-1");
-        fleet.fronts.get(leader.name).lost();
+        fleet.clientGroups.get(leader.name).routerLost();
         leader.kill();
         is(other, id, "n0-1", "draining", "out");
         whySays(other, id, leader.name); // It may have something open there: nobody but it can say.
@@ -260,7 +260,7 @@
 
     @Test
     void aRouterThatIsGrantedDiesAndDrainsAnewOnlyByItsNewLife() throws Exception {
-        Child c = router(5);
+        RouterProcess c = router(5);
         String id = ask("r5");
         is(router(0), id, "r5", "granted", "draining", "out");
         c.kill();
@@ -281,9 +281,9 @@
     void aSecondHolderFailsWhileTheFirstIsOutAndAllFurtherGrantsPause() throws Exception {
         String id = ask("n3-0");
         is(router(0), id, "n3-0", "out");
-        fleet.around.nodes.get("n3-1").die();
-        Fleet.until(PATIENCE_MS, "its failure is seen", () -> {
-            for (var m : Fleet.say(router(0), Map.of("do", "machines")).body().path("machines")) {
+        fleet.emulated.nodes.get("n3-1").kill();
+        Fleet.await(PATIENCE_MS, "its failure is seen", () -> {
+            for (var m : Fleet.send(router(0), Map.of("do", "machines")).body().path("machines")) {
                 if (m.path("id").asText().equals("n3-1")) {
                     return !m.path("sound").asBoolean();
                 }
@@ -292,7 +292,7 @@
         });
         String next = ask("n0-2");
         whySays(router(4), next, "nothing is granted while block 3");
-        fleet.around.nodes.get("n3-1").live();
+        fleet.emulated.nodes.get("n3-1").restart();
         is(router(4), next, "n0-2", "out");
         done(id);
         done(next);
@@ -302,15 +302,15 @@
 
     @Test
     void theCutBetweenSitesFallsBetweenGrantAndDrain() throws Exception {
-        Child leader = fleet.leader();
+        RouterProcess leader = fleet.leader();
         boolean north = fleet.site(fleet.zoneOf(leader)).equals("s0");
-        Child far = fleet.routers.values().stream()
+        RouterProcess far = fleet.routers.values().stream()
                 .filter(c -> fleet.site(fleet.zoneOf(c)).equals("s0") != north)
                 .findFirst()
                 .orElseThrow();
-        fleet.cutOff(c -> fleet.site(fleet.zoneOf(c)).equals("s0"));
+        fleet.isolate(c -> fleet.site(fleet.zoneOf(c)).equals("s0"));
         String id = "cut" + asked++;
-        Child near = fleet.routers.values().stream()
+        RouterProcess near = fleet.routers.values().stream()
                 .filter(c -> fleet.site(fleet.zoneOf(c)).equals("s0"))
                 .findFirst()
                 .orElseThrow();
@@ -318,7 +318,7 @@
         is(near, id, "n2-1", "draining", "waiting");
         Thread.sleep(1000);
         assertNotEquals("out", Fleet.state(near, id, "n2-1"), "the other site may send there yet");
-        fleet.mendAll();
+        fleet.healAll();
         is(far, id, "n2-1", "out");
         done(id);
         is(far, id, "n2-1", "back");
@@ -326,9 +326,9 @@
 
     @Test
     void aRouterThatHearsButIsNotHeardHoldsUpWhatItMaySendTo() throws Exception {
-        Child leader = fleet.leader();
-        Child mute = router(5);
-        for (Child c : fleet.routers.values()) {
+        RouterProcess leader = fleet.leader();
+        RouterProcess mute = router(5);
+        for (RouterProcess c : fleet.routers.values()) {
             if (c != mute) {
                 fleet.cut(mute.name, c.name);
             }
@@ -336,7 +336,7 @@
         String id = "mute" + asked++;
         ask(leader, id, List.of("n1-2"), 60_000);
         whySays(leader, id, "r5");
-        fleet.mendAll();
+        fleet.healAll();
         is(leader, id, "n1-2", "out");
         done(id);
         is(leader, id, "n1-2", "back");
@@ -344,24 +344,24 @@
 
     @Test
     void aRouterPausedPastTheEndOfItsGrantDoesNothingByItAsItWakes() throws Exception {
-        Child c = router(5);
+        RouterProcess c = router(5);
         c.pause();
         String id = ask("r5");
         // A grant of it ends a second after it was made, and the next one has another number.
         long first = fence(id);
-        Fleet.until(PATIENCE_MS, "another grant", () -> fence(id) > Math.max(1, first));
+        Fleet.await(PATIENCE_MS, "another grant", () -> fence(id) > Math.max(1, first));
         say(router(0), Map.of("do", "call-off", "id", id));
         is(router(0), id, "r5", "called off");
-        c.goOn();
+        c.resume();
         fleet.awaitAgreed(PATIENCE_MS);
         Thread.sleep(500);
         assertTrue(ready(c), "it lets its clients go by a grant that is over");
     }
 
     /** What clients that look are told. */
-    private static boolean ready(Child c) throws IOException {
+    private static boolean ready(RouterProcess c) throws IOException {
         var h = (java.net.HttpURLConnection)
-                new java.net.URL("http://127.0.0.1:" + c.serves().getPort() + "/-/ready")
+                new java.net.URL("http://127.0.0.1:" + c.clientAddress().getPort() + "/-/ready")
                         .openConnection();
         h.setConnectTimeout(1000);
         return h.getResponseCode() == 200;
@@ -376,7 +376,7 @@
             done(id); // It was faster: out is out, and it has to be given back.
             is(router(0), id, "r4", "back");
         }
-        Fleet.until(PATIENCE_MS, "its door is open", () -> {
+        Fleet.await(PATIENCE_MS, "its door is open", () -> {
             try {
                 return ready(router(4));
             } catch (IOException e) {
@@ -389,7 +389,7 @@
     void allRoutersAreKilledInTheMiddleAndWhatWasAgreedStands() throws Exception {
         String out = ask("n2-2");
         is(router(0), out, "n2-2", "out");
-        for (Child c : fleet.routers.values()) {
+        for (RouterProcess c : fleet.routers.values()) {
             c.kill();
         }
         fleet.startAll();
@@ -408,36 +408,36 @@
     void withTheMajorityLostNothingIsGrantedAndServingGoesOn() throws Exception {
         String out = ask("n0-0");
         is(router(0), out, "n0-0", "out");
-        List<Child> lost = List.of(router(0), router(1), router(2));
-        for (Child c : lost) {
-            fleet.fronts.get(c.name).lost();
+        List<RouterProcess> lost = List.of(router(0), router(1), router(2));
+        for (RouterProcess c : lost) {
+            fleet.clientGroups.get(c.name).routerLost();
             c.kill();
         }
-        Child left = router(4);
-        Fleet.until(
+        RouterProcess left = router(4);
+        Fleet.await(
                 PATIENCE_MS,
                 "it says that nobody leads",
-                () -> Fleet.say(left, Map.of("do", "list")).body().has("note"));
-        Fleet.Told t = Fleet.say(
+                () -> Fleet.send(left, Map.of("do", "list")).body().has("note"));
+        Fleet.ControlResponse t = Fleet.send(
                 left,
                 Map.of("do", "ask", "id", "none", "machines", List.of("n1-0"), "for_ms", 1000));
         assertEquals(503, t.status());
-        assertTrue(t.said().contains("not known to be agreed"), t.said());
-        Load load = new Load(fleet.ground, List.of(fleet.fronts.get("r4"), fleet.fronts.get("r5")));
+        assertTrue(t.message().contains("not known to be agreed"), t.message());
+        LoadGenerator load = new LoadGenerator(fleet.emulatorLoop, List.of(fleet.clientGroups.get("r4"), fleet.clientGroups.get("r5")));
         load.run(
                 new SplittableRandom(3),
                 "alone",
                 1,
                 30,
-                List.of(new Load.Kind("find", false, false, 0, 0.3)),
+                List.of(new LoadGenerator.LookupKind("find", false, false, 0, 0.3)),
                 0,
-                Front.BUDGET_MS);
+                ClientGroup.BUDGET_MS);
         load.await(PATIENCE_MS);
-        List<Load.Asked> all = load.asked(a -> true);
-        assertTrue(all.stream().allMatch(Load.Asked::satisfied), "served while nobody agrees");
-        fleet.ground.run(() -> all.forEach(a -> a.ask.shards()
-                .forEach(s -> fleet.runs
-                        .of(a.ask.id() + "." + s)
+        List<LoadGenerator.LookupRecord> all = load.records(a -> true);
+        assertTrue(all.stream().allMatch(LoadGenerator.LookupRecord::isSatisfied), "served while nobody agrees");
+        fleet.emulatorLoop.run(() -> all.forEach(a -> a.ask.shards()
+                .forEach(s -> fleet.runLog
+                        .runsOf(a.ask.id() + "." + s)
                         .forEach(r -> assertNotEquals("n0-0", r.node(), "it is out")))));
         fleet.startAll();
         fleet.awaitAgreed(PATIENCE_MS);
@@ -447,13 +447,13 @@
 
     @Test
     void listsThatDifferTakeNoMachineOutOfCount() throws Exception {
-        EmulatedFleet around = fleet.around;
-        List<EmulatedFleet.View> some = around.views().subList(0, 2);
-        some.forEach(v -> v.tell("n3-2", "terminated"));
+        EmulatedFleet around = fleet.emulated;
+        List<EmulatedFleet.RouterView> some = around.views().subList(0, 2);
+        some.forEach(v -> v.publish("n3-2", "terminated"));
         Thread.sleep(1500);
         String id = ask("n3-2");
         is(router(4), id, "n3-2", "out");
-        some.forEach(v -> v.tell("n3-2", "in_service"));
+        some.forEach(v -> v.publish("n3-2", "in_service"));
         done(id);
         is(router(4), id, "n3-2", "back");
     }
@@ -464,14 +464,14 @@
         ask(router(0), id, List.of("n1-0"), 300);
         is(router(0), id, "n1-0", "overdue");
         assertTrue(why(router(0), id).contains("longer than was asked"), why(router(0), id));
-        EmulatedNode n = fleet.around.nodes.get("n1-0");
-        n.die();
-        fleet.around.tell("n1-0", "terminated");
+        EmulatedNode n = fleet.emulated.nodes.get("n1-0");
+        n.kill();
+        fleet.emulated.publish("n1-0", "terminated");
         Thread.sleep(2000); // Lists that still have it are old by then, and count for nothing.
         say(router(0), Map.of("do", "done", "id", id, "lost", true));
         whySays(router(3), id, "does not come back");
-        Fleet.until(PATIENCE_MS, "it is gone", () -> {
-            for (var m : Fleet.say(router(0), Map.of("do", "machines")).body().path("machines")) {
+        Fleet.await(PATIENCE_MS, "it is gone", () -> {
+            for (var m : Fleet.send(router(0), Map.of("do", "machines")).body().path("machines")) {
                 if (m.path("id").asText().equals("n1-0")) {
                     return false;
                 }
@@ -482,15 +482,15 @@
         String next = ask("n1-1");
         is(router(0), next, "n1-1", "refused", "waiting");
         say(router(0), Map.of("do", "call-off", "id", next));
-        n.live();
-        fleet.around.tell("n1-0", "in_service");
+        n.restart();
+        fleet.emulated.publish("n1-0", "in_service");
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // What the routers hold is asserted below.
     @Test
     void aThousandRequestsAtOnceAreAllKnownAndOneOfABlockGoes() throws Exception {
         ExecutorService many = Executors.newFixedThreadPool(16);
-        List<String> nodes = List.copyOf(fleet.around.nodes.keySet());
+        List<String> nodes = List.copyOf(fleet.emulated.nodes.keySet());
         for (int i = 0; i < 1000; i++) {
             int n = i;
             many.submit(() ->
@@ -498,16 +498,16 @@
         }
         many.shutdown();
         assertTrue(many.awaitTermination(60, TimeUnit.SECONDS));
-        Fleet.until(
+        Fleet.await(
                 PATIENCE_MS,
                 "all are known",
-                () -> Fleet.say(router(3), Map.of("do", "list"))
+                () -> Fleet.send(router(3), Map.of("do", "list"))
                                 .body()
                                 .path("requests")
                                 .size()
                         >= 1000);
         int away = 0;
-        for (var m : Fleet.say(router(3), Map.of("do", "machines")).body().path("machines")) {
+        for (var m : Fleet.send(router(3), Map.of("do", "machines")).body().path("machines")) {
             away += m.path("away").asText().isEmpty() ? 0 : 1;
         }
         assertTrue(
@@ -518,22 +518,22 @@
             int n = i;
             off.submit(() -> {
                 say(router(n % 6), Map.of("do", "call-off", "id", "many" + n));
-                Fleet.say(router(n % 6), Map.of("do", "done", "id", "many" + n));
+                Fleet.send(router(n % 6), Map.of("do", "done", "id", "many" + n));
                 return null;
             });
         }
         off.shutdown();
         assertTrue(off.awaitTermination(60, TimeUnit.SECONDS));
-        Fleet.until(PATIENCE_MS, "all are over", () -> {
+        Fleet.await(PATIENCE_MS, "all are over", () -> {
             List<String> open = new ArrayList<>();
-            for (var r : Fleet.say(router(3), Map.of("do", "list")).body().path("requests")) {
+            for (var r : Fleet.send(router(3), Map.of("do", "list")).body().path("requests")) {
                 if (!r.path("over").asBoolean()) {
                     open.add(r.path("id").asText());
                 }
             }
             for (String id : open) {
-                Fleet.say(router(3), Map.of("do", "done", "id", id));
-                Fleet.say(router(3), Map.of("do", "call-off", "id", id));
+                Fleet.send(router(3), Map.of("do", "done", "id", id));
+                Fleet.send(router(3), Map.of("do", "call-off", "id", id));
             }
             return open.isEmpty();
         });
@@ -541,18 +541,18 @@
 
     @Test
     void aRouterWithAnotherKeyIsKnownToNobodyAndServesAllTheSame() throws Exception {
-        Child c = router(5);
+        RouterProcess c = router(5);
         c.stop(10_000);
         Path file = c.folder.resolve("peers.json5");
         String before = Files.readString(file);
         Files.writeString(file, before.replace("00112233", "99112233"));
         try {
             fleet.start(c);
-            Fleet.Told t = Fleet.say(c, Map.of("do", "router"));
+            Fleet.ControlResponse t = Fleet.send(c, Map.of("do", "router"));
             assertFalse(t.body().path("known").asBoolean(), t.body().toString());
             assertEquals(
                     503,
-                    Fleet.say(
+                    Fleet.send(
                                     c,
                                     Map.of(
                                             "do",
@@ -579,8 +579,8 @@
                 "--token-file",
                 token.toString(),
                 "--at",
-                fleet.up().stream()
-                        .map(c -> "127.0.0.1:" + c.control().getPort())
+                fleet.running().stream()
+                        .map(c -> "127.0.0.1:" + c.controlAddress().getPort())
                         .reduce((a, b) -> a + "," + b)
                         .orElseThrow()));
         all.addAll(List.of(words));
@@ -617,6 +617,6 @@
                 .filter(l -> l.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        Child.BOUNDS.forEach(b -> assertTrue(run.contains(" " + b + " "), b));
+        RouterProcess.BOUNDS.forEach(b -> assertTrue(run.contains(" " + b + " "), b));
     }
 }
--- a/src/test/java/tinlink/lab/processes/PolicyProcessesTest.java
+++ b/src/test/java/tinlink/experiment/processes/PolicyProcessesTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -43,14 +43,14 @@
     @AfterAll
     static void end() throws IOException {
         fleet.close();
-        assertEquals(0, Child.running(), "processes left behind");
+        assertEquals(0, RouterProcess.running(), "processes left behind");
     }
 
     @BeforeEach
     void atRest() throws IOException, InterruptedException {
-        fleet.mendAll();
-        for (Child c : fleet.routers.values()) {
-            c.goOn();
+        fleet.healAll();
+        for (RouterProcess c : fleet.routers.values()) {
+            c.resume();
         }
         fleet.startAll();
         fleet.awaitAgreed(PATIENCE_MS);
@@ -65,36 +65,36 @@
 
     /** All that run take lookups by the newest that any of them has heard of. */
     private static void hasCome() throws InterruptedException {
-        Fleet.until(PATIENCE_MS, "its time has come in all", () -> {
-            int newest = fleet.up().stream()
+        Fleet.await(PATIENCE_MS, "its time has come in all", () -> {
+            int newest = fleet.running().stream()
                     .mapToInt(c -> show(c).path("in_force").path("epoch").asInt())
                     .max()
                     .orElse(0);
-            return fleet.up().stream()
+            return fleet.running().stream()
                     .allMatch(c ->
                             epoch(c) == newest && show(c).path("why").asText().isEmpty());
         });
     }
 
-    private static Child router(int n) {
+    private static RouterProcess router(int n) {
         return fleet.routers.get("r" + n);
     }
 
-    private static JsonNode show(Child c) {
-        return Fleet.say(c, Map.of("do", "policy-show")).body();
+    private static JsonNode show(RouterProcess c) {
+        return Fleet.send(c, Map.of("do", "policy-show")).body();
     }
 
-    private static int epoch(Child c) {
+    private static int epoch(RouterProcess c) {
         return show(c).path("epoch").asInt(-1);
     }
 
-    private static Fleet.Told propose(Child at, String id, String text, int against) {
-        return Fleet.say(
+    private static Fleet.ControlResponse propose(RouterProcess at, String id, String text, int against) {
+        return Fleet.send(
                 at, Map.of("do", "policy-propose", "id", id, "text", text, "against", against));
     }
 
-    private static String state(Child c, String id) {
-        return Fleet.say(c, Map.of("do", "policy-status", "id", id))
+    private static String state(RouterProcess c, String id) {
+        return Fleet.send(c, Map.of("do", "policy-status", "id", id))
                 .body()
                 .path("change")
                 .path("state")
@@ -103,46 +103,46 @@
 
     /** Says it again and again, here and there, under one id, until it is settled. */
     private static void settle(String id, String text, String how) throws InterruptedException {
-        int against = fleet.up().stream()
+        int against = fleet.running().stream()
                 .mapToInt(c -> show(c).path("in_force").path("epoch").asInt())
                 .max()
                 .orElse(0);
         int[] n = new int[1];
-        Fleet.until(PATIENCE_MS, id + " is " + how, () -> {
-            List<Child> up = List.copyOf(fleet.up());
-            Child c = up.get(n[0]++ % up.size());
+        Fleet.await(PATIENCE_MS, id + " is " + how, () -> {
+            List<RouterProcess> up = List.copyOf(fleet.running());
+            RouterProcess c = up.get(n[0]++ % up.size());
             String s = state(c, id);
             if (s.isEmpty()) {
                 propose(c, id, text, against);
             }
             if (!s.isEmpty() && !s.equals("not settled") && !s.equals(how)) {
                 throw new AssertionError(id + " is " + s + " "
-                        + Fleet.say(c, Map.of("do", "policy-status", "id", id)).body());
+                        + Fleet.send(c, Map.of("do", "policy-status", "id", id)).body());
             }
             return s.equals(how);
         });
     }
 
-    private static CompletableFuture<EmulatedClient.Answer> ask(Child c, String id) {
-        CompletableFuture<EmulatedClient.Answer> f = new CompletableFuture<>();
-        fleet.fronts
+    private static CompletableFuture<EmulatedClient.LookupResponse> ask(RouterProcess c, String id) {
+        CompletableFuture<EmulatedClient.LookupResponse> f = new CompletableFuture<>();
+        fleet.clientGroups
                 .get(c.name)
-                .askHere(
-                        new EmulatedClient.Ask(id, "find", 1400, List.of(0), "t", null),
+                .sendHere(
+                        new EmulatedClient.LookupRequest(id, "find", 1400, List.of(0), "t", null),
                         f::complete);
         return f;
     }
 
     /** The time that a lookup at that router gives its data node; -1 where it was not taken. */
-    private static long wait(Child c) throws Exception {
+    private static long wait(RouterProcess c) throws Exception {
         String id = "l" + asked++;
-        EmulatedClient.Answer a = ask(c, id).get(10, TimeUnit.SECONDS);
-        if (a.status() != 200) {
-            assertEquals(503, a.status(), a.body());
-            assertTrue(a.body().contains("no lookups are taken"), a.body());
+        EmulatedClient.LookupResponse response = ask(c, id).get(10, TimeUnit.SECONDS);
+        if (response.status() != 200) {
+            assertEquals(503, response.status(), response.body());
+            assertTrue(response.body().contains("no lookups are taken"), response.body());
             return -1;
         }
-        return fleet.ground.on(() -> fleet.runs.waitOf(id + ".0"));
+        return fleet.emulatorLoop.call(() -> fleet.runLog.timeoutMsOf(id + ".0"));
     }
 
     /** With nothing gained by late answers a call has the soft deadline's time. */
@@ -156,16 +156,16 @@
         long before = wait(router(1));
         settle("short", policy(300, "rule: 'withdraw', wait_ms: 5000"), "in force");
         Set<String> told = new HashSet<>();
-        for (Child c : fleet.routers.values()) {
-            Fleet.until(PATIENCE_MS, c.name + " knows", () -> state(c, "short").equals("in force"));
-            JsonNode s = Fleet.say(c, Map.of("do", "policy-status", "id", "short"))
+        for (RouterProcess c : fleet.routers.values()) {
+            Fleet.await(PATIENCE_MS, c.name + " knows", () -> state(c, "short").equals("in force"));
+            JsonNode s = Fleet.send(c, Map.of("do", "policy-status", "id", "short"))
                     .body()
                     .path("change");
             told.add(s.path("epoch") + " at " + s.path("at_us"));
         }
         assertEquals(1, told.size(), "one outcome: " + told);
         hasCome();
-        for (Child c : fleet.routers.values()) {
+        for (RouterProcess c : fleet.routers.values()) {
             long now = wait(c);
             assertTrue(
                     now > 0 && now < before && now <= 300,
@@ -179,10 +179,10 @@
                                 "short",
                                 policy(300, "rule: 'withdraw', wait_ms: 5000"),
                                 epoch - 1)
-                        .said());
+                        .message());
         assertEquals(epoch, epoch(router(3)));
         assertTrue(propose(router(2), "late", policy(200, "rule: 'withdraw'"), epoch - 1)
-                .said()
+                .message()
                 .contains("is written against epoch"));
     }
 
@@ -193,10 +193,10 @@
                 "large",
                 "{open_cap: 1500, absent: {rule: 'withdraw', wait_ms: 5000, hold_ms: 500}}",
                 "withdrawn");
-        for (Child c : fleet.routers.values()) {
-            Fleet.until(
+        for (RouterProcess c : fleet.routers.values()) {
+            Fleet.await(
                     PATIENCE_MS, c.name + " knows", () -> state(c, "large").equals("withdrawn"));
-            String why = Fleet.say(c, Map.of("do", "policy-status", "id", "large"))
+            String why = Fleet.send(c, Map.of("do", "policy-status", "id", "large"))
                     .body()
                     .path("change")
                     .path("why")
@@ -211,7 +211,7 @@
 
     @Test
     void withARouterDownItIsWithdrawnOrTakesHoldWithoutItAsIsChosen() throws Exception {
-        Child down = router(4);
+        RouterProcess down = router(4);
         settle("fenced", policy(1200, "rule: 'fence', wait_ms: 10000, lease_ms: 1000"), "in force");
         down.kill();
         settle("without", policy(250, "rule: 'fence', wait_ms: 10000, lease_ms: 1000"), "in force");
@@ -219,7 +219,7 @@
         fleet.start(down);
         // From its first breath on: it takes none, or by the new one.
         List<Long> waits = new ArrayList<>();
-        Fleet.until(PATIENCE_MS, "it takes lookups", () -> {
+        Fleet.await(PATIENCE_MS, "it takes lookups", () -> {
             try {
                 waits.add(wait(down));
                 return waits.get(waits.size() - 1) >= 0;
@@ -236,24 +236,24 @@
     @Test
     void aRouterThatWakesPastTheInstantTakesNothingByTheOldOne() throws Exception {
         settle("fences", policy(1300, "rule: 'fence', wait_ms: 10000, lease_ms: 1000"), "in force");
-        Child c = router(3);
+        RouterProcess c = router(3);
         hasCome();
         assertTrue(wait(c) > 250);
         c.pause();
         settle("newer", policy(200, "rule: 'fence', wait_ms: 10000, lease_ms: 1000"), "in force");
         hasCome();
-        List<CompletableFuture<EmulatedClient.Answer>> unread = new ArrayList<>();
+        List<CompletableFuture<EmulatedClient.LookupResponse>> unread = new ArrayList<>();
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             ids.add("unread" + asked++);
             unread.add(ask(c, ids.get(i))); // In its sockets before it wakes.
         }
-        c.goOn();
+        c.resume();
         for (int i = 0; i < 10; i++) {
-            EmulatedClient.Answer a = unread.get(i).get(10, TimeUnit.SECONDS);
+            EmulatedClient.LookupResponse response = unread.get(i).get(10, TimeUnit.SECONDS);
             String part = ids.get(i) + ".0";
-            long w = fleet.ground.on(() -> fleet.runs.waitOf(part));
-            assertTrue(w <= 200, "taken by the old one: " + w + " ms, " + a);
+            long w = fleet.emulatorLoop.call(() -> fleet.runLog.timeoutMsOf(part));
+            assertTrue(w <= 200, "taken by the old one: " + w + " ms, " + response);
         }
         hasCome();
         assertTrue(wait(c) <= 200);
@@ -261,29 +261,29 @@
 
     @Test
     void theLeaderIsKilledWhileAChangeIsOpenAndItEndsAllTheSame() throws Exception {
-        Child leader = fleet.leader();
-        Child other = fleet.routers.values().stream()
+        RouterProcess leader = fleet.leader();
+        RouterProcess other = fleet.routers.values().stream()
                 .filter(c -> c != leader)
                 .findFirst()
                 .orElseThrow();
         propose(other, "orphan", policy(700, "rule: 'wait', wait_ms: 60000"), epoch(other));
         leader.kill();
-        Fleet.until(
+        Fleet.await(
                 PATIENCE_MS,
                 "another leads",
                 () -> fleet.leader() != null && fleet.leader() != leader);
         fleet.start(leader);
         settle("orphan", policy(700, "rule: 'wait', wait_ms: 60000"), "in force");
-        for (Child c : fleet.routers.values()) {
-            Fleet.until(
+        for (RouterProcess c : fleet.routers.values()) {
+            Fleet.await(
                     PATIENCE_MS, c.name + " knows", () -> state(c, "orphan").equals("in force"));
         }
     }
 
     @Test
     void withTheMajorityGoneServingGoesOnOrStopsAsIsChosen() throws Exception {
-        List<Child> gone = List.of(router(0), router(1), router(2));
-        for (Child c : gone) {
+        List<RouterProcess> gone = List.of(router(0), router(1), router(2));
+        for (RouterProcess c : gone) {
             c.kill();
         }
         Thread.sleep(1500);
@@ -295,16 +295,16 @@
         fleet.awaitAgreed(PATIENCE_MS);
         settle("strict", policy(800, "rule: 'fence', wait_ms: 10000, lease_ms: 1000"), "in force");
         hasCome();
-        for (Child c : gone) {
+        for (RouterProcess c : gone) {
             c.kill();
         }
-        Fleet.until(
+        Fleet.await(
                 PATIENCE_MS,
                 "its lease has run out",
                 () -> show(router(3)).path("why").asText().contains("has not heard of a majority"));
         assertEquals(-1, wait(router(3)));
         fleet.startAll();
-        Fleet.until(
+        Fleet.await(
                 PATIENCE_MS,
                 "it serves again",
                 () -> show(router(3)).path("why").asText().isEmpty());
--- a/src/test/java/tinlink/lab/processes/OldDiskTest.java
+++ b/src/test/java/tinlink/experiment/processes/StaleDiskTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.processes;
+package tinlink.experiment.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,10 +14,10 @@
 
 /** A voter that comes back with a copy of its disk from before, or with none, never votes by it. */
 @Timeout(120)
-class OldDiskTest {
-    private static boolean votes(Child c) {
+class StaleDiskTest {
+    private static boolean votes(RouterProcess c) {
         try {
-            return c.said().contains("event=voter_started");
+            return c.output().contains("event=voter_started");
         } catch (java.io.IOException e) {
             return false;
         }
@@ -35,8 +35,8 @@
                 5))) {
             fleet.startAll();
             fleet.awaitAgreed(30_000);
-            Child leader = fleet.leader();
-            Child c = fleet.routers.values().stream()
+            RouterProcess leader = fleet.leader();
+            RouterProcess c = fleet.routers.values().stream()
                     .filter(x -> x != leader)
                     .findFirst()
                     .orElseThrow();
@@ -44,7 +44,7 @@
             for (String id : List.of("a", "b", "c")) {
                 assertEquals(
                         200,
-                        Fleet.say(
+                        Fleet.send(
                                         leader,
                                         Map.of(
                                                 "do",
@@ -57,10 +57,10 @@
                                                 1000))
                                 .status());
             }
-            Fleet.until(
+            Fleet.await(
                     10_000,
                     "it has heard of them",
-                    () -> Fleet.say(c, Map.of("do", "list"))
+                    () -> Fleet.send(c, Map.of("do", "list"))
                                     .body()
                                     .path("requests")
                                     .size()
@@ -68,17 +68,17 @@
             c.kill();
             c.disk(before);
             fleet.start(c);
-            Fleet.until(
+            Fleet.await(
                     20_000,
                     "it is found out",
-                    () -> Fleet.say(c, Map.of("do", "router"))
+                    () -> Fleet.send(c, Map.of("do", "router"))
                             .body()
                             .path("old_disk")
                             .asBoolean());
-            assertFalse(c.said().contains("event=voter_started"), c.said());
+            assertFalse(c.output().contains("event=voter_started"), c.output());
             assertEquals(
                     200,
-                    Fleet.say(
+                    Fleet.send(
                                     leader,
                                     Map.of(
                                             "do",
@@ -90,25 +90,25 @@
                                             "for_ms",
                                             1000))
                             .status());
-            Child none = fleet.routers.values().stream()
+            RouterProcess none = fleet.routers.values().stream()
                     .filter(x -> x != leader && x != c)
                     .findFirst()
                     .orElseThrow();
             none.kill();
             none.disk(null);
             fleet.start(none);
-            Fleet.until(
+            Fleet.await(
                     20_000,
                     "it is found out",
-                    () -> Fleet.say(none, Map.of("do", "router"))
+                    () -> Fleet.send(none, Map.of("do", "router"))
                             .body()
                             .path("old_disk")
                             .asBoolean());
-            assertFalse(none.said().contains("event=voter_started"), none.said());
+            assertFalse(none.output().contains("event=voter_started"), none.output());
             assertNotEquals(null, fleet.leader());
             assertEquals(
                     200,
-                    Fleet.say(
+                    Fleet.send(
                                     fleet.leader(),
                                     Map.of(
                                             "do",
@@ -124,38 +124,38 @@
             // one.
             none.stop(10_000);
             fleet.start(none);
-            Fleet.until(20_000, "it votes with its new disk", () -> votes(none));
+            Fleet.await(20_000, "it votes with its new disk", () -> votes(none));
             assertTrue(
-                    none.said()
+                    none.output()
                             .matches("(?s).*event=voter_started router=" + none.name + " .*as=" + none.name
                                     + "/[0-9a-f]{8,}.*"),
-                    none.said());
+                    none.output());
             // The other one gets an empty folder, and is found out with it as well before it votes
             // by it.
             c.stop(10_000);
             c.disk(null);
             fleet.start(c);
-            Fleet.until(
+            Fleet.await(
                     20_000,
                     "it is found out",
-                    () -> Fleet.say(c, Map.of("do", "router"))
+                    () -> Fleet.send(c, Map.of("do", "router"))
                             .body()
                             .path("old_disk")
                             .asBoolean());
             c.stop(10_000);
             fleet.start(c);
-            Fleet.until(20_000, "it votes with its new disk", () -> votes(c));
+            Fleet.await(20_000, "it votes with its new disk", () -> votes(c));
             fleet.awaitAgreed(30_000);
-            Fleet.until(
+            Fleet.await(
                     20_000,
                     "what was agreed is with all",
-                    () -> fleet.up().stream()
-                            .allMatch(x -> Fleet.say(x, Map.of("do", "list"))
+                    () -> fleet.running().stream()
+                            .allMatch(x -> Fleet.send(x, Map.of("do", "list"))
                                             .body()
                                             .path("requests")
                                             .size()
                                     == 5));
         }
-        assertEquals(0, Child.running());
+        assertEquals(0, RouterProcess.running());
     }
 }
--- a/src/test/java/tinlink/lab/scale/CapacityPageTest.java
+++ b/src/test/java/tinlink/experiment/scale/CapacityPageTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/tinlink/lab/scale/ControlRunTest.java
+++ b/src/test/java/tinlink/experiment/scale/ControlRunTest.java
@@ -1,11 +1,11 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import static tinlink.lab.scale.ControlUse.Role.LEADER;
-import static tinlink.lab.scale.ControlUse.Role.ROUTER;
+import static tinlink.experiment.scale.ControlUse.Role.LEADER;
+import static tinlink.experiment.scale.ControlUse.Role.ROUTER;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/tinlink/lab/scale/ServingLabTest.java
+++ b/src/test/java/tinlink/experiment/scale/ServingExperimentTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,7 +16,7 @@
 
 /** The short form of the serving measurement, and that its checks and its readers of the JVM's words bite. */
 @Timeout(120)
-class ServingLabTest {
+class ServingExperimentTest {
     private static ServingLoad.Result result(int asked, int whole) {
         Histogram none = new Histogram(3);
         return new ServingLoad.Result(asked, whole, asked - whole, none, none, none);
@@ -35,7 +35,7 @@
     @Test
     void theShortFormKeepsItsCountsAndLeavesNoProcess(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("serving.json");
-        assertTrue(new ServingLab(true, 1, List.of("a note")).run(file));
+        assertTrue(new ServingExperiment(true, 1, List.of("a note")).run(file));
         ResultFile results = ResultFile.load(file);
         assertTrue(results.notes().contains("a note"));
         List<String> keys =
--- a/src/test/java/tinlink/lab/plays/ControlPlayTest.java
+++ b/src/test/java/tinlink/experiment/simulation/ControlSimulationTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-import tinlink.lab.plays.ControlPlay.Outcome;
-import tinlink.lab.plays.ControlPlay.Role;
+import tinlink.experiment.simulation.ControlSimulation.Outcome;
+import tinlink.experiment.simulation.ControlSimulation.Role;
 
 import java.util.List;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /** What control costs by number of routers: bounds on messages, bytes and state, none on times. */
-class ControlPlayTest {
+class ControlSimulationTest {
     /** Held, since what is set at a logger that nobody holds is forgotten with it. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
@@ -31,7 +31,7 @@
     }
 
     private static Outcome play(int routers) {
-        return ControlPlay.play(1, new ControlPlay.Size(routers, 7, 6 * routers, 0.02, 1));
+        return ControlSimulation.play(1, new ControlSimulation.Size(routers, 7, 6 * routers, 0.02, 1));
     }
 
     @Test
@@ -84,8 +84,8 @@
 
     @Test
     void membershipOfAFleetStartedAtOnceSettlesAtAFlatCost() {
-        MembershipPlay.Idle before = MembershipPlay.idle(1, 10);
-        MembershipPlay.Idle after = MembershipPlay.idle(1, 40);
+        MembershipSimulation.Idle before = MembershipSimulation.idle(1, 10);
+        MembershipSimulation.Idle after = MembershipSimulation.idle(1, 40);
         assertTrue(after.messages() < 1.2 * before.messages(), before + " " + after);
         assertTrue(after.bytes() < 1.3 * before.bytes(), before + " " + after);
     }
--- a/src/test/java/tinlink/lab/plays/PolicyPlaysTest.java
+++ b/src/test/java/tinlink/experiment/simulation/PolicySimulationTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,11 +14,11 @@
 import java.util.stream.LongStream;
 
 /** Changes of policy through seeded faults, in simulated time. */
-class PolicyPlaysTest {
+class PolicySimulationTest {
     private static final long OVER = 20_000_000;
 
-    private static PolicyPlay.Outcome play(long seed, PolicyPlay.Size size) {
-        return PolicyPlay.play(seed, size, PolicySchedule.of(seed, size, 8, 6, OVER));
+    private static PolicySimulation.Outcome play(long seed, PolicySimulation.Size size) {
+        return PolicySimulation.play(seed, size, PolicySchedule.of(seed, size, 8, 6, OVER));
     }
 
     /**
@@ -27,12 +27,12 @@
     @ParameterizedTest
     @EnumSource(AbsencePolicy.Rule.class)
     void aChangeTakesHoldEverywhereOrNowhereThroughFaults(AbsencePolicy.Rule rule) {
-        PolicyPlay.Size size = new PolicyPlay.Size(7, rule, false);
+        PolicySimulation.Size size = new PolicySimulation.Size(7, rule, false);
         int inForce = LongStream.concat(
                         LongStream.rangeClosed(1, 100), LongStream.of(683, 764, 1897))
                 .parallel()
                 .mapToInt(seed -> {
-                    PolicyPlay.Outcome came = play(seed, size);
+                    PolicySimulation.Outcome came = play(seed, size);
                     assertEquals(List.of(), came.violations(), "seed " + seed);
                     return came.inForce();
                 })
@@ -42,11 +42,11 @@
 
     @Test
     void theSameSeedIsTheSamePlayAndAPlantedFaultIsFoundAndMadeSmall() {
-        PolicyPlay.Size size = new PolicyPlay.Size(5, AbsencePolicy.Rule.FENCE, false);
+        PolicySimulation.Size size = new PolicySimulation.Size(5, AbsencePolicy.Rule.FENCE, false);
         assertEquals(play(4, size), play(4, size));
-        PolicyPlay.Size planted = new PolicyPlay.Size(5, AbsencePolicy.Rule.FENCE, true);
+        PolicySimulation.Size planted = new PolicySimulation.Size(5, AbsencePolicy.Rule.FENCE, true);
         List<PolicyEvent> s = PolicySchedule.of(4, planted, 8, 6, OVER);
-        assertFalse(PolicyPlay.play(4, planted, s).violations().isEmpty());
-        assertEquals(1, PolicyPlay.shrink(4, planted, s).size(), "one change is enough");
+        assertFalse(PolicySimulation.play(4, planted, s).violations().isEmpty());
+        assertEquals(1, PolicySimulation.shrink(4, planted, s).size(), "one change is enough");
     }
 }
--- a/src/test/java/tinlink/lab/plays/SharedReplicasTest.java
+++ b/src/test/java/tinlink/experiment/simulation/SharedReplicasTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -64,7 +64,7 @@
     @Test
     void eachReplicaStandsWhereItWouldStandAlone() {
         List<String> lines = lines(1);
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         List<SharedReplicas<MaintenanceStateMachine>.Replica> replicas = new ArrayList<>();
         List<MaintenanceStateMachine> alone = new ArrayList<>();
         int[] heard = new int[20];
@@ -77,27 +77,27 @@
             int one = random.nextInt(heard.length);
             for (int n = random.nextInt(30); n > 0 && heard[one] < lines.size(); n--) {
                 String line = lines.get(heard[one]++);
-                assertEquals(alone.get(one).apply(line), replicas.get(one).play(line), line);
+                assertEquals(alone.get(one).apply(line), replicas.get(one).apply(line), line);
             }
             assertEquals(alone.get(one).snapshot(), replicas.get(one).state().snapshot());
         }
-        assertTrue(shared.plays() < 10L * lines.size(), "lines played " + shared.plays());
+        assertTrue(shared.linesApplied() < 10L * lines.size(), "lines played " + shared.linesApplied());
     }
 
     @Test
     void replicasThatHeardTheSameHaveOneStateAndOthersHaveTheirOwn() {
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         SharedReplicas<MaintenanceStateMachine>.Replica one = shared.replica();
         SharedReplicas<MaintenanceStateMachine>.Replica same = shared.replica();
         SharedReplicas<MaintenanceStateMachine>.Replica other = shared.replica();
-        one.play(MaintenanceStateMachine.machineLine(node(0)));
-        same.play(MaintenanceStateMachine.machineLine(node(0)));
-        other.play(MaintenanceStateMachine.machineLine(node(1)));
+        one.apply(MaintenanceStateMachine.machineLine(node(0)));
+        same.apply(MaintenanceStateMachine.machineLine(node(0)));
+        other.apply(MaintenanceStateMachine.machineLine(node(1)));
         assertSame(one.state(), same.state());
         assertNotSame(one.state(), other.state());
         assertEquals(1, other.state().machines().size());
         MaintenanceStateMachine before = one.state();
-        same.play(MaintenanceStateMachine.machineLine(node(2)));
+        same.apply(MaintenanceStateMachine.machineLine(node(2)));
         assertSame(before, one.state());
         assertEquals(
                 1, one.state().machines().size(), "what another replica has heard is no news here");
@@ -106,15 +106,15 @@
 
     @Test
     void aReplicaThatStartsFromLinesJoinsThoseThatStandThere() {
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         SharedReplicas<MaintenanceStateMachine>.Replica one = shared.replica();
-        lines(3).forEach(one::play);
+        lines(3).forEach(one::apply);
         SharedReplicas<MaintenanceStateMachine>.Replica late = shared.replica();
-        late.from(new ArrayList<>(one.lines()));
+        late.restore(new ArrayList<>(one.snapshot()));
         assertSame(one.state(), late.state());
         SharedReplicas<MaintenanceStateMachine>.Replica other = shared.replica();
-        other.from(List.of());
-        assertEquals(new MaintenanceStateMachine().snapshot(), other.lines());
+        other.restore(List.of());
+        assertEquals(new MaintenanceStateMachine().snapshot(), other.snapshot());
     }
 
     @Test
--- a/src/test/java/tinlink/lab/plays/PlaysTest.java
+++ b/src/test/java/tinlink/experiment/simulation/SimulationsTest.java
@@ -1,4 +1,4 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,8 +14,8 @@
 import java.util.stream.LongStream;
 
 /** Many routers in simulated time, with faults from a seed. */
-class PlaysTest {
-    private static final WorkPlay.Size SIZE = new WorkPlay.Size(9, 5, 4, 3, false);
+class SimulationsTest {
+    private static final MaintenanceSimulation.Size SIZE = new MaintenanceSimulation.Size(9, 5, 4, 3, false);
     private static final long OVER = 30_000_000;
     /** Each broke a rule or got stuck once; docs/design/work.md says by what. */
     private static final List<Long> FOUND =
@@ -24,22 +24,22 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void routersComeToKnowEachOtherAgain(long seed) {
-        MembershipPlay.Outcome came = MembershipPlay.play(seed, 12, 10, seed % 2 == 0);
+        MembershipSimulation.Outcome came = MembershipSimulation.play(seed, 12, 10, seed % 2 == 0);
         assertEquals(List.of(), came.violations());
     }
 
     @Test
     void nobodyIsHeldForDeadForALossyLine() {
-        MembershipPlay.Outcome came = MembershipPlay.play(11, 40, 0, false);
+        MembershipSimulation.Outcome came = MembershipSimulation.play(11, 40, 0, false);
         assertEquals(List.of(), came.violations());
         assertEquals(0, came.falseDeaths());
     }
 
     @Test
     void theSameSeedIsTheSamePlay() {
-        assertEquals(MembershipPlay.play(5, 9, 6, true), MembershipPlay.play(5, 9, 6, true));
-        List<WorkEvent> s = WorkSchedule.of(5, SIZE, 10, 6, OVER);
-        assertEquals(WorkPlay.play(5, SIZE, s), WorkPlay.play(5, SIZE, s));
+        assertEquals(MembershipSimulation.play(5, 9, 6, true), MembershipSimulation.play(5, 9, 6, true));
+        List<MaintenanceEvent> s = MaintenanceSchedule.of(5, SIZE, 10, 6, OVER);
+        assertEquals(MaintenanceSimulation.play(5, SIZE, s), MaintenanceSimulation.play(5, SIZE, s));
     }
 
     @Test
@@ -50,8 +50,8 @@
                         LongStream.rangeClosed(1, 200), FOUND.stream().mapToLong(s -> s))
                 .parallel()
                 .mapToInt(seed -> {
-                    List<WorkEvent> s = WorkSchedule.of(seed, SIZE, 10, 6, OVER);
-                    WorkPlay.Outcome came = WorkPlay.play(seed, SIZE, s);
+                    List<MaintenanceEvent> s = MaintenanceSchedule.of(seed, SIZE, 10, 6, OVER);
+                    MaintenanceSimulation.Outcome came = MaintenanceSimulation.play(seed, SIZE, s);
                     assertEquals(List.of(), came.violations(), "seed " + seed + " " + s);
                     return came.finished();
                 })
@@ -61,27 +61,27 @@
 
     @Test
     void aPlantedFaultIsFoundAndMadeSmall() {
-        WorkPlay.Size planted = new WorkPlay.Size(9, 5, 4, 3, true);
-        List<WorkEvent> s = WorkSchedule.of(3, planted, 10, 4, OVER);
-        assertFalse(WorkPlay.play(3, planted, s).violations().isEmpty());
-        List<WorkEvent> small = WorkPlay.shrink(3, planted, s);
+        MaintenanceSimulation.Size planted = new MaintenanceSimulation.Size(9, 5, 4, 3, true);
+        List<MaintenanceEvent> s = MaintenanceSchedule.of(3, planted, 10, 4, OVER);
+        assertFalse(MaintenanceSimulation.play(3, planted, s).violations().isEmpty());
+        List<MaintenanceEvent> small = MaintenanceSimulation.shrink(3, planted, s);
         assertTrue(small.size() <= 2, small.toString());
-        assertFalse(WorkPlay.play(3, planted, small).violations().isEmpty());
+        assertFalse(MaintenanceSimulation.play(3, planted, small).violations().isEmpty());
     }
 
     /** Fleets whose routers have their states in common play as those whose routers have each its own. */
     @ParameterizedTest
     @ValueSource(longs = {1, 5, 334, 8342})
     void sharedStatesPlayAsOwnOnes(long seed) {
-        List<WorkEvent> schedule = WorkSchedule.of(seed, SIZE, 10, 6, OVER);
+        List<MaintenanceEvent> schedule = MaintenanceSchedule.of(seed, SIZE, 10, 6, OVER);
         assertEquals(
-                WorkPlay.play(seed, SIZE, schedule, false), WorkPlay.play(seed, SIZE, schedule));
+                MaintenanceSimulation.play(seed, SIZE, schedule, false), MaintenanceSimulation.play(seed, SIZE, schedule));
     }
 
     @Test
     void sharedStatesPlayAsOwnOnesInALargerFleet() {
-        WorkPlay.Size size = new WorkPlay.Size(20, 7, 5, 3, false);
-        List<WorkEvent> schedule = WorkSchedule.of(2, size, 10, 6, OVER);
-        assertEquals(WorkPlay.play(2, size, schedule, false), WorkPlay.play(2, size, schedule));
+        MaintenanceSimulation.Size size = new MaintenanceSimulation.Size(20, 7, 5, 3, false);
+        List<MaintenanceEvent> schedule = MaintenanceSchedule.of(2, size, 10, 6, OVER);
+        assertEquals(MaintenanceSimulation.play(2, size, schedule, false), MaintenanceSimulation.play(2, size, schedule));
     }
 }
