--- a/src/main/java/tinlink/cli/CapacityCommands.java
+++ b/src/main/java/tinlink/cli/CapacityCommands.java
@@ -19,7 +19,7 @@
     @Command(
             name = "serving-scale",
             description = "One router process at sizes up to the one to plan with.")
-    static final class ServingScale implements Callable<Integer> {
+    static final class ServingScaleCommand implements Callable<Integer> {
         @Option(names = "--seed", defaultValue = "1", description = "of all chance")
         private long seed;
 
@@ -48,7 +48,7 @@
     @Command(
             name = "capacity",
             description = "Rewrite the tables of docs/CAPACITY.md from saved results.")
-    static final class Capacity implements Callable<Integer> {
+    static final class CapacityCommand implements Callable<Integer> {
         @Option(
                 names = "--results",
                 defaultValue = "docs/measured/scale",
--- a/src/main/java/tinlink/cli/Commands.java
+++ b/src/main/java/tinlink/cli/Commands.java
@@ -29,21 +29,21 @@
         mixinStandardHelpOptions = true,
         description = "A query router and gateway between sites.",
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {Commands.Lab.class, WorkCommands.class, PolicyCommands.class})
+        subcommands = {Commands.LabCommand.class, MaintenanceCommands.class, PolicyCommands.class})
 public final class Commands implements Runnable {
     /** Runs a router with this environment, until it is told to stop; its exit status. */
-    public interface Serves {
-        int serve(Map<String, String> env);
+    public interface RouterRunner {
+        int run(Map<String, String> env);
     }
 
-    private final Serves serves;
+    private final RouterRunner routerRunner;
 
-    private Commands(Serves serves) {
-        this.serves = serves;
+    private Commands(RouterRunner serves) {
+        this.routerRunner = serves;
     }
 
     /** Returns the exit status: 0 done, 1 failed or rules broken, 2 not understood. */
-    public static int run(Serves serves, String... args) {
+    public static int run(RouterRunner serves, String... args) {
         CommandLine line = new CommandLine(new Commands(serves));
         line.setExecutionExceptionHandler((e, cmd, result) -> {
             if (e instanceof BadInput) {
@@ -102,7 +102,7 @@
         if (work != null) {
             env.put("NODE_WORK", work);
         }
-        return serves.serve(env);
+        return routerRunner.run(env);
     }
 
     @Command(
@@ -119,17 +119,17 @@
             name = "lab",
             description = "Experiments on emulated servers; each ends with one line of figures.",
             subcommands = {
-                Gateway.class,
-                WorkSim.class,
-                WorkProcesses.class,
-                PolicySim.class,
-                ScaleSim.class,
-                PolicyProcesses.class,
+                GatewayLabCommand.class,
+                MaintenanceSimCommand.class,
+                MaintenanceProcessesCommand.class,
+                PolicySimCommand.class,
+                ScaleSimCommand.class,
+                PolicyProcessesCommand.class,
                 ScaleCommand.class,
-                CapacityCommands.ServingScale.class,
-                CapacityCommands.Capacity.class
+                CapacityCommands.ServingScaleCommand.class,
+                CapacityCommands.CapacityCommand.class
             })
-    static final class Lab implements Runnable {
+    static final class LabCommand implements Runnable {
         @Override
         public void run() {
             CommandLine.usage(this, System.err);
@@ -140,7 +140,7 @@
     @Command(
             name = "gateway",
             description = "Two sites, lines that are cut, a far router that is killed.")
-    static final class Gateway implements Callable<Integer> {
+    static final class GatewayLabCommand implements Callable<Integer> {
         @Option(
                 names = "--seed",
                 defaultValue = "1",
@@ -167,7 +167,7 @@
 
     /** Changes of policy, with routers in processes of their own. */
     @Command(name = "policy", description = "Router processes that change their policy.")
-    static final class PolicyProcesses implements Callable<Integer> {
+    static final class PolicyProcessesCommand implements Callable<Integer> {
         @Option(names = "--seed", defaultValue = "1", description = "of all chance")
         private long seed;
 
@@ -202,7 +202,7 @@
 
     /** Changes of policy, in simulated time. */
     @Command(name = "policy-sim", description = "Changes of policy through seeded faults.")
-    static final class PolicySim implements Callable<Integer> {
+    static final class PolicySimCommand implements Callable<Integer> {
         @Option(names = "--seed", defaultValue = "1", description = "of the first schedule")
         private long seed;
 
@@ -231,7 +231,7 @@
 
     /** What control costs by number of routers, in simulated time. */
     @Command(name = "scale-sim", description = "What control costs by number of routers.")
-    static final class ScaleSim implements Callable<Integer> {
+    static final class ScaleSimCommand implements Callable<Integer> {
         @Option(names = "--seed", defaultValue = "1", description = "of the first repeat")
         private long seed;
 
@@ -261,7 +261,7 @@
     @Command(
             name = "work-sim",
             description = "Routers that agree on work on machines, through seeded faults.")
-    static final class WorkSim implements Callable<Integer> {
+    static final class MaintenanceSimCommand implements Callable<Integer> {
         @Option(names = "--seed", defaultValue = "1", description = "of the first schedule")
         private long seed;
 
@@ -295,7 +295,7 @@
     @Command(
             name = "work",
             description = "Router processes that take machines out, through seeded faults.")
-    static final class WorkProcesses implements Callable<Integer> {
+    static final class MaintenanceProcessesCommand implements Callable<Integer> {
         @Option(names = "--seed", defaultValue = "1", description = "of all chance")
         private long seed;
 
--- a/src/main/java/tinlink/cli/ControlClient.java
+++ b/src/main/java/tinlink/cli/ControlClient.java
@@ -20,37 +20,37 @@
     private static final int READ_MS = 20_000;
 
     /** @param status as of HTTP; 0 where nobody answered */
-    record Said(int status, JsonNode body) {
-        String said() {
+    record Response(int status, JsonNode body) {
+        String message() {
             return body.path("said").asText("");
         }
 
         /** Nobody answered, or it is not known to be agreed: the same may be said again. */
-        boolean isUnknown() {
+        boolean mayBeRepeated() {
             return status == 0 || status == 503;
         }
     }
 
-    private final List<String> at;
+    private final List<String> addresses;
     private final String token;
 
     /** @param tokenFile holds the token; null for that of the environment */
     ControlClient(List<String> at, Path tokenFile) throws IOException {
-        this.at = at;
+        this.addresses = at;
         token = tokenFile != null
                 ? Files.readString(tokenFile).strip()
                 : System.getenv().getOrDefault("TINLINK_TOKEN", "");
     }
 
     /** The first router that answers; what it doesn't know, another may. */
-    Said say(Map<String, ?> what) {
-        Said last = new Said(
+    Response send(Map<String, ?> what) {
+        Response last = new Response(
                 0,
                 JSON.createObjectNode()
-                        .put("said", "no router answers at " + String.join(", ", at)));
-        for (String one : at) {
+                        .put("said", "no router answers at " + String.join(", ", addresses)));
+        for (String one : addresses) {
             try {
-                Said s = say(one, what);
+                Response s = send(one, what);
                 if (s.status != 503 && s.status != 404) {
                     return s;
                 }
@@ -58,7 +58,7 @@
             } catch (IOException e) {
                 last = last.status != 0
                         ? last
-                        : new Said(
+                        : new Response(
                                 0,
                                 JSON.createObjectNode().put("said", one + ": " + e.getMessage()));
             }
@@ -66,7 +66,7 @@
         return last;
     }
 
-    private Said say(String one, Map<String, ?> what) throws IOException {
+    private Response send(String one, Map<String, ?> what) throws IOException {
         HttpURLConnection c =
                 (HttpURLConnection) new URL("http://" + one + "/work").openConnection();
         c.setConnectTimeout(CONNECT_MS);
@@ -79,7 +79,7 @@
         c.getOutputStream().write(b);
         int status = c.getResponseCode();
         try (InputStream in = status < 400 ? c.getInputStream() : c.getErrorStream()) {
-            return new Said(
+            return new Response(
                     status,
                     JSON.readTree(new String(
                             in == null ? new byte[0] : in.readAllBytes(), StandardCharsets.UTF_8)));
--- a/src/main/java/tinlink/cli/ControlCommands.java
+++ b/src/main/java/tinlink/cli/ControlCommand.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** What all commands share that speak to a router's control address. */
-abstract class ControlCommands implements Runnable {
+abstract class ControlCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
@@ -22,7 +22,7 @@
             scope = CommandLine.ScopeType.INHERIT,
             defaultValue = "${env:TINLINK_CONTROL:-127.0.0.1:7401}",
             description = "control addresses of routers, tried in turn (default: $TINLINK_CONTROL)")
-    private List<String> at;
+    private List<String> addresses;
 
     @Option(
             names = "--token-file",
@@ -42,11 +42,11 @@
         CommandLine.usage(this, System.err);
     }
 
-    final ControlClient.Said say(Map<String, ?> what) throws IOException {
-        return new ControlClient(at, tokenFile).say(what);
+    final ControlClient.Response send(Map<String, ?> what) throws IOException {
+        return new ControlClient(addresses, tokenFile).send(what);
     }
 
-    final void out(String line) {
+    final void print(String line) {
         spec.commandLine().getOut().println(line);
     }
 }
--- a/src/main/java/tinlink/cli/WorkCommands.java
+++ b/src/main/java/tinlink/cli/MaintenanceCommands.java
@@ -31,7 +31,7 @@
             "2:not understood",
             "3:not known; the same may be said again"
         })
-final class WorkCommands extends ControlCommands {
+final class MaintenanceCommands extends ControlCommand {
     private static final int REFUSED = 1;
     private static final int NOT_KNOWN = 3;
 
@@ -83,17 +83,17 @@
         if (within != null) {
             what.put("within_ms", millis(within));
         }
-        return told(say(what));
+        return printResult(send(what));
     }
 
     @Command(name = "list", description = "All requests, newest last.")
     int list() throws IOException {
-        return told(say(Map.of("do", "list")));
+        return printResult(send(Map.of("do", "list")));
     }
 
     @Command(name = "explain", description = "What each machine of a request waits for.")
     int explain(@Parameters(paramLabel = "ID") String id) throws IOException {
-        return told(say(Map.of("do", "show", "id", id)));
+        return printResult(send(Map.of("do", "show", "id", id)));
     }
 
     @Command(name = "watch", description = "Follow a request until it is over.")
@@ -109,11 +109,11 @@
         long end = System.nanoTime() + 1_000_000L * millis(most);
         Map<String, String> before = new TreeMap<>();
         while (System.nanoTime() < end) {
-            ControlClient.Said s = say(Map.of("do", "show", "id", id));
+            ControlClient.Response s = send(Map.of("do", "show", "id", id));
             for (JsonNode m : s.body().path("request").path("machines")) {
                 String now = line(m);
                 if (!now.equals(before.put(m.path("machine").asText(), now))) {
-                    out(json ? m.toString() : now);
+                    print(json ? m.toString() : now);
                 }
                 if (m.path("state").asText().equals(until)) {
                     return 0;
@@ -127,11 +127,11 @@
                 return back ? 0 : REFUSED;
             }
             if (s.status() == 401 || s.status() == 400) {
-                return told(s);
+                return printResult(s);
             }
             Thread.sleep(500);
         }
-        out("not over yet");
+        print("not over yet");
         return NOT_KNOWN;
     }
 
@@ -152,7 +152,7 @@
         if (machine != null) {
             what.put("machine", machine);
         }
-        return told(say(what));
+        return printResult(send(what));
     }
 
     @Command(
@@ -162,24 +162,24 @@
             @Parameters(paramLabel = "ID") String id,
             @Option(names = "--why", defaultValue = "called off") String why)
             throws IOException {
-        return told(say(Map.of("do", "call-off", "id", id, "why", why)));
+        return printResult(send(Map.of("do", "call-off", "id", id, "why", why)));
     }
 
     @Command(name = "machines", description = "All machines as the routers have agreed on them.")
     int machines() throws IOException {
-        return told(say(Map.of("do", "machines")));
+        return printResult(send(Map.of("do", "machines")));
     }
 
     @Command(name = "router", description = "How the asked router stands with the others.")
     int router() throws IOException {
-        return told(say(Map.of("do", "router")));
+        return printResult(send(Map.of("do", "router")));
     }
 
     @Command(
             name = "ended",
             description = "You vouch that a router's process is gone: nobody waits for it.")
     int ended(@Parameters(paramLabel = "ROUTER") String router) throws IOException {
-        return told(say(Map.of("do", "ended", "router", router)));
+        return printResult(send(Map.of("do", "ended", "router", router)));
     }
 
     @Command(
@@ -187,15 +187,15 @@
             description = "A voter's machine is lost for good: its seat goes to another.")
     int seat(@Parameters(paramLabel = "FROM") String from, @Parameters(paramLabel = "TO") String to)
             throws IOException {
-        return told(say(Map.of("do", "seat", "from", from, "to", to)));
+        return printResult(send(Map.of("do", "seat", "from", from, "to", to)));
     }
 
     // ---- How it is told. ----
 
-    private int told(ControlClient.Said s) {
+    private int printResult(ControlClient.Response s) {
         String said = s.body().path("said").asText("");
         if (json) {
-            out(s.body().toString());
+            print(s.body().toString());
         } else {
             for (JsonNode r : s.body().path("requests")) {
                 request(r);
@@ -204,7 +204,7 @@
                 request(s.body().get("request"));
             }
             for (JsonNode m : s.body().path("machines")) {
-                out(String.format(
+                print(String.format(
                         Locale.ROOT,
                         "%-20s %-6s %-4s %-8s %-8s %s%s%s",
                         m.path("id").asText(),
@@ -219,13 +219,13 @@
                                 : ", away for " + m.path("away").asText()));
             }
             if (s.body().has("life")) {
-                s.body().properties().forEach(e -> out(e.getKey() + ": " + e.getValue()));
+                s.body().properties().forEach(e -> print(e.getKey() + ": " + e.getValue()));
             }
             if (s.body().has("note")) {
-                out(s.body().path("note").asText());
+                print(s.body().path("note").asText());
             }
             if (!said.isEmpty()) {
-                out(said);
+                print(said);
             }
         }
         return s.status() == 200
@@ -236,7 +236,7 @@
     }
 
     private void request(JsonNode r) {
-        out(String.format(
+        print(String.format(
                 Locale.ROOT,
                 "%s  urgency %d, %s each, by %s: %s",
                 r.path("id").asText(),
@@ -248,7 +248,7 @@
                 r.path("author").asText(),
                 r.path("reason").asText()));
         for (JsonNode m : r.path("machines")) {
-            out("  " + line(m));
+            print("  " + line(m));
         }
     }
 
--- a/src/main/java/tinlink/cli/PolicyCommands.java
+++ b/src/main/java/tinlink/cli/PolicyCommands.java
@@ -34,7 +34,7 @@
             "2:not understood",
             "3:not settled; the same may be said again"
         })
-final class PolicyCommands extends ControlCommands {
+final class PolicyCommands extends ControlCommand {
     private static final JsonMapper JSON = JsonMapper.builder()
             .enable(
                     JsonReadFeature.ALLOW_JAVA_COMMENTS,
@@ -49,14 +49,14 @@
             name = "show",
             description = "What is in force, and by what the asked router takes lookups now.")
     int show() throws IOException {
-        ControlClient.Said s = say(Map.of("do", "policy-show"));
-        return s.status() == 200 ? told(s, 0) : other(s);
+        ControlClient.Response s = send(Map.of("do", "policy-show"));
+        return s.status() == 200 ? printResult(s, 0) : other(s);
     }
 
     @Command(name = "history", description = "Changes, newest last.")
     int history() throws IOException {
-        ControlClient.Said s = say(Map.of("do", "policy-history"));
-        return s.status() == 200 ? told(s, 0) : other(s);
+        ControlClient.Response s = send(Map.of("do", "policy-history"));
+        return s.status() == 200 ? printResult(s, 0) : other(s);
     }
 
     @Command(
@@ -74,13 +74,13 @@
         String text = Files.readString(file);
         ProposalTerms terms = ProposalTerms.parse(text);
         new PolicyDoc(text, new RouterStart(Map.of("NODE_CONFIG", config)));
-        out("good for " + config + ", digest " + terms.digest());
+        print("good for " + config + ", digest " + terms.digest());
         return 0;
     }
 
     @Command(name = "diff", description = "What a file says otherwise than what is in force.")
     int diff(@Parameters(paramLabel = "FILE") Path file) throws IOException {
-        ControlClient.Said s = say(Map.of("do", "policy-show"));
+        ControlClient.Response s = send(Map.of("do", "policy-show"));
         if (s.status() != 200) {
             return other(s);
         }
@@ -93,7 +93,7 @@
             String a = before.getOrDefault(key, "not there");
             String b = after.getOrDefault(key, "not there");
             if (!a.equals(b)) {
-                out(key + ": " + a + " -> " + b);
+                print(key + ": " + a + " -> " + b);
             }
         }
         return 0;
@@ -147,12 +147,12 @@
             @Option(names = "--author", defaultValue = "${sys:user.name}") String author,
             @Option(names = "--wait-s", defaultValue = "60") int waitS)
             throws IOException, InterruptedException {
-        ControlClient.Said s = say(Map.of("do", "policy-show"));
+        ControlClient.Response s = send(Map.of("do", "policy-show"));
         if (s.status() != 200) {
             return other(s);
         }
         if (!s.body().has("before")) {
-            out("nothing was in force before");
+            print("nothing was in force before");
             return REFUSED;
         }
         String text = s.body().path("before").path("text").asText();
@@ -171,10 +171,10 @@
         long end = System.nanoTime() + 1_000_000_000L * waitS;
         Integer epoch = against;
         while (epoch == null) {
-            ControlClient.Said s = say(Map.of("do", "policy-show"));
+            ControlClient.Response s = send(Map.of("do", "policy-show"));
             if (s.status() == 200) {
                 epoch = s.body().path("in_force").path("epoch").asInt();
-            } else if (!s.isUnknown() || System.nanoTime() > end) {
+            } else if (!s.mayBeRepeated() || System.nanoTime() > end) {
                 return other(s);
             }
         }
@@ -191,26 +191,26 @@
                 author,
                 "why",
                 why));
-        ControlClient.Said last = say(what);
+        ControlClient.Response last = send(what);
         while (System.nanoTime() < end) {
-            if ((last.status() == 200 && !last.said().isEmpty()) || last.status() == 400) {
+            if ((last.status() == 200 && !last.message().isEmpty()) || last.status() == 400) {
                 return other(last);
             }
-            ControlClient.Said s = say(Map.of("do", "policy-status", "id", id));
+            ControlClient.Response s = send(Map.of("do", "policy-status", "id", id));
             String state = s.body().path("change").path("state").asText();
             if (state.equals("in force") || state.equals("withdrawn")) {
                 return ended(s);
             }
             Thread.sleep(200);
-            last = s.status() == 404 || last.isUnknown() ? say(what) : last;
+            last = s.status() == 404 || last.mayBeRepeated() ? send(what) : last;
         }
-        out("not settled yet");
+        print("not settled yet");
         return NOT_SETTLED;
     }
 
     @Command(name = "status", description = "How a change has ended, or that it has not.")
     int status(@Parameters(paramLabel = "ID") String id) throws IOException {
-        ControlClient.Said s = say(Map.of("do", "policy-status", "id", id));
+        ControlClient.Response s = send(Map.of("do", "policy-status", "id", id));
         return s.status() == 200 ? ended(s) : other(s);
     }
 
@@ -219,25 +219,25 @@
             @Parameters(paramLabel = "ID") String id,
             @Option(names = "--why", defaultValue = "withdrawn by its operator") String why)
             throws IOException {
-        ControlClient.Said s = say(Map.of("do", "policy-withdraw", "id", id, "why", why));
-        return s.status() == 200 && s.said().isEmpty() ? told(s, 0) : other(s);
+        ControlClient.Response s = send(Map.of("do", "policy-withdraw", "id", id, "why", why));
+        return s.status() == 200 && s.message().isEmpty() ? printResult(s, 0) : other(s);
     }
 
-    private int ended(ControlClient.Said s) {
+    private int ended(ControlClient.Response s) {
         String state = s.body().path("change").path("state").asText();
-        return told(
+        return printResult(
                 s,
                 state.equals("in force") ? 0 : state.equals("withdrawn") ? REFUSED : NOT_SETTLED);
     }
 
-    private int other(ControlClient.Said s) {
-        told(s, 0);
-        return s.isUnknown() || s.status() == 404 ? NOT_SETTLED : s.status() == 400 ? 2 : REFUSED;
+    private int other(ControlClient.Response s) {
+        printResult(s, 0);
+        return s.mayBeRepeated() || s.status() == 404 ? NOT_SETTLED : s.status() == 400 ? 2 : REFUSED;
     }
 
-    private int told(ControlClient.Said s, int status) {
+    private int printResult(ControlClient.Response s, int status) {
         if (json) {
-            out(s.body().toString());
+            print(s.body().toString());
             return status;
         }
         for (JsonNode c : s.body().path("changes")) {
@@ -248,26 +248,26 @@
         }
         if (s.body().has("in_force")) {
             JsonNode v = s.body().get("in_force");
-            out("epoch " + v.path("epoch").asText() + " is in force, by "
+            print("epoch " + v.path("epoch").asText() + " is in force, by "
                     + v.path("change").asText("-")
                     + " of "
                     + v.path("author").asText("-") + ": " + v.path("reason").asText());
             String why = s.body().path("why").asText();
-            out("router " + s.body().path("router").asText()
+            print("router " + s.body().path("router").asText()
                     + (why.isEmpty()
                             ? " takes lookups by epoch "
                                     + s.body().path("epoch").asText()
                             : " takes no lookups: " + why));
-            out(v.path("text").asText());
+            print(v.path("text").asText());
         }
-        if (!s.said().isEmpty()) {
-            out(s.said());
+        if (!s.message().isEmpty()) {
+            print(s.message());
         }
         return status;
     }
 
     private void change(JsonNode c) {
-        out(c.path("id").asText() + ": " + c.path("state").asText()
+        print(c.path("id").asText() + ": " + c.path("state").asText()
                 + (c.path("epoch").asLong() > 0 ? ", epoch " + c.path("epoch").asText() : "")
                 + (c.path("why").asText().isEmpty() ? "" : ", " + c.path("why").asText()) + " ("
                 + c.path("author").asText() + ": "
--- a/src/test/java/tinlink/RoomsTest.java
+++ b/src/test/java/tinlink/ArchitectureTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which room may use which: nothing points back up, nothing in a circle, and what decides does no
+ * Which package may use which: dependencies point down the layers, without cycles; packages that decide do no
  * I/O.
  */
-class RoomsTest {
+class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("tinlink");
 
     @Test
-    void arrows() {
+    void layersUseOnlyLayersBelow() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("http2")
@@ -133,7 +133,7 @@
      * theirs given.
      */
     @Test
-    void nothingThatRoutersAgreeByReadsAClockThatCanStep() {
+    void replicatedStateReadsNoClockThatCanStep() {
         noClasses()
                 .that()
                 .resideInAnyPackage("tinlink.cluster..", "tinlink.maintenance..", "tinlink.policy..")
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void whatDecidesDoesNoInputOrOutput() {
+    void decisionPackagesDoNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
--- /dev/null
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -0,0 +1,325 @@
+package tinlink;
+
+import tinlink.decision.Aggregator;
+import tinlink.decision.DataNode;
+import tinlink.decision.FastestValid;
+import tinlink.decision.Host;
+import tinlink.decision.Index;
+import tinlink.decision.Lookup;
+import tinlink.decision.Outcome;
+import tinlink.decision.Part;
+import tinlink.decision.PartCall;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.TreeSet;
+
+/** Plays one scenario against the module; docs/scenarios.md has the notation. */
+final class DecisionScenarioPlayer implements Host {
+    private final Map<String, String> settings = new HashMap<>(Map.of(
+            "step", "1", "tries", "4", "copies", "yes", "cancel", "yes", "cells", "1", "reach", "1",
+            "bundle", "1", "call", "0", "group", "1"));
+    private final Map<String, Index> indexes = new LinkedHashMap<>();
+    private final Map<Long, DataNode> nodes = new LinkedHashMap<>();
+    private final Map<String, Lookup> lookups = new HashMap<>();
+    private final Map<Object, String> names = new HashMap<>();
+    private final Map<String, Part> parts = new HashMap<>();
+    private final List<String> unexpectedDecisions = new ArrayList<>();
+    private final TreeSet<Long> wakeTimes = new TreeSet<>();
+    private Aggregator module;
+    private long now;
+
+    void play(List<String> script) {
+        int no = 0;
+        for (String raw : script) {
+            no++;
+            String line = raw.replaceAll("#\\s.*|^#.*", "").trim();
+            try {
+                for (String one : line.isEmpty() ? new String[0] : line.split(";\\s*")) {
+                    runStep(one.split("\\s+"));
+                }
+            } catch (RuntimeException | AssertionError e) {
+                throw new AssertionError(
+                        "line " + no + ": " + raw.trim() + "\n  " + e.getMessage(), e);
+            }
+        }
+        expectNoDecisionLeft();
+    }
+
+    private void runStep(String[] words) {
+        switch (words[0]) {
+            case "set" -> {
+                for (int i = 1; i < words.length; i += 2) {
+                    settings.put(words[i], words[i + 1]);
+                }
+            }
+            case "index" -> index(words);
+            case "at" -> {
+                expectNoDecisionLeft();
+                advanceTo((long) (1000 * Double.parseDouble(words[1])));
+            }
+            case "stall" -> {
+                pullDecisions();
+                now = ms(words[1]);
+                module().clock(now);
+            }
+            case "=" -> {
+                pullDecisions();
+                if (words[1].equals("nothing")) {
+                    expectNoDecisionLeft();
+                } else if (words.length > 2
+                        && lookups.containsKey(words[2])
+                        && words[1].matches("send|cancel")) {
+                    expectAll(words);
+                } else {
+                    expect(String.join(" ", Arrays.copyOfRange(words, 1, words.length)));
+                }
+            }
+            case "node" -> node(words);
+            case "nodes" -> {
+                for (int i = 1; i < words.length; i++) {
+                    node(new String[] {"node", words[i]});
+                }
+                module().nodes(Aggregator.News.FULL);
+            }
+            case "list" -> module().nodes(Aggregator.News.valueOf(words[1].toUpperCase(Locale.ROOT)));
+            case "lookup" -> {
+                Lookup lookup = new Lookup();
+                lookup.index = indexes.get(words[2]);
+                lookup.leavesAt = now + ms(words[4]);
+                lookup.repeat = words[words.length - 1].equals("repeat");
+                lookup.forwarded = words[words.length - 1].equals("forwarded");
+                lookups.put(words[1], lookup);
+                names.put(lookup, words[1]);
+                lookup.announced = shards(words).size();
+                module().lookup(lookup);
+                takeParts(lookup, words);
+            }
+            case "more" -> takeParts(lookups.get(words[1]), words);
+            case "gone" -> module().clientGone(lookups.get(words[1]));
+            default -> end(Outcome.valueOf(words[0].toUpperCase(Locale.ROOT).replace('-', '_')), words[1]);
+        }
+    }
+
+    private void expect(String want) {
+        if (!unexpectedDecisions.remove(want)) {
+            throw new AssertionError("expected '" + want + "', left are " + unexpectedDecisions);
+        }
+    }
+
+    /** "send q 1 2" over and over for all parts of q, or "cancel q" for the first call of each. */
+    private void expectAll(String[] words) {
+        for (int i = 0; i < lookups.get(words[2]).parts.size(); i++) {
+            String part = words[2] + "." + i;
+            expect(words[1] + " " + part
+                    + (words[1].equals("cancel") ? "#0" : " " + words[3 + i % (words.length - 3)]));
+        }
+    }
+
+    private void takeParts(Lookup lookup, String[] words) {
+        List<String> weights = after(words, "weights");
+        List<Integer> shards = shards(words);
+        for (int i = 0; i < shards.size(); i++) {
+            Part p = new Part();
+            p.lookup = lookup;
+            p.shard = shards.get(i);
+            p.weight = weights.isEmpty() ? 1.0 / shards.size() : Double.parseDouble(weights.get(i));
+            String name = names.get(lookup) + (lookup.secondStep ? ".b" : ".") + i;
+            names.put(p, name);
+            parts.put(name, p);
+            module().part(p);
+        }
+    }
+
+    private static List<Integer> shards(String[] words) {
+        List<Integer> all = new ArrayList<>();
+        for (String s : after(words, "shards")) {
+            String[] ends = s.split("-", 0);
+            for (int i = Integer.parseInt(ends[0]);
+                    i <= Integer.parseInt(ends[ends.length - 1]);
+                    i++) {
+                all.add(i);
+            }
+        }
+        return all;
+    }
+
+    private static List<String> after(String[] words, String key) {
+        int from = Arrays.asList(words).indexOf(key) + 1;
+        int to = from;
+        while (from > 0 && to < words.length && Character.isDigit(words[to].charAt(0))) {
+            to++;
+        }
+        return Arrays.asList(words).subList(from, to);
+    }
+
+    /**
+     * "q" ends every part call that is out of the lookup, "q.0" the last one of a part, "q.0#1"
+     * that one.
+     */
+    private void end(Outcome how, String name) {
+        if (lookups.containsKey(name)) {
+            lookups.get(name).parts.stream().toList().forEach(p -> end(how, names.get(p)));
+            return;
+        }
+        Part p = parts.get(name.replaceAll("#.*", ""));
+        int number = name.contains("#")
+                ? Integer.parseInt(name.replaceAll(".*#", ""))
+                : p.calls.size() - 1;
+        PartCall c = p.calls.get(number);
+        if (c.outcome != null) {
+            throw new AssertionError("that part call is over: " + c.outcome);
+        }
+        module().outcome(c, how, now - c.sentAt, -1);
+    }
+
+    private void index(String[] words) {
+        Index lookupClass = new Index();
+        lookupClass.softUs = ms(after(words, "soft").get(0));
+        lookupClass.hardUs = 10 * lookupClass.softUs;
+        after(words, "window").forEach(t -> lookupClass.windowUs = ms(t));
+        after(words, "need").forEach(n -> lookupClass.need = Double.parseDouble(n));
+        lookupClass.floor = lookupClass.need;
+        after(words, "floor").forEach(n -> lookupClass.floor = Double.parseDouble(n));
+        after(words, "second").forEach(n -> lookupClass.secondStep = Integer.parseInt(n));
+        lookupClass.lateGain = Arrays.asList(words).contains("late") ? 0.3 : 0;
+        for (Index.Effect e : Index.Effect.values()) {
+            if (Arrays.asList(words).contains(e.name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
+                lookupClass.effect = e;
+            }
+        }
+        indexes.put(words[1], lookupClass);
+    }
+
+    private void node(String[] words) {
+        long id = Long.parseLong(words[1]);
+        DataNode node = nodes.computeIfAbsent(id, DataNode::new);
+        long startedAt = node.startedAt;
+        after(words, "cell").forEach(c -> node.cell = Integer.parseInt(c));
+        after(words, "zone").forEach(z -> node.zone = Integer.parseInt(z));
+        after(words, "line").forEach(t -> node.lineUs = ms(t));
+        after(words, "started").forEach(t -> node.startedAt = ms(t));
+        String last = words[words.length - 1];
+        node.state = last.equals("draining")
+                ? DataNode.State.DRAINING
+                : last.equals("gone") ? DataNode.State.GONE : DataNode.State.READY;
+        module().listed(node, startedAt != node.startedAt && module != null);
+    }
+
+    private Aggregator module() {
+        if (module == null) {
+            long longestSoft =
+                    indexes.values().stream().mapToLong(x -> x.softUs).max().orElse(1);
+            FastestValid.Health health = new FastestValid.Health(longestSoft);
+            module = new FastestValid(
+                    new FastestValid.Rounds(
+                            microsSetting("step"), intSetting("tries"), booleanSetting("copies"), booleanSetting("cancel")),
+                    new FastestValid.Replicas(
+                            intSetting("cells"),
+                            intSetting("reach"),
+                            intSetting("bundle"),
+                            microsSetting("call"),
+                            intSetting("zone"),
+                            doubleSetting("cross"),
+                            health),
+                    health,
+                    new FastestValid.ColdGuard(
+                            7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
+                    new FastestValid.Budget(microsSetting("lookback"), intSetting("free"), doubleSetting("ratio"), 100),
+                    new FastestValid.Admission(7, microsSetting("comeback")),
+                    new FastestValid.ListFollowing(7, booleanSetting("asks"), microsSetting("mustask")));
+            module.clock(now);
+        }
+        return module;
+    }
+
+    private void advanceTo(long to) {
+        pullDecisions();
+        while (!wakeTimes.isEmpty() && wakeTimes.first() <= to) {
+            now = Math.max(now, wakeTimes.pollFirst());
+            module().clock(now);
+            module().timer();
+            pullDecisions();
+        }
+        now = to;
+        module().clock(now);
+    }
+
+    private void pullDecisions() {
+        while (module().decide(this)) {
+            // Each decision is noted as it leaves.
+        }
+    }
+
+    private void expectNoDecisionLeft() {
+        pullDecisions();
+        if (!unexpectedDecisions.isEmpty()) {
+            throw new AssertionError("decisions that the scenario does not expect: " + unexpectedDecisions);
+        }
+    }
+
+    private double doubleSetting(String key) {
+        return Double.parseDouble(settings.getOrDefault(key, "0"));
+    }
+
+    private int intSetting(String key) {
+        return (int) doubleSetting(key);
+    }
+
+    private long microsSetting(String key) {
+        return ms(settings.getOrDefault(key, "0"));
+    }
+
+    private boolean booleanSetting(String key) {
+        return settings.getOrDefault(key, "no").equals("yes");
+    }
+
+    private static long ms(String text) {
+        return Math.round(1000 * Double.parseDouble(text));
+    }
+
+    @Override
+    public void send(PartCall c, long limitUs) {
+        unexpectedDecisions.add("send " + names.get(c.part) + " " + c.node.id);
+    }
+
+    @Override
+    public void cancel(PartCall c) {
+        unexpectedDecisions.add("cancel " + names.get(c.part) + "#" + c.number);
+    }
+
+    @Override
+    public void release(DataNode node) {
+        unexpectedDecisions.add("release " + node.id);
+    }
+
+    @Override
+    public void answer(Lookup lookup, boolean whole) {
+        unexpectedDecisions.add("answer " + names.get(lookup) + (whole ? " whole" : " partial"));
+    }
+
+    @Override
+    public void nack(Lookup lookup, long comeBackUs) {
+        unexpectedDecisions.add("nack " + names.get(lookup) + (comeBackUs > 0 ? " " + comeBackUs / 1000 : ""));
+    }
+
+    @Override
+    public void abort(Lookup lookup) {
+        unexpectedDecisions.add("abort " + names.get(lookup));
+    }
+
+    @Override
+    public void wake(long atUs) {
+        wakeTimes.add(atUs);
+    }
+
+    @Override
+    public void followList() {
+        unexpectedDecisions.add("follow");
+    }
+}
--- a/src/test/java/tinlink/RouterPlayer.java
+++ b/src/test/java/tinlink/RouterScenarioPlayer.java
@@ -58,8 +58,8 @@
  * data nodes and discovery; docs/scenarios.md has the notation. A stand-in does what its line says
  * and nothing else.
  */
-final class RouterPlayer implements AutoCloseable {
-    private static final int PATIENCE_MS = 10_000;
+final class RouterScenarioPlayer implements AutoCloseable {
+    private static final int TIMEOUT_MS = 10_000;
     private static final int QUIET_MS = 60;
     private static final int LATE_MS = 150;
     private static final long POLL_NS = 20_000;
@@ -67,12 +67,12 @@
     private static final Logger LOG = Logger.getLogger("tinlink");
     private final Path dir;
     /** What the router has logged and no line of the script has looked at. */
-    private final LinkedBlockingQueue<String> logged = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> unreadLogLines = new LinkedBlockingQueue<>();
 
     private final Handler handler = new Handler() {
         @Override
         public void publish(LogRecord r) {
-            logged.add(new SimpleFormatter().formatMessage(r));
+            unreadLogLines.add(new SimpleFormatter().formatMessage(r));
         }
 
         @Override
@@ -86,11 +86,11 @@
         }
     };
     private final Map<String, String> settings = new LinkedHashMap<>();
-    private final Map<String, StandIn> standIns = new LinkedHashMap<>();
+    private final Map<String, StubServer> dataNodes = new LinkedHashMap<>();
     private final Map<String, Client> clients = new HashMap<>();
-    private final StandIn discovery = new StandIn("disc", 0);
+    private final StubServer discovery = new StubServer("disc", 0);
     /** Where discovery moves to. */
-    private final StandIn other = new StandIn("other", 0);
+    private final StubServer secondDiscovery = new StubServer("other", 0);
 
     private Router router;
     /** The router where it is a process of its own. */
@@ -99,13 +99,13 @@
     private Thread stopping;
     private boolean faulty;
     /** While there is one, a turn of the router's waits for it after it has begun. */
-    private final AtomicReference<CountDownLatch> gate = new AtomicReference<>();
+    private final AtomicReference<CountDownLatch> turnGate = new AtomicReference<>();
     /** The same in a timer of the module's. */
-    private final AtomicReference<CountDownLatch> timers = new AtomicReference<>();
+    private final AtomicReference<CountDownLatch> timerGate = new AtomicReference<>();
     /** The same in the I/O thread, between the read of a connection and the loop's hearing of it. */
-    private final AtomicReference<CountDownLatch> reads = new AtomicReference<>();
+    private final AtomicReference<CountDownLatch> readGate = new AtomicReference<>();
     /** How often the loop has come to a closed one. */
-    private final AtomicInteger held = new AtomicInteger();
+    private final AtomicInteger gateArrivals = new AtomicInteger();
     /** What the I/O thread has completed since the latest {@code hold}. */
     private final AtomicInteger completions = new AtomicInteger();
 
@@ -113,9 +113,9 @@
     /** Where the router listens; 0 for any, unless clients come before it does. */
     private int port;
 
-    private final List<Thread> early = new ArrayList<>();
+    private final List<Thread> earlyClients = new ArrayList<>();
 
-    RouterPlayer(Path dir) throws IOException {
+    RouterScenarioPlayer(Path dir) throws IOException {
         this.dir = dir;
         LOG.setUseParentHandlers(false);
         LOG.setLevel(Level.FINE);
@@ -174,7 +174,7 @@
             String line = raw.replaceAll("(^|\\s)#\\s.*", "").trim();
             try {
                 for (String one : line.isEmpty() ? new String[0] : line.split(";;\\s*")) {
-                    line(one.trim());
+                    runStep(one.trim());
                 }
             } catch (Exception | AssertionError e) {
                 throw new AssertionError(
@@ -183,48 +183,48 @@
         }
     }
 
-    private void line(String line) throws Exception {
-        String[] w = line.split(" ", 3);
-        String rest = w.length > 2 ? w[2] : "";
-        switch (w[0]) {
-            case "set" -> settings.put(w[1], rest);
+    private void runStep(String line) throws Exception {
+        String[] words = line.split(" ", 3);
+        String rest = words.length > 2 ? words[2] : "";
+        switch (words[0]) {
+            case "set" -> settings.put(words[1], rest);
             case "faulty" -> faulty = true;
             case "hold" -> {
                 completions.set(0);
-                (line.endsWith(" timers") ? timers : line.endsWith(" reads") ? reads : gate)
+                (line.endsWith(" timers") ? timerGate : line.endsWith(" reads") ? readGate : turnGate)
                         .set(new CountDownLatch(1));
             }
-            case "held" -> awaitCount(held, w.length > 1 ? Integer.parseInt(w[1]) : 1);
+            case "held" -> awaitCount(gateArrivals, words.length > 1 ? Integer.parseInt(words[1]) : 1);
             case "blocked" -> awaitLoop(".IoThread", "the loop does not wait for the I/O thread");
-            case "rests" -> awaitLoop(".Loop", "the loop does not wait for events");
-            case "completions" -> awaitCount(completions, Integer.parseInt(w[1]));
+            case "rests" -> awaitLoop(".EventLoop", "the loop does not wait for events");
+            case "completions" -> awaitCount(completions, Integer.parseInt(words[1]));
             case "release" ->
                 release(
                         line.endsWith(" turn")
-                                ? List.of(gate)
+                                ? List.of(turnGate)
                                 : line.endsWith(" timers")
-                                        ? List.of(timers)
-                                        : List.of(gate, timers, reads));
+                                        ? List.of(timerGate)
+                                        : List.of(turnGate, timerGate, readGate));
             case "step" -> {
-                int before = held.get();
-                timers.getAndSet(new CountDownLatch(1)).countDown();
-                for (int i = 0; held.get() == before && i < PATIENCE_MS; i++) {
+                int before = gateArrivals.get();
+                timerGate.getAndSet(new CountDownLatch(1)).countDown();
+                for (int i = 0; gateArrivals.get() == before && i < TIMEOUT_MS; i++) {
                     Thread.sleep(1);
                 }
-                assertEquals(before + 1, held.get(), "no further timer");
+                assertEquals(before + 1, gateArrivals.get(), "no further timer");
             }
-            case "pause" -> Thread.sleep(Long.parseLong(w[1]));
+            case "pause" -> Thread.sleep(Long.parseLong(words[1]));
             case "within" -> {
                 long from = System.nanoTime();
-                line(rest);
+                runStep(rest);
                 assertEquals(
                         true,
-                        System.nanoTime() - from < 1_000_000 * Long.parseLong(w[1]),
+                        System.nanoTime() - from < 1_000_000 * Long.parseLong(words[1]),
                         "too late");
             }
             case "node" -> {
-                StandIn s = new StandIn(w[1], Integer.parseInt(rest.split(" ", 0)[0]));
-                standIns.put(w[1], s);
+                StubServer s = new StubServer(words[1], Integer.parseInt(rest.split(" ", 0)[0]));
+                dataNodes.put(words[1], s);
                 if (rest.endsWith(" full")) {
                     s.fill();
                 } else {
@@ -234,23 +234,23 @@
             case "early" -> {
                 choosePort();
                 Client c = new Client();
-                clients.put(w[1], c);
-                early.add(new Thread(() -> c.early(rest)));
+                clients.put(words[1], c);
+                earlyClients.add(new Thread(() -> c.connectEarly(rest)));
             }
             case "start" -> {
                 discovery.accept();
-                other.accept();
+                secondDiscovery.accept();
                 start(line.endsWith(" warm"));
             }
-            case "process" -> process(w[1]);
+            case "process" -> process(words[1]);
             case "ready" -> awaitReady();
             case "kill" -> {
                 process.destroyForcibly();
                 process.waitFor();
             }
             case "terminate" -> process.destroy();
-            case "ended" -> assertEquals(true, process.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS));
-            case "crowd" -> crowd(w[1], rest);
+            case "ended" -> assertEquals(true, process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            case "crowd" -> runCrowd(words[1], rest);
             case "stop" -> {
                 stopping = new Thread(() -> {
                     try {
@@ -262,47 +262,47 @@
                 stopping.start();
             }
             case "stopped" -> {
-                stopping.join(PATIENCE_MS);
+                stopping.join(TIMEOUT_MS);
                 assertEquals(false, stopping.isAlive(), "still stopping");
             }
             case "log" -> {
-                long until = System.nanoTime() + 1_000_000L * PATIENCE_MS;
-                String next = logged.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                long until = System.nanoTime() + 1_000_000L * TIMEOUT_MS;
+                String next = unreadLogLines.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 while (next != null && !next.contains(rest)) {
-                    next = logged.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
+                    next = unreadLogLines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
                 }
                 assertEquals(true, next != null, "nothing like it was logged");
             }
-            case "disc" -> discovery.line(w[1], rest);
-            case "other" -> other.line(w[1], rest);
+            case "disc" -> discovery.runStep(words[1], rest);
+            case "other" -> secondDiscovery.runStep(words[1], rest);
             case "configured" ->
                 Files.writeString(
-                        config(),
-                        line.substring(w[0].length())
+                        configFile(),
+                        line.substring(words[0].length())
                                 .trim()
-                                .replace("OTHER", "127.0.0.1:" + other.port()));
+                                .replace("OTHER", "127.0.0.1:" + secondDiscovery.port()));
             case "moves" -> {
-                StandIn from = line.endsWith(" back") ? other : discovery;
+                StubServer from = line.endsWith(" back") ? secondDiscovery : discovery;
                 Files.writeString(
-                        config(),
-                        Files.readString(config())
+                        configFile(),
+                        Files.readString(configFile())
                                 .replace(
                                         ":" + from.port() + "\"",
-                                        ":" + (from == other ? discovery : other).port() + "\""));
+                                        ":" + (from == secondDiscovery ? discovery : secondDiscovery).port() + "\""));
             }
             case "hangup" ->
                 new ProcessBuilder("kill", "-HUP", "" + ProcessHandle.current().pid()).start();
             default -> {
-                if (standIns.containsKey(w[0])) {
-                    standIns.get(w[0]).line(w[1], rest);
+                if (dataNodes.containsKey(words[0])) {
+                    dataNodes.get(words[0]).runStep(words[1], rest);
                 } else {
-                    clients.computeIfAbsent(w[0], n -> new Client()).line(w[1], rest);
+                    clients.computeIfAbsent(words[0], n -> new Client()).runStep(words[1], rest);
                 }
             }
         }
     }
 
-    private void crowd(String size, String says) throws IOException {
+    private void runCrowd(String size, String says) throws IOException {
         if (size.equals("leaves") || size.equals("returns")) {
             for (Map.Entry<String, Client> one : clients.entrySet()) {
                 if (one.getKey().startsWith("crowd")) {
@@ -328,14 +328,14 @@
         configure();
         RouterStart from = new RouterStart(Map.of(
                 "NODE_CONFIG",
-                config().toString(),
+                configFile().toString(),
                 "NODE_LOG",
                 "OFF",
                 "NODE_DISCOVERY",
                 "127.0.0.1:" + discovery.port()));
-        Aggregator module = faulty ? new Faulty(from.built.module) : from.built.module;
-        router = new Router(from, new Gated(module), this::handler);
-        early.forEach(Thread::start);
+        Aggregator module = faulty ? new FaultyCoordinator(from.built.module) : from.built.module;
+        router = new Router(from, new GatedCoordinator(module), this::handler);
+        earlyClients.forEach(Thread::start);
         if (warm) {
             router.warmUp();
         }
@@ -349,17 +349,17 @@
         loop.start();
         router.awaitListening();
         port = router.address().getPort();
-        for (Thread t : early) {
-            t.join(PATIENCE_MS);
+        for (Thread t : earlyClients) {
+            t.join(TIMEOUT_MS);
         }
         Hangup.hear(router::reload);
     }
 
     private void configure() throws IOException {
         String known =
-                standIns.values().stream().map(StandIn::entry).collect(Collectors.joining(","));
+                dataNodes.values().stream().map(StubServer::entry).collect(Collectors.joining(","));
         Files.writeString(
-                config(),
+                configFile(),
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port
                         + "\",\"discovery\":\"127.0.0.1:" + discovery.port()
                         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
@@ -404,13 +404,13 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().keySet().removeIf(key -> key.startsWith("NODE_"));
         builder.environment()
-                .putAll(Map.of("NODE_CONFIG", config().toString(), "NODE_LOG", "FINE"));
+                .putAll(Map.of("NODE_CONFIG", configFile().toString(), "NODE_LOG", "FINE"));
         process = builder.start();
         BufferedReader says = process.inputReader();
         Thread reads = new Thread(() -> {
             try {
                 for (String line = says.readLine(); line != null; line = says.readLine()) {
-                    logged.add(line);
+                    unreadLogLines.add(line);
                 }
             } catch (IOException e) {
                 // The process has been killed.
@@ -418,7 +418,7 @@
         });
         reads.setDaemon(true);
         reads.start();
-        for (int i = 0; i < PATIENCE_MS; i++) {
+        for (int i = 0; i < TIMEOUT_MS; i++) {
             try {
                 new Socket(InetAddress.getLoopbackAddress(), port).close();
                 return;
@@ -439,11 +439,11 @@
 
     /** Waits for a 200 of the path by which fronts ask. */
     private void awaitReady() throws Exception {
-        for (int i = 0; i < PATIENCE_MS; i++) {
+        for (int i = 0; i < TIMEOUT_MS; i++) {
             Client front = new Client();
             try {
-                front.line(">", "GET /-/ready HTTP/1.1\\r\\n\\r\\n");
-                if (front.answer().equals("200 ready")) {
+                front.runStep(">", "GET /-/ready HTTP/1.1\\r\\n\\r\\n");
+                if (front.readAnswer().equals("200 ready")) {
                     return;
                 }
             } catch (IOException e) {
@@ -455,7 +455,7 @@
         throw new AssertionError("it is not ready");
     }
 
-    private Path config() {
+    private Path configFile() {
         return dir.resolve("config.json");
     }
 
@@ -473,10 +473,10 @@
     }
 
     /** What stands before the module under test and hands on all it hears. */
-    private abstract static class Before implements Aggregator {
+    private abstract static class DelegatingCoordinator implements Aggregator {
         private final Aggregator module;
 
-        Before(Aggregator module) {
+        DelegatingCoordinator(Aggregator module) {
             this.module = module;
         }
 
@@ -532,31 +532,31 @@
     }
 
     /** Stops the loop between the begin of a turn and what it takes, or in a timer. */
-    private final class Gated extends Before {
-        Gated(Aggregator module) {
+    private final class GatedCoordinator extends DelegatingCoordinator {
+        GatedCoordinator(Aggregator module) {
             super(module);
         }
 
         @Override
         public void clock(long nowUs) {
-            pass(gate);
+            awaitGate(turnGate);
             super.clock(nowUs);
         }
 
         @Override
         public void timer() {
-            pass(timers);
+            awaitGate(timerGate);
             super.timer();
         }
     }
 
-    private void pass(AtomicReference<CountDownLatch> gate) {
+    private void awaitGate(AtomicReference<CountDownLatch> gate) {
         CountDownLatch closed = gate.get();
-        held.addAndGet(closed == null ? 0 : 1);
+        gateArrivals.addAndGet(closed == null ? 0 : 1);
         try {
             assertEquals(
                     true,
-                    closed == null || closed.await(PATIENCE_MS, TimeUnit.MILLISECONDS),
+                    closed == null || closed.await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
                     "never released");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -569,14 +569,14 @@
             what.run();
             return;
         }
-        pass(reads);
+        awaitGate(readGate);
         what.run();
         completions.incrementAndGet();
     }
 
     /** Waits until the loop's thread waits in a method of that class. */
     private void awaitLoop(String waitsIn, String ifNot) throws InterruptedException {
-        for (int i = 0; i < PATIENCE_MS; i++) {
+        for (int i = 0; i < TIMEOUT_MS; i++) {
             StackTraceElement ours = Arrays.stream(loop.getStackTrace())
                     .filter(at -> at.getClassName().startsWith("tinlink."))
                     .findFirst()
@@ -592,7 +592,7 @@
     }
 
     private static void awaitCount(AtomicInteger count, int least) throws InterruptedException {
-        long until = System.nanoTime() + 1_000_000L * PATIENCE_MS;
+        long until = System.nanoTime() + 1_000_000L * TIMEOUT_MS;
         while (count.get() < least && System.nanoTime() < until) {
             LockSupport.parkNanos(POLL_NS);
         }
@@ -611,10 +611,10 @@
     /**
      * A module with a fault that comes back at every pull while a lookup on shard 11 is in hand.
      */
-    private static final class Faulty extends Before {
+    private static final class FaultyCoordinator extends DelegatingCoordinator {
         private final List<Lookup> poison = new ArrayList<>();
 
-        Faulty(Aggregator module) {
+        FaultyCoordinator(Aggregator module) {
             super(module);
         }
 
@@ -643,42 +643,42 @@
 
     // ---- A data node or discovery. ----
 
-    private final class StandIn {
+    private final class StubServer {
         private final String name;
         private final int cell;
         private ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final int port = server.getLocalPort();
         /** Takes connections and does not read. */
-        private volatile boolean deaf;
+        private volatile boolean stopsReading;
         /** How long the newest part call of an id is waited for, in milliseconds. */
-        private final Map<String, Integer> waits = new ConcurrentHashMap<>();
+        private final Map<String, Integer> timeoutsMs = new ConcurrentHashMap<>();
 
-        private final List<Socket> links = new CopyOnWriteArrayList<>();
-        private final List<Socket> filling = new ArrayList<>();
-        private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        private final List<Socket> connections = new CopyOnWriteArrayList<>();
+        private final List<Socket> backlogFillers = new ArrayList<>();
+        private final LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
         /** Where the newest part call of an id came in. */
-        private final Map<String, Socket> from = new ConcurrentHashMap<>();
+        private final Map<String, Socket> connectionByPart = new ConcurrentHashMap<>();
         /** What discovery tells first, a while after it is asked; empty where it is silent. */
-        private String first = "{\"rev\":41,\"all\":false,\"targets\":[]}";
+        private String firstUpdate = "{\"rev\":41,\"all\":false,\"targets\":[]}";
 
-        private int firstAfterMs;
+        private int firstUpdateDelayMs;
         /**
          * Discovery takes connections and says nothing; a watch of its goes on saying this without
          * end.
          */
         private volatile boolean hangs;
         /** Where discovery was asked most recently. */
-        private volatile Socket asks;
+        private volatile Socket watchConnection;
 
-        private String drips = "";
+        private String endlessText = "";
         /** Which nodes the whole list has as draining, and has not. */
-        private volatile String drains = "";
+        private volatile String drainingNode = "";
 
-        private volatile String left = "";
+        private volatile String missingNode = "";
         /** It tells the whole list first. */
-        private volatile boolean beginsWhole;
+        private volatile boolean startsWithFullList;
 
-        StandIn(String name, int cell) throws IOException {
+        StubServer(String name, int cell) throws IOException {
             this.name = name;
             this.cell = cell;
         }
@@ -691,7 +691,7 @@
             server.close();
             server = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
             for (int i = 0; i < 2; i++) {
-                filling.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                backlogFillers.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
         }
 
@@ -700,10 +700,10 @@
                 try {
                     while (true) {
                         Socket s = server.accept();
-                        if (filling.stream().anyMatch(f -> f.getLocalPort() == s.getPort())) {
+                        if (backlogFillers.stream().anyMatch(f -> f.getLocalPort() == s.getPort())) {
                             continue;
                         }
-                        links.add(s);
+                        connections.add(s);
                         Thread r = new Thread(() -> listen(s));
                         r.setDaemon(true);
                         r.start();
@@ -734,56 +734,56 @@
         private void listen(Socket s) {
             try {
                 InputStream in = s.getInputStream();
-                if (this == discovery || this == other) {
+                if (this == discovery || this == secondDiscovery) {
                     String path = head(in).split(" ", 0)[1];
-                    asks = s;
+                    watchConnection = s;
                     while (!path.contains("watch=") && !hangs) {
                         s.getOutputStream()
-                                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + whole().length()
-                                                + "\r\n\r\n" + whole())
+                                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + fullList().length()
+                                                + "\r\n\r\n" + fullList())
                                         .getBytes(StandardCharsets.UTF_8));
-                        heard.add(path);
+                        received.add(path);
                         path = head(in).split(" ", 0)[1];
                     }
                     if (!hangs) {
-                        watched(s);
+                        serveWatch(s);
                     }
-                    heard.add(path); // Only now: the script may say a line as soon as it sees this.
+                    received.add(path); // Only now: the script may say a line as soon as it sees this.
                     in.read();
                 } else {
-                    while (deaf) {
+                    while (stopsReading) {
                         Thread.sleep(1);
                     }
                     for (DataInputStream d = new DataInputStream(in); ; ) {
                         byte[] frame = new byte[d.readInt()];
                         d.readFully(frame);
-                        heard.add(told(s, new String(frame, StandardCharsets.UTF_8)));
+                        received.add(describe(s, new String(frame, StandardCharsets.UTF_8)));
                     }
                 }
-                heard.add("closed");
+                received.add("closed");
             } catch (IOException | InterruptedException e) {
-                if (s == asks
-                        || (this != discovery && this != other)
+                if (s == watchConnection
+                        || (this != discovery && this != secondDiscovery)
                         || !(e instanceof EOFException)) {
-                    heard.add("closed");
+                    received.add("closed");
                 }
             }
         }
 
-        private void watched(Socket s) throws IOException, InterruptedException {
+        private void serveWatch(Socket s) throws IOException, InterruptedException {
             s.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             .getBytes(StandardCharsets.UTF_8));
-            Thread.sleep(firstAfterMs);
-            if (!first.isEmpty()) {
-                chunks(s, (beginsWhole ? whole() : first) + "\n");
+            Thread.sleep(firstUpdateDelayMs);
+            if (!firstUpdate.isEmpty()) {
+                chunks(s, (startsWithFullList ? fullList() : firstUpdate) + "\n");
             }
-            if (!drips.isEmpty()) {
+            if (!endlessText.isEmpty()) {
                 Thread t = new Thread(() -> {
                     try {
                         for (; ; ) {
                             Thread.sleep(LATE_MS);
-                            chunks(s, drips);
+                            chunks(s, endlessText);
                         }
                     } catch (IOException | InterruptedException e) {
                         // The router has ended it.
@@ -795,30 +795,30 @@
         }
 
         /** The whole list, in lines of its own and by numbers of its own. */
-        private String whole() {
+        private String fullList() {
             return "{\n  \"rev\": 7,\n  \"all\": true,\n  \"targets\": [\n    "
-                    + standIns.values().stream()
-                            .filter(n -> !n.name.equals(left))
+                    + dataNodes.values().stream()
+                            .filter(n -> !n.name.equals(missingNode))
                             .map(n -> n.entry(
-                                    n.name.equals(drains) ? "terminating" : "in_service", 0))
+                                    n.name.equals(drainingNode) ? "terminating" : "in_service", 0))
                             .collect(Collectors.joining(",\n    "))
                     + "\n  ]\n}";
         }
 
         /** A frame as the script says it: letter, then id, shard, key and text of each part. */
-        private String told(Socket s, String frame) {
+        private String describe(Socket s, String frame) {
             if (frame.charAt(0) != 'R') {
                 return frame.charAt(0) + " " + frame.substring(1);
             }
             List<String> parts = new ArrayList<>();
             for (int at = 1; at < frame.length(); ) {
                 int lf = frame.indexOf('\n', at);
-                String[] w = frame.substring(at, lf).split(" ", 0);
-                at = lf + 1 + Integer.parseInt(w[3]);
-                from.put(w[0], s);
-                waits.put(w[0], Integer.parseInt(w[2].replaceAll("^d=|,.*", "")));
-                parts.add(w[0] + " " + w[1]
-                        + w[2].replaceAll("^d=[1-9][0-9]*", "").replace(",", " ") + " "
+                String[] words = frame.substring(at, lf).split(" ", 0);
+                at = lf + 1 + Integer.parseInt(words[3]);
+                connectionByPart.put(words[0], s);
+                timeoutsMs.put(words[0], Integer.parseInt(words[2].replaceAll("^d=|,.*", "")));
+                parts.add(words[0] + " " + words[1]
+                        + words[2].replaceAll("^d=[1-9][0-9]*", "").replace(",", " ") + " "
                         + brief(frame.substring(lf + 1, at)));
             }
             return "R " + String.join(" + ", parts);
@@ -828,62 +828,62 @@
             return text.length() > 999 ? text.length() + " bytes" : text;
         }
 
-        void line(String what, String rest) throws Exception {
+        void runStep(String what, String rest) throws Exception {
             switch (what) {
                 case "<" -> {
                     // The end of one connection and what comes on the next are seen by two threads.
-                    for (int i = 0; rest.equals("closed") && i < PATIENCE_MS; i++) {
-                        if (heard.remove(rest)) {
+                    for (int i = 0; rest.equals("closed") && i < TIMEOUT_MS; i++) {
+                        if (received.remove(rest)) {
                             return;
                         }
                         Thread.sleep(1);
                     }
-                    String next = heard.poll(
-                            rest.equals("nothing") ? QUIET_MS : PATIENCE_MS, TimeUnit.MILLISECONDS);
+                    String next = received.poll(
+                            rest.equals("nothing") ? QUIET_MS : TIMEOUT_MS, TimeUnit.MILLISECONDS);
                     assertEquals(rest.equals("nothing") ? null : rest, next);
                 }
-                case ">" -> says(rest.split(" ", 3));
+                case ">" -> send(rest.split(" ", 3));
                 case "slowly" -> {
-                    if (this == discovery || this == other) {
+                    if (this == discovery || this == secondDiscovery) {
                         String chunk =
                                 Integer.toHexString(rest.length() + 1) + "\r\n" + rest + "\n\r\n";
-                        byteByByte(newest(), chunk.getBytes(StandardCharsets.UTF_8));
+                        byteByByte(newestConnection(), chunk.getBytes(StandardCharsets.UTF_8));
                     } else {
-                        String[] w = rest.split(" ", 3);
-                        byteByByte(from.get(w[1]), framed(answer(w)));
+                        String[] words = rest.split(" ", 3);
+                        byteByByte(connectionByPart.get(words[1]), framed(answer(words)));
                     }
                 }
                 case "deaf" -> {
-                    deaf = true;
+                    stopsReading = true;
                     server.setReceiveBufferSize(1 << 12);
                 }
-                case "hears" -> deaf = false;
+                case "hears" -> stopsReading = false;
                 case "waits" -> {
-                    String[] w = rest.split(" ");
-                    int most = Integer.parseInt(w[1]);
-                    int told = waits.get(w[0]);
+                    String[] words = rest.split(" ");
+                    int most = Integer.parseInt(words[1]);
+                    int told = timeoutsMs.get(words[0]);
                     assertEquals(
                             true, told <= most, "it was told to be waited for " + told + " ms");
                 }
-                case "until" -> until(rest);
-                case "lists" -> chunks(newest(), whole() + "\n");
-                case "tells" -> chunks(newest(), change(rest) + "\n");
-                case "says" -> chunks(newest(), rest + "\n");
-                case "silent" -> first = "";
+                case "until" -> awaitFrame(rest);
+                case "lists" -> chunks(newestConnection(), fullList() + "\n");
+                case "tells" -> chunks(newestConnection(), change(rest) + "\n");
+                case "says" -> chunks(newestConnection(), rest + "\n");
+                case "silent" -> firstUpdate = "";
                 case "hangs" -> hangs = true;
                 case "answers" -> hangs = false;
                 case "drips" ->
-                    drips = new String(ParserPlayer.bytes(rest), StandardCharsets.UTF_8);
-                case "drains" -> drains = rest;
-                case "lacks" -> left = rest;
+                    endlessText = new String(ParserPlayer.bytes(rest), StandardCharsets.UTF_8);
+                case "drains" -> drainingNode = rest;
+                case "lacks" -> missingNode = rest;
                 case "begins" -> {
-                    beginsWhole = rest.equals("whole");
-                    if (!beginsWhole) {
-                        first = change(rest);
-                        firstAfterMs = LATE_MS;
+                    startsWithFullList = rest.equals("whole");
+                    if (!startsWithFullList) {
+                        firstUpdate = change(rest);
+                        firstUpdateDelayMs = LATE_MS;
                     }
                 }
-                case "links" -> assertEquals(Integer.parseInt(rest), links.size(), "links in all");
+                case "links" -> assertEquals(Integer.parseInt(rest), connections.size(), "links in all");
                 case "refuses" -> refuse();
                 case "returns" -> {
                     server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
@@ -895,16 +895,16 @@
         }
 
         /** MOST R FRAME: waits for this frame, before which no more than so many part calls came. */
-        private void until(String rest) throws InterruptedException {
-            String[] w = rest.split(" ", 2);
+        private void awaitFrame(String rest) throws InterruptedException {
+            String[] words = rest.split(" ", 2);
             int calls = 0;
-            String next = heard.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            while (next != null && !next.equals(w[1])) {
+            String next = received.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            while (next != null && !next.equals(words[1])) {
                 calls += next.startsWith("R ") ? 1 : 0;
-                next = heard.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                next = received.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
-            assertEquals(w[1], next);
-            assertEquals(true, calls <= Integer.parseInt(w[0]), calls + " part calls came before");
+            assertEquals(words[1], next);
+            assertEquals(true, calls <= Integer.parseInt(words[0]), calls + " part calls came before");
         }
 
         /** Until the thread that accepts has let go of it, the kernel still takes connections. */
@@ -923,8 +923,8 @@
 
         /** NODE STATE [BOOT]: one change of the list. */
         private String change(String rest) {
-            String[] w = rest.split(" ", 0);
-            String entry = standIns.get(w[0]).entry(w[1], w.length > 2 ? Long.parseLong(w[2]) : 0);
+            String[] words = rest.split(" ", 0);
+            String entry = dataNodes.get(words[0]).entry(words[1], words.length > 2 ? Long.parseLong(words[2]) : 0);
             return "{\"rev\":50,\"all\":false,\"targets\":[" + entry + "]}";
         }
 
@@ -937,36 +937,36 @@
             }
         }
 
-        private Socket newest() {
-            return asks == null ? links.get(links.size() - 1) : asks;
+        private Socket newestConnection() {
+            return watchConnection == null ? connections.get(connections.size() - 1) : watchConnection;
         }
 
-        private void says(String[] w) throws IOException {
-            switch (w[0]) {
-                case "OK", "ERROR", "REJECTED" -> frame(from.get(w[1]), answer(w));
-                case "N" -> frame(newest(), "N" + String.join(" ", w).substring(1));
+        private void send(String[] words) throws IOException {
+            switch (words[0]) {
+                case "OK", "ERROR", "REJECTED" -> frame(connectionByPart.get(words[1]), answer(words));
+                case "N" -> frame(newestConnection(), "N" + String.join(" ", words).substring(1));
                 case "frame" ->
                     frame(
-                            newest(),
+                            newestConnection(),
                             new String(
-                                    ParserPlayer.bytes(String.join(" ", w).substring(6)),
+                                    ParserPlayer.bytes(String.join(" ", words).substring(6)),
                                     StandardCharsets.UTF_8));
                 case "raw" ->
-                    newest().getOutputStream()
-                            .write(ParserPlayer.bytes(String.join(" ", w).substring(4)));
-                case "end" -> newest().close();
+                    newestConnection().getOutputStream()
+                            .write(ParserPlayer.bytes(String.join(" ", words).substring(4)));
+                case "end" -> newestConnection().close();
                 case "reset" -> {
-                    newest().setSoLinger(true, 0);
-                    newest().close();
+                    newestConnection().setSoLinger(true, 0);
+                    newestConnection().close();
                 }
-                default -> throw new IllegalArgumentException(w[0]);
+                default -> throw new IllegalArgumentException(words[0]);
             }
         }
 
-        private static String answer(String[] w) {
-            return "Y" + w[1] + " " + w[0] + " 7 -\n"
-                    + (w.length > 2
-                            ? new String(ParserPlayer.bytes(w[2]), StandardCharsets.UTF_8)
+        private static String answer(String[] words) {
+            return "Y" + words[1] + " " + words[0] + " 7 -\n"
+                    + (words.length > 2
+                            ? new String(ParserPlayer.bytes(words[2]), StandardCharsets.UTF_8)
                             : "");
         }
 
@@ -984,10 +984,10 @@
 
         void close() throws IOException {
             server.close();
-            for (Socket s : links) {
+            for (Socket s : connections) {
                 s.close();
             }
-            for (Socket s : filling) {
+            for (Socket s : backlogFillers) {
                 s.close();
             }
         }
@@ -1010,7 +1010,7 @@
         Pattern ends = Pattern.compile(String.format(
                 ":%04X [0-9A-F]+:%04X [0-9A-F]+ [0-9A-F]+:00000000 ",
                 sent.getPort(), sent.getLocalPort()));
-        for (int i = 0; i < PATIENCE_MS; i++) {
+        for (int i = 0; i < TIMEOUT_MS; i++) {
             if (ends.matcher(Files.readString(Path.of("/proc/net/tcp"))).find()
                     || ends.matcher(Files.readString(Path.of("/proc/net/tcp6"))).find()) {
                 return;
@@ -1040,18 +1040,18 @@
         void connect() throws IOException {
             if (socket == null) {
                 socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(TIMEOUT_MS);
             }
         }
 
         /** Connects as soon as the router listens, and says this at once. */
-        void early(String line) {
-            String[] w = line.split(" ", 2);
+        void connectEarly(String line) {
+            String[] words = line.split(" ", 2);
             while (socket == null) {
                 try {
                     socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                    socket.setSoTimeout(PATIENCE_MS);
-                    line(w[0], w[1]);
+                    socket.setSoTimeout(TIMEOUT_MS);
+                    runStep(words[0], words[1]);
                 } catch (ConnectException e) {
                     Thread.onSpinWait(); // It does not listen yet.
                 } catch (Exception e) {
@@ -1060,7 +1060,7 @@
             }
         }
 
-        void line(String what, String rest) throws Exception {
+        void runStep(String what, String rest) throws Exception {
             connect();
             switch (what) {
                 case "asks" -> write(request(rest.split(" ", 0)));
@@ -1072,8 +1072,8 @@
                     assertEquals(
                             rest,
                             rest.equals("end")
-                                    ? end()
-                                    : rest.equals("nothing") ? quiet() : answer());
+                                    ? readEnd()
+                                    : rest.equals("nothing") ? readNothing() : readAnswer());
                 case "leaves" -> socket.close();
                 case "taken" -> awaitRead(socket);
                 case "floods" -> assertEquals(true, flood() < 20 << 20, "so much was taken");
@@ -1099,21 +1099,21 @@
         }
 
         /** ID CLASS BUDGET SHARDS [KEY] */
-        private String request(String[] w) {
-            String segments = Arrays.stream(w[3].split(","))
-                    .map(s -> "{\"segment\":" + s + ",\"boost\":" + 1.0 / w[3].split(",").length
+        private String request(String[] words) {
+            String segments = Arrays.stream(words[3].split(","))
+                    .map(s -> "{\"segment\":" + s + ",\"boost\":" + 1.0 / words[3].split(",").length
                             + "}")
                     .collect(Collectors.joining(","));
-            String body = "{\"segments\":[" + segments + "],\"text\":\"t" + w[0] + "\"}";
-            return "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + w[0] + "\r\nX-Call-Class: "
-                    + w[1]
-                    + "\r\nX-Budget-Ms: " + w[2] + "\r\n"
-                    + (w.length > 4 ? "Idempotency-Key: " + w[4] + "\r\n" : "")
+            String body = "{\"segments\":[" + segments + "],\"text\":\"t" + words[0] + "\"}";
+            return "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + words[0] + "\r\nX-Call-Class: "
+                    + words[1]
+                    + "\r\nX-Budget-Ms: " + words[2] + "\r\n"
+                    + (words.length > 4 ? "Idempotency-Key: " + words[4] + "\r\n" : "")
                     + "Content-Length: " + body.length() + "\r\n\r\n" + body;
         }
 
         /** Status, "close" and "again" where the head says so, and the body of a 200. */
-        private String answer() throws IOException {
+        private String readAnswer() throws IOException {
             InputStream in = socket.getInputStream();
             String head = head(in).toLowerCase(Locale.ROOT);
             if (head.startsWith("http/1.1 100 ")) {
@@ -1126,7 +1126,7 @@
             return status
                     + (head.contains("connection: close") ? " close" : "")
                     + (head.contains("retry-after: ") ? " again" : "")
-                    + (status.equals("200") ? " " + StandIn.brief(body) : "");
+                    + (status.equals("200") ? " " + StubServer.brief(body) : "");
         }
 
         void close() throws IOException {
@@ -1135,7 +1135,7 @@
             }
         }
 
-        private String end() throws IOException {
+        private String readEnd() throws IOException {
             try {
                 return socket.getInputStream().read() < 0 ? "end" : "a byte";
             } catch (SocketException e) {
@@ -1143,14 +1143,14 @@
             }
         }
 
-        private String quiet() throws IOException {
+        private String readNothing() throws IOException {
             socket.setSoTimeout(QUIET_MS);
             try {
                 return socket.getInputStream().read() < 0 ? "end" : "a byte";
             } catch (SocketTimeoutException e) {
                 return "nothing";
             } finally {
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(TIMEOUT_MS);
             }
         }
     }
@@ -1158,7 +1158,7 @@
     @Override
     public void close() throws IOException {
         LOG.removeHandler(handler);
-        release(List.of(gate, timers, reads));
+        release(List.of(turnGate, timerGate, readGate));
         if (router != null) {
             router.stopNow();
         }
@@ -1166,8 +1166,8 @@
             process.destroyForcibly();
         }
         discovery.close();
-        other.close();
-        for (StandIn s : standIns.values()) {
+        secondDiscovery.close();
+        for (StubServer s : dataNodes.values()) {
             s.close();
         }
         for (Client c : clients.values()) {
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -35,7 +35,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Plays every scenario: the module's through {@link Player}, the wire's through the adapter. */
+/**
+ * Plays every scenario: the module's through {@link DecisionScenarioPlayer}, the wire's through the adapter.
+ */
 class ScenarioTest {
 
     static List<Arguments> module() throws IOException {
@@ -83,7 +85,7 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void module(String title, List<String> script) {
-        new Player().play(script);
+        new DecisionScenarioPlayer().play(script);
     }
 
     /** HTTP/2 frames of a scripted server against the client's side of a connection. */
@@ -128,7 +130,7 @@
     @MethodSource
     @Timeout(60)
     void router(String title, List<String> script, @TempDir Path dir) throws Exception {
-        try (RouterPlayer p = new RouterPlayer(dir)) {
+        try (RouterScenarioPlayer p = new RouterScenarioPlayer(dir)) {
             p.play(script);
         }
     }
