--- a/src/main/java/tinlink/Main.java
+++ b/src/main/java/tinlink/Main.java
@@ -1,13 +1,13 @@
 package tinlink;
 
-import tinlink.benchlink.BenchLink;
+import tinlink.simadapter.SimulatorAdapter;
 import tinlink.cli.Commands;
 import tinlink.router.Router;
-import tinlink.start.BadInput;
-import tinlink.start.Hangup;
-import tinlink.start.KeptLogs;
-import tinlink.start.PlainLines;
-import tinlink.start.RouterStart;
+import tinlink.config.InvalidInputException;
+import tinlink.config.HangupSignal;
+import tinlink.config.ShutdownSafeLogManager;
+import tinlink.config.PlainLogFormatter;
+import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.net.URISyntaxException;
@@ -32,39 +32,39 @@
 
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
-        boolean plain = System.getenv("NODE_GATEWAY") == null
+        boolean hasNoOptionalFile = System.getenv("NODE_GATEWAY") == null
                 && System.getenv("NODE_HTTP2") == null
                 && System.getenv("NODE_PEERS") == null
                 && System.getenv("NODE_WORK") == null;
         switch (command) {
-            case "benchlink" -> System.exit(new BenchLink(System.in, System.out, System.err).run());
+            case "benchlink" -> System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
             case "warm" -> exit(serve(System.getenv(), false));
-            case "serve" -> exit(plain ? serve(System.getenv(), true) : withLibraries(args));
-            default -> exit(withLibraries(args));
+            case "serve" -> exit(hasNoOptionalFile ? serve(System.getenv(), true) : runWithLibraries(args));
+            default -> exit(runWithLibraries(args));
         }
     }
 
     /**
      * Danger: libraries that the jar's manifest names are looked at by each start, which costs
-     * those of the platform 20 ms and a megabyte that they have no use for. So they get a loader of
+     * those of the platform 20 ms and a megabyte that they do not use. So they get a loader of
      * their own, and with them the whole program once more.
      */
-    private static int withLibraries(String[] args) {
+    private static int runWithLibraries(String[] args) {
         try {
             Path jar = Path.of(Main.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
                     .toURI());
-            Path lib = jar.resolveSibling("lib");
-            if (!Files.isRegularFile(jar) || !Files.isDirectory(lib)) {
+            Path libraryFolder = jar.resolveSibling("lib");
+            if (!Files.isRegularFile(jar) || !Files.isDirectory(libraryFolder)) {
                 return command(
                         args); // Not from a jar: whoever started it has them on its class path.
             }
             List<URL> urls = new ArrayList<>(List.of(jar.toUri().toURL()));
-            try (DirectoryStream<Path> all = Files.newDirectoryStream(lib, "*.jar")) {
-                for (Path one : all) {
-                    urls.add(one.toUri().toURL());
+            try (DirectoryStream<Path> jarFiles = Files.newDirectoryStream(libraryFolder, "*.jar")) {
+                for (Path jarFile : jarFiles) {
+                    urls.add(jarFile.toUri().toURL());
                 }
             }
             ClassLoader loader = new URLClassLoader(
@@ -81,7 +81,7 @@
 
     /** With the libraries at hand: the commands that need them. */
     public static int command(String[] args) {
-        return Commands.run(env -> serve(env, true), args);
+        return Commands.run(environment -> serve(environment, true), args);
     }
 
     private static void exit(int status) {
@@ -91,20 +91,20 @@
     }
 
     /** @return the exit status, or SERVED after an orderly stop, which ends the process itself */
-    private static int serve(Map<String, String> env, boolean clients) {
-        System.setProperty("java.util.logging.manager", KeptLogs.class.getName());
+    private static int serve(Map<String, String> environment, boolean servesClients) {
+        System.setProperty("java.util.logging.manager", ShutdownSafeLogManager.class.getName());
         try {
-            RouterStart start = new RouterStart(env);
+            RouterConfig config = new RouterConfig(environment);
             Logger log = Logger.getLogger("tinlink");
             Handler console = new ConsoleHandler();
             console.setLevel(Level.ALL);
-            console.setFormatter(new PlainLines());
+            console.setFormatter(new PlainLogFormatter());
             log.addHandler(console);
             log.setUseParentHandlers(false);
-            log.setLevel(start.logLevel);
-            Router router = new Router(start, start.built.module);
-            Hangup.hear(router::reload);
-            if (!clients) {
+            log.setLevel(config.logLevel);
+            Router router = new Router(config, config.decision.module);
+            HangupSignal.onHangup(router::reload);
+            if (!servesClients) {
                 router.onlyWarmUp();
                 return 0;
             }
@@ -118,7 +118,7 @@
             router.warmUp();
             router.run();
             return SERVED;
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             System.err.println(e.getMessage());
             return 1;
         } catch (IOException e) {
--- a/src/main/java/tinlink/cli/Commands.java
+++ b/src/main/java/tinlink/cli/Commands.java
@@ -12,7 +12,7 @@
 import tinlink.experiment.processes.PolicyExperiment;
 import tinlink.experiment.processes.MaintenanceExperiment;
 import tinlink.experiment.scale.SimulatedControlExperiment;
-import tinlink.start.BadInput;
+import tinlink.config.InvalidInputException;
 
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -46,7 +46,7 @@
     public static int run(RouterRunner serves, String... args) {
         CommandLine line = new CommandLine(new Commands(serves));
         line.setExecutionExceptionHandler((e, cmd, result) -> {
-            if (e instanceof BadInput) {
+            if (e instanceof InvalidInputException) {
                 cmd.getErr().println(e.getMessage());
                 return 1;
             }
--- a/src/main/java/tinlink/cli/MaintenanceCommands.java
+++ b/src/main/java/tinlink/cli/MaintenanceCommands.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-import tinlink.start.BadInput;
+import tinlink.config.InvalidInputException;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -274,12 +274,12 @@
                     case "h" -> 3_600_000;
                     case "d" -> 86_400_000;
                     default ->
-                        throw new BadInput("a time is a number with ms, s, m, h or d: " + time);
+                        throw new InvalidInputException("a time is a number with ms, s, m, h or d: " + time);
                 };
         try {
             return Math.max(1, Math.round(Double.parseDouble(number) * unit));
         } catch (NumberFormatException e) {
-            throw new BadInput("a time is a number with ms, s, m, h or d: " + time);
+            throw new InvalidInputException("a time is a number with ms, s, m, h or d: " + time);
         }
     }
 }
--- a/src/main/java/tinlink/cli/PolicyCommands.java
+++ b/src/main/java/tinlink/cli/PolicyCommands.java
@@ -9,8 +9,8 @@
 import picocli.CommandLine.Parameters;
 
 import tinlink.policy.ProposalTerms;
-import tinlink.start.PolicyDoc;
-import tinlink.start.RouterStart;
+import tinlink.config.PolicyDocument;
+import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -73,7 +73,7 @@
             throws IOException {
         String text = Files.readString(file);
         ProposalTerms terms = ProposalTerms.parse(text);
-        new PolicyDoc(text, new RouterStart(Map.of("NODE_CONFIG", config)));
+        new PolicyDocument(text, new RouterConfig(Map.of("NODE_CONFIG", config)));
         print("good for " + config + ", digest " + terms.digest());
         return 0;
     }
--- a/src/main/java/tinlink/start/Figures.java
+++ b/src/main/java/tinlink/config/FlatSettings.java
@@ -1,4 +1,4 @@
-package tinlink.start;
+package tinlink.config;
 
 import java.math.BigDecimal;
 import java.math.RoundingMode;
@@ -8,51 +8,51 @@
 import java.util.Map;
 
 /**
- * The figures that a module or a router is started with, by path. The bench gives path=value pairs,
+ * The settings that a module or a router is started with, by path. The bench gives path=value pairs,
  * a router's file nested JSON; both become the same flat paths. Unknown ones are never asked for.
  */
-public final class Figures {
-    private static final int MOST_COUNTED = 100_000;
-    private final String from;
+public final class FlatSettings {
+    private static final int MAX_COUNT = 100_000;
+    private final String source;
     private final Map<String, String> pairs = new HashMap<>();
 
-    private Figures(String from) {
-        this.from = from;
+    private FlatSettings(String source) {
+        this.source = source;
     }
 
     /**
      * Reads figures from pairs of key=value, parted by spaces.
      *
-     * @param from what the messages call the place that the figures come from
+     * @param source what the messages call the place that the settings come from
      */
-    public static Figures ofPairs(String from, String text) {
-        Figures f = new Figures(from);
+    public static FlatSettings ofPairs(String source, String text) {
+        FlatSettings settings = new FlatSettings(source);
         for (String pair : text.split(" ", 0)) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                f.pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
+            int equalsAt = pair.indexOf('=');
+            if (equalsAt > 0) {
+                settings.pairs.put(pair.substring(0, equalsAt), pair.substring(equalsAt + 1));
             } else if (!pair.isEmpty()) {
-                throw new BadInput(from + ": no path=value pair: " + pair);
+                throw new InvalidInputException(source + ": no path=value pair: " + pair);
             }
         }
-        return f;
+        return settings;
     }
 
     /** Nested JSON: lists of plain values are joined with commas, those of objects get a count. */
-    static Figures ofTree(String from, Map<?, ?> tree) {
-        Figures f = new Figures(from);
-        tree.forEach((k, v) -> f.flatten(String.valueOf(k), v));
-        return f;
+    static FlatSettings ofTree(String source, Map<?, ?> tree) {
+        FlatSettings settings = new FlatSettings(source);
+        tree.forEach((key, element) -> settings.flatten(String.valueOf(key), element));
+        return settings;
     }
 
     private void flatten(String path, Object value) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(path + "." + k, v));
+            map.forEach((key, element) -> flatten(path + "." + key, element));
         } else if (value instanceof List<?> list) {
-            boolean plain = list.stream().noneMatch(v -> v instanceof Map || v instanceof List);
-            if (plain) {
+            boolean allPlain = list.stream().noneMatch(element -> element instanceof Map || element instanceof List);
+            if (allPlain) {
                 List<String> all = new ArrayList<>();
-                list.forEach(v -> all.add(plain(String.valueOf(v))));
+                list.forEach(element -> all.add(plainName(String.valueOf(element))));
                 pairs.put(path, String.join(",", all));
             } else {
                 pairs.put(path + ".count", String.valueOf(list.size()));
@@ -66,7 +66,7 @@
     }
 
     /** A name as it stands in a list of plain values. */
-    public static String plain(String name) {
+    public static String plainName(String name) {
         return name.replaceAll("[ ,]", "_");
     }
 
@@ -75,8 +75,8 @@
         return value != null && !value.isEmpty() && !value.equals("-");
     }
 
-    String text(String path, String absent) {
-        return has(path) ? pairs.get(path) : absent;
+    String text(String path, String defaultValue) {
+        return has(path) ? pairs.get(path) : defaultValue;
     }
 
     boolean flag(String path) {
@@ -84,35 +84,35 @@
         return value.equals("true") || value.equals("1");
     }
 
-    double number(String path, double absent) {
-        return has(path) ? number(path, pairs.get(path)) : absent;
+    double number(String path, double defaultValue) {
+        return has(path) ? number(path, pairs.get(path)) : defaultValue;
     }
 
-    int whole(String path, int absent) {
-        double value = number(path, absent);
+    int integer(String path, int defaultValue) {
+        double value = number(path, defaultValue);
         if (Math.abs(value) > Integer.MAX_VALUE) {
-            throw bad(path, "is too large: " + pairs.get(path));
+            throw invalid(path, "is too large: " + pairs.get(path));
         }
         return (int) Math.round(value);
     }
 
     /**
-     * Danger: tables are made of this size, and one that fills the heap is no start that was
-     * refused.
+     * Danger: tables are made of this size, and one that fills the heap is not a start that was
+     * rejected.
      */
-    int count(String path, int absent, int least) {
-        int value = whole(path, absent);
-        if (value < least) {
-            throw bad(path, "is under " + least + ": " + value);
+    int count(String path, int defaultValue, int min) {
+        int value = integer(path, defaultValue);
+        if (value < min) {
+            throw invalid(path, "is under " + min + ": " + value);
         }
-        if (value > MOST_COUNTED) {
-            throw bad(path, "is over " + MOST_COUNTED + ": " + value);
+        if (value > MAX_COUNT) {
+            throw invalid(path, "is over " + MAX_COUNT + ": " + value);
         }
         return value;
     }
 
-    long micros(String path, long absent) {
-        return has(path) ? micros(from + ": '" + path + "'", pairs.get(path)) : absent;
+    long micros(String path, long defaultValue) {
+        return has(path) ? micros(source + ": '" + path + "'", pairs.get(path)) : defaultValue;
     }
 
     /** The items of a list of plain values. */
@@ -121,13 +121,13 @@
     }
 
     /** Item i of a list of plain values. */
-    double item(String path, int i, double absent) {
+    double item(String path, int i, double defaultValue) {
         List<String> items = items(path);
-        return i < items.size() && !items.get(i).isEmpty() ? number(path, items.get(i)) : absent;
+        return i < items.size() && !items.get(i).isEmpty() ? number(path, items.get(i)) : defaultValue;
     }
 
-    BadInput bad(String path, String what) {
-        return new BadInput(from + ": '" + path + "' " + what);
+    InvalidInputException invalid(String path, String problem) {
+        return new InvalidInputException(source + ": '" + path + "' " + problem);
     }
 
     private double number(String path, String value) {
@@ -139,11 +139,11 @@
         } catch (NumberFormatException e) {
             // Reported below, like one that is not finite.
         }
-        throw bad(path, "is no number: " + value);
+        throw invalid(path, "is no number: " + value);
     }
 
     /** A number without a fraction that says nothing. */
-    static String shown(double number) {
+    static String plainNumber(double number) {
         return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
     }
 
@@ -153,7 +153,7 @@
             BigDecimal us = new BigDecimal(millis).movePointRight(3);
             return us.setScale(0, RoundingMode.HALF_UP).longValueExact();
         } catch (ArithmeticException | NumberFormatException e) {
-            throw new BadInput(what + " is no time: " + millis);
+            throw new InvalidInputException(what + " is no time: " + millis);
         }
     }
 }
--- a/src/main/java/tinlink/start/Hangup.java
+++ b/src/main/java/tinlink/config/HangupSignal.java
@@ -1,40 +1,40 @@
-package tinlink.start;
+package tinlink.config;
 
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 
 /**
- * Hears SIGHUP. The JVM has no supported way to do so; the one that it has had for long is reached
+ * Handles SIGHUP. The JVM has no supported way to do so; the one that it has had for long is reached
  * by name, so that the code builds without it too.
  */
-public final class Hangup {
-    private Hangup() {}
+public final class HangupSignal {
+    private HangupSignal() {}
 
-    /** Danger: without this a SIGHUP ends the JVM, and with it all that is in hand. */
-    public static void hear(Runnable what) {
+    /** Danger: without this a SIGHUP ends the JVM, and with it all that is in flight. */
+    public static void onHangup(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object hears = Proxy.newProxyInstance(
-                    Hangup.class.getClassLoader(),
-                    new Class<?>[] {handler},
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object proxy = Proxy.newProxyInstance(
+                    HangupSignal.class.getClassLoader(),
+                    new Class<?>[] {handlerType},
                     (self, method, args) -> switch (method.getName()) {
                         case "equals" -> self == args[0];
                         case "hashCode" -> System.identityHashCode(self);
                         case "toString" -> "Hangup";
                         default -> {
-                            what.run();
+                            action.run();
                             yield null;
                         }
                     });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), hears);
+            signal.getMethod("handle", signal, handlerType)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
         } catch (ClassNotFoundException
                 | NoSuchMethodException
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException e) {
-            throw new BadInput("environment: SIGHUP can't be heard here: " + e);
+            throw new InvalidInputException("environment: SIGHUP can't be heard here: " + e);
         }
     }
 }
--- a/src/main/java/tinlink/start/PlainLines.java
+++ b/src/main/java/tinlink/config/PlainLogFormatter.java
@@ -1,4 +1,4 @@
-package tinlink.start;
+package tinlink.config;
 
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -9,23 +9,23 @@
  * A log line: Unix time in seconds, level, logger, message. The usual formatter loads calendars and
  * languages with its first line, which costs a start as much as reading the whole configuration.
  */
-public final class PlainLines extends Formatter {
+public final class PlainLogFormatter extends Formatter {
     @Override
-    public String format(LogRecord r) {
-        String millis = String.valueOf(1000 + r.getMillis() % 1000).substring(1);
+    public String format(LogRecord record) {
+        String millis = String.valueOf(1000 + record.getMillis() % 1000).substring(1);
         StringWriter line = new StringWriter()
-                .append(String.valueOf(r.getMillis() / 1000))
+                .append(String.valueOf(record.getMillis() / 1000))
                 .append('.')
                 .append(millis)
                 .append(' ')
-                .append(r.getLevel().getName())
+                .append(record.getLevel().getName())
                 .append(' ')
-                .append(r.getLoggerName())
+                .append(record.getLoggerName())
                 .append(": ")
-                .append(formatMessage(r))
+                .append(formatMessage(record))
                 .append('\n');
-        if (r.getThrown() != null) {
-            r.getThrown().printStackTrace(new PrintWriter(line, true));
+        if (record.getThrown() != null) {
+            record.getThrown().printStackTrace(new PrintWriter(line, true));
         }
         return line.toString();
     }
--- /dev/null
+++ b/src/main/java/tinlink/config/PolicyDocument.java
@@ -0,0 +1,67 @@
+package tinlink.config;
+
+import tinlink.decision.Index;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * A policy document as this router can use it: the figures of lookups that may change while it
+ * serves. Effects and windows are the data nodes' own and stay with each router's file; so do
+ * addresses, keys and the machine's limits.
+ */
+public final class PolicyDocument {
+    /**
+     * For the lookups that are taken by it; those taken before keep the ones that they were taken
+     * by.
+     */
+    public final Map<String, Index> lookupClasses = new LinkedHashMap<>();
+    /** Lookups and parts that may be in flight. */
+    public final int maxInFlight;
+
+    /**
+     * @param config what this router was started with: what a document can't go beyond here
+     * @throws InvalidInputException naming the key that it can't use, and why
+     */
+    public PolicyDocument(String text, RouterConfig config) {
+        this(ConfigFile.of("policy", text), config);
+    }
+
+    private PolicyDocument(ConfigFile file, RouterConfig config) {
+        lookupClasses.putAll(config.lookups.lookupClasses());
+        ConfigFile classEntries = file.object("indexes");
+        for (String name : classEntries.keys()) {
+            Index configured = config.lookups.lookupClasses().get(name);
+            if (configured == null) {
+                throw classEntries.invalid(
+                        name,
+                        "is no index of this router's: "
+                                + String.join(", ", config.lookups.lookupClasses().keySet()));
+            }
+            lookupClasses.put(name, lookupClass(classEntries.object(name), configured));
+        }
+        maxInFlight = file.integer("open_cap", config.lookups.maxInFlight(), 1, config.maxInFlightOfPolicy);
+        ConfigFile absence = file.object("absent"); // Of the change itself, and read by whoever proposes it.
+        absence.text("rule", "");
+        for (String key : List.of("wait_ms", "hold_ms", "lease_ms", "clock_error_ms")) {
+            absence.number(key, 0, 0, 3_600_000);
+        }
+        file.rejectUnknownKeys();
+    }
+
+    private static Index lookupClass(ConfigFile file, Index configured) {
+        Index lookupClass = new Index();
+        lookupClass.effect = configured.effect;
+        lookupClass.windowUs = configured.windowUs;
+        lookupClass.secondStep = configured.secondStep;
+        lookupClass.hardUs = configured.hardUs;
+        lookupClass.softUs = file.micros("soft_ms", configured.softUs / 1000.0, 1, configured.hardUs / 1000.0);
+        lookupClass.gain = file.number("gain", configured.gain, 0, 1e6);
+        lookupClass.lateGain = file.number("late_gain", configured.lateGain, 0, 1e6);
+        lookupClass.need = file.number("need", configured.need, 1e-6, 1);
+        lookupClass.floor = file.number("floor", Math.min(configured.floor, lookupClass.need), 0, lookupClass.need);
+        lookupClass.partialGain = file.number("partial_gain", configured.partialGain, 0, 1e6);
+        return lookupClass;
+    }
+}
--- a/src/main/java/tinlink/start/KeptLogs.java
+++ b/src/main/java/tinlink/config/ShutdownSafeLogManager.java
@@ -1,13 +1,13 @@
-package tinlink.start;
+package tinlink.config;
 
 import java.util.logging.LogManager;
 
 /**
  * Danger: java.util.logging takes its handlers away as soon as a SIGTERM comes, while the router
- * still finishes what it has in hand; the lines of that time, which tell how the stop went, would
+ * still finishes what is in flight; the lines of that time, which tell how the stop went, would
  * be lost.
  */
-public final class KeptLogs extends LogManager {
+public final class ShutdownSafeLogManager extends LogManager {
     @Override
     public void reset() {
         // The handlers stay until the process is gone; they write through and hold nothing back.
--- a/src/main/java/tinlink/experiment/Emulation.java
+++ b/src/main/java/tinlink/experiment/Emulation.java
@@ -2,7 +2,7 @@
 
 import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
-import tinlink.start.JsonFile;
+import tinlink.config.ConfigFile;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 
     /** Until interrupted. */
     public static int run(String file) throws IOException, InterruptedException {
-        TwoSites.Plan plan = plan(JsonFile.of(file));
+        TwoSites.Plan plan = plan(ConfigFile.of(file));
         try (TwoSites world = new TwoSites(plan)) {
             System.out.println(
                     world.joined(10_000)
@@ -44,13 +44,13 @@
         }
     }
 
-    private static TwoSites.Plan plan(JsonFile f) {
+    private static TwoSites.Plan plan(ConfigFile f) {
         Map<String, List<Integer>> cells = new LinkedHashMap<>();
-        int shards = f.whole("shards", 6, 1, 4096);
-        int copies = f.whole("copies", 2, 1, 16);
-        for (JsonFile s : f.objects("sites")) {
-            int from = s.whole("from", 0, 0, shards - 1);
-            int to = s.whole("to", shards - 1, from, shards - 1);
+        int shards = f.integer("shards", 6, 1, 4096);
+        int copies = f.integer("copies", 2, 1, 16);
+        for (ConfigFile s : f.objects("sites")) {
+            int from = s.integer("from", 0, 0, shards - 1);
+            int to = s.integer("to", shards - 1, from, shards - 1);
             List<Integer> held = new ArrayList<>();
             for (int i = from; i <= to; i++) {
                 for (int c = 0; c < copies; c++) {
@@ -61,24 +61,24 @@
         }
         if (cells.size() != 2
                 || cells.keySet().stream().map(n -> n.charAt(0)).distinct().count() != 2) {
-            throw f.bad("sites", "are not two whose names begin with letters of their own");
+            throw f.invalid("sites", "are not two whose names begin with letters of their own");
         }
-        JsonFile line = f.object("line");
+        ConfigFile line = f.object("line");
         long delay = line.micros("delay_ms", 20, 0, 10_000);
         long jitter = line.micros("jitter_ms", 2, 0, 10_000);
-        long kb = line.whole("kb_per_s", 10_000, 1, 1_000_000);
+        long kb = line.integer("kb_per_s", 10_000, 1, 1_000_000);
         EmulatedLink.LinkConditions way = new EmulatedLink.LinkConditions(delay, jitter, 1000 * kb);
-        JsonFile work = f.object("nodes");
+        ConfigFile work = f.object("nodes");
         TwoSites.Plan plan = new TwoSites.Plan(
                 cells,
                 shards,
-                f.whole("routers", 2, 1, 16),
-                f.whole("lines", 1, 1, 16),
+                f.integer("routers", 2, 1, 16),
+                f.integer("lines", 1, 1, 16),
                 way,
                 way,
                 new EmulatedNode.ServiceModel(
-                        work.whole("cores", 4, 1, 1024),
-                        work.whole("queue", 64, 1, 65_536),
+                        work.integer("cores", 4, 1, 1024),
+                        work.integer("queue", 64, 1, 65_536),
                         work.micros("median_ms", 5, 0.01, 60_000),
                         work.number("sigma", 0.5, 0.01, 3)),
                 TwoSites.LIMITS,
@@ -87,9 +87,9 @@
                 "\"completeFrom\":[0.67,1,1],\"minShare\":[0.3,1,1],\"incompleteWorth\":[0.5,0,0]",
                 "",
                 f.text("http2", ""),
-                f.whole("port", 8080, 0, 65_000),
-                f.whole("seed", 1, 0, Integer.MAX_VALUE));
-        f.nothingElse();
+                f.integer("port", 8080, 0, 65_000),
+                f.integer("seed", 1, 0, Integer.MAX_VALUE));
+        f.rejectUnknownKeys();
         return plan;
     }
 
--- a/src/main/java/tinlink/experiment/TwoSites.java
+++ b/src/main/java/tinlink/experiment/TwoSites.java
@@ -7,7 +7,7 @@
 import tinlink.emulator.EmulatorLoop;
 import tinlink.emulator.RunLog;
 import tinlink.router.Router;
-import tinlink.start.RouterStart;
+import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -99,8 +99,8 @@
 
         /** Starts it, anew if it had run before; returns once clients can connect. */
         public void start() throws IOException, InterruptedException {
-            RouterStart from = new RouterStart(env);
-            Router r = new Router(from, from.built.module);
+            RouterConfig from = new RouterConfig(env);
+            Router r = new Router(from, from.decision.module);
             thread = new Thread(
                     () -> {
                         try {
--- a/src/main/java/tinlink/experiment/scale/HollowMain.java
+++ b/src/main/java/tinlink/experiment/scale/HollowMain.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import tinlink.start.RouterStart;
+import tinlink.config.RouterConfig;
 import tinlink.maintenance.MaintenanceService;
 
 import java.io.BufferedReader;
@@ -76,7 +76,7 @@
                     .properties()
                     .forEach(e -> env.put(e.getKey(), e.getValue().asText()));
             files.put(one.getKey(), env);
-            routers.put(one.getKey(), new HollowRouter(new RouterStart(env), nodes));
+            routers.put(one.getKey(), new HollowRouter(new RouterConfig(env), nodes));
         }
         Map<String, Object> addresses = new LinkedHashMap<>();
         for (Map.Entry<String, HollowRouter> one : routers.entrySet()) {
@@ -146,7 +146,7 @@
 
     /** Starts it again with its folder. */
     private Map<String, Object> start(String name) throws IOException {
-        HollowRouter r = new HollowRouter(new RouterStart(files.get(name)), nodes);
+        HollowRouter r = new HollowRouter(new RouterConfig(files.get(name)), nodes);
         routers.put(name, r);
         r.address();
         r.join(voters);
--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -10,11 +10,11 @@
 import tinlink.policy.PolicyStateMachine;
 import tinlink.policy.ProposalTerms;
 import tinlink.policy.rollout.PolicyVersion;
-import tinlink.start.BadInput;
-import tinlink.start.PeersStart;
-import tinlink.start.PolicyDoc;
-import tinlink.start.RouterStart;
-import tinlink.start.WorkStart;
+import tinlink.config.InvalidInputException;
+import tinlink.config.ClusterConfig;
+import tinlink.config.PolicyDocument;
+import tinlink.config.RouterConfig;
+import tinlink.config.MaintenanceConfig;
 import tinlink.maintenance.MaintenanceService;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
@@ -48,7 +48,7 @@
     /** The shared clock goes in steps of so much here. */
     private static final long CLOCK_STEP_US = 1000;
 
-    private final RouterStart start;
+    private final RouterConfig config;
     private final List<MaintenanceService.ListedNode> nodes;
     private final ThreadGroup group;
     private final CompletableFuture<InetSocketAddress> opened = new CompletableFuture<>();
@@ -69,10 +69,10 @@
     /** Versions that had taken hold while lookups were still taken here by the one before. */
     private int tookOldTooLate;
 
-    HollowRouter(RouterStart start, List<MaintenanceService.ListedNode> nodes) {
-        this.start = start;
+    HollowRouter(RouterConfig config, List<MaintenanceService.ListedNode> nodes) {
+        this.config = config;
         this.nodes = nodes;
-        group = new ThreadGroup(start.peers.router);
+        group = new ThreadGroup(config.cluster.router);
         Thread thread = new Thread(group, this::run, "loop");
         thread.setDaemon(true);
         thread.start();
@@ -92,32 +92,32 @@
 
     /** As {@code router.WorkLinks} puts the parts together. */
     private void open() throws IOException {
-        PeersStart p = start.peers;
-        WorkStart w = start.work;
-        Files.createDirectories(p.folder);
+        ClusterConfig clusterConfig = config.cluster;
+        MaintenanceConfig maintenanceConfig = config.maintenance;
+        Files.createDirectories(clusterConfig.dataDirectory);
         ReplicatedMaintenance replicatedState = new ReplicatedMaintenance();
         PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         clusterNode = new ClusterNode(
                 loop,
                 network.withoutServer(),
-                new ClusterNode.LocalRouter(p.cluster, p.router, p.listen, p.at),
-                new ClusterNode.KnownRouters(p.peers, p.voters),
-                new PeerKeys(p.keys, p.useKey),
-                new ClusterNode.Timing(p.roundUs, p.helpers, p.secondUs, p.handshakeUs, p.idleUs),
-                new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
-                p.folder,
-                start.seed,
+                new ClusterNode.LocalRouter(clusterConfig.cluster, clusterConfig.router, clusterConfig.listen, clusterConfig.advertisedAddress),
+                new ClusterNode.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                new PeerKeys(clusterConfig.keys, clusterConfig.activeKeyId),
+                new ClusterNode.Timing(clusterConfig.probeIntervalUs, clusterConfig.indirectProbeCount, clusterConfig.heartbeatUs, clusterConfig.handshakeUs, clusterConfig.idleUs),
+                new ClusterNode.Limits(clusterConfig.maxMembers, clusterConfig.maxUnauthenticatedConnections, clusterConfig.maxDiskBytes, clusterConfig.snapshotInterval),
+                clusterConfig.dataDirectory,
+                config.seed,
                 new CompositeStateMachine(replicatedState, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine)),
                 new CompositeStateMachine(new ReplicatedMaintenance(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine())));
         DisruptionLimits limits = new DisruptionLimits(
-                w.holders,
-                w.zoneShare,
-                w.siteShare,
-                w.warmUs,
-                w.beginUs,
-                w.agingUs,
-                w.kept,
-                w.most);
+                maintenanceConfig.minServingPerCell,
+                maintenanceConfig.minZoneShare,
+                maintenanceConfig.minSiteShare,
+                maintenanceConfig.slowStartUs,
+                maintenanceConfig.grantExpiryUs,
+                maintenanceConfig.agingUs,
+                maintenanceConfig.maxEndedTasks,
+                maintenanceConfig.maxTasks);
         maintenance = new MaintenanceService(
                 loop,
                 network.withoutServer(),
@@ -125,22 +125,22 @@
                 replicatedState,
                 this,
                 new MaintenanceService.Settings(
-                        p.zone,
-                        w.sites,
+                        clusterConfig.zone,
+                        maintenanceConfig.siteByZone,
                         limits,
-                        w.watchers,
-                        w.probeUs,
-                        w.misses,
-                        w.oldUs,
-                        w.reportUs),
-                p.folder);
+                        maintenanceConfig.observerCount,
+                        maintenanceConfig.healthCheckIntervalUs,
+                        maintenanceConfig.missesToFail,
+                        maintenanceConfig.observationExpiryUs,
+                        maintenanceConfig.reportIntervalUs),
+                clusterConfig.dataDirectory);
         policyRollout = new PolicyRolloutService(
                 loop,
                 clusterNode,
                 policyStateMachine,
                 change -> refusal(change.text()),
                 HollowRouter::sharedClockUs,
-                w.reportUs);
+                maintenanceConfig.reportIntervalUs);
     }
 
     private static long sharedClockUs() {
@@ -149,9 +149,9 @@
 
     private String refusal(String text) {
         try {
-            new PolicyDoc(text, start);
+            new PolicyDocument(text, config);
             return "";
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             return e.getMessage();
         }
     }
@@ -168,7 +168,7 @@
                 return;
             }
             joined = true;
-            voters.forEach((name, at) -> start.peers.peers.replace(name, at));
+            voters.forEach((name, at) -> config.cluster.peers.replace(name, at));
             maintenance.start(() -> known = true);
             policyRollout.start();
         });
--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -9,8 +9,8 @@
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
 import tinlink.net.RingBuffer;
-import tinlink.start.BadInput;
-import tinlink.start.JsonFile;
+import tinlink.config.InvalidInputException;
+import tinlink.config.ConfigFile;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -101,8 +101,8 @@
                 UNAVAILABLE,
                 Map.of("said", "it is not known to be agreed: ask again, here or elsewhere")));
         try {
-            control.commands.execute(JsonFile.of("request", body.toString()), this);
-        } catch (BadInput | IllegalArgumentException e) {
+            control.commands.execute(ConfigFile.of("request", body.toString()), this);
+        } catch (InvalidInputException | IllegalArgumentException e) {
             throw new MessageRejectedException(BAD_REQUEST, String.valueOf(e.getMessage()));
         }
     }
--- a/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
@@ -1,7 +1,7 @@
 package tinlink.maintenance;
 
 import tinlink.policy.PolicyRolloutService;
-import tinlink.start.JsonFile;
+import tinlink.config.ConfigFile;
 import tinlink.maintenance.scheduling.Machine;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
@@ -37,12 +37,14 @@
         policyCommands = policyRollout == null ? null : new PolicyControlCommands(policyRollout, views);
     }
 
-    /** @throws tinlink.start.BadInput where the request can't be understood; it names the field */
-    void execute(JsonFile request, ControlConnection connection) {
+    /**
+     * @throws tinlink.config.InvalidInputException where the request can't be understood; it names the field
+     */
+    void execute(ConfigFile request, ControlConnection connection) {
         String command = request.text("do");
         if (command.startsWith(PolicyControlCommands.PREFIX)) {
             if (policyCommands == null) {
-                throw request.bad(
+                throw request.invalid(
                         "do", "is of policy, which is off here: 'policy' in the work file");
             }
             policyCommands.execute(command, request, connection);
@@ -70,7 +72,7 @@
             case "ended" -> removeRouter(request, connection);
             case "seat" -> replaceVoter(request, connection);
             default ->
-                throw request.bad(
+                throw request.invalid(
                         "do",
                         "is none of ask, list, show, machines, router, done, "
                                 + "call-off, ended, seat: " + command);
@@ -83,16 +85,16 @@
 
     // ---- What is read. ----
 
-    private void list(JsonFile request, ControlConnection connection) {
-        request.nothingElse();
+    private void list(ConfigFile request, ControlConnection connection) {
+        request.rejectUnknownKeys();
         List<Object> requests = new ArrayList<>();
         stateMachine().requests().forEach(tasks -> requests.add(views.request(tasks)));
         connection.respond(ControlConnection.OK, views.withLeader(Map.of("requests", requests)));
     }
 
-    private void show(JsonFile request, ControlConnection connection) {
+    private void show(ConfigFile request, ControlConnection connection) {
         String id = request.text("id");
-        request.nothingElse();
+        request.rejectUnknownKeys();
         List<MaintenanceTask> tasks = stateMachine().tasksOf(id);
         if (tasks.isEmpty()) {
             connection.respond(
@@ -106,29 +108,29 @@
         }
     }
 
-    private void machines(JsonFile request, ControlConnection connection) {
-        request.nothingElse();
+    private void machines(ConfigFile request, ControlConnection connection) {
+        request.rejectUnknownKeys();
         List<Object> machines = new ArrayList<>();
         stateMachine().machines().forEach(machine -> machines.add(views.machine(machine)));
         connection.respond(ControlConnection.OK, views.withLeader(Map.of("machines", machines)));
     }
 
-    private void router(JsonFile request, ControlConnection connection) {
-        request.nothingElse();
+    private void router(ConfigFile request, ControlConnection connection) {
+        request.rejectUnknownKeys();
         connection.respond(ControlConnection.OK, views.withLeader(maintenance.status()));
     }
 
     // ---- What is put to the vote. ----
 
-    private void propose(String command, JsonFile request, ControlConnection connection) {
-        request.nothingElse();
+    private void propose(String command, ConfigFile request, ControlConnection connection) {
+        request.rejectUnknownKeys();
         maintenance.propose(command, connection::answerProposal);
     }
 
     /** A router's process has ended for good, by the operator's word. */
-    private void removeRouter(JsonFile request, ControlConnection connection) {
+    private void removeRouter(ConfigFile request, ControlConnection connection) {
         String router = request.text("router");
-        request.nothingElse();
+        request.rejectUnknownKeys();
         String incarnation = stateMachine().incarnation(router);
         if (policyRollout != null) {
             policyRollout.removeRouter(router);
@@ -141,10 +143,10 @@
     }
 
     /** Another router is to vote in a voter's place. */
-    private void replaceVoter(JsonFile request, ControlConnection connection) {
+    private void replaceVoter(ConfigFile request, ControlConnection connection) {
         String voter = request.text("from");
         String replacement = request.text("to");
-        request.nothingElse();
+        request.rejectUnknownKeys();
         maintenance.peers().replaceVoter(voter, replacement);
         // Whoever leads does it as soon as that is safe; it is heard by asking who votes.
         String said = maintenance.peers().leader().isEmpty() ? "nobody is known to lead: ask again" : "";
@@ -152,21 +154,21 @@
     }
 
     /** Asks for machines. */
-    private void submitRequest(JsonFile json, ControlConnection connection) {
+    private void submitRequest(ConfigFile json, ControlConnection connection) {
         String id = json.text("id");
         List<String> selectors = json.texts("machines");
         long durationUs = json.micros("for_ms", 0, 1, MAX_DURATION_MS);
         long startWithinUs =
                 json.has("within_ms") ? json.micros("within_ms", 0, 1, MAX_DURATION_MS) : Long.MAX_VALUE;
-        int urgency = json.whole("urgency", 5, 0, MaintenanceRequest.MAX_URGENCY);
+        int urgency = json.integer("urgency", 5, 0, MaintenanceRequest.MAX_URGENCY);
         String author = json.text("author", "unknown");
         String reason = json.text("why", "work");
-        json.nothingElse();
+        json.rejectUnknownKeys();
         if (durationUs <= 0) {
-            throw json.bad("for_ms", "is missing: how long each machine is out");
+            throw json.invalid("for_ms", "is missing: how long each machine is out");
         }
         if (selectors.size() > MAX_SELECTORS) {
-            throw json.bad("machines", "names more than " + MAX_SELECTORS);
+            throw json.invalid("machines", "names more than " + MAX_SELECTORS);
         }
         List<MaintenanceTask> known = stateMachine().tasksOf(id);
         if (!known.isEmpty()) {
--- a/src/main/java/tinlink/maintenance/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -2,7 +2,7 @@
 
 import tinlink.policy.PolicyRolloutService;
 import tinlink.policy.ProposalTerms;
-import tinlink.start.JsonFile;
+import tinlink.config.ConfigFile;
 
 import java.util.Map;
 
@@ -18,15 +18,17 @@
         this.views = views;
     }
 
-    /** @throws tinlink.start.BadInput where the request can't be understood; it names the field */
-    void execute(String command, JsonFile request, ControlConnection connection) {
+    /**
+     * @throws tinlink.config.InvalidInputException where the request can't be understood; it names the field
+     */
+    void execute(String command, ConfigFile request, ControlConnection connection) {
         switch (command) {
             case "policy-show" -> {
-                request.nothingElse();
+                request.rejectUnknownKeys();
                 connection.respond(ControlConnection.OK, views.withLeader(policyRollout.status()));
             }
             case "policy-history" -> {
-                request.nothingElse();
+                request.rejectUnknownKeys();
                 connection.respond(
                         ControlConnection.OK,
                         views.withLeader(Map.of("changes", policyRollout.history())));
@@ -34,13 +36,13 @@
             case "policy-status" -> status(request, connection);
             case "policy-withdraw" -> withdraw(request, connection);
             case "policy-propose" -> propose(request, connection);
-            default -> throw request.bad("do", "is not known: " + command);
+            default -> throw request.invalid("do", "is not known: " + command);
         }
     }
 
-    private void status(JsonFile request, ControlConnection connection) {
+    private void status(ConfigFile request, ControlConnection connection) {
         String id = request.text("id");
-        request.nothingElse();
+        request.rejectUnknownKeys();
         Map<String, Object> change = policyRollout.status(id);
         if (change == null) {
             connection.respond(
@@ -52,20 +54,20 @@
         }
     }
 
-    private void withdraw(JsonFile request, ControlConnection connection) {
+    private void withdraw(ConfigFile request, ControlConnection connection) {
         String id = request.text("id");
         String reason = request.text("why", "withdrawn by its operator");
-        request.nothingElse();
+        request.rejectUnknownKeys();
         policyRollout.withdraw(id, reason, connection::answerProposal);
     }
 
-    private void propose(JsonFile request, ControlConnection connection) {
+    private void propose(ConfigFile request, ControlConnection connection) {
         String id = request.text("id");
         String text = request.text("text");
-        long againstEpoch = request.whole("against", 0, 0, Integer.MAX_VALUE);
+        long againstEpoch = request.integer("against", 0, 0, Integer.MAX_VALUE);
         String author = request.text("author", "unknown");
         String reason = request.text("why", "");
-        request.nothingElse();
+        request.rejectUnknownKeys();
         ProposalTerms terms = ProposalTerms.parse(text);
         policyRollout.propose(
                 id, againstEpoch, terms.digest(), text, author, reason, terms.absencePolicy(), connection::answerProposal);
--- a/src/main/java/tinlink/policy/ProposalTerms.java
+++ b/src/main/java/tinlink/policy/ProposalTerms.java
@@ -1,7 +1,7 @@
 package tinlink.policy;
 
 import tinlink.policy.rollout.AbsencePolicy;
-import tinlink.start.JsonFile;
+import tinlink.config.ConfigFile;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -17,13 +17,13 @@
     /**
      * Reads the terms from a policy's text.
      *
-     * @throws tinlink.start.BadInput naming the key that is wrong
+     * @throws tinlink.config.InvalidInputException naming the key that is wrong
      */
     public static ProposalTerms parse(String text) {
-        JsonFile absentObject = JsonFile.of("policy", text).object("absent");
+        ConfigFile absentObject = ConfigFile.of("policy", text).object("absent");
         String rule = absentObject.text("rule", "withdraw");
         if (!rule.matches("wait|withdraw|fence")) {
-            throw absentObject.bad("rule", "is none of wait, withdraw, fence: " + rule);
+            throw absentObject.invalid("rule", "is none of wait, withdraw, fence: " + rule);
         }
         return new ProposalTerms(
                 digest(text),
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -7,7 +7,7 @@
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.start.RouterStart;
+import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
     private final Network network;
     private final DescriptorBudget descriptors;
     private final DecisionDriver driver;
-    private final RouterStart.Links settings;
+    private final RouterConfig.NodeConnectionSettings settings;
     private final long idleTimeoutUs;
     private final Http2Dispatcher http2;
     private ClientAcceptor acceptor;
@@ -44,7 +44,7 @@
             Network network,
             DescriptorBudget descriptors,
             DecisionDriver driver,
-            RouterStart.Links settings) {
+            RouterConfig.NodeConnectionSettings settings) {
         this.loop = loop;
         this.network = network;
         this.descriptors = descriptors;
@@ -53,7 +53,7 @@
         // Danger: what is written after the node's machine has closed ends as a reset. Ours closes
         // first, by
         // as much as a connect may take: no message is under way for longer.
-        idleTimeoutUs = Math.max(settings.idleUs() / 2, settings.idleUs() - settings.connectUs());
+        idleTimeoutUs = Math.max(settings.idleTimeoutUs() / 2, settings.idleTimeoutUs() - settings.connectTimeoutUs());
         http2 = new Http2Dispatcher(loop, network, this, settings, idleTimeoutUs);
     }
 
@@ -85,7 +85,7 @@
 
     /** A frame comes whole within the time in which a connection comes up. */
     EventLoop.Timer scheduleFrameTimeout(Runnable task) {
-        return loop.schedule(nowUs() + settings.connectUs(), task);
+        return loop.schedule(nowUs() + settings.connectTimeoutUs(), task);
     }
 
     /**
@@ -93,11 +93,11 @@
      * connect.
      */
     long maxTransitUs() {
-        return settings.connectUs() / 4;
+        return settings.connectTimeoutUs() / 4;
     }
 
     int callsPerConnection() {
-        return settings.callsPerLink();
+        return settings.callsPerConnection();
     }
 
     void cancelTimer(EventLoop.Timer timer) {
@@ -202,7 +202,7 @@
         for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
             if (nodeConnection.slotsInUse() == 0 && nowUs() - nodeConnection.lastUsedUs() >= idleTimeoutUs) {
                 nodeConnection.close(CloseReason.IDLE);
-            } else if (nodeConnection.slotsInUse() < settings.callsPerLink()
+            } else if (nodeConnection.slotsInUse() < settings.callsPerConnection()
                     && nodeConnection.isUsable()
                     && batch.sentAttempts.stream().noneMatch(nodeConnection::hasIdInUse)
                     && (bestConnection == null || (nodeConnection.isUp() && !bestConnection.isUp()))) {
@@ -228,7 +228,7 @@
         NodeConnection nodeConnection = new NodeConnection(this, endpoint, nowUs());
         try {
             Connection connection = network.connect(endpoint.address, nodeConnection);
-            nodeConnection.attach(connection, loop.schedule(nowUs() + settings.connectUs(), () -> connection.close(CloseReason.NOT_UP)));
+            nodeConnection.attach(connection, loop.schedule(nowUs() + settings.connectTimeoutUs(), () -> connection.close(CloseReason.NOT_UP)));
             descriptors.nodeOpened();
             endpoint.connections.add(nodeConnection);
             return nodeConnection;
@@ -269,7 +269,7 @@
                 outcomeListener.accept(sent.endpoint.uid, how);
             }
         }
-        sent.transport.onOutcome(sent, cancelAtNode && settings.mayCancel());
+        sent.transport.onOutcome(sent, cancelAtNode && settings.canCancel());
         driver.outcome(sent, how);
     }
 
--- a/src/main/java/tinlink/router/EndpointList.java
+++ b/src/main/java/tinlink/router/EndpointList.java
@@ -2,9 +2,9 @@
 
 import tinlink.decision.Aggregator;
 import tinlink.decision.DataNode;
-import tinlink.start.Figures;
-import tinlink.start.Http2Start;
-import tinlink.start.RouterStart;
+import tinlink.config.FlatSettings;
+import tinlink.config.Http2Config;
+import tinlink.config.RouterConfig;
 import tinlink.maintenance.MaintenanceService;
 
 import java.net.InetSocketAddress;
@@ -50,7 +50,7 @@
         }
 
         int idOf(String name) {
-            String plainName = Figures.plain(name);
+            String plainName = FlatSettings.plainName(name);
             if (!names.contains(plainName)) {
                 names.add(plainName);
             }
@@ -58,7 +58,7 @@
         }
     }
 
-    EndpointList(DecisionDriver driver, AttemptDispatcher dispatcher, RouterStart.Names names) {
+    EndpointList(DecisionDriver driver, AttemptDispatcher dispatcher, RouterConfig.EndpointNames names) {
         this.driver = driver;
         this.dispatcher = dispatcher;
         zones = new NameTable(names.zones());
@@ -132,7 +132,7 @@
     }
 
     /** Whether a node is of one of these kinds and zones, by their names. */
-    boolean matches(DataNode node, List<Http2Start.Offer> offers) {
+    boolean matches(DataNode node, List<Http2Config.Offer> offers) {
         return offers.stream()
                 .anyMatch(offer -> (offer.kind() == null || kinds.idOf(offer.kind()) == node.kind)
                         && (offer.zone() == null || zones.idOf(offer.zone()) == node.zone));
@@ -265,7 +265,7 @@
 
     private static InetSocketAddress address(String uid, String endpoint) {
         try {
-            return RouterStart.address(endpoint);
+            return RouterConfig.parseAddress(endpoint);
         } catch (IllegalArgumentException e) {
             LOG.warning("discovery: 'endpoint' of " + uid + " is no address: " + endpoint);
             return null;
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -14,8 +14,8 @@
 import tinlink.net.MessageRejectedException;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.start.GatewayStart;
-import tinlink.start.RouterStart;
+import tinlink.config.GatewayConfig;
+import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -46,35 +46,35 @@
 
     private long forwardedQueries;
 
-    GatewayIntegration(EventLoop loop, Network network, RouterStart start, RequestPipeline pipeline) {
+    GatewayIntegration(EventLoop loop, Network network, RouterConfig config, RequestPipeline pipeline) {
         this.loop = loop;
         this.pipeline = pipeline;
-        cells = start.cells;
-        start.lookups.indexes().forEach((name, index) -> classNames.put(index, name));
-        GatewayStart g = start.gateway;
+        cells = config.cells;
+        config.lookups.lookupClasses().forEach((name, index) -> classNames.put(index, name));
+        GatewayConfig gatewayConfig = config.gateway;
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Identity(g.site, g.router, loop.nowUs(), g.accepts),
-                keys(g),
-                new Gateway.Timing(g.beatUs, g.handshakeUs, g.recoverUs, start.longestUs),
+                new Gateway.Identity(gatewayConfig.site, gatewayConfig.router, loop.nowUs(), gatewayConfig.acceptedSites),
+                keys(gatewayConfig),
+                new Gateway.Timing(gatewayConfig.heartbeatUs, gatewayConfig.handshakeUs, gatewayConfig.recoveryRampUs, config.maxDeadlineUs),
                 new Gateway.Limits(
-                        g.takesParts, g.remembers, g.remembersBytes, g.routers, g.waiting),
-                g.far.stream()
-                        .map(remote -> new Gateway.RemoteEndpoint(remote.site(), remote.router(), remote.lines()))
+                        gatewayConfig.maxInboundParts, gatewayConfig.maxCachedOutcomes, gatewayConfig.maxCachedOutcomeBytes, gatewayConfig.maxInboundConnections, gatewayConfig.maxQueuedParts),
+                gatewayConfig.remoteRouters.stream()
+                        .map(remote -> new Gateway.RemoteEndpoint(remote.site(), remote.router(), remote.addresses()))
                         .toList(),
-                start.seed,
+                config.seed,
                 this);
     }
 
-    private static GatewayKeys keys(GatewayStart g) {
-        return new GatewayKeys(Map.copyOf(g.keys), g.useKey);
+    private static GatewayKeys keys(GatewayConfig gatewayConfig) {
+        return new GatewayKeys(Map.copyOf(gatewayConfig.keys), gatewayConfig.activeKeyId);
     }
 
     /** From now on lines are opened and taken. */
-    void start(GatewayStart g) throws IOException {
-        if (g.listen != null) {
-            gateway.listen(g.listen);
+    void start(GatewayConfig gatewayConfig) throws IOException {
+        if (gatewayConfig.listen != null) {
+            gateway.listen(gatewayConfig.listen);
         }
         pipeline.endpointList.setCellListener(gateway::announceCells);
         pipeline.driver.beside(gateway.turn());
@@ -83,13 +83,13 @@
                 Level.INFO,
                 "event=gateway_on site={0} router={1} far={2} listen={3}",
                 new Object[] {
-                    g.site, g.router, g.far.size(), g.listen == null ? "-" : gateway.address()
+                    gatewayConfig.site, gatewayConfig.router, gatewayConfig.remoteRouters.size(), gatewayConfig.listen == null ? "-" : gateway.address()
                 });
     }
 
     /** The keys alone are taken over in service. */
-    void updateKeys(GatewayStart g) {
-        gateway.keys(keys(g));
+    void updateKeys(GatewayConfig gatewayConfig) {
+        gateway.keys(keys(gatewayConfig));
     }
 
     /** From another thread. */
--- a/src/main/java/tinlink/router/Http2Dispatcher.java
+++ b/src/main/java/tinlink/router/Http2Dispatcher.java
@@ -8,8 +8,8 @@
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.start.Http2Start;
-import tinlink.start.RouterStart;
+import tinlink.config.Http2Config;
+import tinlink.config.RouterConfig;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -22,7 +22,7 @@
     private final EventLoop loop;
     private final Network network;
     private final AttemptDispatcher dispatcher;
-    private final RouterStart.Links linkSettings;
+    private final RouterConfig.NodeConnectionSettings linkSettings;
     private final long idleTimeoutUs;
     private Predicate<DataNode> offersHttp2 = node -> false;
     private ConnectionPool.Settings settings;
@@ -30,7 +30,7 @@
     /** Nodes with decisions to pull; emptied each turn. */
     private Set<Http2NodeClient> nodesToDecide = new LinkedHashSet<>();
 
-    Http2Dispatcher(EventLoop loop, Network network, AttemptDispatcher dispatcher, RouterStart.Links linkSettings, long idleTimeoutUs) {
+    Http2Dispatcher(EventLoop loop, Network network, AttemptDispatcher dispatcher, RouterConfig.NodeConnectionSettings linkSettings, long idleTimeoutUs) {
         this.loop = loop;
         this.network = network;
         this.dispatcher = dispatcher;
@@ -39,18 +39,18 @@
     }
 
     /** Nodes of these kinds and zones are served by HTTP/2. */
-    void enable(Http2Start config, Predicate<DataNode> offersHttp2) {
+    void enable(Http2Config config, Predicate<DataNode> offersHttp2) {
         this.offersHttp2 = offersHttp2;
         counters = new Counters();
         settings = new ConnectionPool.Settings(
-                config.connections,
-                config.firstStreams,
-                config.waiting,
-                config.waitUs,
-                linkSettings.connectUs(),
+                config.maxConnections,
+                config.initialMaxStreams,
+                config.maxQueuedParts,
+                config.maxQueueWaitUs,
+                linkSettings.connectTimeoutUs(),
                 idleTimeoutUs,
-                config.pingUs,
-                config.rememberUs);
+                config.pingTimeoutUs,
+                config.fallbackMemoryUs);
     }
 
     Counters counters() {
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -8,9 +8,9 @@
 import tinlink.cluster.PeerKeys;
 import tinlink.cluster.ClusterNode;
 import tinlink.policy.PolicyStateMachine;
-import tinlink.start.PeersStart;
-import tinlink.start.RouterStart;
-import tinlink.start.WorkStart;
+import tinlink.config.ClusterConfig;
+import tinlink.config.RouterConfig;
+import tinlink.config.MaintenanceConfig;
 import tinlink.maintenance.ControlServer;
 import tinlink.maintenance.MaintenanceService;
 import tinlink.maintenance.ReplicatedMaintenance;
@@ -35,7 +35,7 @@
     private final EventLoop loop;
     private final Network network;
     private final RequestPipeline pipeline;
-    private final WorkStart start;
+    private final MaintenanceConfig config;
     private final InetSocketAddress configuredAddress;
     private final MaintenanceService maintenance;
     /** Null where changes of policy are off. */
@@ -48,34 +48,34 @@
     private boolean isAcceptingStopped;
 
     /** @throws IOException where the folder or the address can't be used */
-    MaintenanceIntegration(EventLoop loop, Network network, RouterStart routerConfig, RequestPipeline pipeline) throws IOException {
+    MaintenanceIntegration(EventLoop loop, Network network, RouterConfig routerConfig, RequestPipeline pipeline) throws IOException {
         LIBRARY.setLevel(Level.SEVERE); // It tells of each message that could not be sent.
         this.loop = loop;
         this.network = network;
         this.pipeline = pipeline;
-        start = routerConfig.work;
+        config = routerConfig.maintenance;
         configuredAddress = routerConfig.listen;
-        PeersStart p = routerConfig.peers;
+        ClusterConfig clusterConfig = routerConfig.cluster;
         DisruptionLimits limits = new DisruptionLimits(
-                start.holders,
-                start.zoneShare,
-                start.siteShare,
-                start.warmUs,
-                start.beginUs,
-                start.agingUs,
-                start.kept,
-                start.most);
+                config.minServingPerCell,
+                config.minZoneShare,
+                config.minSiteShare,
+                config.slowStartUs,
+                config.grantExpiryUs,
+                config.agingUs,
+                config.maxEndedTasks,
+                config.maxTasks);
         ReplicatedMaintenance replicatedState = new ReplicatedMaintenance();
         PolicyStateMachine policyStateMachine = new PolicyStateMachine();
         ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network.withoutServer(),
-                new ClusterNode.LocalRouter(p.cluster, p.router, p.listen, p.at),
-                new ClusterNode.KnownRouters(p.peers, p.voters),
-                new PeerKeys(p.keys, p.useKey),
-                new ClusterNode.Timing(p.roundUs, p.helpers, p.secondUs, p.handshakeUs, p.idleUs),
-                new ClusterNode.Limits(p.most, p.strangers, p.diskBytes, p.lines),
-                p.folder,
+                new ClusterNode.LocalRouter(clusterConfig.cluster, clusterConfig.router, clusterConfig.listen, clusterConfig.advertisedAddress),
+                new ClusterNode.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                new PeerKeys(clusterConfig.keys, clusterConfig.activeKeyId),
+                new ClusterNode.Timing(clusterConfig.probeIntervalUs, clusterConfig.indirectProbeCount, clusterConfig.heartbeatUs, clusterConfig.handshakeUs, clusterConfig.idleUs),
+                new ClusterNode.Limits(clusterConfig.maxMembers, clusterConfig.maxUnauthenticatedConnections, clusterConfig.maxDiskBytes, clusterConfig.snapshotInterval),
+                clusterConfig.dataDirectory,
                 routerConfig.seed,
                 stateMachines(replicatedState, policyStateMachine),
                 stateMachines(new ReplicatedMaintenance(), new PolicyStateMachine()));
@@ -86,16 +86,16 @@
                 replicatedState,
                 this,
                 new MaintenanceService.Settings(
-                        p.zone,
-                        start.sites,
+                        clusterConfig.zone,
+                        config.siteByZone,
                         limits,
-                        start.watchers,
-                        start.probeUs,
-                        start.misses,
-                        start.oldUs,
-                        start.reportUs),
-                p.folder);
-        policy = start.policy ? new PolicyIntegration(loop, clusterNode, policyStateMachine, routerConfig) : null;
+                        config.observerCount,
+                        config.healthCheckIntervalUs,
+                        config.missesToFail,
+                        config.observationExpiryUs,
+                        config.reportIntervalUs),
+                clusterConfig.dataDirectory);
+        policy = config.followsAgreedPolicy ? new PolicyIntegration(loop, clusterNode, policyStateMachine, routerConfig) : null;
     }
 
     private static ReplicatedStateMachine stateMachines(ReplicatedMaintenance maintenance, PolicyStateMachine policyStateMachine) {
@@ -119,16 +119,16 @@
             policy.policy().start();
             pipeline.acceptor.setPolicy(policy);
         }
-        loop.schedule(loop.nowUs() + start.awaitUs, whenReady);
-        if (start.control != null) {
+        loop.schedule(loop.nowUs() + config.startupWaitUs, whenReady);
+        if (config.controlAddress != null) {
             control = new ControlServer(
                     loop,
                     network.withoutServer(),
                     maintenance,
                     policy == null ? null : policy.policy(),
-                    start.control,
-                    start.token,
-                    start.answerUs);
+                    config.controlAddress,
+                    config.controlToken,
+                    config.controlTimeoutUs);
         }
         LOG.log(Level.INFO, "event=work_listens peers={0} control={1}", new Object[] {
             maintenance.peers().address(), control == null ? "-" : control.address()
@@ -225,7 +225,7 @@
             pipeline.acceptor.setReady(true);
         } catch (IOException e) {
             LOG.log(Level.WARNING, "event=door_not_open", e);
-            loop.schedule(loop.nowUs() + start.reportUs, this::resumeAccepting);
+            loop.schedule(loop.nowUs() + config.reportIntervalUs, this::resumeAccepting);
         }
     }
 
--- a/src/main/java/tinlink/router/PolicyIntegration.java
+++ b/src/main/java/tinlink/router/PolicyIntegration.java
@@ -7,9 +7,9 @@
 import tinlink.policy.PolicyRolloutService;
 import tinlink.policy.PolicyStateMachine;
 import tinlink.policy.rollout.PolicyVersion;
-import tinlink.start.BadInput;
-import tinlink.start.PolicyDoc;
-import tinlink.start.RouterStart;
+import tinlink.config.InvalidInputException;
+import tinlink.config.PolicyDocument;
+import tinlink.config.RouterConfig;
 
 import java.util.Map;
 
@@ -18,13 +18,13 @@
  * lookup is taken, to its end; and that none is where it is not known which hold.
  */
 final class PolicyIntegration {
-    private final RouterStart start;
+    private final RouterConfig config;
     private final PolicyRolloutService policyRollout;
     /** As the newest versions have them: two at a time, the one in force and the one before it. */
-    private final Map<Long, PolicyDoc> documents = new java.util.TreeMap<>();
+    private final Map<Long, PolicyDocument> documents = new java.util.TreeMap<>();
 
-    PolicyIntegration(EventLoop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterStart start) {
-        this.start = start;
+    PolicyIntegration(EventLoop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterConfig config) {
+        this.config = config;
         // The one clock that all machines read; nothing else in the router asks it.
         policyRollout = new PolicyRolloutService(
                 loop,
@@ -32,7 +32,7 @@
                 policyStateMachine,
                 change -> rejectionOf(change.text()),
                 () -> System.currentTimeMillis() * 1000,
-                start.work.reportUs);
+                config.maintenance.reportIntervalUs);
     }
 
     PolicyRolloutService policy() {
@@ -42,22 +42,22 @@
     /** This router's own start checks of a text: why it can't be used, or empty. */
     private String rejectionOf(String text) {
         try {
-            new PolicyDoc(text, start);
+            new PolicyDocument(text, config);
             return "";
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             return e.getMessage();
         }
     }
 
-    private PolicyDoc currentDocument() {
+    private PolicyDocument currentDocument() {
         PolicyVersion version = policyRollout.effectiveVersion();
         if (version == null || version.epoch() == 0) {
             return null;
         }
-        PolicyDoc document = documents.get(version.epoch());
+        PolicyDocument document = documents.get(version.epoch());
         if (document == null) {
             documents.keySet().removeIf(epoch -> epoch < version.epoch() - 1);
-            document = new PolicyDoc(version.text(), start);
+            document = new PolicyDocument(version.text(), config);
             documents.put(version.epoch(), document);
         }
         return document;
@@ -68,16 +68,16 @@
      * was sent
      */
     Map<String, Index> lookupClasses() throws MessageRejectedException {
-        PolicyDoc document = currentDocument();
+        PolicyDocument document = currentDocument();
         if (document == null && !policyRollout.unavailableReason().isEmpty()) {
             throw new MessageRejectedException(503, "no lookups are taken: " + policyRollout.unavailableReason());
         }
-        return document == null ? start.lookups.indexes() : document.indexes;
+        return document == null ? config.lookups.lookupClasses() : document.lookupClasses;
     }
 
     int maxInFlight() {
-        PolicyDoc document = currentDocument();
-        return document == null ? start.lookups.openCap() : document.openCap;
+        PolicyDocument document = currentDocument();
+        return document == null ? config.lookups.maxInFlight() : document.maxInFlight;
     }
 
     /** Why clients are to go elsewhere; empty where they are served. */
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -5,7 +5,7 @@
 import tinlink.gateway.IncomingPart;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
-import tinlink.start.RouterStart;
+import tinlink.config.RouterConfig;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
@@ -25,9 +25,9 @@
     /** So much may be lost of each share as it is written. */
     private static final double SHARE_ROUNDING = 1e-3;
 
-    private final RouterStart.Lookups settings;
+    private final RouterConfig.LookupSettings settings;
 
-    QueryParser(RouterStart.Lookups settings) {
+    QueryParser(RouterConfig.LookupSettings settings) {
         this.settings = settings;
     }
 
@@ -41,7 +41,7 @@
             throws MessageRejectedException {
         String callId = requireMatch(headers, "x-call-id", CALL_ID);
         Index index =
-                (currentClasses == null ? settings.indexes() : currentClasses).get(headers.getOrDefault("x-call-class", ""));
+                (currentClasses == null ? settings.lookupClasses() : currentClasses).get(headers.getOrDefault("x-call-class", ""));
         if (index == null) {
             throw new MessageRejectedException(400, "X-Call-Class: no such class");
         }
@@ -69,8 +69,8 @@
      * @param id of its own among all in hand
      */
     Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener) throws MessageRejectedException {
-        Index index = settings.indexes().get(part.index);
-        if (index == null || part.shard < 0 || part.shard >= settings.shards()) {
+        Index index = settings.lookupClasses().get(part.index);
+        if (index == null || part.shard < 0 || part.shard >= settings.shardCount()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
         boolean needsKey = index.effect == Index.Effect.FINGERPRINTED;
@@ -110,7 +110,7 @@
             if (!(map.get("segment") instanceof Double shard)
                     || shard != Math.rint(shard)
                     || shard < 0
-                    || shard >= settings.shards()
+                    || shard >= settings.shardCount()
                     || !seenShards.add(shard.intValue())) {
                 throw new MessageRejectedException(400, "segment: no such shard, or twice");
             }
--- a/src/main/java/tinlink/router/RequestPipeline.java
+++ b/src/main/java/tinlink/router/RequestPipeline.java
@@ -3,7 +3,7 @@
 import tinlink.decision.Aggregator;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.start.RouterStart;
+import tinlink.config.RouterConfig;
 
 /** The stages of a request and the list beside them, put together for one loop and one module. */
 final class RequestPipeline {
@@ -15,25 +15,25 @@
     final DiscoveryWatcher discoveryWatcher;
     final DescriptorBudget descriptors;
 
-    RequestPipeline(EventLoop loop, Network network, RouterStart start, Aggregator module) {
-        driver = new DecisionDriver(loop, module, start.longestUs, start.mostComeBackUs);
-        descriptors = new DescriptorBudget(start.descriptors);
-        dispatcher = new AttemptDispatcher(loop, network, descriptors, driver, start.links);
-        queryParser = new QueryParser(start.lookups);
+    RequestPipeline(EventLoop loop, Network network, RouterConfig config, Aggregator module) {
+        driver = new DecisionDriver(loop, module, config.maxDeadlineUs, config.maxRetryAfterUs);
+        descriptors = new DescriptorBudget(config.maxDescriptors);
+        dispatcher = new AttemptDispatcher(loop, network, descriptors, driver, config.nodeConnections);
+        queryParser = new QueryParser(config.lookups);
         acceptor = new ClientAcceptor(
                 loop,
                 network,
                 descriptors,
                 queryParser,
                 driver,
-                start.lookups.openCap(),
-                start.links.connectUs(),
-                start.mostReading,
-                start.longestUs);
-        endpointList = new EndpointList(driver, dispatcher, start.names);
+                config.lookups.maxInFlight(),
+                config.nodeConnections.connectTimeoutUs(),
+                config.maxBodyBytesInFlight,
+                config.maxDeadlineUs);
+        endpointList = new EndpointList(driver, dispatcher, config.endpointNames);
         discoveryWatcher = new DiscoveryWatcher(
-                loop, network, driver, endpointList, start.discovery, start.pushed, start.seed, (int)
-                        Math.min(Integer.MAX_VALUE, start.mostReading));
+                loop, network, driver, endpointList, config.discovery, config.isDiscoveryPushed, config.seed, (int)
+                        Math.min(Integer.MAX_VALUE, config.maxBodyBytesInFlight));
         dispatcher.setAcceptor(acceptor);
     }
 }
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -4,8 +4,8 @@
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
-import tinlink.start.BadInput;
-import tinlink.start.RouterStart;
+import tinlink.config.InvalidInputException;
+import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,7 +37,7 @@
     /** Its start is agreed on, has been awaited for long enough, or nobody has to agree on it. */
     private boolean maintenanceReady = true;
     /** As the configuration was last read. */
-    private RouterStart start;
+    private RouterConfig config;
     /**
      * Plays before clients are served, and holds those that come; null without one and once we
      * serve.
@@ -60,27 +60,27 @@
     /**
      * @param module what decides; another than the built one only to see how the router bears it
      */
-    public Router(RouterStart start, Aggregator module) throws IOException {
-        this(start, module, Runnable::run);
+    public Router(RouterConfig config, Aggregator module) throws IOException {
+        this(config, module, Runnable::run);
     }
 
     /** @param completionRunner runs a completion handler at once; others only show how late ones are borne */
-    public Router(RouterStart start, Aggregator module, Consumer<Runnable> completionRunner)
+    public Router(RouterConfig config, Aggregator module, Consumer<Runnable> completionRunner)
             throws IOException {
-        this.start = start;
+        this.config = config;
         network = new Network(loop, completionRunner);
-        pipeline = new RequestPipeline(loop, network, start, module);
+        pipeline = new RequestPipeline(loop, network, config, module);
         driver = pipeline.driver;
         acceptor = pipeline.acceptor;
         dispatcher = pipeline.dispatcher;
         endpointList = pipeline.endpointList;
         discoveryWatcher = pipeline.discoveryWatcher;
         driver.connect(pipeline.dispatcher, discoveryWatcher::follow);
-        if (start.http2 != null) {
-            pipeline.dispatcher.http2().enable(start.http2, node -> endpointList.matches(node, start.http2.offers));
+        if (config.http2 != null) {
+            pipeline.dispatcher.http2().enable(config.http2, node -> endpointList.matches(node, config.http2.offers));
         }
-        gateway = start.gateway == null ? null : new GatewayIntegration(loop, network, start, pipeline);
-        maintenance = start.work == null ? null : new MaintenanceIntegration(loop, network, start, pipeline);
+        gateway = config.gateway == null ? null : new GatewayIntegration(loop, network, config, pipeline);
+        maintenance = config.maintenance == null ? null : new MaintenanceIntegration(loop, network, config, pipeline);
     }
 
     /**
@@ -94,7 +94,7 @@
     /** The warm-up and nothing else. */
     public void onlyWarmUp() throws IOException {
         try {
-            network.listen(start.listen);
+            network.listen(config.listen);
             startWarmup(loop::stop);
             loop.run(driver);
         } finally {
@@ -105,9 +105,9 @@
     private void startWarmup(Runnable next) {
         long startNanos = System.nanoTime();
         try {
-            warmup = new Warmup(start.again(), loop, network, pipeline, () -> {
+            warmup = new Warmup(config.reload(), loop, network, pipeline, () -> {
                 LOG.log(Level.INFO, "{0} has warmed up: {1} lookups in {2} ms", new Object[] {
-                    start.name, warmup.lookupsAnswered(), (System.nanoTime() - startNanos) / 1_000_000
+                    config.name, warmup.lookupsAnswered(), (System.nanoTime() - startNanos) / 1_000_000
                 });
                 next.run();
             });
@@ -124,16 +124,16 @@
     public void run() throws IOException {
         try {
             driver.turnStarted(loop.nowUs());
-            endpointList.applyCached(start.known);
+            endpointList.applyCached(config.cachedEndpoints);
             // From here on clients can connect; until they are served they wait, and none is
             // refused.
-            network.listen(start.listen);
+            network.listen(config.listen);
             if (maintenance != null) {
                 maintenanceReady = false;
                 maintenance.start(this::maintenanceReady);
             }
             discoveryWatcher.whenUpdated(this::listReceived);
-            if (start.pushed) {
+            if (config.isDiscoveryPushed) {
                 discoveryWatcher.follow(); // Where lists are asked for, the module says when.
             }
             if (warmUpRequested) {
@@ -150,7 +150,7 @@
                 maintenance.close();
             }
             LOG.log(Level.INFO, "{0} has stopped, {1} lookups and parts in hand", new Object[] {
-                start.name, driver.inFlight()
+                config.name, driver.inFlight()
             });
         } finally {
             network.close();
@@ -170,8 +170,8 @@
         if (!listReceived) {
             loop.schedule(
                     loop.nowUs()
-                            + start.links.connectUs()
-                            + (start.pushed ? 0 : ProtocolLimits.WATCH_KEEPALIVE_US / 2),
+                            + config.nodeConnections.connectTimeoutUs()
+                            + (config.isDiscoveryPushed ? 0 : ProtocolLimits.WATCH_KEEPALIVE_US / 2),
                     this::listReceived);
         }
         serveWhenReady();
@@ -195,7 +195,7 @@
         driver.beside(null);
         try {
             if (gateway != null) {
-                gateway.start(start.gateway);
+                gateway.start(config.gateway);
             }
             network.accept(acceptor);
             if (warmup != null) {
@@ -210,11 +210,11 @@
                     Level.INFO,
                     "{0} serves at {1} with {2} data nodes, {3} descriptors and {4} MB",
                     new Object[] {
-                        start.name,
+                        config.name,
                         String.valueOf(network.address()),
                         endpointList.size(),
-                        start.descriptors,
-                        start.memoryMb
+                        config.maxDescriptors,
+                        config.memoryMb
                     });
         } catch (IOException e) {
             serveFailure = e;
@@ -265,13 +265,13 @@
     public void reload() {
         loop.execute(() -> {
             try {
-                start = start.again();
-                discoveryWatcher.moveTo(start.discovery);
-                if (gateway != null && start.gateway != null) {
-                    gateway.updateKeys(start.gateway);
+                config = config.reload();
+                discoveryWatcher.moveTo(config.discovery);
+                if (gateway != null && config.gateway != null) {
+                    gateway.updateKeys(config.gateway);
                 }
-                LOG.log(Level.INFO, "{0} has read its configuration again", start.name);
-            } catch (BadInput e) {
+                LOG.log(Level.INFO, "{0} has read its configuration again", config.name);
+            } catch (InvalidInputException e) {
                 LOG.log(Level.WARNING, "reload: {0}; all stays as it was", e.getMessage());
             }
         });
@@ -285,16 +285,16 @@
 
     private void stop() {
         LOG.log(Level.INFO, "{0} stops, {1} lookups and parts in hand", new Object[] {
-            start.name, driver.inFlight()
+            config.name, driver.inFlight()
         });
         // Danger: while routers restart one after the other, the next one may stop before the one
         // before it
         // is back. Clients go on using the connections that they have, so these are served for as
         // long as
         // what comes can be answered before the process may be killed.
-        long killDelayUs = Math.min(start.longestUs, ProtocolLimits.MAX_KILL_GRACE_US) + ProtocolLimits.KILL_MARGIN_US;
-        long lastUs = loop.nowUs() + LAST_REQUEST_US + start.longestUs;
-        long stopAcceptingUs = loop.nowUs() + Math.max(DRAIN_NOTICE_US, killDelayUs - 2 * start.longestUs / 3);
+        long killDelayUs = Math.min(config.maxDeadlineUs, ProtocolLimits.MAX_KILL_GRACE_US) + ProtocolLimits.KILL_MARGIN_US;
+        long lastUs = loop.nowUs() + LAST_REQUEST_US + config.maxDeadlineUs;
+        long stopAcceptingUs = loop.nowUs() + Math.max(DRAIN_NOTICE_US, killDelayUs - 2 * config.maxDeadlineUs / 3);
         // Danger: what comes late after the SIGTERM and is still unanswered as the process is
         // killed is lost.
         long admitUntilUs = Math.min(lastUs, loop.nowUs() + killDelayUs - (ProtocolLimits.KILL_MARGIN_US - LAST_REQUEST_US));
@@ -323,11 +323,11 @@
             } else {
                 maintenance.leave();
                 loop.schedule(
-                        loop.nowUs() + start.links.connectUs() / 4,
+                        loop.nowUs() + config.nodeConnections.connectTimeoutUs() / 4,
                         loop::stop); // Its last words leave first.
             }
         } else {
-            loop.schedule(loop.nowUs() + start.links.connectUs() / 8, () -> stopWhenEmpty(lastUs));
+            loop.schedule(loop.nowUs() + config.nodeConnections.connectTimeoutUs() / 8, () -> stopWhenEmpty(lastUs));
         }
     }
 }
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -8,7 +8,7 @@
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.RingBuffer;
-import tinlink.start.RouterStart;
+import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -47,7 +47,7 @@
     /** Begins what our own clients show; no request begins so. */
     private static final char OWN_CLIENT_MARK = 1;
 
-    private final RouterStart start;
+    private final RouterConfig config;
     private final EventLoop loop;
     private final Network network;
     private final RequestPipeline servingPipeline;
@@ -73,22 +73,22 @@
     private int openClients;
 
     /**
-     * @param start read for this alone, since its module is used up
+     * @param config read for this alone, since its module is used up
      * @param network listens already; the door is ours until the end
      * @param servingPipeline those who will serve, to whom clients that come meanwhile are handed
      * @param whenDone run once, when all has been played
      */
-    Warmup(RouterStart start, EventLoop loop, Network network, RequestPipeline servingPipeline, Runnable whenDone)
+    Warmup(RouterConfig config, EventLoop loop, Network network, RequestPipeline servingPipeline, Runnable whenDone)
             throws IOException {
-        this.start = start;
+        this.config = config;
         this.loop = loop;
         this.network = network;
         this.servingPipeline = servingPipeline;
         this.whenDone = whenDone;
-        idPrefix = String.format("%016x", new SplittableRandom(start.seed).split().nextLong());
+        idPrefix = String.format("%016x", new SplittableRandom(config.seed).split().nextLong());
         clientToken = OWN_CLIENT_MARK + idPrefix;
-        lookupClasses = List.copyOf(start.lookups.indexes().entrySet());
-        pipeline = new RequestPipeline(loop, network.withoutServer(), start, start.built.module);
+        lookupClasses = List.copyOf(config.lookups.lookupClasses().entrySet());
+        pipeline = new RequestPipeline(loop, network.withoutServer(), config, config.decision.module);
         acceptor = pipeline.acceptor;
         acceptor.markNotReady();
         pipeline.driver.connect(pipeline.dispatcher, () -> {}); // Its list is its own; discovery is not asked.
@@ -100,7 +100,7 @@
             warmupClients.add(client);
             openClients++;
         }
-        timeLimit = loop.schedule(loop.nowUs() + start.longestUs, this::end);
+        timeLimit = loop.schedule(loop.nowUs() + config.maxDeadlineUs, this::end);
     }
 
     int lookupsAnswered() {
@@ -151,7 +151,7 @@
                 "rev",
                 0.0,
                 "targets",
-                IntStream.range(0, start.lookups.shards())
+                IntStream.range(0, config.lookups.shardCount())
                         .mapToObj(i -> Map.of(
                                 "uid",
                                 "warm" + i,
@@ -339,7 +339,7 @@
                 return;
             }
             Map.Entry<String, Index> lookupClass = lookupClasses.get(lookupsSent % lookupClasses.size());
-            int parts = Math.min(MAX_PARTS, start.lookups.shards());
+            int parts = Math.min(MAX_PARTS, config.lookups.shardCount());
             List<String> segments = new ArrayList<>();
             for (int i = 0; i < parts; i++) {
                 segments.add("{\"segment\":" + i + ",\"boost\":" + 1.0 / parts + "}");
--- /dev/null
+++ b/src/main/java/tinlink/simadapter/SimulatorAdapter.java
@@ -0,0 +1,195 @@
+package tinlink.simadapter;
+
+import tinlink.decision.Aggregator;
+import tinlink.config.InvalidInputException;
+import tinlink.config.FlatSettings;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** The wire on standard input and output: batches of events in, one reply to each out. */
+public final class SimulatorAdapter {
+    private final BufferedReader in;
+    private final OutputStream out;
+    private final PrintStream err;
+    private final Map<Long, SimulatedRouter> instances = new HashMap<>();
+    private final WireEndpointList[] endpointLists = new WireEndpointList[16];
+    private long lineNumber;
+    private long nowUs;
+
+    public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
+        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+        this.out = out;
+        this.err = err;
+    }
+
+    /** Serves until the input ends; the exit status. */
+    public int run() {
+        try {
+            for (WireLine line = read(); line != null; line = read()) {
+                if (!line.name().isEmpty()) {
+                    out.write(runBatch(line).getBytes(StandardCharsets.UTF_8));
+                    out.flush();
+                }
+            }
+            return 0;
+        } catch (InvalidInputException e) {
+            err.println("line " + lineNumber + ": " + e.getMessage());
+            return 1;
+        } catch (IOException e) {
+            err.println("line " + lineNumber + ": " + e.getMessage());
+            return 1;
+        }
+    }
+
+    private WireLine read() throws IOException {
+        String text = in.readLine();
+        lineNumber++;
+        return text == null ? null : new WireLine(text);
+    }
+
+    private WireLine readInBatch() throws IOException {
+        WireLine line = read();
+        if (line == null) {
+            throw new InvalidInputException("the input ends inside a batch");
+        }
+        return line;
+    }
+
+    private String runBatch(WireLine firstLine) throws IOException {
+        if (!firstLine.name().equals("round")) {
+            throw new InvalidInputException("a batch opens with round, not " + firstLine.name());
+        }
+        nowUs = firstLine.micros("clock");
+        long number = firstLine.wholeNumber("batch");
+        firstLine.expectEnd();
+        StringBuilder reply = new StringBuilder();
+        Set<Long> touchedInstances = new LinkedHashSet<>();
+        long instanceId = -1;
+        try {
+            for (WireLine line = readInBatch(); !line.name().equals("eob"); line = readInBatch()) {
+                switch (line.name()) {
+                    case "target_instance" -> instanceId = line.wholeNumber("who");
+                    case "sheet" -> readEndpointList(line);
+                    default -> {
+                        dispatchEvent(instanceId, line);
+                        touchedInstances.add(instanceId);
+                    }
+                }
+            }
+            for (long touchedId : touchedInstances) {
+                instanceId = touchedId;
+                SimulatedRouter instance = instances.get(touchedId);
+                if (instance != null) {
+                    StringBuilder actions = instance.actions();
+                    if (actions.length() > 0) {
+                        reply.append("speaking ").append(touchedId).append('\n').append(actions);
+                    }
+                }
+            }
+        } catch (InvalidInputException e) {
+            throw e;
+        } catch (RuntimeException e) {
+            e.printStackTrace(err);
+            StackTraceElement origin = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : null;
+            reply.append("speaking ")
+                    .append(instanceId)
+                    .append("\nbroken ")
+                    .append(String.valueOf(e).replace('\n', ' '))
+                    .append(" at ")
+                    .append(origin)
+                    .append('\n');
+        }
+        return reply.append("done ").append(number).append('\n').toString();
+    }
+
+    private void readEndpointList(WireLine line) throws IOException {
+        long number = line.wholeNumber("list");
+        long count = line.wholeNumber("members", 0);
+        line.expectEnd();
+        if (number < 0 || number >= endpointLists.length || count < 0) {
+            throw new InvalidInputException("sheet: no such list or count: " + number + " " + count);
+        }
+        List<WireEndpointList.Entry> entries = new ArrayList<>();
+        for (long i = 0; i < count; i++) {
+            entries.add(WireEndpointList.parseEntry(readInBatch()));
+        }
+        endpointLists[(int) number] = new WireEndpointList(entries);
+    }
+
+    private void dispatchEvent(long instanceId, WireLine line) {
+        if (instanceId < 0) {
+            throw new InvalidInputException(line.name() + ": no target_instance before it");
+        }
+        if (line.name().equals("start")) {
+            long seed = line.wholeNumber("prng");
+            instances.put(instanceId, new SimulatedRouter(seed, FlatSettings.ofPairs("start", line.rest())));
+            return;
+        }
+        SimulatedRouter instance = instances.get(instanceId);
+        if (instance == null) {
+            throw new InvalidInputException(line.name() + ": instance " + instanceId + " is not started");
+        }
+        instance.clock(nowUs);
+        switch (line.name()) {
+            case "killed" -> {
+                line.expectEnd();
+                instances.remove(instanceId);
+            }
+            case "endpoints" -> onEndpoints(instance, line);
+            case "job_in" -> instance.onJob(line, nowUs);
+            case "verdict" -> instance.onVerdict(line);
+            case "timed_out_client" -> {
+                String xid = line.requiredField("xid");
+                line.expectEnd();
+                instance.clientGone(xid);
+            }
+            case "due" -> {
+                line.wholeNumber("tag");
+                line.expectEnd();
+                instance.onTimer();
+            }
+            case "echo" -> instance.onHealthCheckAnswer(line);
+            case "started", "whisper" -> line.rest(); // No streamed index and no peers here.
+            default -> throw new InvalidInputException("no such event: " + line.name());
+        }
+    }
+
+    private void onEndpoints(SimulatedRouter instance, WireLine line) {
+        long scope = line.wholeNumber("scope");
+        line.field("revision");
+        long list = line.wholeNumber("list", -1);
+        line.expectEnd();
+        Aggregator.News watchEvent =
+                switch ((int) scope) {
+                    case 1 -> Aggregator.News.CHANGES;
+                    case 2 -> Aggregator.News.CACHED;
+                    case 3 -> Aggregator.News.FAILED;
+                    case 4 -> Aggregator.News.FULL;
+                    default -> throw new InvalidInputException("endpoints: no such scope: " + scope);
+                };
+        if (watchEvent != Aggregator.News.FAILED) {
+            if (list < 0 || list >= endpointLists.length || endpointLists[(int) list] == null) {
+                throw new InvalidInputException("endpoints: no such list: " + list);
+            }
+            WireEndpointList endpointList = endpointLists[(int) list];
+            if (watchEvent == Aggregator.News.CHANGES) {
+                endpointList.entries().forEach(instance::applyEntry);
+            } else {
+                instance.applyFullList(endpointList);
+            }
+        }
+        instance.onWatchEvent(watchEvent);
+    }
+}
--- a/src/main/java/tinlink/benchlink/Sheet.java
+++ b/src/main/java/tinlink/simadapter/WireEndpointList.java
@@ -1,14 +1,14 @@
-package tinlink.benchlink;
+package tinlink.simadapter;
 
 import tinlink.decision.DataNode;
-import tinlink.start.BadInput;
+import tinlink.config.InvalidInputException;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
-/** A numbered list of data nodes, as the wire gives it to the whole process. */
-final class Sheet {
+/** A numbered list of data nodes, as the wire gives it to all routers of the process. */
+final class WireEndpointList {
     /** One entry, decoded. */
     record Entry(
             long id,
@@ -22,7 +22,7 @@
     private final List<Entry> entries;
     private final Set<Long> ids = new HashSet<>();
 
-    Sheet(List<Entry> entries) {
+    WireEndpointList(List<Entry> entries) {
         this.entries = entries;
         entries.forEach(e -> ids.add(e.id()));
     }
@@ -31,29 +31,29 @@
         return entries;
     }
 
-    boolean names(long id) {
+    boolean contains(long id) {
         return ids.contains(id);
     }
 
-    static Entry entry(Line line) {
+    static Entry parseEntry(WireLine line) {
         if (!line.name().equals("node")) {
-            throw new BadInput("sheet: a node line was expected, not " + line.name());
+            throw new InvalidInputException("sheet: a node line was expected, not " + line.name());
         }
-        long id = line.whole("node");
-        int zone = (int) line.whole("campus", 0);
-        int kind = (int) line.whole("kind", 0);
-        int cell = (int) line.whole("setNo", 0);
-        long health = line.whole("health");
+        long id = line.wholeNumber("node");
+        int zone = (int) line.wholeNumber("campus", 0);
+        int kind = (int) line.wholeNumber("kind", 0);
+        int cell = (int) line.wholeNumber("setNo", 0);
+        long stateCode = line.wholeNumber("health");
         DataNode.State state =
-                switch ((int) health) {
+                switch ((int) stateCode) {
                     case 0 -> DataNode.State.GONE;
                     case 1 -> DataNode.State.READY;
                     case 2 -> DataNode.State.DRAINING;
-                    default -> throw new BadInput("node: no such health: " + health);
+                    default -> throw new InvalidInputException("node: no such health: " + stateCode);
                 };
         double size = line.number("capacityHint", 1);
         long startedAt = line.micros("readyAtMs", 0);
-        line.end();
+        line.expectEnd();
         return new Entry(
                 id, zone, kind, cell, state, size, startedAt == 0 ? Long.MIN_VALUE : startedAt);
     }
--- /dev/null
+++ b/src/main/java/tinlink/simadapter/WireLine.java
@@ -0,0 +1,105 @@
+package tinlink.simadapter;
+
+import tinlink.config.InvalidInputException;
+import tinlink.config.FlatSettings;
+
+/** One line of the wire, read field by field. */
+final class WireLine {
+    private final String text;
+    private final String name;
+    private int position;
+
+    WireLine(String text) {
+        this.text = text;
+        int space = text.indexOf(' ');
+        name = space < 0 ? text : text.substring(0, space);
+        position = space < 0 ? text.length() + 1 : space + 1;
+    }
+
+    String name() {
+        return name;
+    }
+
+    /** The next field; null where it is absent. */
+    String field(String fieldName) {
+        if (position > text.length()) {
+            throw new InvalidInputException(name + ": field '" + fieldName + "' is missing");
+        }
+        int space = text.indexOf(' ', position);
+        int end = space < 0 ? text.length() : space;
+        String value = text.substring(position, end);
+        position = end + 1;
+        if (value.isEmpty()) {
+            throw new InvalidInputException(name + ": field '" + fieldName + "' is empty");
+        }
+        return value.equals("-") ? null : value;
+    }
+
+    /** The rest of the line; empty where there is none. */
+    String rest() {
+        String rest = position > text.length() ? "" : text.substring(position);
+        position = text.length() + 1;
+        return rest.equals("-") ? "" : rest;
+    }
+
+    void expectEnd() {
+        if (position <= text.length()) {
+            throw new InvalidInputException(name + ": more fields than it has");
+        }
+    }
+
+    String requiredField(String fieldName) {
+        String value = field(fieldName);
+        if (value == null) {
+            throw new InvalidInputException(name + ": field '" + fieldName + "' is absent");
+        }
+        return value;
+    }
+
+    long wholeNumber(String fieldName) {
+        return wholeNumber(fieldName, requiredField(fieldName));
+    }
+
+    long wholeNumber(String fieldName, long defaultValue) {
+        String value = field(fieldName);
+        return value == null ? defaultValue : wholeNumber(fieldName, value);
+    }
+
+    private long wholeNumber(String fieldName, String value) {
+        try {
+            return Long.parseLong(value);
+        } catch (NumberFormatException e) {
+            throw new InvalidInputException(name + ": field '" + fieldName + "' is no whole number: " + value);
+        }
+    }
+
+    double number(String fieldName, double defaultValue) {
+        String value = field(fieldName);
+        if (value == null) {
+            return defaultValue;
+        }
+        try {
+            double number = Double.parseDouble(value);
+            if (Double.isFinite(number)) {
+                return number;
+            }
+        } catch (NumberFormatException e) {
+            // Reported below, like one that is not finite.
+        }
+        throw new InvalidInputException(name + ": field '" + fieldName + "' is no number: " + value);
+    }
+
+    /** Milliseconds with fractions, as whole microseconds. */
+    long micros(String fieldName) {
+        return micros(name, fieldName, requiredField(fieldName));
+    }
+
+    long micros(String fieldName, long defaultValue) {
+        String value = field(fieldName);
+        return value == null ? defaultValue : micros(name, fieldName, value);
+    }
+
+    static long micros(String name, String fieldName, String millis) {
+        return FlatSettings.micros(name + ": field '" + fieldName + "'", millis);
+    }
+}
--- a/src/test/java/tinlink/RouterScenarioPlayer.java
+++ b/src/test/java/tinlink/RouterScenarioPlayer.java
@@ -12,8 +12,8 @@
 import tinlink.experiment.processes.RouterProcess;
 import tinlink.net.ParserPlayer;
 import tinlink.router.Router;
-import tinlink.start.Hangup;
-import tinlink.start.RouterStart;
+import tinlink.config.HangupSignal;
+import tinlink.config.RouterConfig;
 
 import java.io.BufferedReader;
 import java.io.DataInputStream;
@@ -326,14 +326,14 @@
 
     private void start(boolean warm) throws Exception {
         configure();
-        RouterStart from = new RouterStart(Map.of(
+        RouterConfig from = new RouterConfig(Map.of(
                 "NODE_CONFIG",
                 configFile().toString(),
                 "NODE_LOG",
                 "OFF",
                 "NODE_DISCOVERY",
                 "127.0.0.1:" + discovery.port()));
-        Aggregator module = faulty ? new FaultyCoordinator(from.built.module) : from.built.module;
+        Aggregator module = faulty ? new FaultyCoordinator(from.decision.module) : from.decision.module;
         router = new Router(from, new GatedCoordinator(module), this::handler);
         earlyClients.forEach(Thread::start);
         if (warm) {
@@ -352,7 +352,7 @@
         for (Thread t : earlyClients) {
             t.join(TIMEOUT_MS);
         }
-        Hangup.hear(router::reload);
+        HangupSignal.onHangup(router::reload);
     }
 
     private void configure() throws IOException {
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-import tinlink.benchlink.BenchLink;
+import tinlink.simadapter.SimulatorAdapter;
 import tinlink.gateway.forwarding.ForwardingPlayer;
 import tinlink.http2.Http2ConnectionPlayer;
 import tinlink.http2.pool.ConnectionPoolPlayer;
 import tinlink.net.CloseReason;
 import tinlink.net.ParserPlayer;
-import tinlink.start.BadInput;
-import tinlink.start.RouterStart;
+import tinlink.config.InvalidInputException;
+import tinlink.config.RouterConfig;
 import tinlink.maintenance.scheduling.MaintenanceScenarioPlayer;
 
 import java.io.ByteArrayInputStream;
@@ -140,8 +140,8 @@
     @MethodSource
     void config(String title, List<String> script, @TempDir Path dir) throws IOException {
         Path file = Files.writeString(dir.resolve("c"), pick(script, "> "));
-        BadInput e = assertThrows(
-                BadInput.class, () -> new RouterStart(Map.of("NODE_CONFIG", file.toString())));
+        InvalidInputException e = assertThrows(
+                InvalidInputException.class, () -> new RouterConfig(Map.of("NODE_CONFIG", file.toString())));
         assertEquals(pick(script, "! "), e.getMessage() + "\n");
     }
 
@@ -153,20 +153,20 @@
         Map<String, String> env =
                 Map.of("NODE_CONFIG", "deploy/example.json", "NODE_GATEWAY", file.toString());
         if (pick(script, "! ").isEmpty()) {
-            assertEquals(1, new RouterStart(env).gateway.far.size());
+            assertEquals(1, new RouterConfig(env).gateway.remoteRouters.size());
             return;
         }
-        BadInput e = assertThrows(BadInput.class, () -> new RouterStart(env));
+        InvalidInputException e = assertThrows(InvalidInputException.class, () -> new RouterConfig(env));
         assertEquals(pick(script, "! "), e.getMessage().replace(file.toString(), "FILE") + "\n");
     }
 
     @Test
     void deployedFilesAreRead() {
-        RouterStart start = new RouterStart(Map.of(
+        RouterConfig config = new RouterConfig(Map.of(
                 "NODE_CONFIG", "deploy/example.json", "NODE_GATEWAY", "deploy/gateway.json5"));
         assertEquals(
                 List.of("w1", "w2"),
-                start.gateway.far.stream().map(f -> f.router()).toList());
+                config.gateway.remoteRouters.stream().map(f -> f.router()).toList());
     }
 
     /** Danger: a part call whose frame has left and that passes for one that never ran. */
@@ -189,7 +189,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         byte[] in = pick(lines, "> ").getBytes(StandardCharsets.UTF_8);
-        int status = new BenchLink(
+        int status = new SimulatorAdapter(
                         new ByteArrayInputStream(in),
                         out,
                         new PrintStream(err, true, StandardCharsets.UTF_8))
--- a/src/test/java/tinlink/start/PeersStartTest.java
+++ b/src/test/java/tinlink/config/ClusterConfigTest.java
@@ -1,4 +1,4 @@
-package tinlink.start;
+package tinlink.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -15,38 +15,38 @@
 import java.util.Map;
 
 /** Files of routers that know each other and of work on machines: what is wrong is named. */
-class PeersStartTest {
+class ClusterConfigTest {
     @TempDir
     Path folder;
 
-    private RouterStart start(String peersFrom, String peersTo, String workFrom, String workTo)
+    private RouterConfig read(String peersFrom, String peersTo, String workFrom, String workTo)
             throws IOException {
         String peers = Files.readString(Path.of("deploy/peers.json5"));
         String work = Files.readString(Path.of("deploy/work.json5"));
         assertTrue(
                 peers.contains(peersFrom) && work.contains(workFrom),
                 "the shipped file has changed");
-        Path p =
+        Path peersFile =
                 Files.writeString(folder.resolve("peers.json5"), peers.replace(peersFrom, peersTo));
-        Path w = Files.writeString(folder.resolve("work.json5"), work.replace(workFrom, workTo));
-        return new RouterStart(Map.of(
+        Path workFile = Files.writeString(folder.resolve("work.json5"), work.replace(workFrom, workTo));
+        return new RouterConfig(Map.of(
                 "NODE_CONFIG",
                 "deploy/example.json",
                 "NODE_PEERS",
-                p.toString(),
+                peersFile.toString(),
                 "NODE_WORK",
-                w.toString()));
+                workFile.toString()));
     }
 
     @Test
-    void theShippedFilesAreGoodAndARouterThatNamesItselfIsNotCalled() throws IOException {
-        RouterStart s = start("r1", "r1", "z1", "z1");
-        assertEquals("r1", s.peers.router);
-        assertEquals(4, s.peers.peers.size());
-        assertEquals("north", s.work.sites.get("z2"));
-        assertEquals(10_000_000, s.work.warmUs);
-        assertEquals(256, s.peers.most);
-        assertEquals(16, s.peers.strangers);
+    void shippedFilesAreValidAndARouterThatNamesItselfIsNotItsOwnPeer() throws IOException {
+        RouterConfig config = read("r1", "r1", "z1", "z1");
+        assertEquals("r1", config.cluster.router);
+        assertEquals(4, config.cluster.peers.size());
+        assertEquals("north", config.maintenance.siteByZone.get("z2"));
+        assertEquals(10_000_000, config.maintenance.slowStartUs);
+        assertEquals(256, config.cluster.maxMembers);
+        assertEquals(16, config.cluster.maxUnauthenticatedConnections);
     }
 
     @ParameterizedTest
@@ -64,9 +64,9 @@
                 "helpers: 3 | helpers: 3, strangers: 0 | 'strangers' is no number from 1 to 4096",
                 "round_ms: 500 | rounds_ms: 500 | 'rounds_ms' is not known here"
             })
-    void whatIsWrongWithThePeersIsNamed(String from, String to, String says) throws IOException {
-        BadInput e = assertThrows(BadInput.class, () -> start(from, to, "z1", "z1"));
-        assertTrue(e.getMessage().contains(says), e.getMessage());
+    void invalidClusterKeyIsNamed(String from, String to, String expectedMessage) throws IOException {
+        InvalidInputException e = assertThrows(InvalidInputException.class, () -> read(from, to, "z1", "z1"));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @ParameterizedTest
@@ -80,16 +80,16 @@
                 "127.0.0.1:7401 | 0.0.0.0:7401 | 'control.listen' is not on loopback",
                 "change-me-to-a-token | short | 'control.token' is missing or under 16"
             })
-    void whatIsWrongWithTheBoundsIsNamed(String from, String to, String says) throws IOException {
-        BadInput e = assertThrows(BadInput.class, () -> start("r1", "r1", from, to));
-        assertTrue(e.getMessage().contains(says), e.getMessage());
+    void invalidMaintenanceKeyIsNamed(String from, String to, String expectedMessage) throws IOException {
+        InvalidInputException e = assertThrows(InvalidInputException.class, () -> read("r1", "r1", from, to));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @Test
-    void theTwoFilesGoTogether() {
-        BadInput e = assertThrows(
-                BadInput.class,
-                () -> new RouterStart(Map.of(
+    void clusterAndMaintenanceFilesGoTogether() {
+        InvalidInputException e = assertThrows(
+                InvalidInputException.class,
+                () -> new RouterConfig(Map.of(
                         "NODE_CONFIG", "deploy/example.json", "NODE_WORK", "deploy/work.json5")));
         assertEquals("environment: 'NODE_PEERS' and 'NODE_WORK' go together", e.getMessage());
     }
--- a/src/test/java/tinlink/start/SpoiltConfigTest.java
+++ b/src/test/java/tinlink/config/CorruptedConfigTest.java
@@ -1,4 +1,4 @@
-package tinlink.start;
+package tinlink.config;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,9 +18,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A router's file with each of its values spoilt in turn: it is read, or refused with the key. */
-class SpoiltConfigTest {
-    private static final String GOOD = """
+/** A router's file with each of its values corrupted in turn: it is read, or rejected with the key. */
+class CorruptedConfigTest {
+    private static final String VALID = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
             "limits":{"sockets":256,"memory_mb":192},
             "known":{"rev":41,"all":true,"targets":[]},
@@ -36,7 +36,7 @@
             {"name":"pay","effect":"token","deadlineMs":4000,"onTimeMs":2000,"windowMs":500,"worth":2,
             "lateWorth":0.1}]}}
             """;
-    private static final String[] SPOILT = {
+    private static final String[] CORRUPTED = {
         "null",
         "\"x\"",
         "\"\"",
@@ -57,43 +57,43 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Test
-    void eachValueSpoiltInTurn(@TempDir Path dir) throws IOException {
+    void eachCorruptedValueIsReadOrNamed(@TempDir Path directory) throws IOException {
         List<String> faults = new ArrayList<>();
         List<String[]> paths = new ArrayList<>();
-        paths(JSON.readTree(GOOD), "", paths);
+        paths(JSON.readTree(VALID), "", paths);
         assertTrue(paths.size() > 50, "there are values to spoil");
-        int refused = 0;
+        int rejected = 0;
         for (String[] path : paths) {
-            for (String spoilt : SPOILT) {
-                JsonNode tree = JSON.readTree(GOOD);
-                put(tree, path, JSON.readTree(spoilt));
-                String said = said(dir, tree.toString());
-                refused += said == null ? 0 : 1;
-                if (said != null && !named(said, path)) {
-                    faults.add(String.join(".", path) + " = " + spoilt + ": " + said);
+            for (String corrupted : CORRUPTED) {
+                JsonNode tree = JSON.readTree(VALID);
+                put(tree, path, JSON.readTree(corrupted));
+                String rejection = rejection(directory, tree.toString());
+                rejected += rejection == null ? 0 : 1;
+                if (rejection != null && !names(rejection, path)) {
+                    faults.add(String.join(".", path) + " = " + corrupted + ": " + rejection);
                 }
             }
         }
-        assertTrue(refused > 100, "few were refused: " + refused);
+        assertTrue(rejected > 100, "few were refused: " + rejected);
         assertTrue(faults.isEmpty(), String.join("\n", faults));
     }
 
     @Test
-    void theFileCutAnywhereIsRefused(@TempDir Path dir) throws IOException {
-        String good = GOOD.strip();
-        for (int length = 0; length < good.length(); length++) {
-            assertNotNull(said(dir, good.substring(0, length)), "read though cut at " + length);
+    void aFileCutAnywhereIsRejected(@TempDir Path directory) throws IOException {
+        String valid = VALID.strip();
+        for (int length = 0; length < valid.length(); length++) {
+            assertNotNull(rejection(directory, valid.substring(0, length)), "read though cut at " + length);
         }
     }
 
-    /** What it is refused with; null where it is read. An escape is a fault. */
-    private static String said(Path dir, String text) throws IOException {
-        Path file = dir.resolve("config.json");
+    /** The message that it is rejected with; null where it is read. An escape is a fault. */
+    private static String rejection(Path directory, String text) throws IOException {
+        Path file = directory.resolve("config.json");
         Files.writeString(file, text);
         try {
-            new RouterStart(Map.of("NODE_CONFIG", file.toString()));
+            new RouterConfig(Map.of("NODE_CONFIG", file.toString()));
             return null;
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             return e.getMessage();
         } catch (RuntimeException | Error e) {
             return "escaped: " + e;
@@ -101,43 +101,43 @@
     }
 
     /**
-     * The message holds a name on the way to what was spoilt; lists are counted, so theirs will do.
+     * The message holds a name on the path to what was corrupted; lists are counted, so theirs will do.
      */
-    private static boolean named(String said, String[] path) {
-        if (said.startsWith("escaped")) {
+    private static boolean names(String rejection, String[] path) {
+        if (rejection.startsWith("escaped")) {
             return false;
         }
         for (String name : path) {
-            if (!name.matches("[0-9]+") && said.contains(name)) {
+            if (!name.matches("[0-9]+") && rejection.contains(name)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static void paths(JsonNode at, String way, List<String[]> all) {
-        if (!way.isEmpty()) {
-            all.add(way.substring(1).split("/"));
+    private static void paths(JsonNode node, String prefix, List<String[]> all) {
+        if (!prefix.isEmpty()) {
+            all.add(prefix.substring(1).split("/"));
         }
-        if (at instanceof ObjectNode o) {
-            o.fieldNames().forEachRemaining(name -> paths(o.get(name), way + "/" + name, all));
-        } else if (at instanceof ArrayNode a) {
+        if (node instanceof ObjectNode o) {
+            o.fieldNames().forEachRemaining(name -> paths(o.get(name), prefix + "/" + name, all));
+        } else if (node instanceof ArrayNode a) {
             for (int i = 0; i < a.size(); i++) {
-                paths(a.get(i), way + "/" + i, all);
+                paths(a.get(i), prefix + "/" + i, all);
             }
         }
     }
 
     private static void put(JsonNode root, String[] path, JsonNode value) {
-        JsonNode at = root;
+        JsonNode node = root;
         for (int i = 0; i < path.length - 1; i++) {
-            at = at instanceof ArrayNode a ? a.get(Integer.parseInt(path[i])) : at.get(path[i]);
+            node = node instanceof ArrayNode a ? a.get(Integer.parseInt(path[i])) : node.get(path[i]);
         }
         String last = path[path.length - 1];
-        if (at instanceof ArrayNode a) {
+        if (node instanceof ArrayNode a) {
             a.set(Integer.parseInt(last), value);
         } else {
-            ((ObjectNode) at).set(last, value);
+            ((ObjectNode) node).set(last, value);
         }
     }
 }
