--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -1,35 +1,35 @@
 package tinlink.config;
 
-import tinlink.decision.Aggregator;
-import tinlink.decision.FastestValid;
-import tinlink.decision.Index;
+import tinlink.decision.QueryCoordinator;
+import tinlink.decision.FastestValidCoordinator;
+import tinlink.decision.LookupClass;
 
 /** Builds the decision module from its settings, whichever source they have; each part gets its own few. */
 public final class DecisionConfig {
-    public final Index[] lookupClasses;
-    public final Aggregator module;
+    public final LookupClass[] lookupClasses;
+    public final QueryCoordinator module;
     /** Lookups and parts that may be in flight. */
     final int maxInFlight;
     /** The longest Retry-After that clients are given; 0 where they are given none. */
     final long maxRetryAfterUs;
 
     public DecisionConfig(long seed, FlatSettings settings) {
-        lookupClasses = new Index[settings.count("profiles.count", 0, 0)];
+        lookupClasses = new LookupClass[settings.count("profiles.count", 0, 0)];
         long longestSoftUs = 1;
         for (int i = 0; i < lookupClasses.length; i++) {
             lookupClasses[i] = lookupClass(settings, i);
-            longestSoftUs = Math.max(longestSoftUs, lookupClasses[i].softUs);
+            longestSoftUs = Math.max(longestSoftUs, lookupClasses[i].latencyObjectiveUs);
         }
         maxInFlight = settings.integer("limits.openCap", 1000);
         maxRetryAfterUs = settings.flag("limits.retryAfter") ? settings.micros("limits.maxRetryAfterMs", 0) : 0;
-        FastestValid.Health health = new FastestValid.Health(longestSoftUs);
-        module = new FastestValid(
-                new FastestValid.Rounds(
+        FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(longestSoftUs);
+        module = new FastestValidCoordinator(
+                new FastestValidCoordinator.AttemptTiming(
                         settings.micros("stepMs", 1000),
                         settings.integer("limits.tryLimit", 1),
                         settings.flag("limits.secondCopies"),
                         settings.flag("limits.cancel")),
-                new FastestValid.Replicas(
+                new FastestValidCoordinator.ReplicaSelector(
                         settings.count("familyInfo.sets", 1, 1),
                         settings.integer("familyInfo.reach", 1),
                         settings.integer("familyInfo.bundleMax", 1),
@@ -38,7 +38,7 @@
                         settings.number("charges.crossZone", 0),
                         health),
                 health,
-                new FastestValid.ColdGuard(
+                new FastestValidCoordinator.SlowStart(
                         seed,
                         settings.integer("groupSize", 1),
                         settings.number("rules.startCapacity", 1),
@@ -46,37 +46,37 @@
                         settings.number("rules.fallMultiple", 1),
                         settings.micros("rules.fallMs", 0),
                         health),
-                new FastestValid.Budget(
+                new FastestValidCoordinator.RetryBudget(
                         settings.micros("rules.lookBackMs", 0),
                         settings.number("rules.minExtra", 0),
                         settings.number("rules.resendRatio", 0),
                         maxInFlight),
-                new FastestValid.Admission(seed, maxRetryAfterUs),
-                new FastestValid.ListFollowing(
+                new FastestValidCoordinator.AdmissionController(seed, maxRetryAfterUs),
+                new FastestValidCoordinator.EndpointListPoller(
                         seed,
                         settings.text("discovery", "pushed").equals("on_request"),
                         settings.micros("rules.mustAskInMs", 1_000_000)));
     }
 
-    private static Index lookupClass(FlatSettings settings, int i) {
+    private static LookupClass lookupClass(FlatSettings settings, int i) {
         String prefix = "profiles." + i + ".";
-        Index lookupClass = new Index();
+        LookupClass lookupClass = new LookupClass();
         String effect = settings.text(prefix + "effect", "pure");
-        lookupClass.effect = switch (effect) {
-            case "pure" -> Index.Effect.IDEMPOTENT;
-            case "token" -> Index.Effect.FINGERPRINTED;
-            case "side_effect" -> Index.Effect.ONCE_ONLY;
+        lookupClass.idempotency = switch (effect) {
+            case "pure" -> LookupClass.Idempotency.IDEMPOTENT;
+            case "token" -> LookupClass.Idempotency.FINGERPRINTED;
+            case "side_effect" -> LookupClass.Idempotency.ONCE_ONLY;
             default -> throw settings.invalid(prefix + "effect", "is not known: " + effect);
         };
-        lookupClass.hardUs = settings.micros(prefix + "deadlineMs", 1_000_000);
-        lookupClass.softUs = settings.micros(prefix + "onTimeMs", lookupClass.hardUs);
-        lookupClass.windowUs = settings.micros(prefix + "windowMs", 0);
-        lookupClass.gain = settings.number(prefix + "worth", 1);
-        lookupClass.lateGain = settings.number(prefix + "lateWorth", 0);
-        lookupClass.need = settings.item("familyInfo.completeFrom", i, 1);
-        lookupClass.floor = settings.item("familyInfo.minShare", i, lookupClass.need);
-        lookupClass.partialGain = settings.item("familyInfo.incompleteWorth", i, 0);
-        lookupClass.secondStep = (int) settings.item("familyInfo.followUp", i, 0);
+        lookupClass.deadlineUs = settings.micros(prefix + "deadlineMs", 1_000_000);
+        lookupClass.latencyObjectiveUs = settings.micros(prefix + "onTimeMs", lookupClass.deadlineUs);
+        lookupClass.deduplicationWindowUs = settings.micros(prefix + "windowMs", 0);
+        lookupClass.priorityWeight = settings.number(prefix + "worth", 1);
+        lookupClass.lateAnswerWeight = settings.number(prefix + "lateWorth", 0);
+        lookupClass.completeShare = settings.item("familyInfo.completeFrom", i, 1);
+        lookupClass.minimumShare = settings.item("familyInfo.minShare", i, lookupClass.completeShare);
+        lookupClass.partialAnswerWeight = settings.item("familyInfo.incompleteWorth", i, 0);
+        lookupClass.secondStepParts = (int) settings.item("familyInfo.followUp", i, 0);
         return lookupClass;
     }
 }
--- a/src/main/java/tinlink/config/PolicyDocument.java
+++ b/src/main/java/tinlink/config/PolicyDocument.java
@@ -1,6 +1,6 @@
 package tinlink.config;
 
-import tinlink.decision.Index;
+import tinlink.decision.LookupClass;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -16,7 +16,7 @@
      * For the lookups that are taken by it; those taken before keep the ones that they were taken
      * by.
      */
-    public final Map<String, Index> lookupClasses = new LinkedHashMap<>();
+    public final Map<String, LookupClass> lookupClasses = new LinkedHashMap<>();
     /** Lookups and parts that may be in flight. */
     public final int maxInFlight;
 
@@ -32,7 +32,7 @@
         lookupClasses.putAll(config.lookups.lookupClasses());
         ConfigFile classEntries = file.object("indexes");
         for (String name : classEntries.keys()) {
-            Index configured = config.lookups.lookupClasses().get(name);
+            LookupClass configured = config.lookups.lookupClasses().get(name);
             if (configured == null) {
                 throw classEntries.invalid(
                         name,
@@ -50,18 +50,18 @@
         file.rejectUnknownKeys();
     }
 
-    private static Index lookupClass(ConfigFile file, Index configured) {
-        Index lookupClass = new Index();
-        lookupClass.effect = configured.effect;
-        lookupClass.windowUs = configured.windowUs;
-        lookupClass.secondStep = configured.secondStep;
-        lookupClass.hardUs = configured.hardUs;
-        lookupClass.softUs = file.micros("soft_ms", configured.softUs / 1000.0, 1, configured.hardUs / 1000.0);
-        lookupClass.gain = file.number("gain", configured.gain, 0, 1e6);
-        lookupClass.lateGain = file.number("late_gain", configured.lateGain, 0, 1e6);
-        lookupClass.need = file.number("need", configured.need, 1e-6, 1);
-        lookupClass.floor = file.number("floor", Math.min(configured.floor, lookupClass.need), 0, lookupClass.need);
-        lookupClass.partialGain = file.number("partial_gain", configured.partialGain, 0, 1e6);
+    private static LookupClass lookupClass(ConfigFile file, LookupClass configured) {
+        LookupClass lookupClass = new LookupClass();
+        lookupClass.idempotency = configured.idempotency;
+        lookupClass.deduplicationWindowUs = configured.deduplicationWindowUs;
+        lookupClass.secondStepParts = configured.secondStepParts;
+        lookupClass.deadlineUs = configured.deadlineUs;
+        lookupClass.latencyObjectiveUs = file.micros("soft_ms", configured.latencyObjectiveUs / 1000.0, 1, configured.deadlineUs / 1000.0);
+        lookupClass.priorityWeight = file.number("gain", configured.priorityWeight, 0, 1e6);
+        lookupClass.lateAnswerWeight = file.number("late_gain", configured.lateAnswerWeight, 0, 1e6);
+        lookupClass.completeShare = file.number("need", configured.completeShare, 1e-6, 1);
+        lookupClass.minimumShare = file.number("floor", Math.min(configured.minimumShare, lookupClass.completeShare), 0, lookupClass.completeShare);
+        lookupClass.partialAnswerWeight = file.number("partial_gain", configured.partialAnswerWeight, 0, 1e6);
         return lookupClass;
     }
 }
--- a/src/main/java/tinlink/config/RouterConfig.java
+++ b/src/main/java/tinlink/config/RouterConfig.java
@@ -1,6 +1,6 @@
 package tinlink.config;
 
-import tinlink.decision.Index;
+import tinlink.decision.LookupClass;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
 
@@ -68,7 +68,7 @@
     public final MaintenanceConfig maintenance;
 
     /** What a lookup is checked against. */
-    public record LookupSettings(Map<String, Index> lookupClasses, int shardCount, int maxInFlight) {}
+    public record LookupSettings(Map<String, LookupClass> lookupClasses, int shardCount, int maxInFlight) {}
 
     /**
      * What connections to data nodes need; after {@code idleUs} without use a node's machine closes
@@ -140,12 +140,12 @@
         int count = atLeast(flatSettings, "profiles.count", 0, 1);
         seed = seed(topLevel);
         decision = new DecisionConfig(seed, flatSettings);
-        Map<String, Index> lookupClasses = new LinkedHashMap<>();
+        Map<String, LookupClass> lookupClasses = new LinkedHashMap<>();
         long longestDeadlineUs = 0;
         for (int i = 0; i < count; i++) {
             lookupClasses.put(requiredText(flatSettings, "profiles." + i + ".name"), decision.lookupClasses[i]);
-            longestDeadlineUs = Math.max(longestDeadlineUs, decision.lookupClasses[i].hardUs);
-            if (decision.lookupClasses[i].secondStep > 0) {
+            longestDeadlineUs = Math.max(longestDeadlineUs, decision.lookupClasses[i].deadlineUs);
+            if (decision.lookupClasses[i].secondStepParts > 0) {
                 throw flatSettings.invalid(
                         "familyInfo.followUp",
                         "asks for a second step, which is not served on sockets");
--- a/src/main/java/tinlink/decision/PartCall.java
+++ b/src/main/java/tinlink/decision/Attempt.java
@@ -1,9 +1,9 @@
 package tinlink.decision;
 
 /** One send of a part to a data node. Fields only. */
-public final class PartCall {
+public final class Attempt {
     /** What several part calls to one node share when they travel as one. */
-    public static final class Shared {
+    public static final class SharedCall {
         public int open;
         public int size;
     }
@@ -11,19 +11,19 @@
     public Part part;
     public DataNode node;
     public int number;
-    public long sentAt;
+    public long sentAtUs;
     /** Null while it is out. */
     public Outcome outcome;
 
-    public Shared shared;
+    public SharedCall sharedCall;
     /** Calls that were out at its node when it was sent. */
-    public int callsBefore;
+    public int callsInFlightBefore;
 
-    public boolean cancelled;
+    public boolean isCancelled;
     /**
      * For how long what it was sent on had not been used, in steps; 0 for not long, or a new one.
      */
-    public int age;
+    public int idleStep;
 
-    public boolean renew;
+    public boolean reconnectFirst;
 }
--- a/src/main/java/tinlink/decision/DataNode.java
+++ b/src/main/java/tinlink/decision/DataNode.java
@@ -15,10 +15,10 @@
     public int cell;
     public double size = 1;
     /** Time of its last start; Long.MIN_VALUE when that is long ago. */
-    public long startedAt = Long.MIN_VALUE;
+    public long startedAtUs = Long.MIN_VALUE;
 
     /** What the line to another site takes, there and back; 0 where the node is at this one. */
-    public long lineUs;
+    public long linkRoundTripUs;
 
     public DataNode(long id) {
         this.id = id;
--- a/src/main/java/tinlink/decision/FastestValid.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -16,37 +16,37 @@
  * the parts below, each from its few settings; tell it each input; then pull decisions through {@code decide}
  * until it says false. Decisions leave by the calls in {@code Host.java}. docs/design.md says why.
  */
-public final class FastestValid implements Aggregator {
+public final class FastestValidCoordinator implements QueryCoordinator {
     private static final long NEVER = Long.MAX_VALUE;
     /** Sums of part weights may be this much short. */
     private static final double SLACK = 1e-4;
 
-    private final Rounds rounds;
-    private final Replicas replicas;
-    private final Health health;
-    private final ColdGuard cold;
-    private final Budget budget;
-    private final Admission admission;
-    private final ListFollowing list;
+    private final AttemptTiming rounds;
+    private final ReplicaSelector replicas;
+    private final OutlierDetector health;
+    private final SlowStart cold;
+    private final RetryBudget budget;
+    private final AdmissionController admission;
+    private final EndpointListPoller list;
     /** Lookups in hand; each leaves with its final answer or its client. */
     private final ArrayList<Lookup> open = new ArrayList<>();
     /** Lookups with news, part calls to send, calls that serve nobody: all emptied within the turn. */
     private final ArrayDeque<Lookup> touched = new ArrayDeque<>();
 
-    private final ArrayDeque<PartCall> outbox = new ArrayDeque<>();
-    private final ArrayDeque<PartCall> surplus = new ArrayDeque<>();
+    private final ArrayDeque<Attempt> outbox = new ArrayDeque<>();
+    private final ArrayDeque<Attempt> surplus = new ArrayDeque<>();
     private long now;
     private long armed = NEVER;
     private long stalledAt = NEVER;
 
-    public FastestValid(
-            Rounds rounds,
-            Replicas replicas,
-            Health health,
-            ColdGuard cold,
-            Budget budget,
-            Admission admission,
-            ListFollowing list) {
+    public FastestValidCoordinator(
+            AttemptTiming rounds,
+            ReplicaSelector replicas,
+            OutlierDetector health,
+            SlowStart cold,
+            RetryBudget budget,
+            AdmissionController admission,
+            EndpointListPoller list) {
         this.rounds = rounds;
         this.replicas = replicas;
         this.health = health;
@@ -63,7 +63,7 @@
      * tell: one that comes late by many steps of the clock means that what came with it was seen late too.
      */
     @Override
-    public void clock(long nowUs) {
+    public void advanceClock(long nowUs) {
         now = nowUs;
         if (now - armed > rounds.stallUs()) {
             armed = NEVER;
@@ -72,328 +72,328 @@
     }
 
     @Override
-    public void lookup(Lookup lk) {
-        lk.arrivedAt = now;
-        rounds.begin(lk, now);
-        open.add(lk);
-        budget.took(lk, now, false);
-        touch(lk);
+    public void onLookup(Lookup lookup) {
+        lookup.arrivedAtUs = now;
+        rounds.begin(lookup, now);
+        open.add(lookup);
+        budget.took(lookup, now, false);
+        touch(lookup);
     }
 
     @Override
-    public void part(Part p) {
-        p.lookup.parts.add(p);
-        budget.took(p.lookup, now, true);
-        touch(p.lookup);
+    public void onPart(Part part) {
+        part.lookup.parts.add(part);
+        budget.took(part.lookup, now, true);
+        touch(part.lookup);
     }
 
     @Override
-    public void outcome(PartCall c, Outcome how, long tookUs, long reportedLatencyUs) {
-        c.outcome = how;
-        Part p = c.part;
-        p.out--;
-        Seen s = replicas.seen(c.node);
-        if (--c.shared.open == 0) {
+    public void onOutcome(Attempt c, Outcome outcome, long tookUs, long reportedLatencyUs) {
+        c.outcome = outcome;
+        Part part = c.part;
+        part.attemptsInFlight--;
+        ReplicaStats s = replicas.seen(c.node);
+        if (--c.sharedCall.open == 0) {
             s.calls--;
         }
-        health.outcome(s, c, how, now == stalledAt ? -1 : tookUs, p.lookup.roundUs, now);
+        health.outcome(s, c, outcome, now == stalledAt ? -1 : tookUs, part.lookup.roundUs, now);
         replicas.forgetIfGone(s);
-        if (p.lookup.ended) {
+        if (part.lookup.isEnded) {
             return;
         }
-        if (how == Outcome.CONNECTION_LOST) {
-            p.lookup.suspect |= p.lookup.lostAt != null && p.lookup.lostAt != c.node;
-            p.lookup.lostAt = c.node;
+        if (outcome == Outcome.CONNECTION_LOST) {
+            part.lookup.suspect |= part.lookup.lostAt != null && part.lookup.lostAt != c.node;
+            part.lookup.lostAt = c.node;
         }
-        if (how == Outcome.SATISFIED && !p.satisfied) {
-            p.satisfied = true;
-            cancelOut(p);
+        if (outcome == Outcome.SATISFIED && !part.isSatisfied) {
+            part.isSatisfied = true;
+            cancelOut(part);
         }
-        touch(p.lookup);
+        touch(part.lookup);
     }
 
     @Override
-    public void listed(DataNode node, boolean restarted) {
+    public void onEndpoint(DataNode node, boolean restarted) {
         replicas.listed(node, restarted);
     }
 
     @Override
-    public void nodes(News news) {
+    public void onEndpointListUpdate(EndpointListUpdate news) {
         list.news(news, now);
         open.forEach(this::touch);
     }
 
     @Override
-    public void probed(DataNode node, Outcome how, long tookUs, long reportedLatencyUs) {
+    public void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
         // A probe proves that a process runs, not that it answers: nothing here rests on one.
     }
 
     @Override
-    public void timer() {
+    public void onTimer() {
         armed = now >= armed ? NEVER : armed;
-        open.stream().filter(lk -> lk.lookAt <= now).forEach(this::touch);
+        open.stream().filter(lookup -> lookup.nextCheckAtUs <= now).forEach(this::touch);
     }
 
     @Override
-    public void clientGone(Lookup lk) {
-        rounds.left(lk, true, now);
-        end(lk);
+    public void onClientGone(Lookup lookup) {
+        rounds.left(lookup, true, now);
+        end(lookup);
     }
 
-    private void touch(Lookup lk) {
-        if (!lk.touched) {
-            lk.touched = true;
-            touched.add(lk);
+    private void touch(Lookup lookup) {
+        if (!lookup.isQueued) {
+            lookup.isQueued = true;
+            touched.add(lookup);
         }
     }
 
-    private void cancelOut(Part p) {
-        p.calls.stream().filter(c -> c.outcome == null && !c.cancelled).forEach(surplus::add);
+    private void cancelOut(Part part) {
+        part.attempts.stream().filter(c -> c.outcome == null && !c.isCancelled).forEach(surplus::add);
     }
 
-    private void end(Lookup lk) {
-        if (lk.started && !lk.replayed && lk.judges) {
-            health.round(lk.parts.size(), 0);
+    private void end(Lookup lookup) {
+        if (lookup.isStarted && !lookup.isFirstRoundOver && lookup.isSilenceConclusive) {
+            health.round(lookup.parts.size(), 0);
         }
-        lk.ended = true;
-        open.remove(lk);
-        lk.parts.forEach(this::cancelOut);
+        lookup.isEnded = true;
+        open.remove(lookup);
+        lookup.parts.forEach(this::cancelOut);
     }
 
     // ---- Decisions: one a call. ----
 
     @Override
-    public boolean decide(Host h) {
+    public boolean decide(DecisionHandler h) {
         if (!outbox.isEmpty()) {
-            PartCall c = outbox.peek();
-            if (c.renew) {
-                c.renew = false;
-                h.release(c.node);
+            Attempt c = outbox.peek();
+            if (c.reconnectFirst) {
+                c.reconnectFirst = false;
+                h.closeIdleConnections(c.node);
             } else {
-                h.send(outbox.poll(), Math.max(1, c.part.lookup.endAt - now));
+                h.send(outbox.poll(), Math.max(1, c.part.lookup.endsAtUs - now));
             }
             return true;
         }
         while (!surplus.isEmpty()) {
-            PartCall c = surplus.poll();
-            if (rounds.mayCancel && c.outcome == null && !c.cancelled) {
-                c.cancelled = true;
+            Attempt c = surplus.poll();
+            if (rounds.mayCancel && c.outcome == null && !c.isCancelled) {
+                c.isCancelled = true;
                 h.cancel(c);
                 return true;
             }
         }
         if (list.due(now)) {
-            h.followList();
+            h.subscribeToEndpointList();
             return true;
         }
         while (!touched.isEmpty()) {
-            Lookup lk = touched.peek();
-            if (!lk.ended && step(lk, h)) {
+            Lookup lookup = touched.peek();
+            if (!lookup.isEnded && step(lookup, h)) {
                 return true;
             }
-            lk.touched = false;
+            lookup.isQueued = false;
             touched.poll();
         }
-        long next = open.stream().mapToLong(lk -> lk.lookAt).reduce(list.nextAt, Math::min);
+        long next = open.stream().mapToLong(lookup -> lookup.nextCheckAtUs).reduce(list.nextAt, Math::min);
         if (next < armed) {
             armed = next;
-            h.wake(next);
+            h.wakeAt(next);
             return true;
         }
         return false;
     }
 
     /** The next decision for one lookup; false when it only has to wait, until lookAt at the latest. */
-    private boolean step(Lookup lk, Host h) {
-        double in = weight(lk, p -> p.satisfied);
-        boolean allThere = lk.parts.size() >= lk.announced;
+    private boolean step(Lookup lookup, DecisionHandler h) {
+        double in = weight(lookup, part -> part.isSatisfied);
+        boolean allThere = lookup.parts.size() >= lookup.announcedParts;
         // The n-th valid part ends the query (design page); a second step needs all of its parts.
-        if (allThere && in >= needed(lk) - SLACK) {
-            return answer(lk, h, !lk.secondStep || lk.firstWhole);
+        if (allThere && in >= needed(lookup) - SLACK) {
+            return answer(lookup, h, !lookup.isSecondStep || lookup.isFirstStepComplete);
         }
         // Danger: lookups that bring down every node that begins a part of theirs. One that has
         // lost two
         // nodes and satisfied no part is not sent again; may hurt where well nodes lose many
         // connections.
-        if (now >= lk.endAt || (allThere && (lk.suspect && in == 0 || hopeless(lk, in)))) {
-            return giveUp(lk, h, in);
+        if (now >= lookup.endsAtUs || (allThere && (lookup.suspect && in == 0 || hopeless(lookup, in)))) {
+            return giveUp(lookup, h, in);
         }
-        lk.lookAt = lk.endAt;
+        lookup.nextCheckAtUs = lookup.endsAtUs;
         if (!allThere) {
             return false;
         }
-        if (!lk.started) {
-            if (admission.refuses(lk, replicas, cold, now) && rounds.mayNack(lk)) {
-                end(lk);
-                h.nack(lk, admission.comeBack(lk));
+        if (!lookup.isStarted) {
+            if (admission.refuses(lookup, replicas, cold, now) && rounds.mayNack(lookup)) {
+                end(lookup);
+                h.reject(lookup, admission.comeBack(lookup));
                 return true;
             }
-            lk.started = true;
-            lk.startedAt = now;
+            lookup.isStarted = true;
+            lookup.roundStartedAtUs = now;
             // All k parts leave together; while nodes die around us one goes first, to see whether
             // it kills.
-            lk.scouting = lk.parts.size() > 1 && health.nodesDie(lk.repeat, now);
-            if (lk.scouting) {
-                lk.scouting = lk.parts.stream().anyMatch(p -> place(List.of(p), false));
+            lookup.awaitsCanary = lookup.parts.size() > 1 && health.nodesDie(lookup.isClientRetry, now);
+            if (lookup.awaitsCanary) {
+                lookup.awaitsCanary = lookup.parts.stream().anyMatch(part -> place(List.of(part), false));
             } else {
-                place(lk.parts, false);
+                place(lookup.parts, false);
             }
             // Silence means nothing before the line to another site could have brought an answer.
-            lk.startedAt += outbox.stream().mapToLong(c -> c.node.lineUs).max().orElse(0);
-            lk.lookAt = Math.min(lk.endAt, lk.startedAt + lk.roundUs);
-            return !outbox.isEmpty() || step(lk, h);
+            lookup.roundStartedAtUs += outbox.stream().mapToLong(c -> c.node.linkRoundTripUs).max().orElse(0);
+            lookup.nextCheckAtUs = Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
+            return !outbox.isEmpty() || step(lookup, h);
         }
-        if (lk.scouting && (in > 0 || now >= lk.startedAt + lk.roundUs)) {
-            lk.scouting = false;
-            lk.startedAt = now;
-            place(lk.parts.stream().filter(p -> p.calls.isEmpty()).toList(), false);
+        if (lookup.awaitsCanary && (in > 0 || now >= lookup.roundStartedAtUs + lookup.roundUs)) {
+            lookup.awaitsCanary = false;
+            lookup.roundStartedAtUs = now;
+            place(lookup.parts.stream().filter(part -> part.attempts.isEmpty()).toList(), false);
         }
-        if (!lk.replayed && now >= lk.startedAt + lk.roundUs) {
-            lk.replayed = true;
-            judge(lk);
-            replay(lk, in);
+        if (!lookup.isFirstRoundOver && now >= lookup.roundStartedAtUs + lookup.roundUs) {
+            lookup.isFirstRoundOver = true;
+            judge(lookup);
+            replay(lookup, in);
         }
-        sendAgain(lk, in);
-        if (!lk.replayed) {
-            lk.lookAt = Math.min(lk.lookAt, lk.startedAt + lk.roundUs);
+        sendAgain(lookup, in);
+        if (!lookup.isFirstRoundOver) {
+            lookup.nextCheckAtUs = Math.min(lookup.nextCheckAtUs, lookup.roundStartedAtUs + lookup.roundUs);
         }
         return !outbox.isEmpty() || !surplus.isEmpty();
     }
 
-    private static double weight(Lookup lk, Predicate<Part> which) {
-        return lk.parts.stream().filter(which).mapToDouble(p -> p.weight).sum();
+    private static double weight(Lookup lookup, Predicate<Part> which) {
+        return lookup.parts.stream().filter(which).mapToDouble(part -> part.weight).sum();
     }
 
-    private static boolean awaited(Part p) {
-        return !p.satisfied && p.out > 0;
+    private static boolean awaited(Part part) {
+        return !part.isSatisfied && part.attemptsInFlight > 0;
     }
 
-    private double needed(Lookup lk) {
-        return lk.secondStep ? 1 : lk.index.need;
+    private double needed(Lookup lookup) {
+        return lookup.isSecondStep ? 1 : lookup.lookupClass.completeShare;
     }
 
     /** Too few parts are in, out or still to be sent; where a partial answer may do, out ones are awaited. */
-    private boolean hopeless(Lookup lk, double in) {
+    private boolean hopeless(Lookup lookup, double in) {
         double may = in;
         boolean out = false;
-        for (Part p : lk.parts) {
-            if (!p.satisfied && (p.out > 0 || rounds.mayCall(p, now) && replicas.held(p, now))) {
-                may += p.weight;
-                out |= p.out > 0;
+        for (Part part : lookup.parts) {
+            if (!part.isSatisfied && (part.attemptsInFlight > 0 || rounds.mayCall(part, now) && replicas.held(part, now))) {
+                may += part.weight;
+                out |= part.attemptsInFlight > 0;
             }
         }
-        return may < needed(lk) - SLACK && !(out && lk.index.floor < lk.index.need);
+        return may < needed(lookup) - SLACK && !(out && lookup.lookupClass.minimumShare < lookup.lookupClass.completeShare);
     }
 
-    private boolean answer(Lookup lk, Host h, boolean whole) {
-        if (lk.index.secondStep > 0 && !lk.secondStep) {
-            int satisfied = (int) lk.parts.stream().filter(p -> p.satisfied).count();
-            lk.parts.forEach(this::cancelOut);
-            lk.secondStep = true;
-            lk.firstWhole = whole;
-            lk.announced = Math.min(lk.index.secondStep, satisfied);
-            lk.parts = new ArrayList<>();
-            rounds.begin(lk, now);
+    private boolean answer(Lookup lookup, DecisionHandler h, boolean whole) {
+        if (lookup.lookupClass.secondStepParts > 0 && !lookup.isSecondStep) {
+            int satisfied = (int) lookup.parts.stream().filter(part -> part.isSatisfied).count();
+            lookup.parts.forEach(this::cancelOut);
+            lookup.isSecondStep = true;
+            lookup.isFirstStepComplete = whole;
+            lookup.announcedParts = Math.min(lookup.lookupClass.secondStepParts, satisfied);
+            lookup.parts = new ArrayList<>();
+            rounds.begin(lookup, now);
         } else {
-            rounds.left(lk, false, now);
-            end(lk);
+            rounds.left(lookup, false, now);
+            end(lookup);
         }
-        h.answer(lk, whole);
+        h.answer(lookup, whole);
         return true;
     }
 
     /** Short of n: a partial answer above the floor, a nack where nothing forbids it, else an abort. */
-    private boolean giveUp(Lookup lk, Host h, double in) {
-        double floor = lk.secondStep && lk.index.floor >= lk.index.need ? 1 : lk.index.floor;
-        if (lk.parts.size() >= lk.announced && in > 0 && in >= floor - SLACK) {
-            return answer(lk, h, false);
+    private boolean giveUp(Lookup lookup, DecisionHandler h, double in) {
+        double floor = lookup.isSecondStep && lookup.lookupClass.minimumShare >= lookup.lookupClass.completeShare ? 1 : lookup.lookupClass.minimumShare;
+        if (lookup.parts.size() >= lookup.announcedParts && in > 0 && in >= floor - SLACK) {
+            return answer(lookup, h, false);
         }
-        boolean nack = now < lk.endAt && rounds.mayNack(lk);
-        end(lk);
+        boolean nack = now < lookup.endsAtUs && rounds.mayNack(lookup);
+        end(lookup);
         if (nack) {
-            h.nack(lk, admission.comeBack(lk));
+            h.reject(lookup, admission.comeBack(lookup));
         } else {
-            h.abort(lk);
+            h.abort(lookup);
         }
         return true;
     }
 
     /** What the silence of its round says of the nodes; with less than a full round it says nothing. */
-    private void judge(Lookup lk) {
-        if (lk.judges) {
-            lk.parts.forEach(p -> p.calls.stream()
+    private void judge(Lookup lookup) {
+        if (lookup.isSilenceConclusive) {
+            lookup.parts.forEach(part -> part.attempts.stream()
                     .filter(c -> c.outcome == null)
                     .forEach(c -> health.silent(replicas.seen(c.node), c, now)));
-            health.round(lk.parts.size(), (int)
-                    lk.parts.stream().filter(FastestValid::awaited).count());
+            health.round(lookup.parts.size(), (int)
+                    lookup.parts.stream().filter(FastestValidCoordinator::awaited).count());
         }
     }
 
     /** After the silent first round: missing parts still short of n go once more, to another replica. */
-    private void replay(Lookup lk, double in) {
+    private void replay(Lookup lookup, double in) {
         List<Part> silent =
-                new ArrayList<>(lk.parts.stream().filter(FastestValid::awaited).toList());
+                new ArrayList<>(lookup.parts.stream().filter(FastestValidCoordinator::awaited).toList());
         // When most nodes look bad the cause is shared, and a second copy only adds to it; but a
         // part that
         // later ones have overtaken at its node is stuck, not slow.
         if (health.sharedTrouble()) {
-            silent.removeIf(p -> lastNode(p).newestAnswered <= lastCall(p).sentAt);
+            silent.removeIf(part -> lastNode(part).newestAnswered <= lastCall(part).sentAtUs);
         }
         silent.sort((a, b) -> Long.compare(lastNode(a).lastGoodAt, lastNode(b).lastGoodAt));
-        double missing = needed(lk) - SLACK - in;
-        for (Part p : silent) {
+        double missing = needed(lookup) - SLACK - in;
+        for (Part part : silent) {
             if (missing <= 0) {
                 break;
             }
-            if (rounds.mayCall(p, now) && budget.may(true, now)) {
-                if (place(List.of(p), true)) {
-                    missing -= p.weight;
+            if (rounds.mayCall(part, now) && budget.may(true, now)) {
+                if (place(List.of(part), true)) {
+                    missing -= part.weight;
                 }
-            } else if (rounds.mayGiveUpSilent(p)
-                    && lastNode(p).lastGoodAt < p.calls.get(0).sentAt
+            } else if (rounds.mayGiveUpSilent(part)
+                    && lastNode(part).lastGoodAt < part.attempts.get(0).sentAtUs
                     && budget.may(true, now)) {
                 // No second copies here: a node that has answered nothing since loses the part
                 // (departure).
                 budget.spent(true, now);
-                p.resendAsReplay = true;
-                cancelOut(p);
-                missing -= p.weight;
+                part.isHedgePaid = true;
+                cancelOut(part);
+                missing -= part.weight;
             }
         }
     }
 
-    private static PartCall lastCall(Part p) {
-        return p.calls.get(p.calls.size() - 1);
+    private static Attempt lastCall(Part part) {
+        return part.attempts.get(part.attempts.size() - 1);
     }
 
-    private Seen lastNode(Part p) {
-        return replicas.seen(lastCall(p).node);
+    private ReplicaStats lastNode(Part part) {
+        return replicas.seen(lastCall(part).node);
     }
 
     /** Parts that were never sent, or whose part calls all ended without an answer. */
-    private void sendAgain(Lookup lk, double in) {
-        double may = in + weight(lk, FastestValid::awaited);
-        for (Part p : lk.parts) {
+    private void sendAgain(Lookup lookup, double in) {
+        double may = in + weight(lookup, FastestValidCoordinator::awaited);
+        for (Part part : lookup.parts) {
             // What has lost its node waits for a sign that the lookup is not what killed it.
-            boolean wait = p.calls.isEmpty()
-                    ? lk.scouting
-                    : in == 0 && may > 0 && lastCall(p).outcome == Outcome.CONNECTION_LOST;
-            if (p.satisfied
-                    || p.out > 0
+            boolean wait = part.attempts.isEmpty()
+                    ? lookup.awaitsCanary
+                    : in == 0 && may > 0 && lastCall(part).outcome == Outcome.CONNECTION_LOST;
+            if (part.isSatisfied
+                    || part.attemptsInFlight > 0
                     || wait
-                    || !rounds.mayCall(p, now)
-                    || may >= needed(lk) - SLACK) {
+                    || !rounds.mayCall(part, now)
+                    || may >= needed(lookup) - SLACK) {
                 continue;
             }
-            if (now >= p.sendAt
-                    && (p.calls.isEmpty() || p.resendAsReplay || budget.may(false, now))
-                    && place(List.of(p), false)) {
-                may += p.weight;
-                p.resendAsReplay = false;
+            if (now >= part.notBeforeUs
+                    && (part.attempts.isEmpty() || part.isHedgePaid || budget.may(false, now))
+                    && place(List.of(part), false)) {
+                may += part.weight;
+                part.isHedgePaid = false;
             } else {
                 // No node may take it now: look again within the round, not on every input.
-                p.sendAt = Math.max(p.sendAt, now + lk.roundUs / 4);
-                lk.lookAt = Math.min(lk.lookAt, p.sendAt);
+                part.notBeforeUs = Math.max(part.notBeforeUs, now + lookup.roundUs / 4);
+                lookup.nextCheckAtUs = Math.min(lookup.nextCheckAtUs, part.notBeforeUs);
             }
         }
     }
@@ -401,44 +401,44 @@
     /** Picks a replica for each part by the companion and puts the part calls into the outbox. */
     private boolean place(List<Part> parts, boolean replay) {
         boolean any = false;
-        for (Part p : parts) {
-            Seen s = replicas.pick(p, cold, replay, now);
+        for (Part part : parts) {
+            ReplicaStats s = replicas.pick(part, cold, replay, now);
             // Danger: a full node turns away what comes again at once; all tries would be gone in a
             // moment.
             if (s == null
-                    || replicas.tried(s, p)
-                            && lastCall(p).outcome == Outcome.TURNED_AWAY
-                            && now < lastCall(p).sentAt + p.lookup.roundUs / 4) {
+                    || replicas.tried(s, part)
+                            && lastCall(part).outcome == Outcome.TURNED_AWAY
+                            && now < lastCall(part).sentAtUs + part.lookup.roundUs / 4) {
                 continue;
             }
             any = true;
-            if (replay || !p.calls.isEmpty() && !p.resendAsReplay) {
+            if (replay || !part.attempts.isEmpty() && !part.isHedgePaid) {
                 budget.spent(replay, now);
             }
             cold.sent(s, now);
-            PartCall c = new PartCall();
-            c.part = p;
+            Attempt c = new Attempt();
+            c.part = part;
             c.node = s.node;
-            c.number = p.calls.size();
-            c.sentAt = now;
-            c.callsBefore = s.calls;
+            c.number = part.attempts.size();
+            c.sentAtUs = now;
+            c.callsInFlightBefore = s.calls;
             int age = s.calls == 0 ? health.age(now - s.usedAt) : 0;
             // Lookups that can spare a part try one old connection, so that the suspicion is
             // renewed or ends.
-            boolean tries = p.lookup.index.need < 1 && p == p.lookup.parts.get(0);
-            c.renew = health.dropped(age, replay ? 0 : Health.SURE, now) && (replay || !tries);
-            c.age = c.renew ? 0 : age;
+            boolean tries = part.lookup.lookupClass.completeShare < 1 && part == part.lookup.parts.get(0);
+            c.reconnectFirst = health.dropped(age, replay ? 0 : OutlierDetector.SURE, now) && (replay || !tries);
+            c.idleStep = c.reconnectFirst ? 0 : age;
             s.usedAt = now;
-            c.shared = replicas.share(s, now);
-            p.calls.add(c);
-            p.out++;
+            c.sharedCall = replicas.share(s, now);
+            part.attempts.add(c);
+            part.attemptsInFlight++;
             outbox.add(c);
         }
         return any;
     }
 
     /** What this router knows of a data node; dropped when the list says it is gone and no call is out. */
-    static final class Seen {
+    static final class ReplicaStats {
         final DataNode node;
         /** Below 0 once it has been forgotten. */
         int cell;
@@ -455,7 +455,7 @@
         /** Calls out; shared ones count once. */
         int calls;
 
-        PartCall.Shared current;
+        Attempt.SharedCall current;
         long currentAt = Long.MIN_VALUE;
         /** Share of recent part calls that went bad, smoothed; fades with the time since. */
         double bad;
@@ -470,14 +470,14 @@
         double coldChance;
         double likeRate;
 
-        Seen(DataNode node, int cell) {
+        ReplicaStats(DataNode node, int cell) {
             this.node = node;
             this.cell = cell;
         }
     }
 
     /** The rounds of a lookup, and the guard against repeated effects. */
-    public static final class Rounds {
+    public static final class AttemptTiming {
         private static final double LEAVE_STEP = 0.05;
         private static final double LEAVING = 0.1;
         private static final long STALL_STEPS = 20;
@@ -490,7 +490,7 @@
 
         private double leaveUs;
 
-        public Rounds(long stepUs, int tryLimit, boolean secondCopies, boolean mayCancel) {
+        public AttemptTiming(long stepUs, int tryLimit, boolean secondCopies, boolean mayCancel) {
             this.stepUs = stepUs;
             this.tryLimit = tryLimit;
             this.secondCopies = secondCopies;
@@ -498,35 +498,35 @@
         }
 
         /** A round is a third of the aim; round, replay round and receive-only round end the lookup. */
-        void begin(Lookup lk, long now) {
+        void begin(Lookup lookup, long now) {
             // Two steps of the clock early: a timer fires up to one late, and the client's end is
             // final.
-            long last = Math.max(now, lk.leavesAt - 2 * stepUs);
+            long last = Math.max(now, lookup.clientDeadlineUs - 2 * stepUs);
             // Danger: one tenant's clients that give short times would make well nodes look silent
             // to all.
-            lk.judges = last - now >= patience(lk.index.softUs);
-            lk.roundUs = Math.max(stepUs, Math.min(patience(lk.index.softUs), last - now) / 3);
-            lk.endAt = endsAt(lk, last, now);
-            lk.lookAt = now;
-            lk.started = false;
-            lk.replayed = false;
+            lookup.isSilenceConclusive = last - now >= patience(lookup.lookupClass.latencyObjectiveUs);
+            lookup.roundUs = Math.max(stepUs, Math.min(patience(lookup.lookupClass.latencyObjectiveUs), last - now) / 3);
+            lookup.endsAtUs = endsAt(lookup, last, now);
+            lookup.nextCheckAtUs = now;
+            lookup.isStarted = false;
+            lookup.isFirstRoundOver = false;
         }
 
         /** The last moment for a final answer to this step. */
-        private long endsAt(Lookup lk, long last, long now) {
-            Index index = lk.index;
+        private long endsAt(Lookup lookup, long last, long now) {
+            LookupClass lookupClass = lookup.lookupClass;
             // Danger: a partial answer that leaves at the aim reaches its client after it, and
             // earns nothing.
-            long inTime = lk.arrivedAt + index.softUs - 2 * stepUs;
-            if (index.floor < index.need && index.lateGain <= index.partialGain && inTime > now) {
+            long inTime = lookup.arrivedAtUs + lookupClass.latencyObjectiveUs - 2 * stepUs;
+            if (lookupClass.minimumShare < lookupClass.completeShare && lookupClass.lateAnswerWeight <= lookupClass.partialAnswerWeight && inTime > now) {
                 return Math.min(last, inTime);
             }
             // Departure: where all parts are needed and a late answer still has gain, an abort at
             // the aim would only make the client ask for all of it again.
-            if (index.need >= 1 && index.lateGain > 0) {
+            if (lookupClass.completeShare >= 1 && lookupClass.lateAnswerWeight > 0) {
                 return last;
             }
-            return Math.min(last, Math.max(lk.arrivedAt + index.softUs, now + 3 * lk.roundUs));
+            return Math.min(last, Math.max(lookup.arrivedAtUs + lookupClass.latencyObjectiveUs, now + 3 * lookup.roundUs));
         }
 
         /**
@@ -538,14 +538,14 @@
             return leaving > LEAVING ? Math.min(softUs, (long) leaveUs) : softUs;
         }
 
-        void left(Lookup lk, boolean client, long now) {
+        void left(Lookup lookup, boolean client, long now) {
             // Danger: who is gone at once, or before a late router has read it, did not wait: no
             // patience.
-            boolean early = client && !lk.forwarded && now < lk.leavesAt - lk.roundUs;
-            double step = early && now - lk.arrivedAt < lk.index.softUs / 16 ? 0 : LEAVE_STEP;
+            boolean early = client && !lookup.isForwarded && now < lookup.clientDeadlineUs - lookup.roundUs;
+            double step = early && now - lookup.arrivedAtUs < lookup.lookupClass.latencyObjectiveUs / 16 ? 0 : LEAVE_STEP;
             leaving += step * ((early ? 1 : 0) - leaving);
             if (early && step > 0) {
-                leaveUs += (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lk.arrivedAt - leaveUs);
+                leaveUs += (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lookup.arrivedAtUs - leaveUs);
             }
         }
 
@@ -554,44 +554,44 @@
         }
 
         /** Danger: an effect that happens twice. */
-        boolean mayCall(Part p, long now) {
-            if (p.calls.size() >= (p.lookup.forwarded ? 1 : tryLimit)
-                    || p.out > 0 && !secondCopies) {
+        boolean mayCall(Part part, long now) {
+            if (part.attempts.size() >= (part.lookup.isForwarded ? 1 : tryLimit)
+                    || part.attemptsInFlight > 0 && !secondCopies) {
                 return false;
             }
             // Danger: a window that passes while it is on its way. What it may wait for in a turn
             // of ours has
             // to fit in.
-            Index x = p.lookup.index;
-            return x.effect == Index.Effect.IDEMPOTENT
-                    || p.calls.stream()
+            LookupClass lookupClass = part.lookup.lookupClass;
+            return lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
+                    || part.attempts.stream()
                             .allMatch(c -> neverRan(c)
-                                    || x.effect == Index.Effect.FINGERPRINTED
-                                            && now + stallUs() <= c.sentAt + x.windowUs);
+                                    || lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED
+                                            && now + stallUs() <= c.sentAtUs + lookupClass.deduplicationWindowUs);
         }
 
-        boolean mayGiveUpSilent(Part p) {
+        boolean mayGiveUpSilent(Part part) {
             return !secondCopies
                     && mayCancel
-                    && p.lookup.index.effect == Index.Effect.IDEMPOTENT
-                    && p.calls.size() < tryLimit;
+                    && part.lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
+                    && part.attempts.size() < tryLimit;
         }
 
         /** A nack says that trying again is harmless: not so once a part of the others may have run. */
-        boolean mayNack(Lookup lk) {
-            return !lk.secondStep
-                    && (lk.index.effect == Index.Effect.IDEMPOTENT
-                            || lk.parts.stream()
-                                    .allMatch(p -> p.calls.stream().allMatch(Rounds::neverRan)));
+        boolean mayNack(Lookup lookup) {
+            return !lookup.isSecondStep
+                    && (lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
+                            || lookup.parts.stream()
+                                    .allMatch(part -> part.attempts.stream().allMatch(AttemptTiming::neverRan)));
         }
 
-        private static boolean neverRan(PartCall c) {
+        private static boolean neverRan(Attempt c) {
             return c.outcome != null && c.outcome.neverRan;
         }
     }
 
     /** The companion: which replica serves a part. */
-    public static final class Replicas {
+    public static final class ReplicaSelector {
         private static final double FAR = 10;
         private static final double SITE =
                 10; // At another site: goes when near ones are out, or as bad.
@@ -603,20 +603,20 @@
         /** What a node in another zone counts slower, where crossing has a price. */
         private final double far;
 
-        private final Map<DataNode, Seen> known = new LinkedHashMap<>();
+        private final Map<DataNode, ReplicaStats> known = new LinkedHashMap<>();
         /** The same nodes by cell: the cost of a part goes with its holders, not with the fleet. */
-        private final List<List<Seen>> byCell = new ArrayList<>();
+        private final List<List<ReplicaStats>> byCell = new ArrayList<>();
 
-        private final Health health;
+        private final OutlierDetector health;
 
-        public Replicas(
+        public ReplicaSelector(
                 int cells,
                 int reach,
                 int bundleMax,
                 long callUs,
                 int zone,
                 double crossPrice,
-                Health health) {
+                OutlierDetector health) {
             this.zone = zone;
             far = 1 + FAR * crossPrice;
             this.cells = cells;
@@ -630,9 +630,9 @@
         }
 
         void listed(DataNode n, boolean restarted) {
-            Seen s = known.get(n);
+            ReplicaStats s = known.get(n);
             if (s == null || restarted || s.cell != Math.floorMod(n.cell, cells)) {
-                Seen fresh = new Seen(n, Math.floorMod(n.cell, cells));
+                ReplicaStats fresh = new ReplicaStats(n, Math.floorMod(n.cell, cells));
                 fresh.calls = s == null ? 0 : s.calls;
                 forget(s);
                 known.put(n, fresh);
@@ -642,13 +642,13 @@
             forgetIfGone(s);
         }
 
-        void forgetIfGone(Seen s) {
+        void forgetIfGone(ReplicaStats s) {
             if (s.node.state == DataNode.State.GONE && s.calls == 0 && known.get(s.node) == s) {
                 forget(s);
             }
         }
 
-        private void forget(Seen s) {
+        private void forget(ReplicaStats s) {
             if (s != null) {
                 known.remove(s.node);
                 byCell.get(s.cell).remove(s);
@@ -657,36 +657,36 @@
         }
 
         /** Never null: a call may end after its node was forgotten. */
-        Seen seen(DataNode n) {
-            Seen s = known.get(n);
-            return s == null ? new Seen(n, -1) : s;
+        ReplicaStats seen(DataNode n) {
+            ReplicaStats s = known.get(n);
+            return s == null ? new ReplicaStats(n, -1) : s;
         }
 
-        boolean held(Part p, long now) {
-            return !holders(p, now).isEmpty();
+        boolean held(Part part, long now) {
+            return !holders(part, now).isEmpty();
         }
 
-        boolean heldWithRoom(Part p, Admission admission, double luck, ColdGuard cold, long now) {
-            return holders(p, now).stream()
+        boolean heldWithRoom(Part part, AdmissionController admission, double luck, SlowStart cold, long now) {
+            return holders(part, now).stream()
                     .anyMatch(s -> cold.admits(s, known.values(), now)
                             && admission.room(
                                     s,
-                                    health.latency(s, p.lookup.roundUs, now),
+                                    health.latency(s, part.lookup.roundUs, now),
                                     luck,
-                                    p.lookup.roundUs));
+                                    part.lookup.roundUs));
         }
 
         /**
          * Drains: once told that a node drains or is gone, nothing new goes there; nor over too long a line.
          */
-        private List<Seen> holders(Part p, long now) {
-            List<Seen> ready = new ArrayList<>();
+        private List<ReplicaStats> holders(Part part, long now) {
+            List<ReplicaStats> ready = new ArrayList<>();
             for (int j = 0; j < Math.min(reach, cells); j++) {
-                for (Seen s : byCell.get(Math.floorMod(p.shard + j, cells))) {
+                for (ReplicaStats s : byCell.get(Math.floorMod(part.shard + j, cells))) {
                     if (s.node.state == DataNode.State.READY
-                            && (s.node.lineUs == 0
-                                    || !p.lookup.forwarded
-                                            && p.lookup.endAt - now > s.node.lineUs)) {
+                            && (s.node.linkRoundTripUs == 0
+                                    || !part.lookup.isForwarded
+                                            && part.lookup.endsAtUs - now > s.node.linkRoundTripUs)) {
                         ready.add(s);
                     }
                 }
@@ -694,13 +694,13 @@
             return ready;
         }
 
-        private boolean tried(Seen s, Part p) {
-            return p.calls.stream().anyMatch(c -> c.node == s.node);
+        private boolean tried(ReplicaStats s, Part part) {
+            return part.attempts.stream().anyMatch(c -> c.node == s.node);
         }
 
-        PartCall.Shared share(Seen s, long now) {
+        Attempt.SharedCall share(ReplicaStats s, long now) {
             if (s.currentAt != now || s.current.size >= bundleMax) {
-                s.current = new PartCall.Shared();
+                s.current = new Attempt.SharedCall();
                 s.currentAt = now;
                 s.calls++;
             }
@@ -713,14 +713,14 @@
          * The holder with the least smoothed latency times its own outstanding calls plus one; one whose call
          * leaves in this turn costs no call of its own. Nodes that this part has tried go last.
          */
-        Seen pick(Part p, ColdGuard cold, boolean replay, long now) {
+        ReplicaStats pick(Part part, SlowStart cold, boolean replay, long now) {
             double callShare =
-                    Math.min(0.9, callUs / Math.max(1, health.average(p.lookup.roundUs)));
-            Seen best = null;
+                    Math.min(0.9, callUs / Math.max(1, health.average(part.lookup.roundUs)));
+            ReplicaStats best = null;
             double least = Double.MAX_VALUE;
             boolean bestTried = true;
-            for (Seen s : holders(p, now)) {
-                boolean tried = tried(s, p);
+            for (ReplicaStats s : holders(part, now)) {
+                boolean tried = tried(s, part);
                 if (replay && tried || !cold.admits(s, known.values(), now)) {
                     continue;
                 }
@@ -728,14 +728,14 @@
                 // A call that goes bad costs its lookup the rounds; without this, failing fast
                 // looks quick.
                 // Lookups that can spare a part are the trials by which a node finds its way back.
-                double toll = (p.lookup.index.need < 1 ? 3 : 9) * p.lookup.roundUs;
+                double toll = (part.lookup.lookupClass.completeShare < 1 ? 3 : 9) * part.lookup.roundUs;
                 double doubt = health.badness(s, now) * toll;
-                double cost = (health.latency(s, p.lookup.roundUs, now) * (s.calls + 1) + doubt)
+                double cost = (health.latency(s, part.lookup.roundUs, now) * (s.calls + 1) + doubt)
                         / cold.present(s, now)
                         * (joins ? 1 - callShare : 1)
                         // Departure: crossing zones has a price, so a near node may be a little
                         // slower.
-                        * (s.node.lineUs > 0 ? SITE : s.node.zone == zone ? 1 : far);
+                        * (s.node.linkRoundTripUs > 0 ? SITE : s.node.zone == zone ? 1 : far);
                 if (best == null
                         || (tried != bestTried
                                 ? bestTried
@@ -748,15 +748,15 @@
             return best;
         }
 
-        private static boolean older(Seen a, Seen b) {
-            return a.node.startedAt != b.node.startedAt
-                    ? a.node.startedAt < b.node.startedAt
+        private static boolean older(ReplicaStats a, ReplicaStats b) {
+            return a.node.startedAtUs != b.node.startedAtUs
+                    ? a.node.startedAtUs < b.node.startedAtUs
                     : a.node.id < b.node.id;
         }
     }
 
     /** How a node is judged, by this router's own part calls alone. */
-    public static final class Health {
+    public static final class OutlierDetector {
         /** Smoothing weight of the companion: the one figure the design leaves open. */
         private static final double SMOOTHING = 0.2;
 
@@ -792,21 +792,21 @@
         private long diedAt;
 
         /** @param softUs the longest soft deadline of any index; what was seen fades over a few of these */
-        public Health(long softUs) {
+        public OutlierDetector(long softUs) {
             memoryUs = 4 * softUs;
             roundUs = softUs / 3;
         }
 
         /** @param tookUs below 0 where the router can't tell */
-        void outcome(Seen s, PartCall c, Outcome how, long tookUs, long roundUs, long now) {
-            switch (how) {
+        void outcome(ReplicaStats s, Attempt c, Outcome outcome, long tookUs, long roundUs, long now) {
+            switch (outcome) {
                 case SATISFIED -> {
                     sample(s, c, tookUs, now);
                     connection(c, 0, now);
                     s.lastGoodAt = now;
                     s.usedAt = now;
                     s.down = false;
-                    s.newestAnswered = Math.max(s.newestAnswered, c.sentAt);
+                    s.newestAnswered = Math.max(s.newestAnswered, c.sentAtUs);
                     s.bad -= BAD_STEP * s.bad;
                     s.done = doneNow(s, now) + 1;
                     s.doneAt = now;
@@ -828,10 +828,10 @@
         }
 
         /** Danger: a node that takes parts and answers none costs every lookup a round. */
-        void silent(Seen s, PartCall c, long now) {
-            sample(s, c, Math.max(now - c.sentAt, s.smoothedUs), now);
+        void silent(ReplicaStats s, Attempt c, long now) {
+            sample(s, c, Math.max(now - c.sentAtUs, s.smoothedUs), now);
             connection(c, 1, now);
-            if (s.lastGoodAt < c.sentAt && !dropped(c.age, SURE, now)) {
+            if (s.lastGoodAt < c.sentAtUs && !dropped(c.idleStep, SURE, now)) {
                 bad(s, now);
             }
         }
@@ -881,15 +881,15 @@
             return false;
         }
 
-        private void connection(PartCall c, double wasSilent, long now) {
+        private void connection(Attempt c, double wasSilent, long now) {
             double left = Math.pow(fade(callsAt, now), AGES_FADE);
             callsAt = now;
             for (int i = 0; i < AGES; i++) {
                 calls[i] *= left;
                 silent[i] *= left;
             }
-            calls[c.age]++;
-            silent[c.age] += wasSilent;
+            calls[c.idleStep]++;
+            silent[c.idleStep] += wasSilent;
         }
 
         /** A lookup's parts count together: one by one its silent ones, judged last, would pass for all. */
@@ -897,16 +897,16 @@
             quiet += (1 - Math.pow(1 - QUIET_STEP, parts)) * ((double) silent / parts - quiet);
         }
 
-        private void bad(Seen s, long now) {
+        private void bad(ReplicaStats s, long now) {
             s.bad = badness(s, now) + BAD_STEP * (1 - badness(s, now));
             s.heardAt = now;
         }
 
-        private void sample(Seen s, PartCall c, double us, long now) {
+        private void sample(ReplicaStats s, Attempt c, double us, long now) {
             if (us < 0) {
                 return;
             }
-            s.usualCalls += SMOOTHING * (c.callsBefore - s.usualCalls);
+            s.usualCalls += SMOOTHING * (c.callsInFlightBefore - s.usualCalls);
             double before = s.smoothedUs;
             // Danger: a router of many hears of a node once in a second, and its node is full
             // before the
@@ -926,12 +926,12 @@
             return Math.exp(-(double) (now - at) / memoryUs);
         }
 
-        double badness(Seen s, long now) {
+        double badness(ReplicaStats s, long now) {
             return s.bad * fade(s.heardAt, now);
         }
 
         /** Unheard nodes count as average, or a round at the start; old verdicts fade to the average. */
-        double latency(Seen s, long roundUs, long now) {
+        double latency(ReplicaStats s, long roundUs, long now) {
             return s.smoothedUs == 0
                     ? average(roundUs)
                     : average(roundUs) + (s.smoothedUs - average(roundUs)) * fade(s.heardAt, now);
@@ -941,7 +941,7 @@
             return heard == 0 ? roundUs : sumUs / heard;
         }
 
-        void forget(Seen s) {
+        void forget(ReplicaStats s) {
             heard -= s.smoothedUs > 0 ? 1 : 0;
             sumUs = heard == 0 ? 0 : sumUs - s.smoothedUs;
             s.cell = -1;
@@ -960,18 +960,18 @@
             return dying * fade(diedAt, now) >= (repeat ? DYING / 4 : DYING);
         }
 
-        double doneNow(Seen s, long now) {
+        double doneNow(ReplicaStats s, long now) {
             return s.done * fade(s.doneAt, now);
         }
 
         /** Parts a microsecond that this router has had from the node of late. */
-        double rate(Seen s, long now) {
+        double rate(ReplicaStats s, long now) {
             return doneNow(s, now) / memoryUs;
         }
     }
 
     /** Danger: a node that has just started is sent more than it can do, falls over and stays down. */
-    public static final class ColdGuard {
+    public static final class SlowStart {
         /** Like nodes do what they are asked, which is less than they could. */
         private static final double ASKED = 1.2;
 
@@ -980,17 +980,17 @@
         private final long coldUs;
         private final double fallMultiple;
         private final long fallUs;
-        private final Health health;
+        private final OutlierDetector health;
         private final SplittableRandom random;
 
-        public ColdGuard(
+        public SlowStart(
                 long seed,
                 int groupSize,
                 double startShare,
                 long coldUs,
                 double fallMultiple,
                 long fallUs,
-                Health health) {
+                OutlierDetector health) {
             random = new SplittableRandom(seed);
             this.groupSize = Math.max(1, groupSize);
             this.startShare = startShare;
@@ -1001,13 +1001,13 @@
         }
 
         /** The least share of its capacity that the node can have now. */
-        double present(Seen s, long now) {
-            if (s.node.startedAt == Long.MIN_VALUE
+        double present(ReplicaStats s, long now) {
+            if (s.node.startedAtUs == Long.MIN_VALUE
                     || fallUs <= 0
-                    || now - s.node.startedAt >= coldUs) {
+                    || now - s.node.startedAtUs >= coldUs) {
                 return 1;
             }
-            double warmed = Math.max(0, (double) (now - s.node.startedAt) / coldUs);
+            double warmed = Math.max(0, (double) (now - s.node.startedAtUs) / coldUs);
             return Math.max(0.01, startShare + (1 - startShare) * warmed);
         }
 
@@ -1016,7 +1016,7 @@
          * Danger: one part call each adds up over many routers. Where the share is no whole call, chance from
          * the seed says within which fall times, counted from the node's start, this router may make one.
          */
-        boolean admits(Seen s, Iterable<Seen> nodes, long now) {
+        boolean admits(ReplicaStats s, Iterable<ReplicaStats> nodes, long now) {
             double present = present(s, now);
             if (present >= 1) {
                 s.coldSends.clear();
@@ -1025,7 +1025,7 @@
             while (!s.coldSends.isEmpty() && s.coldSends.peek() <= now - fallUs) {
                 s.coldSends.poll();
             }
-            long turn = (now - s.node.startedAt) / fallUs;
+            long turn = (now - s.node.startedAtUs) / fallUs;
             if (s.coldTurn != turn) {
                 s.coldTurn = turn;
                 s.coldChance = random.nextDouble();
@@ -1043,10 +1043,10 @@
          * where each router allows itself a part of a node by their stated number, and they are more, the sum
          * is more; by what nodes do for it, the sum is what they do. Who knows nothing goes by the number.
          */
-        private double likeRate(Seen s, Iterable<Seen> nodes, long now) {
+        private double likeRate(ReplicaStats s, Iterable<ReplicaStats> nodes, long now) {
             double rate = 0;
             int like = 0;
-            for (Seen w : nodes) {
+            for (ReplicaStats w : nodes) {
                 if (w.node.kind == s.node.kind && present(w, now) >= 1) {
                     rate += health.rate(w, now);
                     like++;
@@ -1055,7 +1055,7 @@
             return rate == 0 ? 1 / (health.average(health.roundUs) * groupSize) : rate / like;
         }
 
-        void sent(Seen s, long now) {
+        void sent(ReplicaStats s, long now) {
             if (present(s, now) < 1) {
                 s.coldSends.add(now);
             }
@@ -1063,7 +1063,7 @@
     }
 
     /** Further part calls: replays under a tenth of parts, resends under a fifth, and the stated budget. */
-    public static final class Budget {
+    public static final class RetryBudget {
         private static final double REPLAYS = 0.1;
         private static final double RESENDS = 0.2;
         private final long lookBackUs;
@@ -1078,7 +1078,7 @@
         private final ArrayDeque<Long> further = new ArrayDeque<>();
 
         /** @param lookBackUs 0 where no budget is stated; @param openCap lookups and parts held at most */
-        public Budget(long lookBackUs, double free, double share, int openCap) {
+        public RetryBudget(long lookBackUs, double free, double share, int openCap) {
             this.lookBackUs = lookBackUs;
             this.free = free;
             this.share = share;
@@ -1089,10 +1089,10 @@
         /**
          * Danger: what another site passes on is counted there; counted twice it would be over the budget.
          */
-        void took(Lookup lk, long now, boolean part) {
-            replays = Math.min(cap, replays + (part && !lk.forwarded ? REPLAYS : 0));
-            resends = Math.min(cap, resends + (part && !lk.forwarded ? RESENDS : 0));
-            if (lookBackUs > 0 && !lk.forwarded) {
+        void took(Lookup lookup, long now, boolean part) {
+            replays = Math.min(cap, replays + (part && !lookup.isForwarded ? REPLAYS : 0));
+            resends = Math.min(cap, resends + (part && !lookup.isForwarded ? RESENDS : 0));
+            if (lookBackUs > 0 && !lookup.isForwarded) {
                 taken.add(now);
             }
         }
@@ -1127,7 +1127,7 @@
      * has gone. Catches bursts, retry storms, lost capacity, slowness shared by all, and shards too popular
      * for their holders; may hurt where calls are too few to tell a slow call from a slow node.
      */
-    public static final class Admission {
+    public static final class AdmissionController {
         /** A nack costs little where clients are told when to come back, and the lookup's gain where not. */
         private static final double ROUNDS_TOLD = 1.2;
 
@@ -1136,13 +1136,13 @@
         private final SplittableRandom random;
 
         /** @param maxComeBackUs 0 where clients are told no time */
-        public Admission(long seed, long maxComeBackUs) {
+        public AdmissionController(long seed, long maxComeBackUs) {
             random = new SplittableRandom(seed);
             this.maxComeBackUs = maxComeBackUs;
         }
 
         /** @param luck one draw for all parts of the lookup at the door */
-        boolean room(Seen s, double latency, double luck, long roundUs) {
+        boolean room(ReplicaStats s, double latency, double luck, long roundUs) {
             double expected = latency * (s.calls + 1) / (s.usualCalls + 1);
             return s.smoothedUs == 0
                     || expected * (s.calls == 0 ? luck : 1)
@@ -1150,26 +1150,26 @@
         }
 
         /** Too few of its parts have a holder with room. */
-        boolean refuses(Lookup lk, Replicas replicas, ColdGuard cold, long now) {
+        boolean refuses(Lookup lookup, ReplicaSelector replicas, SlowStart cold, long now) {
             double luck = random.nextDouble();
-            return weight(lk, p -> replicas.heldWithRoom(p, this, luck, cold, now))
-                    < lk.index.need - SLACK;
+            return weight(lookup, part -> replicas.heldWithRoom(part, this, luck, cold, now))
+                    < lookup.lookupClass.completeShare - SLACK;
         }
 
-        long comeBack(Lookup lk) {
-            return Math.min(maxComeBackUs, lk.roundUs);
+        long comeBack(Lookup lookup) {
+            return Math.min(maxComeBackUs, lookup.roundUs);
         }
     }
 
     /** Keeps the subscription to the list open where the list must be asked. */
-    public static final class ListFollowing {
+    public static final class EndpointListPoller {
         private final SplittableRandom random;
         private final boolean asks;
         private final long mustAskUs;
         private long nextAt = NEVER;
         private long backoffUs;
 
-        public ListFollowing(long seed, boolean asks, long mustAskUs) {
+        public EndpointListPoller(long seed, boolean asks, long mustAskUs) {
             random = new SplittableRandom(seed);
             this.asks = asks;
             this.mustAskUs = mustAskUs;
@@ -1177,13 +1177,13 @@
         }
 
         /** Danger: many routers that restart together and overrun the list; each waits a time of its own. */
-        void news(News news, long now) {
+        void news(EndpointListUpdate news, long now) {
             if (!asks) {
                 return;
             }
-            if (news == News.CACHED) {
+            if (news == EndpointListUpdate.CACHED) {
                 nextAt = now + random.nextLong(Math.max(1, mustAskUs / 16));
-            } else if (news == News.FAILED) {
+            } else if (news == EndpointListUpdate.FAILED) {
                 nextAt = now + backoffUs / 2 + random.nextLong(Math.max(1, backoffUs));
                 backoffUs = Math.min(mustAskUs / 2, 2 * backoffUs);
             } else {
--- a/src/main/java/tinlink/decision/Lookup.java
+++ b/src/main/java/tinlink/decision/Lookup.java
@@ -7,42 +7,42 @@
  * A lookup in hand and its parts. Fields only; the module keeps its notes on the lookup here too.
  */
 public class Lookup {
-    public Index index;
+    public LookupClass lookupClass;
     public int tenant;
     /** A client's repeat, where clients mark them. */
-    public boolean repeat;
+    public boolean isClientRetry;
     /**
      * A part that a router of another site has passed on: it goes to one node here, once, and never
      * on.
      */
-    public boolean forwarded;
+    public boolean isForwarded;
 
-    public long arrivedAt;
+    public long arrivedAtUs;
     /** When the client stops waiting. */
-    public long leavesAt;
+    public long clientDeadlineUs;
     /** Parts of the step in hand: how many were announced, and those taken so far. */
-    public int announced;
+    public int announcedParts;
 
     public List<Part> parts = new ArrayList<>();
-    public boolean ended;
+    public boolean isEnded;
 
     // The rounds of the step in hand.
     public long roundUs;
-    public long endAt;
+    public long endsAtUs;
     /** Its round is as long as its index's, so silence means something. */
-    public boolean judges;
+    public boolean isSilenceConclusive;
 
-    public long lookAt;
-    public long startedAt;
-    public boolean started;
-    public boolean replayed;
-    public boolean touched;
+    public long nextCheckAtUs;
+    public long roundStartedAtUs;
+    public boolean isStarted;
+    public boolean isFirstRoundOver;
+    public boolean isQueued;
     /** One part has gone first, the others wait for it. */
-    public boolean scouting;
+    public boolean awaitsCanary;
     /** The node that it last lost a connection to, and whether it has lost two. */
     public DataNode lostAt;
 
     public boolean suspect;
-    public boolean secondStep;
-    public boolean firstWhole = true;
+    public boolean isSecondStep;
+    public boolean isFirstStepComplete = true;
 }
--- a/src/main/java/tinlink/decision/Index.java
+++ b/src/main/java/tinlink/decision/LookupClass.java
@@ -1,29 +1,29 @@
 package tinlink.decision;
 
 /** What is agreed for one index of lookups. Times are microseconds. */
-public final class Index {
+public final class LookupClass {
     /** What a repeated part call does. */
-    public enum Effect {
+    public enum Idempotency {
         IDEMPOTENT,
         FINGERPRINTED,
         ONCE_ONLY
     }
 
-    public Effect effect = Effect.IDEMPOTENT;
-    public long softUs;
-    public long hardUs;
+    public Idempotency idempotency = Idempotency.IDEMPOTENT;
+    public long latencyObjectiveUs;
+    public long deadlineUs;
     /**
      * Fingerprinted only: how long repeats are dropped, from the first part call that may have run.
      */
-    public long windowUs;
+    public long deduplicationWindowUs;
 
-    public double gain = 1;
-    public double lateGain;
+    public double priorityWeight = 1;
+    public double lateAnswerWeight;
     /** Share of the parts' weight that makes a whole answer, and the least share for any answer. */
-    public double need = 1;
+    public double completeShare = 1;
 
-    public double floor = 1;
-    public double partialGain;
+    public double minimumShare = 1;
+    public double partialAnswerWeight;
     /** Parts of a second step; 0 = one step only. */
-    public int secondStep;
+    public int secondStepParts;
 }
--- a/src/main/java/tinlink/decision/Part.java
+++ b/src/main/java/tinlink/decision/Part.java
@@ -9,12 +9,12 @@
     public int shard;
     public double weight;
     /** Its part calls, in order of sending. */
-    public List<PartCall> calls = new ArrayList<>();
+    public List<Attempt> attempts = new ArrayList<>();
 
-    public int out;
-    public boolean satisfied;
+    public int attemptsInFlight;
+    public boolean isSatisfied;
     /** Not before this time. */
-    public long sendAt;
+    public long notBeforeUs;
     /** Its next part call is the replay that was charged when the silent one was given up. */
-    public boolean resendAsReplay;
+    public boolean isHedgePaid;
 }
--- a/src/main/java/tinlink/decision/Aggregator.java
+++ b/src/main/java/tinlink/decision/QueryCoordinator.java
@@ -5,12 +5,12 @@
  *
  * <p>One instance serves one router and shares nothing with others. Inputs only update what is
  * known. After a turn's inputs the host calls {@link #decide} until it returns false; each call
- * makes at most one decision, which leaves through {@link Host}. Times are microseconds of one
+ * makes at most one decision, which leaves through {@link DecisionHandler}. Times are microseconds of one
  * clock that only goes forward.
  */
-public interface Aggregator {
+public interface QueryCoordinator {
     /** How news of the list relates to what was known. */
-    enum News {
+    enum EndpointListUpdate {
         CHANGES,
         FULL,
         CACHED,
@@ -18,28 +18,28 @@
     }
 
     /** The time of the inputs that follow. */
-    void clock(long nowUs);
+    void advanceClock(long nowUs);
 
     /** A lookup was taken; its parts follow in the same turn. */
-    void lookup(Lookup lk);
+    void onLookup(Lookup lookup);
 
     /** A part of a lookup in hand. */
-    void part(Part p);
+    void onPart(Part part);
 
     /** A part call is over. A reported figure is below 0 where none came. */
-    void outcome(PartCall call, Outcome how, long tookUs, long reportedLatencyUs);
+    void onOutcome(Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs);
 
-    /** An entry of the list news that the next {@link #nodes} closes; its fields are up to date. */
-    void listed(DataNode node, boolean restarted);
+    /** An entry of the list news that the next {@link #onEndpointListUpdate} closes; its fields are up to date. */
+    void onEndpoint(DataNode node, boolean restarted);
 
-    void nodes(News news);
+    void onEndpointListUpdate(EndpointListUpdate news);
 
-    void probed(DataNode node, Outcome how, long tookUs, long reportedLatencyUs);
+    void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs);
 
-    void timer();
+    void onTimer();
 
     /** The client has left; the lookup and its parts are over. */
-    void clientGone(Lookup lk);
+    void onClientGone(Lookup lookup);
 
-    boolean decide(Host host);
+    boolean decide(DecisionHandler host);
 }
--- a/src/main/java/tinlink/http2/Http2NodeClient.java
+++ b/src/main/java/tinlink/http2/Http2NodeClient.java
@@ -33,7 +33,7 @@
         void connectionClosed();
 
         /** The one outcome of a call; its value where it is satisfied. */
-        void callEnded(PartRequest request, Outcome how, String value);
+        void callEnded(PartRequest request, Outcome outcome, String value);
 
         /** The node does not speak HTTP/2: by frames then. */
         void fallBackToFrames(PartRequest request);
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -2,7 +2,7 @@
 
 import tinlink.decision.DataNode;
 import tinlink.decision.Outcome;
-import tinlink.decision.PartCall;
+import tinlink.decision.Attempt;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
@@ -35,7 +35,7 @@
     /** Nodes on the list, and those off it with connections; each leaves when it is neither. */
     private final IdentityHashMap<DataNode, NodeEndpoint> endpoints = new IdentityHashMap<>();
     /** This turn's frames; emptied at its end. */
-    private final IdentityHashMap<PartCall.Shared, AttemptBatch> batches = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt.SharedCall, AttemptBatch> batches = new IdentityHashMap<>();
 
     private final List<AttemptBatch> batchesToSend = new ArrayList<>();
 
@@ -133,10 +133,10 @@
 
     // ---- Decisions. ----
 
-    void send(PartCall call, long deadlineUs) {
-        SentAttempt sent = new SentAttempt(call, deadlineUs);
+    void send(Attempt attempt, long deadlineUs) {
+        SentAttempt sent = new SentAttempt(attempt, deadlineUs);
         sent.part().sentAttempts.add(sent);
-        NodeEndpoint endpoint = endpointOf(call.node);
+        NodeEndpoint endpoint = endpointOf(attempt.node);
         if (endpoint.remoteSender != null) {
             endpoint.remoteSender.accept(sent);
             return;
@@ -153,8 +153,8 @@
 
     /** With others of this turn that the module lets travel together. */
     void sendByFrames(SentAttempt sent) {
-        PartCall call = sent.call;
-        AttemptBatch batch = batches.computeIfAbsent(call.shared, key -> new AttemptBatch());
+        Attempt attempt = sent.attempt;
+        AttemptBatch batch = batches.computeIfAbsent(attempt.sharedCall, key -> new AttemptBatch());
         if (batch.sentAttempts.isEmpty()) {
             batchesToSend.add(batch);
         }
@@ -164,8 +164,8 @@
         sent.transport = batch;
     }
 
-    void cancel(PartCall call) {
-        SentAttempt sent = ((QueryPart) call.part).sentAttempts.get(call.number);
+    void cancel(Attempt attempt) {
+        SentAttempt sent = ((QueryPart) attempt.part).sentAttempts.get(attempt.number);
         if (!sent.isEnded) {
             recordOutcome(sent, sent.transport.isQueued() ? Outcome.NOT_SENT : Outcome.CANCELLED, true);
         }
@@ -197,7 +197,7 @@
     }
 
     private void assignConnection(AttemptBatch batch) {
-        NodeEndpoint endpoint = endpointOf(batch.sentAttempts.get(0).call.node);
+        NodeEndpoint endpoint = endpointOf(batch.sentAttempts.get(0).attempt.node);
         NodeConnection bestConnection = null;
         for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
             if (nodeConnection.slotsInUse() == 0 && nowUs() - nodeConnection.lastUsedUs() >= idleTimeoutUs) {
@@ -259,18 +259,18 @@
      * The one outcome of an attempt; one that is abandoned is cancelled at its node, where that is
      * allowed.
      */
-    void recordOutcome(SentAttempt sent, Outcome how, boolean cancelAtNode) {
+    void recordOutcome(SentAttempt sent, Outcome outcome, boolean cancelAtNode) {
         sent.isEnded = true;
         loop.cancel(sent.timeoutTimer);
         sent.timeoutTimer = null;
         if (sent.endpoint != null) {
             sent.endpoint.attemptsInFlight--;
             if (outcomeListener != null && sent.endpoint.uid != null) {
-                outcomeListener.accept(sent.endpoint.uid, how);
+                outcomeListener.accept(sent.endpoint.uid, outcome);
             }
         }
         sent.transport.onOutcome(sent, cancelAtNode && settings.canCancel());
-        driver.outcome(sent, how);
+        driver.outcome(sent, outcome);
     }
 
     // ---- Connections. ----
--- a/src/main/java/tinlink/router/ClientAcceptor.java
+++ b/src/main/java/tinlink/router/ClientAcceptor.java
@@ -306,7 +306,7 @@
      */
     boolean hasCapacity(Query query) {
         return driver.inFlight() < (policy == null ? maxInFlight : policy.maxInFlight())
-                && query.leavesAt <= admitUntilUs;
+                && query.clientDeadlineUs <= admitUntilUs;
     }
 
     void admit(Query query) {
--- a/src/main/java/tinlink/router/ClientResponse.java
+++ b/src/main/java/tinlink/router/ClientResponse.java
@@ -34,10 +34,10 @@
                 .append(isComplete)
                 .append(",\"matches\":[");
         String separator = "";
-        for (Part p : query.parts) {
-            String value = ((QueryPart) p).value;
-            if (p.satisfied && value != null) {
-                json.append(separator).append("{\"segment\":").append(p.shard).append(",\"payload\":");
+        for (Part part : query.parts) {
+            String value = ((QueryPart) part).value;
+            if (part.isSatisfied && value != null) {
+                json.append(separator).append("{\"segment\":").append(part.shard).append(",\"payload\":");
                 JsonReader.appendQuoted(json, value);
                 json.append('}');
                 separator = ",";
--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -1,12 +1,12 @@
 package tinlink.router;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.decision.DataNode;
-import tinlink.decision.Host;
+import tinlink.decision.DecisionHandler;
 import tinlink.decision.Lookup;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.PartCall;
+import tinlink.decision.Attempt;
 import tinlink.net.EventLoop;
 
 import java.util.ArrayList;
@@ -26,10 +26,10 @@
  * Drives the decision module in each turn: its clock, its inputs, its decisions, and then the actions that
  * these ask for.
  */
-final class DecisionDriver implements Host, EventLoop.EventLoopParticipant {
+final class DecisionDriver implements DecisionHandler, EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.turn");
     private final EventLoop loop;
-    private final Aggregator module;
+    private final QueryCoordinator module;
     /** Queries in flight; each leaves with its response or its client. */
     private final Map<String, Query> queries = new HashMap<>();
     /**
@@ -55,7 +55,7 @@
     private EventLoop.EventLoopParticipant also;
 
     /** @param maxRetryAfterUs the longest Retry-After that clients are given */
-    DecisionDriver(EventLoop loop, Aggregator module, long callIdRetentionUs, long maxRetryAfterUs) {
+    DecisionDriver(EventLoop loop, QueryCoordinator module, long callIdRetentionUs, long maxRetryAfterUs) {
         this.loop = loop;
         this.callIdRetentionUs = callIdRetentionUs;
         this.maxRetryAfterUs = maxRetryAfterUs;
@@ -79,7 +79,7 @@
 
     @Override
     public void turnStarted(long nowUs) {
-        module.clock(nowUs);
+        module.advanceClock(nowUs);
         if (beside != null) {
             beside.turnStarted(nowUs);
         }
@@ -109,17 +109,17 @@
         List<Part> allParts = query.parts;
         query.parts = new ArrayList<>(allParts.size());
         queries.put(query.callId, query);
-        partsInFlight += query.announced;
+        partsInFlight += query.announcedParts;
         queriesWithInput.add(query);
-        module.lookup(query);
-        allParts.forEach(module::part);
+        module.onLookup(query);
+        allParts.forEach(module::onPart);
     }
 
     void clientGone(Query query) {
         forget(query);
         try {
-            if (!query.ended) {
-                module.clientGone(query);
+            if (!query.isEnded) {
+                module.onClientGone(query);
             }
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "a fault in the module as a client left", e);
@@ -130,21 +130,21 @@
      * What ends while decisions are carried out is an input of the next turn. No report is passed
      * on.
      */
-    void outcome(SentAttempt sent, Outcome how) {
-        outcome(sent, how, loop.nowUs() - sent.call.sentAt);
+    void outcome(SentAttempt sent, Outcome outcome) {
+        outcome(sent, outcome, loop.nowUs() - sent.attempt.sentAtUs);
     }
 
     /** @param tookUs without what a line to another site took; below 0 where it says nothing */
-    void outcome(SentAttempt sent, Outcome how, long tookUs) {
+    void outcome(SentAttempt sent, Outcome outcome, long tookUs) {
         applyInput(m -> {
-            if (sent.call.outcome == null) {
+            if (sent.attempt.outcome == null) {
                 queriesWithInput.add(sent.part().query());
-                m.outcome(sent.call, how, tookUs, -1);
+                m.onOutcome(sent.attempt, outcome, tookUs, -1);
             }
         });
     }
 
-    void applyInput(Consumer<Aggregator> input) {
+    void applyInput(Consumer<QueryCoordinator> input) {
         if (isCarryingOut) {
             loop.execute(() -> input.accept(module));
         } else {
@@ -223,37 +223,37 @@
 
     private void forget(Query query) {
         if (queries.remove(query.callId, query)) {
-            partsInFlight -= query.announced;
+            partsInFlight -= query.announcedParts;
             recentCallIds.put(query.callId, loop.nowUs());
         }
     }
 
     @Override
-    public void send(PartCall call, long timeoutUs) {
+    public void send(Attempt attempt, long timeoutUs) {
         long deadlineUs = loop.nowUs() + timeoutUs;
-        pendingActions.add(() -> dispatcher.send(call, deadlineUs));
+        pendingActions.add(() -> dispatcher.send(attempt, deadlineUs));
     }
 
     @Override
-    public void cancel(PartCall call) {
-        pendingActions.add(() -> dispatcher.cancel(call));
+    public void cancel(Attempt attempt) {
+        pendingActions.add(() -> dispatcher.cancel(attempt));
     }
 
     @Override
-    public void release(DataNode node) {
+    public void closeIdleConnections(DataNode node) {
         pendingActions.add(() -> dispatcher.release(node));
     }
 
     @Override
-    public void answer(Lookup lk, boolean isComplete) {
-        finish(lk, query -> query.listener.onAnswer(query, isComplete));
+    public void answer(Lookup lookup, boolean isComplete) {
+        finish(lookup, query -> query.listener.onAnswer(query, isComplete));
     }
 
     @Override
-    public void nack(Lookup lk, long retryAfterUs) {
+    public void reject(Lookup lookup, long retryAfterUs) {
         // A far router's advice counts too, where advice is given at all.
         finish(
-                lk,
+                lookup,
                 query -> query.listener.onRejection(
                         query,
                         retryAfterUs <= 0
@@ -262,23 +262,23 @@
     }
 
     @Override
-    public void abort(Lookup lk) {
-        finish(lk, query -> query.listener.onAbort(query));
+    public void abort(Lookup lookup) {
+        finish(lookup, query -> query.listener.onAbort(query));
     }
 
-    private void finish(Lookup lk, Consumer<Query> response) {
-        Query query = (Query) lk;
+    private void finish(Lookup lookup, Consumer<Query> response) {
+        Query query = (Query) lookup;
         forget(query);
         pendingActions.add(() -> response.accept(query));
     }
 
     @Override
-    public void wake(long atUs) {
-        loop.schedule(atUs, module::timer);
+    public void wakeAt(long atUs) {
+        loop.schedule(atUs, module::onTimer);
     }
 
     @Override
-    public void followList() {
+    public void subscribeToEndpointList() {
         pendingActions.add(followEndpointList);
     }
 }
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -1,6 +1,6 @@
 package tinlink.router;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.net.CloseReason;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
@@ -159,7 +159,7 @@
                 "discovery: the watch ended ({0}), the list of {1} nodes is kept",
                 new Object[] {closeReason, endpointList.size()});
         isDown = true;
-        driver.applyInput(m -> m.nodes(Aggregator.News.FAILED));
+        driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FAILED));
     }
 
     // ---- What connections ask and tell. ----
@@ -186,7 +186,7 @@
 
     @Override
     public boolean listReceived(Object list) {
-        boolean isApplied = endpointList.apply(list, Aggregator.News.FULL);
+        boolean isApplied = endpointList.apply(list, QueryCoordinator.EndpointListUpdate.FULL);
         isRevisionCurrent |= isApplied;
         return isApplied;
     }
--- a/src/main/java/tinlink/router/EndpointList.java
+++ b/src/main/java/tinlink/router/EndpointList.java
@@ -1,6 +1,6 @@
 package tinlink.router;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.decision.DataNode;
 import tinlink.config.FlatSettings;
 import tinlink.config.Http2Config;
@@ -85,7 +85,7 @@
         if (node != null) {
             node.state = state(uid);
             notifyChanged(node, false, false);
-            driver.applyInput(m -> m.nodes(Aggregator.News.CHANGES));
+            driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
             notifyCells();
         }
     }
@@ -154,7 +154,7 @@
     /** The list as the router had it before it started; it may be old. */
     void applyCached(Map<?, ?> list) {
         if (!list.isEmpty()) {
-            apply(list, Aggregator.News.CACHED);
+            apply(list, QueryCoordinator.EndpointListUpdate.CACHED);
         }
     }
 
@@ -164,13 +164,13 @@
      * One object of discovery's. What of it can't be used is left out and said; the list held
      * stays.
      */
-    boolean apply(Object object, Aggregator.News updateKind) {
+    boolean apply(Object object, QueryCoordinator.EndpointListUpdate updateKind) {
         if (!(object instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)) {
             LOG.warning("discovery: 'targets' is no list");
             return false;
         }
-        boolean isFullList = updateKind == Aggregator.News.CACHED || Boolean.TRUE.equals(map.get("all"));
+        boolean isFullList = updateKind == QueryCoordinator.EndpointListUpdate.CACHED || Boolean.TRUE.equals(map.get("all"));
         if (map.get("rev") instanceof Double rev) {
             revision = rev.longValue();
         }
@@ -193,7 +193,7 @@
             }
         }
         entries.forEach(Runnable::run);
-        driver.applyInput(m -> m.nodes(isFullList ? updateKind : Aggregator.News.CHANGES));
+        driver.applyInput(m -> m.onEndpointListUpdate(isFullList ? updateKind : QueryCoordinator.EndpointListUpdate.CHANGES));
         notifyCells();
         LOG.log(Level.INFO, "list {0}: {1} told, {2} nodes", new Object[] {
             String.valueOf(revision), targets.size(), nodes.size()
@@ -211,7 +211,7 @@
     }
 
     private void notifyChanged(DataNode node, boolean hasRestarted, boolean hasMoved) {
-        driver.applyInput(m -> m.listed(node, hasRestarted));
+        driver.applyInput(m -> m.onEndpoint(node, hasRestarted));
         dispatcher.endpointChanged(dispatcher.endpointOf(node), hasMoved || hasRestarted);
     }
 
@@ -243,7 +243,7 @@
         long startedAt = fields.get("boot_ms") instanceof Double ms && ms > 0
                 ? Math.round(1000 * ms)
                 : Long.MIN_VALUE;
-        boolean hasRestarted = knownNode != null && node.startedAt != startedAt;
+        boolean hasRestarted = knownNode != null && node.startedAtUs != startedAt;
         if (ready) {
             drainingUids.remove(uid);
         } else {
@@ -254,7 +254,7 @@
         node.kind = kinds.idOf(String.valueOf(fields.get("model")));
         node.cell = cell.intValue();
         node.size = fields.get("capacity_hint") instanceof Double size && size > 0 ? size : 1;
-        node.startedAt = startedAt;
+        node.startedAtUs = startedAt;
         nodes.put(uid, node);
         NodeEndpoint endpoint = dispatcher.endpointOf(node);
         endpoint.uid = uid;
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -1,8 +1,8 @@
 package tinlink.router;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.decision.DataNode;
-import tinlink.decision.Index;
+import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.gateway.IncomingPart;
@@ -38,7 +38,7 @@
     private final Gateway gateway;
     private final int cells;
     /** Names of indexes; the module knows them as objects. */
-    private final IdentityHashMap<Index, String> classNames = new IdentityHashMap<>();
+    private final IdentityHashMap<LookupClass, String> classNames = new IdentityHashMap<>();
     /**
      * Of each far router by cell, made as it first serves one: as many as the settings have cells.
      */
@@ -50,7 +50,7 @@
         this.loop = loop;
         this.pipeline = pipeline;
         cells = config.cells;
-        config.lookups.lookupClasses().forEach((name, index) -> classNames.put(index, name));
+        config.lookups.lookupClasses().forEach((name, lookupClass) -> classNames.put(lookupClass, name));
         GatewayConfig gatewayConfig = config.gateway;
         gateway = new Gateway(
                 loop,
@@ -121,17 +121,17 @@
             }
             DataNode node = nodesByCell[cell];
             if (node != null) {
-                node.lineUs = lineUs;
+                node.linkRoundTripUs = lineUs;
                 DataNode.State newState =
                         servedCells.get(cell) ? DataNode.State.READY : DataNode.State.DRAINING;
                 boolean hasChanged = node.state != newState;
                 node.state = newState;
                 if (hasChanged) {
-                    pipeline.driver.applyInput(m -> m.listed(node, false));
+                    pipeline.driver.applyInput(m -> m.onEndpoint(node, false));
                 }
             }
         }
-        pipeline.driver.applyInput(m -> m.nodes(Aggregator.News.CHANGES));
+        pipeline.driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
     }
 
     private void forward(RemoteRouter remoteRouter, SentAttempt sent) {
@@ -140,14 +140,14 @@
                 sent,
                 loop.nowUs(),
                 sent.deadlineUs,
-                sent.call.node.cell,
-                query.index.effect == Index.Effect.IDEMPOTENT,
+                sent.attempt.node.cell,
+                query.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT,
                 sent.part().id,
-                classNames.get(query.index),
+                classNames.get(query.lookupClass),
                 sent.part().shard,
                 query.idempotencyKey,
                 query.text,
-                query.repeat,
+                query.isClientRetry,
                 effectUntil(sent));
         sent.transport = new AttemptTransport() {
             @Override
@@ -170,26 +170,26 @@
 
     /** Danger: what comes later on a line must not be the first of its key to run. */
     private static long effectUntil(SentAttempt sent) {
-        Index x = sent.part().lookup.index;
-        return x.effect != Index.Effect.FINGERPRINTED
+        LookupClass lookupClass = sent.part().lookup.lookupClass;
+        return lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED
                 ? Long.MAX_VALUE
-                : Math.min(sent.effectDeadlineUs(), x.windowUs + sent.call.sentAt);
+                : Math.min(sent.effectDeadlineUs(), lookupClass.deduplicationWindowUs + sent.attempt.sentAtUs);
     }
 
     @Override
-    public void partEnded(OutgoingPart part, Outcome how, long tookUs) {
+    public void partEnded(OutgoingPart part, Outcome outcome, long tookUs) {
         SentAttempt sent = (SentAttempt) part.attachment;
         if (sent.isEnded) {
             return;
         }
         sent.isEnded = true;
         Query query = sent.part().query();
-        if (how == Outcome.SATISFIED) {
+        if (outcome == Outcome.SATISFIED) {
             sent.part().value = new String(part.value, StandardCharsets.UTF_8);
-        } else if (how == Outcome.TURNED_AWAY) {
+        } else if (outcome == Outcome.TURNED_AWAY) {
             query.remoteRetryAfterUs = Math.max(query.remoteRetryAfterUs, part.retryAfterUs);
         }
-        pipeline.driver.outcome(sent, how, tookUs);
+        pipeline.driver.outcome(sent, outcome, tookUs);
     }
 
     // ---- Parts that come in. ----
@@ -212,7 +212,7 @@
 
     @Override
     public void cancelPart(IncomingPart part) {
-        if (part.attachment instanceof Query query && !query.ended) {
+        if (part.attachment instanceof Query query && !query.isEnded) {
             pipeline.driver.clientGone(query);
         }
     }
@@ -243,8 +243,8 @@
      */
     private void endUnserved(Query query, long retryAfterUs) {
         boolean neverRan = true;
-        for (Part p : query.parts) {
-            neverRan &= p.calls.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
+        for (Part part : query.parts) {
+            neverRan &= part.attempts.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
         }
         gateway.partEnded((IncomingPart) query.remoteOrigin, neverRan ? PartStatus.REFUSED : PartStatus.FAILED, null, retryAfterUs);
     }
--- a/src/main/java/tinlink/router/Http2Dispatcher.java
+++ b/src/main/java/tinlink/router/Http2Dispatcher.java
@@ -151,11 +151,11 @@
         }
 
         @Override
-        public void callEnded(PartRequest request, Outcome how, String value) {
+        public void callEnded(PartRequest request, Outcome outcome, String value) {
             SentAttempt sent = (SentAttempt) request.attachment;
             if (!sent.isEnded) {
                 sent.part().value = value == null ? sent.part().value : value;
-                dispatcher.recordOutcome(sent, how, false);
+                dispatcher.recordOutcome(sent, outcome, false);
             }
         }
 
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -109,9 +109,9 @@
      */
     void start(Runnable whenReady) throws IOException {
         pipeline.driver.also(policy == null ? maintenance : new ParticipantPair(maintenance, policy.policy()));
-        pipeline.dispatcher.setOutcomeListener((machine, how) -> {
-            if (how != Outcome.NOT_SENT && how != Outcome.CANCELLED) {
-                maintenance.onCallResult(machine, how == Outcome.SATISFIED || how == Outcome.TURNED_AWAY);
+        pipeline.dispatcher.setOutcomeListener((machine, outcome) -> {
+            if (outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED) {
+                maintenance.onCallResult(machine, outcome == Outcome.SATISFIED || outcome == Outcome.TURNED_AWAY);
             }
         });
         maintenance.start(whenReady);
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -155,7 +155,7 @@
 
     /** A call on it went unanswered for all its time. */
     void attemptTimedOut(SentAttempt sent) {
-        isUnresponsive |= !sent.batch.isQueued() && lastAnswerUs < sent.call.sentAt;
+        isUnresponsive |= !sent.batch.isQueued() && lastAnswerUs < sent.attempt.sentAtUs;
     }
 
     boolean mayHaveLeft(SentAttempt sent) {
@@ -202,8 +202,8 @@
     void dropStale(AttemptBatch batch) {
         for (SentAttempt sent : List.copyOf(batch.sentAttempts)) {
             if (!sent.isEnded
-                    && (sent.call.part.lookup.ended
-                            || sent.call.part.satisfied
+                    && (sent.attempt.part.lookup.isEnded
+                            || sent.attempt.part.isSatisfied
                             || endpoint.node.state != DataNode.State.READY
                             || dispatcher.nowUs() + dispatcher.maxTransitUs() > sent.effectDeadlineUs())) {
                 dispatcher.recordOutcome(sent, Outcome.NOT_SENT, false);
@@ -222,7 +222,7 @@
             if (!sent.isEnded) {
                 Query query = sent.part().query();
                 long timeoutMs = Math.max(1, (sent.deadlineUs - dispatcher.nowUs() + 999) / 1000);
-                byte[] line = (sent.part().id + " " + sent.call.part.shard + " d=" + timeoutMs
+                byte[] line = (sent.part().id + " " + sent.attempt.part.shard + " d=" + timeoutMs
                                 + (query.idempotencyKey == null ? "" : ",k=" + query.idempotencyKey) + " " + query.text.length + "\n")
                         .getBytes(StandardCharsets.UTF_8);
                 lines.add(line);
@@ -320,7 +320,7 @@
         // connection that
         // has carried answers and closes in order was closed between two, and speaks of no call.
         List<SentAttempt> lost = new ArrayList<>(unansweredAttempts.values());
-        lost.sort(Comparator.comparingLong(sent -> sent.call.sentAt));
+        lost.sort(Comparator.comparingLong(sent -> sent.attempt.sentAtUs));
         SentAttempt oldestLost = lost.isEmpty() ? null : lost.get(0);
         queuedBatches.forEach(batch -> lost.addAll(batch.sentAttempts));
         dispatcher.connectionClosed(this);
--- a/src/main/java/tinlink/router/PolicyIntegration.java
+++ b/src/main/java/tinlink/router/PolicyIntegration.java
@@ -1,6 +1,6 @@
 package tinlink.router;
 
-import tinlink.decision.Index;
+import tinlink.decision.LookupClass;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.EventLoop;
 import tinlink.cluster.ClusterNode;
@@ -67,7 +67,7 @@
      * Figures of lookups that come now. @throws BadMessage where none may be taken: nothing of it
      * was sent
      */
-    Map<String, Index> lookupClasses() throws MessageRejectedException {
+    Map<String, LookupClass> lookupClasses() throws MessageRejectedException {
         PolicyDocument document = currentDocument();
         if (document == null && !policyRollout.unavailableReason().isEmpty()) {
             throw new MessageRejectedException(503, "no lookups are taken: " + policyRollout.unavailableReason());
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -1,6 +1,6 @@
 package tinlink.router;
 
-import tinlink.decision.Index;
+import tinlink.decision.LookupClass;
 import tinlink.decision.Part;
 import tinlink.gateway.IncomingPart;
 import tinlink.net.MessageRejectedException;
@@ -37,16 +37,16 @@
             JsonReader body,
             ClientConnection client,
             long requestedAtUs,
-            Map<String, Index> currentClasses)
+            Map<String, LookupClass> currentClasses)
             throws MessageRejectedException {
         String callId = requireMatch(headers, "x-call-id", CALL_ID);
-        Index index =
+        LookupClass lookupClass =
                 (currentClasses == null ? settings.lookupClasses() : currentClasses).get(headers.getOrDefault("x-call-class", ""));
-        if (index == null) {
+        if (lookupClass == null) {
             throw new MessageRejectedException(400, "X-Call-Class: no such class");
         }
         long budgetUs = 1000 * Long.parseLong(requireMatch(headers, "x-budget-ms", BUDGET));
-        String idempotencyKey = index.effect == Index.Effect.FINGERPRINTED
+        String idempotencyKey = lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED
                 ? requireMatch(headers, "idempotency-key", KEY)
                 : null;
         if (!(body.value() instanceof Map<?, ?> map)) {
@@ -56,9 +56,9 @@
             throw new MessageRejectedException(400, "text: no string");
         }
         Query query = new Query(callId, text.getBytes(StandardCharsets.UTF_8), idempotencyKey, client);
-        query.index = index;
-        query.repeat = "1".equals(headers.get("x-again"));
-        query.leavesAt = requestedAtUs + budgetUs;
+        query.lookupClass = lookupClass;
+        query.isClientRetry = "1".equals(headers.get("x-again"));
+        query.clientDeadlineUs = requestedAtUs + budgetUs;
         parseParts(query, map.get("segments"));
         return query;
     }
@@ -69,22 +69,22 @@
      * @param id of its own among all in hand
      */
     Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener) throws MessageRejectedException {
-        Index index = settings.lookupClasses().get(part.index);
-        if (index == null || part.shard < 0 || part.shard >= settings.shardCount()) {
+        LookupClass lookupClass = settings.lookupClasses().get(part.index);
+        if (lookupClass == null || part.shard < 0 || part.shard >= settings.shardCount()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
-        boolean needsKey = index.effect == Index.Effect.FINGERPRINTED;
+        boolean needsKey = lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED;
         if (!PART_ID.matcher(part.id).matches()
                 || (needsKey && (part.idempotencyKey == null || !KEY.matcher(part.idempotencyKey).matches()))) {
             throw new MessageRejectedException(400, "id or key: not of its form");
         }
         Query query = new Query(id, part.text, needsKey ? part.idempotencyKey : null, listener);
-        query.index = index;
-        query.repeat = part.clientRetry;
-        query.forwarded = true;
-        query.leavesAt = part.arrivedAt + part.remainingUs;
+        query.lookupClass = lookupClass;
+        query.isClientRetry = part.clientRetry;
+        query.isForwarded = true;
+        query.clientDeadlineUs = part.arrivedAt + part.remainingUs;
         query.parts.add(new QueryPart(query, part.shard, 1, part.id));
-        query.announced = 1;
+        query.announcedParts = 1;
         return query;
     }
 
@@ -126,9 +126,9 @@
         if (Math.abs(sum - 1) > SHARE_ROUNDING * (1 + query.parts.size())) {
             throw new MessageRejectedException(400, "boost: the shares don't add up to 1");
         }
-        for (Part p : query.parts) {
-            p.weight /= sum;
+        for (Part part : query.parts) {
+            part.weight /= sum;
         }
-        query.announced = query.parts.size();
+        query.announcedParts = query.parts.size();
     }
 }
--- a/src/main/java/tinlink/router/RequestPipeline.java
+++ b/src/main/java/tinlink/router/RequestPipeline.java
@@ -1,6 +1,6 @@
 package tinlink.router;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.config.RouterConfig;
@@ -15,7 +15,7 @@
     final DiscoveryWatcher discoveryWatcher;
     final DescriptorBudget descriptors;
 
-    RequestPipeline(EventLoop loop, Network network, RouterConfig config, Aggregator module) {
+    RequestPipeline(EventLoop loop, Network network, RouterConfig config, QueryCoordinator module) {
         driver = new DecisionDriver(loop, module, config.maxDeadlineUs, config.maxRetryAfterUs);
         descriptors = new DescriptorBudget(config.maxDescriptors);
         dispatcher = new AttemptDispatcher(loop, network, descriptors, driver, config.nodeConnections);
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -1,6 +1,6 @@
 package tinlink.router;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
@@ -60,12 +60,12 @@
     /**
      * @param module what decides; another than the built one only to see how the router bears it
      */
-    public Router(RouterConfig config, Aggregator module) throws IOException {
+    public Router(RouterConfig config, QueryCoordinator module) throws IOException {
         this(config, module, Runnable::run);
     }
 
     /** @param completionRunner runs a completion handler at once; others only show how late ones are borne */
-    public Router(RouterConfig config, Aggregator module, Consumer<Runnable> completionRunner)
+    public Router(RouterConfig config, QueryCoordinator module, Consumer<Runnable> completionRunner)
             throws IOException {
         this.config = config;
         network = new Network(loop, completionRunner);
--- a/src/main/java/tinlink/router/SentAttempt.java
+++ b/src/main/java/tinlink/router/SentAttempt.java
@@ -1,14 +1,14 @@
 package tinlink.router;
 
-import tinlink.decision.Index;
-import tinlink.decision.PartCall;
+import tinlink.decision.LookupClass;
+import tinlink.decision.Attempt;
 import tinlink.net.EventLoop;
 
 import java.util.OptionalLong;
 
 /** An attempt that was handed to the network: how it travels, and until when an answer is awaited. */
 final class SentAttempt {
-    final PartCall call;
+    final Attempt attempt;
     final long deadlineUs;
     EventLoop.Timer timeoutTimer;
     /** Where it goes; null for a router of another site. */
@@ -22,13 +22,13 @@
     /** The data node has answered it. */
     boolean isAnswered;
 
-    SentAttempt(PartCall call, long deadlineUs) {
-        this.call = call;
+    SentAttempt(Attempt attempt, long deadlineUs) {
+        this.attempt = attempt;
         this.deadlineUs = deadlineUs;
     }
 
     QueryPart part() {
-        return (QueryPart) call.part;
+        return (QueryPart) attempt.part;
     }
 
     /**
@@ -37,16 +37,16 @@
      * none but this one may.
      */
     long effectDeadlineUs() {
-        Index x = call.part.lookup.index;
-        if (x.effect != Index.Effect.FINGERPRINTED) {
+        LookupClass lookupClass = attempt.part.lookup.lookupClass;
+        if (lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED) {
             return Long.MAX_VALUE;
         }
-        OptionalLong first = call.part.calls.stream()
-                .filter(other -> other != call && (other.outcome == null || !other.outcome.neverRan))
-                .mapToLong(other -> other.sentAt)
+        OptionalLong first = attempt.part.attempts.stream()
+                .filter(other -> other != attempt && (other.outcome == null || !other.outcome.neverRan))
+                .mapToLong(other -> other.sentAtUs)
                 .min();
         return first.isEmpty()
                 ? Long.MAX_VALUE
-                : x.windowUs + Math.min(first.getAsLong(), call.sentAt);
+                : lookupClass.deduplicationWindowUs + Math.min(first.getAsLong(), attempt.sentAtUs);
     }
 }
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -1,6 +1,6 @@
 package tinlink.router;
 
-import tinlink.decision.Index;
+import tinlink.decision.LookupClass;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
 import tinlink.net.HttpReader;
@@ -59,7 +59,7 @@
     /** Begins each connection of our own clients'. */
     private final String clientToken;
 
-    private final List<Map.Entry<String, Index>> lookupClasses;
+    private final List<Map.Entry<String, LookupClass>> lookupClasses;
     private final List<WarmupClient> warmupClients = new ArrayList<>();
     /** Accepted and not known as our own; all leave when the warm-up is over. */
     private final Set<WaitingConnection> waitingConnections = new LinkedHashSet<>();
@@ -338,7 +338,7 @@
             if (lookupsSent == LOOKUPS) {
                 return;
             }
-            Map.Entry<String, Index> lookupClass = lookupClasses.get(lookupsSent % lookupClasses.size());
+            Map.Entry<String, LookupClass> lookupClass = lookupClasses.get(lookupsSent % lookupClasses.size());
             int parts = Math.min(MAX_PARTS, config.lookups.shardCount());
             List<String> segments = new ArrayList<>();
             for (int i = 0; i < parts; i++) {
@@ -348,7 +348,7 @@
             connection.out()
                     .put("POST /api HTTP/1.1\r\nHost: warm\r\nX-Call-Id: " + idPrefix + lookupsSent++
                             + "\r\nX-Call-Class: "
-                            + lookupClass.getKey() + "\r\nX-Budget-Ms: " + lookupClass.getValue().hardUs / 1000
+                            + lookupClass.getKey() + "\r\nX-Budget-Ms: " + lookupClass.getValue().deadlineUs / 1000
                             + "\r\nIdempotency-Key: warm\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body);
             connection.scheduleWrite();
--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -1,13 +1,13 @@
 package tinlink.simadapter;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.decision.DataNode;
-import tinlink.decision.Host;
-import tinlink.decision.Index;
+import tinlink.decision.DecisionHandler;
+import tinlink.decision.LookupClass;
 import tinlink.decision.Lookup;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.PartCall;
+import tinlink.decision.Attempt;
 import tinlink.config.InvalidInputException;
 import tinlink.config.FlatSettings;
 import tinlink.config.DecisionConfig;
@@ -21,7 +21,7 @@
 /**
  * One router: its decision module, the wire ids of what is in flight, and the actions of the batch.
  */
-final class SimulatedRouter implements Host {
+final class SimulatedRouter implements DecisionHandler {
     private static final class WireLookup extends Lookup {
         String wireId;
         long queryNo;
@@ -32,8 +32,8 @@
         String wireId;
     }
 
-    private final Aggregator module;
-    private final Index[] lookupClasses;
+    private final QueryCoordinator module;
+    private final LookupClass[] lookupClasses;
     private final Map<Long, DataNode> nodes = new LinkedHashMap<>();
     /** Each leaves as its lookup ends and the last attempt of its parts has its outcome. */
     private final Map<String, WireLookup> lookups = new HashMap<>();
@@ -49,7 +49,7 @@
     }
 
     void clock(long nowUs) {
-        module.clock(nowUs);
+        module.advanceClock(nowUs);
     }
 
     void onJob(WireLine line, long nowUs) {
@@ -71,14 +71,14 @@
             WireLookup lookup = new WireLookup();
             lookup.wireId = wireId;
             lookup.queryNo = queryNo;
-            lookup.index = lookupClasses[profile];
+            lookup.lookupClass = lookupClasses[profile];
             lookup.tenant = tenant;
-            lookup.repeat = (flags & 2) != 0;
-            lookup.announced = (int) Math.round(weight);
-            lookup.leavesAt = nowUs + leftUs;
+            lookup.isClientRetry = (flags & 2) != 0;
+            lookup.announcedParts = (int) Math.round(weight);
+            lookup.clientDeadlineUs = nowUs + leftUs;
             lookups.put(wireId, lookup);
             byQuery.put(queryNo, lookup);
-            module.lookup(lookup);
+            module.onLookup(lookup);
             return;
         }
         WireLookup lookup = byQuery.get(queryNo);
@@ -92,7 +92,7 @@
         part.weight = weight;
         lookup.held.add(part);
         parts.put(wireId, part);
-        module.part(part);
+        module.onPart(part);
     }
 
     void onVerdict(WireLine line) {
@@ -107,11 +107,11 @@
         if (part == null) {
             return;
         }
-        if (attemptNumber < 0 || attemptNumber >= part.calls.size() || part.calls.get(attemptNumber).outcome != null) {
+        if (attemptNumber < 0 || attemptNumber >= part.attempts.size() || part.attempts.get(attemptNumber).outcome != null) {
             throw new InvalidInputException("verdict: no part call " + attemptNumber + " is out for " + wireId);
         }
-        module.outcome(part.calls.get(attemptNumber), outcome, tookUs, reportedServiceTimeUs(feedback));
-        if (part.out == 0 && (part.lookup.ended || !part.lookup.parts.contains(part))) {
+        module.onOutcome(part.attempts.get(attemptNumber), outcome, tookUs, reportedServiceTimeUs(feedback));
+        if (part.attemptsInFlight == 0 && (part.lookup.isEnded || !part.lookup.parts.contains(part))) {
             parts.remove(wireId);
         }
     }
@@ -148,20 +148,20 @@
         long reportedUs = reportedServiceTimeUs(line.rest());
         DataNode node = nodes.get(id);
         if (node != null) {
-            module.probed(node, outcome, tookUs, reportedUs);
+            module.onHealthCheck(node, outcome, tookUs, reportedUs);
         }
     }
 
     void clientGone(String wireId) {
         WireLookup lookup = lookups.get(wireId);
         if (lookup != null) {
-            module.clientGone(lookup);
+            module.onClientGone(lookup);
             forgetEnded(lookup);
         }
     }
 
     void onTimer() {
-        module.timer();
+        module.onTimer();
     }
 
     /** One entry of a watch event. */
@@ -175,7 +175,7 @@
             node = new DataNode(entry.id());
         }
         boolean restarted =
-                known && node.startedAt != entry.startedAt() && entry.state() != DataNode.State.GONE;
+                known && node.startedAtUs != entry.startedAt() && entry.state() != DataNode.State.GONE;
         node.state = entry.state();
         if (node.state == DataNode.State.GONE) {
             nodes.remove(entry.id());
@@ -184,10 +184,10 @@
             node.kind = entry.kind();
             node.cell = entry.cell();
             node.size = entry.size();
-            node.startedAt = entry.startedAt();
+            node.startedAtUs = entry.startedAt();
             nodes.put(entry.id(), node);
         }
-        module.listed(node, restarted);
+        module.onEndpoint(node, restarted);
     }
 
     /** A full list: what it does not name is gone. */
@@ -196,14 +196,14 @@
             if (!endpointList.contains(node.id)) {
                 node.state = DataNode.State.GONE;
                 nodes.remove(node.id);
-                module.listed(node, false);
+                module.onEndpoint(node, false);
             }
         }
         endpointList.entries().forEach(this::applyEntry);
     }
 
-    void onWatchEvent(Aggregator.News watchEvent) {
-        module.nodes(watchEvent);
+    void onWatchEvent(QueryCoordinator.EndpointListUpdate watchEvent) {
+        module.onEndpointListUpdate(watchEvent);
     }
 
     /** Pulls decisions until there is none; the actions of this batch. */
@@ -216,20 +216,20 @@
     }
 
     @Override
-    public void send(PartCall call, long limitUs) {
-        String wireId = ((WirePart) call.part).wireId;
-        out.append("transmit ").append(wireId).append(' ').append(call.node.id).append(' ');
+    public void send(Attempt attempt, long limitUs) {
+        String wireId = ((WirePart) attempt.part).wireId;
+        out.append("transmit ").append(wireId).append(' ').append(attempt.node.id).append(' ');
         appendMillis(limitUs);
     }
 
     @Override
-    public void cancel(PartCall call) {
-        String wireId = ((WirePart) call.part).wireId;
-        out.append("call_off ").append(wireId).append(' ').append(call.number).append('\n');
+    public void cancel(Attempt attempt) {
+        String wireId = ((WirePart) attempt.part).wireId;
+        out.append("call_off ").append(wireId).append(' ').append(attempt.number).append('\n');
     }
 
     @Override
-    public void release(DataNode node) {
+    public void closeIdleConnections(DataNode node) {
         out.append("release ").append(node.id).append('\n');
     }
 
@@ -240,7 +240,7 @@
     }
 
     @Override
-    public void nack(Lookup lookup, long retryAfterUs) {
+    public void reject(Lookup lookup, long retryAfterUs) {
         out.append("refuse ").append(((WireLookup) lookup).wireId).append(' ');
         appendMillis(retryAfterUs);
         forgetEnded((WireLookup) lookup);
@@ -253,7 +253,7 @@
     }
 
     @Override
-    public void wake(long atUs) {
+    public void wakeAt(long atUs) {
         out.append("notify_me ");
         appendMillis(atUs);
         out.setLength(out.length() - 1);
@@ -261,7 +261,7 @@
     }
 
     @Override
-    public void followList() {
+    public void subscribeToEndpointList() {
         out.append("track 1\n");
     }
 
@@ -275,13 +275,13 @@
     /** Forgets what is over: the lookup, and its parts with no attempt in flight. */
     private void forgetEnded(WireLookup lookup) {
         lookup.held.removeIf(part -> {
-            boolean isOver = lookup.ended || !lookup.parts.contains(part);
-            if (isOver && part.out == 0) {
+            boolean isOver = lookup.isEnded || !lookup.parts.contains(part);
+            if (isOver && part.attemptsInFlight == 0) {
                 parts.remove(part.wireId);
             }
             return isOver;
         });
-        if (lookup.ended) {
+        if (lookup.isEnded) {
             lookups.remove(lookup.wireId);
             byQuery.remove(lookup.queryNo);
         }
--- a/src/main/java/tinlink/simadapter/SimulatorAdapter.java
+++ b/src/main/java/tinlink/simadapter/SimulatorAdapter.java
@@ -1,6 +1,6 @@
 package tinlink.simadapter;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.config.InvalidInputException;
 import tinlink.config.FlatSettings;
 
@@ -171,20 +171,20 @@
         line.field("revision");
         long list = line.wholeNumber("list", -1);
         line.expectEnd();
-        Aggregator.News watchEvent =
+        QueryCoordinator.EndpointListUpdate watchEvent =
                 switch ((int) scope) {
-                    case 1 -> Aggregator.News.CHANGES;
-                    case 2 -> Aggregator.News.CACHED;
-                    case 3 -> Aggregator.News.FAILED;
-                    case 4 -> Aggregator.News.FULL;
+                    case 1 -> QueryCoordinator.EndpointListUpdate.CHANGES;
+                    case 2 -> QueryCoordinator.EndpointListUpdate.CACHED;
+                    case 3 -> QueryCoordinator.EndpointListUpdate.FAILED;
+                    case 4 -> QueryCoordinator.EndpointListUpdate.FULL;
                     default -> throw new InvalidInputException("endpoints: no such scope: " + scope);
                 };
-        if (watchEvent != Aggregator.News.FAILED) {
+        if (watchEvent != QueryCoordinator.EndpointListUpdate.FAILED) {
             if (list < 0 || list >= endpointLists.length || endpointLists[(int) list] == null) {
                 throw new InvalidInputException("endpoints: no such list: " + list);
             }
             WireEndpointList endpointList = endpointLists[(int) list];
-            if (watchEvent == Aggregator.News.CHANGES) {
+            if (watchEvent == QueryCoordinator.EndpointListUpdate.CHANGES) {
                 endpointList.entries().forEach(instance::applyEntry);
             } else {
                 instance.applyFullList(endpointList);
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -1,14 +1,14 @@
 package tinlink;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.decision.DataNode;
-import tinlink.decision.FastestValid;
-import tinlink.decision.Host;
-import tinlink.decision.Index;
+import tinlink.decision.FastestValidCoordinator;
+import tinlink.decision.DecisionHandler;
+import tinlink.decision.LookupClass;
 import tinlink.decision.Lookup;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.PartCall;
+import tinlink.decision.Attempt;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -20,18 +20,18 @@
 import java.util.TreeSet;
 
 /** Plays one scenario against the module; docs/scenarios.md has the notation. */
-final class DecisionScenarioPlayer implements Host {
+final class DecisionScenarioPlayer implements DecisionHandler {
     private final Map<String, String> settings = new HashMap<>(Map.of(
             "step", "1", "tries", "4", "copies", "yes", "cancel", "yes", "cells", "1", "reach", "1",
             "bundle", "1", "call", "0", "group", "1"));
-    private final Map<String, Index> indexes = new LinkedHashMap<>();
+    private final Map<String, LookupClass> indexes = new LinkedHashMap<>();
     private final Map<Long, DataNode> nodes = new LinkedHashMap<>();
     private final Map<String, Lookup> lookups = new HashMap<>();
     private final Map<Object, String> names = new HashMap<>();
     private final Map<String, Part> parts = new HashMap<>();
     private final List<String> unexpectedDecisions = new ArrayList<>();
     private final TreeSet<Long> wakeTimes = new TreeSet<>();
-    private Aggregator module;
+    private QueryCoordinator module;
     private long now;
 
     void play(List<String> script) {
@@ -66,7 +66,7 @@
             case "stall" -> {
                 pullDecisions();
                 now = ms(words[1]);
-                module().clock(now);
+                module().advanceClock(now);
             }
             case "=" -> {
                 pullDecisions();
@@ -85,23 +85,23 @@
                 for (int i = 1; i < words.length; i++) {
                     node(new String[] {"node", words[i]});
                 }
-                module().nodes(Aggregator.News.FULL);
+                module().onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FULL);
             }
-            case "list" -> module().nodes(Aggregator.News.valueOf(words[1].toUpperCase(Locale.ROOT)));
+            case "list" -> module().onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.valueOf(words[1].toUpperCase(Locale.ROOT)));
             case "lookup" -> {
                 Lookup lookup = new Lookup();
-                lookup.index = indexes.get(words[2]);
-                lookup.leavesAt = now + ms(words[4]);
-                lookup.repeat = words[words.length - 1].equals("repeat");
-                lookup.forwarded = words[words.length - 1].equals("forwarded");
+                lookup.lookupClass = indexes.get(words[2]);
+                lookup.clientDeadlineUs = now + ms(words[4]);
+                lookup.isClientRetry = words[words.length - 1].equals("repeat");
+                lookup.isForwarded = words[words.length - 1].equals("forwarded");
                 lookups.put(words[1], lookup);
                 names.put(lookup, words[1]);
-                lookup.announced = shards(words).size();
-                module().lookup(lookup);
+                lookup.announcedParts = shards(words).size();
+                module().onLookup(lookup);
                 takeParts(lookup, words);
             }
             case "more" -> takeParts(lookups.get(words[1]), words);
-            case "gone" -> module().clientGone(lookups.get(words[1]));
+            case "gone" -> module().onClientGone(lookups.get(words[1]));
             default -> end(Outcome.valueOf(words[0].toUpperCase(Locale.ROOT).replace('-', '_')), words[1]);
         }
     }
@@ -125,14 +125,14 @@
         List<String> weights = after(words, "weights");
         List<Integer> shards = shards(words);
         for (int i = 0; i < shards.size(); i++) {
-            Part p = new Part();
-            p.lookup = lookup;
-            p.shard = shards.get(i);
-            p.weight = weights.isEmpty() ? 1.0 / shards.size() : Double.parseDouble(weights.get(i));
-            String name = names.get(lookup) + (lookup.secondStep ? ".b" : ".") + i;
-            names.put(p, name);
-            parts.put(name, p);
-            module().part(p);
+            Part part = new Part();
+            part.lookup = lookup;
+            part.shard = shards.get(i);
+            part.weight = weights.isEmpty() ? 1.0 / shards.size() : Double.parseDouble(weights.get(i));
+            String name = names.get(lookup) + (lookup.isSecondStep ? ".b" : ".") + i;
+            names.put(part, name);
+            parts.put(name, part);
+            module().onPart(part);
         }
     }
 
@@ -162,35 +162,35 @@
      * "q" ends every part call that is out of the lookup, "q.0" the last one of a part, "q.0#1"
      * that one.
      */
-    private void end(Outcome how, String name) {
+    private void end(Outcome outcome, String name) {
         if (lookups.containsKey(name)) {
-            lookups.get(name).parts.stream().toList().forEach(p -> end(how, names.get(p)));
+            lookups.get(name).parts.stream().toList().forEach(part -> end(outcome, names.get(part)));
             return;
         }
-        Part p = parts.get(name.replaceAll("#.*", ""));
+        Part part = parts.get(name.replaceAll("#.*", ""));
         int number = name.contains("#")
                 ? Integer.parseInt(name.replaceAll(".*#", ""))
-                : p.calls.size() - 1;
-        PartCall c = p.calls.get(number);
+                : part.attempts.size() - 1;
+        Attempt c = part.attempts.get(number);
         if (c.outcome != null) {
             throw new AssertionError("that part call is over: " + c.outcome);
         }
-        module().outcome(c, how, now - c.sentAt, -1);
+        module().onOutcome(c, outcome, now - c.sentAtUs, -1);
     }
 
     private void index(String[] words) {
-        Index lookupClass = new Index();
-        lookupClass.softUs = ms(after(words, "soft").get(0));
-        lookupClass.hardUs = 10 * lookupClass.softUs;
-        after(words, "window").forEach(t -> lookupClass.windowUs = ms(t));
-        after(words, "need").forEach(n -> lookupClass.need = Double.parseDouble(n));
-        lookupClass.floor = lookupClass.need;
-        after(words, "floor").forEach(n -> lookupClass.floor = Double.parseDouble(n));
-        after(words, "second").forEach(n -> lookupClass.secondStep = Integer.parseInt(n));
-        lookupClass.lateGain = Arrays.asList(words).contains("late") ? 0.3 : 0;
-        for (Index.Effect e : Index.Effect.values()) {
+        LookupClass lookupClass = new LookupClass();
+        lookupClass.latencyObjectiveUs = ms(after(words, "soft").get(0));
+        lookupClass.deadlineUs = 10 * lookupClass.latencyObjectiveUs;
+        after(words, "window").forEach(t -> lookupClass.deduplicationWindowUs = ms(t));
+        after(words, "need").forEach(n -> lookupClass.completeShare = Double.parseDouble(n));
+        lookupClass.minimumShare = lookupClass.completeShare;
+        after(words, "floor").forEach(n -> lookupClass.minimumShare = Double.parseDouble(n));
+        after(words, "second").forEach(n -> lookupClass.secondStepParts = Integer.parseInt(n));
+        lookupClass.lateAnswerWeight = Arrays.asList(words).contains("late") ? 0.3 : 0;
+        for (LookupClass.Idempotency e : LookupClass.Idempotency.values()) {
             if (Arrays.asList(words).contains(e.name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
-                lookupClass.effect = e;
+                lookupClass.idempotency = e;
             }
         }
         indexes.put(words[1], lookupClass);
@@ -199,27 +199,27 @@
     private void node(String[] words) {
         long id = Long.parseLong(words[1]);
         DataNode node = nodes.computeIfAbsent(id, DataNode::new);
-        long startedAt = node.startedAt;
+        long startedAt = node.startedAtUs;
         after(words, "cell").forEach(c -> node.cell = Integer.parseInt(c));
         after(words, "zone").forEach(z -> node.zone = Integer.parseInt(z));
-        after(words, "line").forEach(t -> node.lineUs = ms(t));
-        after(words, "started").forEach(t -> node.startedAt = ms(t));
+        after(words, "line").forEach(t -> node.linkRoundTripUs = ms(t));
+        after(words, "started").forEach(t -> node.startedAtUs = ms(t));
         String last = words[words.length - 1];
         node.state = last.equals("draining")
                 ? DataNode.State.DRAINING
                 : last.equals("gone") ? DataNode.State.GONE : DataNode.State.READY;
-        module().listed(node, startedAt != node.startedAt && module != null);
+        module().onEndpoint(node, startedAt != node.startedAtUs && module != null);
     }
 
-    private Aggregator module() {
+    private QueryCoordinator module() {
         if (module == null) {
             long longestSoft =
-                    indexes.values().stream().mapToLong(x -> x.softUs).max().orElse(1);
-            FastestValid.Health health = new FastestValid.Health(longestSoft);
-            module = new FastestValid(
-                    new FastestValid.Rounds(
+                    indexes.values().stream().mapToLong(lookupClass -> lookupClass.latencyObjectiveUs).max().orElse(1);
+            FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(longestSoft);
+            module = new FastestValidCoordinator(
+                    new FastestValidCoordinator.AttemptTiming(
                             microsSetting("step"), intSetting("tries"), booleanSetting("copies"), booleanSetting("cancel")),
-                    new FastestValid.Replicas(
+                    new FastestValidCoordinator.ReplicaSelector(
                             intSetting("cells"),
                             intSetting("reach"),
                             intSetting("bundle"),
@@ -228,12 +228,12 @@
                             doubleSetting("cross"),
                             health),
                     health,
-                    new FastestValid.ColdGuard(
+                    new FastestValidCoordinator.SlowStart(
                             7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
-                    new FastestValid.Budget(microsSetting("lookback"), intSetting("free"), doubleSetting("ratio"), 100),
-                    new FastestValid.Admission(7, microsSetting("comeback")),
-                    new FastestValid.ListFollowing(7, booleanSetting("asks"), microsSetting("mustask")));
-            module.clock(now);
+                    new FastestValidCoordinator.RetryBudget(microsSetting("lookback"), intSetting("free"), doubleSetting("ratio"), 100),
+                    new FastestValidCoordinator.AdmissionController(7, microsSetting("comeback")),
+                    new FastestValidCoordinator.EndpointListPoller(7, booleanSetting("asks"), microsSetting("mustask")));
+            module.advanceClock(now);
         }
         return module;
     }
@@ -242,12 +242,12 @@
         pullDecisions();
         while (!wakeTimes.isEmpty() && wakeTimes.first() <= to) {
             now = Math.max(now, wakeTimes.pollFirst());
-            module().clock(now);
-            module().timer();
+            module().advanceClock(now);
+            module().onTimer();
             pullDecisions();
         }
         now = to;
-        module().clock(now);
+        module().advanceClock(now);
     }
 
     private void pullDecisions() {
@@ -284,17 +284,17 @@
     }
 
     @Override
-    public void send(PartCall c, long limitUs) {
+    public void send(Attempt c, long limitUs) {
         unexpectedDecisions.add("send " + names.get(c.part) + " " + c.node.id);
     }
 
     @Override
-    public void cancel(PartCall c) {
+    public void cancel(Attempt c) {
         unexpectedDecisions.add("cancel " + names.get(c.part) + "#" + c.number);
     }
 
     @Override
-    public void release(DataNode node) {
+    public void closeIdleConnections(DataNode node) {
         unexpectedDecisions.add("release " + node.id);
     }
 
@@ -304,7 +304,7 @@
     }
 
     @Override
-    public void nack(Lookup lookup, long comeBackUs) {
+    public void reject(Lookup lookup, long comeBackUs) {
         unexpectedDecisions.add("nack " + names.get(lookup) + (comeBackUs > 0 ? " " + comeBackUs / 1000 : ""));
     }
 
@@ -314,12 +314,12 @@
     }
 
     @Override
-    public void wake(long atUs) {
+    public void wakeAt(long atUs) {
         wakeTimes.add(atUs);
     }
 
     @Override
-    public void followList() {
+    public void subscribeToEndpointList() {
         unexpectedDecisions.add("follow");
     }
 }
--- a/src/test/java/tinlink/RouterScenarioPlayer.java
+++ b/src/test/java/tinlink/RouterScenarioPlayer.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import tinlink.decision.Aggregator;
+import tinlink.decision.QueryCoordinator;
 import tinlink.decision.DataNode;
-import tinlink.decision.Host;
+import tinlink.decision.DecisionHandler;
 import tinlink.decision.Lookup;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.PartCall;
+import tinlink.decision.Attempt;
 import tinlink.experiment.processes.RouterProcess;
 import tinlink.net.ParserPlayer;
 import tinlink.router.Router;
@@ -333,7 +333,7 @@
                 "OFF",
                 "NODE_DISCOVERY",
                 "127.0.0.1:" + discovery.port()));
-        Aggregator module = faulty ? new FaultyCoordinator(from.decision.module) : from.decision.module;
+        QueryCoordinator module = faulty ? new FaultyCoordinator(from.decision.module) : from.decision.module;
         router = new Router(from, new GatedCoordinator(module), this::handler);
         earlyClients.forEach(Thread::start);
         if (warm) {
@@ -473,80 +473,80 @@
     }
 
     /** What stands before the module under test and hands on all it hears. */
-    private abstract static class DelegatingCoordinator implements Aggregator {
-        private final Aggregator module;
+    private abstract static class DelegatingCoordinator implements QueryCoordinator {
+        private final QueryCoordinator module;
 
-        DelegatingCoordinator(Aggregator module) {
+        DelegatingCoordinator(QueryCoordinator module) {
             this.module = module;
         }
 
         @Override
-        public void clock(long nowUs) {
-            module.clock(nowUs);
+        public void advanceClock(long nowUs) {
+            module.advanceClock(nowUs);
         }
 
         @Override
-        public void lookup(Lookup lk) {
-            module.lookup(lk);
+        public void onLookup(Lookup lookup) {
+            module.onLookup(lookup);
         }
 
         @Override
-        public void part(Part p) {
-            module.part(p);
+        public void onPart(Part part) {
+            module.onPart(part);
         }
 
         @Override
-        public void outcome(PartCall call, Outcome how, long tookUs, long reportedLatencyUs) {
-            module.outcome(call, how, tookUs, reportedLatencyUs);
+        public void onOutcome(Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs) {
+            module.onOutcome(attempt, outcome, tookUs, reportedLatencyUs);
         }
 
         @Override
-        public void listed(DataNode node, boolean restarted) {
-            module.listed(node, restarted);
+        public void onEndpoint(DataNode node, boolean restarted) {
+            module.onEndpoint(node, restarted);
         }
 
         @Override
-        public void nodes(News news) {
-            module.nodes(news);
+        public void onEndpointListUpdate(EndpointListUpdate news) {
+            module.onEndpointListUpdate(news);
         }
 
         @Override
-        public void probed(DataNode node, Outcome how, long tookUs, long reportedLatencyUs) {
-            module.probed(node, how, tookUs, reportedLatencyUs);
+        public void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
+            module.onHealthCheck(node, outcome, tookUs, reportedLatencyUs);
         }
 
         @Override
-        public void timer() {
-            module.timer();
+        public void onTimer() {
+            module.onTimer();
         }
 
         @Override
-        public void clientGone(Lookup lk) {
-            module.clientGone(lk);
+        public void onClientGone(Lookup lookup) {
+            module.onClientGone(lookup);
         }
 
         @Override
-        public boolean decide(Host host) {
+        public boolean decide(DecisionHandler host) {
             return module.decide(host);
         }
     }
 
     /** Stops the loop between the begin of a turn and what it takes, or in a timer. */
     private final class GatedCoordinator extends DelegatingCoordinator {
-        GatedCoordinator(Aggregator module) {
+        GatedCoordinator(QueryCoordinator module) {
             super(module);
         }
 
         @Override
-        public void clock(long nowUs) {
+        public void advanceClock(long nowUs) {
             awaitGate(turnGate);
-            super.clock(nowUs);
+            super.advanceClock(nowUs);
         }
 
         @Override
-        public void timer() {
+        public void onTimer() {
             awaitGate(timerGate);
-            super.timer();
+            super.onTimer();
         }
     }
 
@@ -614,26 +614,26 @@
     private static final class FaultyCoordinator extends DelegatingCoordinator {
         private final List<Lookup> poison = new ArrayList<>();
 
-        FaultyCoordinator(Aggregator module) {
+        FaultyCoordinator(QueryCoordinator module) {
             super(module);
         }
 
         @Override
-        public void part(Part p) {
-            super.part(p);
-            if (p.shard == 11) {
-                poison.add(p.lookup);
+        public void onPart(Part part) {
+            super.onPart(part);
+            if (part.shard == 11) {
+                poison.add(part.lookup);
             }
         }
 
         @Override
-        public void clientGone(Lookup lk) {
-            super.clientGone(lk);
-            poison.remove(lk);
+        public void onClientGone(Lookup lookup) {
+            super.onClientGone(lookup);
+            poison.remove(lookup);
         }
 
         @Override
-        public boolean decide(Host host) {
+        public boolean decide(DecisionHandler host) {
             if (!poison.isEmpty()) {
                 throw new IllegalStateException("a fault for the test");
             }
--- a/src/test/java/tinlink/decision/ColdSumTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -17,7 +17,7 @@
  * Many routers, each with a module of its own, are told of one node's start. What all of them
  * together send it within any fall time stays within what the settings allow it then, and chance.
  */
-class ColdSumTest {
+class SlowStartFleetTest {
     private static final double WORK_US = 120_000;
     private static final long FALL_US = 3_000_000;
     private static final long COLD_US = 15_000_000;
@@ -91,8 +91,8 @@
     }
 
     /** One router: its module, and what it asks for carried out at once. */
-    private final class One implements Host {
-        private final Aggregator module;
+    private final class One implements DecisionHandler {
+        private final QueryCoordinator module;
         private final IdentityHashMap<DataNode, Node> known = new IdentityHashMap<>();
 
         /**
@@ -100,21 +100,21 @@
          *     little
          */
         One(long coldUs) {
-            Index index = index();
-            FastestValid.Health health = new FastestValid.Health(index.softUs);
-            module = new FastestValid(
-                    new FastestValid.Rounds(5000, 3, true, true),
-                    new FastestValid.Replicas(CELLS, 1, 1, 0, 0, 0, health),
+            LookupClass lookupClass = index();
+            FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(lookupClass.latencyObjectiveUs);
+            module = new FastestValidCoordinator(
+                    new FastestValidCoordinator.AttemptTiming(5000, 3, true, true),
+                    new FastestValidCoordinator.ReplicaSelector(CELLS, 1, 1, 0, 0, 0, health),
                     health,
-                    new FastestValid.ColdGuard(
+                    new FastestValidCoordinator.SlowStart(
                             random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health),
-                    new FastestValid.Budget(0, 0, 0, 1000),
-                    new FastestValid.Admission(random.nextLong(), 0),
-                    new FastestValid.ListFollowing(random.nextLong(), false, 10_000_000));
+                    new FastestValidCoordinator.RetryBudget(0, 0, 0, 1000),
+                    new FastestValidCoordinator.AdmissionController(random.nextLong(), 0),
+                    new FastestValidCoordinator.EndpointListPoller(random.nextLong(), false, 10_000_000));
         }
 
         void turn(Runnable inputs) {
-            module.clock(now);
+            module.advanceClock(now);
             inputs.run();
             while (module.decide(this)) {
                 // Carried out as it comes.
@@ -126,9 +126,9 @@
                 for (Node n : some) {
                     DataNode d = new DataNode(nodes.indexOf(n));
                     d.cell = n.cell;
-                    d.startedAt = n.startedAt;
+                    d.startedAtUs = n.startedAt;
                     known.put(d, n);
-                    module.listed(d, false);
+                    module.onEndpoint(d, false);
                 }
                 if (some.size() == 1) {
                     // It stands for the one that had its block until now.
@@ -137,84 +137,84 @@
                             .findFirst()
                             .orElseThrow();
                     before.state = DataNode.State.DRAINING;
-                    module.listed(before, false);
+                    module.onEndpoint(before, false);
                 }
-                module.nodes(Aggregator.News.CHANGES);
+                module.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES);
             });
         }
 
         void asked() {
             turn(() -> {
-                Lookup lk = new Lookup();
-                lk.index = index();
-                lk.announced = 1;
-                lk.leavesAt = now + lk.index.hardUs;
-                Part p = new Part();
-                p.lookup = lk;
-                p.shard = random.nextInt(CELLS);
-                p.weight = 1;
-                module.lookup(lk);
-                module.part(p);
+                Lookup lookup = new Lookup();
+                lookup.lookupClass = index();
+                lookup.announcedParts = 1;
+                lookup.clientDeadlineUs = now + lookup.lookupClass.deadlineUs;
+                Part part = new Part();
+                part.lookup = lookup;
+                part.shard = random.nextInt(CELLS);
+                part.weight = 1;
+                module.onLookup(lookup);
+                module.onPart(part);
             });
         }
 
         @Override
-        public void send(PartCall call, long limitUs) {
-            Node n = known.get(call.node);
+        public void send(Attempt attempt, long limitUs) {
+            Node n = known.get(attempt.node);
             if (n.startedAt != Long.MIN_VALUE) {
                 cold.add(now);
             }
-            n.take(() -> turn(() -> ended(call, Outcome.SATISFIED)));
-            at(now + limitUs, () -> turn(() -> ended(call, Outcome.NO_ANSWER)));
+            n.take(() -> turn(() -> ended(attempt, Outcome.SATISFIED)));
+            at(now + limitUs, () -> turn(() -> ended(attempt, Outcome.NO_ANSWER)));
         }
 
-        private void ended(PartCall call, Outcome how) {
-            if (call.outcome == null) {
-                module.outcome(call, how, now - call.sentAt, -1);
+        private void ended(Attempt attempt, Outcome outcome) {
+            if (attempt.outcome == null) {
+                module.onOutcome(attempt, outcome, now - attempt.sentAtUs, -1);
             }
         }
 
         @Override
-        public void cancel(PartCall call) {
-            at(now, () -> turn(() -> ended(call, Outcome.CANCELLED)));
+        public void cancel(Attempt attempt) {
+            at(now, () -> turn(() -> ended(attempt, Outcome.CANCELLED)));
         }
 
         @Override
-        public void wake(long atUs) {
-            at(atUs, () -> turn(module::timer));
+        public void wakeAt(long atUs) {
+            at(atUs, () -> turn(module::onTimer));
         }
 
         @Override
-        public void release(DataNode node) {
+        public void closeIdleConnections(DataNode node) {
             // There are no connections here.
         }
 
         @Override
-        public void answer(Lookup lk, boolean whole) {
+        public void answer(Lookup lookup, boolean whole) {
             // Nobody waits.
         }
 
         @Override
-        public void nack(Lookup lk, long comeBackUs) {
+        public void reject(Lookup lookup, long comeBackUs) {
             // Nobody waits.
         }
 
         @Override
-        public void abort(Lookup lk) {
+        public void abort(Lookup lookup) {
             // Nobody waits.
         }
 
         @Override
-        public void followList() {
+        public void subscribeToEndpointList() {
             // Lists are pushed here.
         }
     }
 
-    private static Index index() {
-        Index x = new Index();
-        x.softUs = 2_000_000;
-        x.hardUs = 4_000_000;
-        return x;
+    private static LookupClass index() {
+        LookupClass lookupClass = new LookupClass();
+        lookupClass.latencyObjectiveUs = 2_000_000;
+        lookupClass.deadlineUs = 4_000_000;
+        return lookupClass;
     }
 
     /**
@@ -235,7 +235,7 @@
     void theSumOfAllRoutersIsWithinTheBudget(
             int of, int cores, double load, long lateMs, boolean uneven) {
         for (long seed = 1; seed <= 6; seed++) {
-            ColdSumTest play = new ColdSumTest();
+            SlowStartFleetTest play = new SlowStartFleetTest();
             double worst = play.worst(seed, of, COLD_US, cores, load, lateMs, uneven);
             assertTrue(
                     worst <= 0, "seed " + seed + ": " + worst + " too many within one fall time");
@@ -245,7 +245,7 @@
 
     @Test
     void withoutTheGuardTheSumIsFarOverTheBudget() {
-        assertTrue(new ColdSumTest().worst(1, 30, 0, 4, 0.9, 300, false) > 10, "the check bites");
+        assertTrue(new SlowStartFleetTest().worst(1, 30, 0, 4, 0.9, 300, false) > 10, "the check bites");
     }
 
     /** By how many the worst fall time is over its budget and chance. */
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -62,7 +62,7 @@
                 1,
                 new Gateway.PartHandler() {
                     @Override
-                    public void partEnded(OutgoingPart part, Outcome how, long tookUs) {
+                    public void partEnded(OutgoingPart part, Outcome outcome, long tookUs) {
                         throw new IllegalStateException("nothing is passed on here");
                     }
 
