--- a/src/main/java/tinlink/Main.java
+++ b/src/main/java/tinlink/Main.java
@@ -1,13 +1,13 @@
 package tinlink;
 
-import tinlink.simadapter.SimulatorAdapter;
 import tinlink.cli.Commands;
-import tinlink.router.Router;
-import tinlink.config.InvalidInputException;
 import tinlink.config.HangupSignal;
-import tinlink.config.ShutdownSafeLogManager;
+import tinlink.config.InvalidInputException;
 import tinlink.config.PlainLogFormatter;
 import tinlink.config.RouterConfig;
+import tinlink.config.ShutdownSafeLogManager;
+import tinlink.router.Router;
+import tinlink.simadapter.SimulatorAdapter;
 
 import java.io.IOException;
 import java.net.URISyntaxException;
@@ -37,9 +37,11 @@
                 && System.getenv("NODE_PEERS") == null
                 && System.getenv("NODE_WORK") == null;
         switch (command) {
-            case "benchlink" -> System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
+            case "benchlink" ->
+                System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
             case "warm" -> exit(serve(System.getenv(), false));
-            case "serve" -> exit(hasNoOptionalFile ? serve(System.getenv(), true) : runWithLibraries(args));
+            case "serve" ->
+                exit(hasNoOptionalFile ? serve(System.getenv(), true) : runWithLibraries(args));
             default -> exit(runWithLibraries(args));
         }
     }
@@ -62,7 +64,8 @@
                         args); // Not from a jar: whoever started it has them on its class path.
             }
             List<URL> urls = new ArrayList<>(List.of(jar.toUri().toURL()));
-            try (DirectoryStream<Path> jarFiles = Files.newDirectoryStream(libraryFolder, "*.jar")) {
+            try (DirectoryStream<Path> jarFiles =
+                    Files.newDirectoryStream(libraryFolder, "*.jar")) {
                 for (Path jarFile : jarFiles) {
                     urls.add(jarFile.toUri().toURL());
                 }
--- a/src/main/java/tinlink/cli/Commands.java
+++ b/src/main/java/tinlink/cli/Commands.java
@@ -5,14 +5,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+import tinlink.config.InvalidInputException;
 import tinlink.experiment.Emulation;
 import tinlink.experiment.GatewayExperiment;
-import tinlink.experiment.PolicySimulationExperiment;
 import tinlink.experiment.MaintenanceSimulationExperiment;
-import tinlink.experiment.processes.PolicyExperiment;
+import tinlink.experiment.PolicySimulationExperiment;
 import tinlink.experiment.processes.MaintenanceExperiment;
+import tinlink.experiment.processes.PolicyExperiment;
 import tinlink.experiment.scale.SimulatedControlExperiment;
-import tinlink.config.InvalidInputException;
 
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -225,7 +225,9 @@
 
         @Override
         public Integer call() throws Exception {
-            return new PolicySimulationExperiment(seed, routers, schedules, planted, out).run() ? 0 : 1;
+            return new PolicySimulationExperiment(seed, routers, schedules, planted, out).run()
+                    ? 0
+                    : 1;
         }
     }
 
@@ -287,7 +289,9 @@
 
         @Override
         public Integer call() throws Exception {
-            return new MaintenanceSimulationExperiment(seed, routers, schedules, planted, out).run() ? 0 : 1;
+            return new MaintenanceSimulationExperiment(seed, routers, schedules, planted, out).run()
+                    ? 0
+                    : 1;
         }
     }
 
@@ -325,7 +329,9 @@
 
         @Override
         public Integer call() throws Exception {
-            return new MaintenanceExperiment(seed, routers, nodes, faults, seconds, file, out).run() ? 0 : 1;
+            return new MaintenanceExperiment(seed, routers, nodes, faults, seconds, file, out).run()
+                    ? 0
+                    : 1;
         }
     }
 }
--- a/src/main/java/tinlink/cli/MaintenanceCommands.java
+++ b/src/main/java/tinlink/cli/MaintenanceCommands.java
@@ -274,7 +274,8 @@
                     case "h" -> 3_600_000;
                     case "d" -> 86_400_000;
                     default ->
-                        throw new InvalidInputException("a time is a number with ms, s, m, h or d: " + time);
+                        throw new InvalidInputException(
+                                "a time is a number with ms, s, m, h or d: " + time);
                 };
         try {
             return Math.max(1, Math.round(Double.parseDouble(number) * unit));
--- a/src/main/java/tinlink/cli/PolicyCommands.java
+++ b/src/main/java/tinlink/cli/PolicyCommands.java
@@ -8,9 +8,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-import tinlink.policy.ProposalTerms;
 import tinlink.config.PolicyDocument;
 import tinlink.config.RouterConfig;
+import tinlink.policy.ProposalTerms;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -232,7 +232,9 @@
 
     private int other(ControlClient.Response s) {
         printResult(s, 0);
-        return s.mayBeRepeated() || s.status() == 404 ? NOT_SETTLED : s.status() == 400 ? 2 : REFUSED;
+        return s.mayBeRepeated() || s.status() == 404
+                ? NOT_SETTLED
+                : s.status() == 400 ? 2 : REFUSED;
     }
 
     private int printResult(ControlClient.Response s, int status) {
--- a/src/main/java/tinlink/cli/ScaleCommand.java
+++ b/src/main/java/tinlink/cli/ScaleCommand.java
@@ -47,7 +47,9 @@
     @Override
     public Integer call() throws Exception {
         int hollowRouters = hollow == null ? routers - REAL : hollow;
-        return new ControlScaleExperiment(seed, routers, hollowRouters, nodes, nodeSizes, notes, out).run()
+        return new ControlScaleExperiment(
+                                seed, routers, hollowRouters, nodes, nodeSizes, notes, out)
+                        .run()
                 ? 0
                 : 1;
     }
--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -2,17 +2,17 @@
 
 import io.microraft.model.message.RaftMessage;
 
-import tinlink.net.MessageRejectedException;
-import tinlink.net.Counters;
-import tinlink.net.EventLoop;
-import tinlink.net.Network;
-import tinlink.cluster.membership.VoterAdmission;
-import tinlink.cluster.membership.RecoveryFloor;
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.Membership;
+import tinlink.cluster.membership.RecoveryFloor;
 import tinlink.cluster.membership.Rumor;
+import tinlink.cluster.membership.VoterAdmission;
 import tinlink.cluster.membership.VoterReplacement;
+import tinlink.net.Counters;
+import tinlink.net.EventLoop;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.Network;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 
@@ -40,7 +40,11 @@
  * {@link Membership}, {@link VoterAdmission} and {@link RaftReplica}. All state belongs to the loop's thread;
  * the agreement has one of its own, for its disk blocks. Nothing that serves waits for any of it.
  */
-public final class ClusterNode implements Membership.Handler, PeerConnections.MessageHandler, RaftReplica.Listener, EventLoop.EventLoopParticipant {
+public final class ClusterNode
+        implements Membership.Handler,
+                PeerConnections.MessageHandler,
+                RaftReplica.Listener,
+                EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
 
     /**
@@ -48,7 +52,11 @@
      *
      * @param advertisedAddress where others reach us
      */
-    public record LocalRouter(String cluster, String router, InetSocketAddress listenAddress, String advertisedAddress) {}
+    public record LocalRouter(
+            String cluster,
+            String router,
+            InetSocketAddress listenAddress,
+            String advertisedAddress) {}
 
     /**
      * The other routers, as configured.
@@ -63,7 +71,12 @@
      *
      * @param librarySecondUs one beat of the agreement; a leader is missed after four of them
      */
-    public record Timing(long probeIntervalUs, int indirectProbes, long librarySecondUs, long handshakeTimeoutUs, long idleTimeoutUs) {}
+    public record Timing(
+            long probeIntervalUs,
+            int indirectProbes,
+            long librarySecondUs,
+            long handshakeTimeoutUs,
+            long idleTimeoutUs) {}
 
     /**
      * @param maxRouters routers that are known
@@ -71,10 +84,18 @@
      * @param maxDiskBytes of the log
      * @param snapshotIntervalLines between two snapshots
      */
-    public record Limits(int maxRouters, int maxUnauthenticatedConnections, long maxDiskBytes, int snapshotIntervalLines) {
+    public record Limits(
+            int maxRouters,
+            int maxUnauthenticatedConnections,
+            long maxDiskBytes,
+            int snapshotIntervalLines) {
         /** With as many strangers as where nothing is stated. */
         public Limits(int maxRouters, long maxDiskBytes, int snapshotIntervalLines) {
-            this(maxRouters, PeerConnections.MAX_UNAUTHENTICATED_CONNECTIONS, maxDiskBytes, snapshotIntervalLines);
+            this(
+                    maxRouters,
+                    PeerConnections.MAX_UNAUTHENTICATED_CONNECTIONS,
+                    maxDiskBytes,
+                    snapshotIntervalLines);
         }
     }
 
@@ -190,19 +211,26 @@
                 localRouter.cluster(),
                 identity.incarnation,
                 keys,
-                new PeerConnections.Timeouts(timing.handshakeTimeoutUs(), timing.idleTimeoutUs(), timing.probeIntervalUs() / 2),
-                new PeerConnections.Limits(limits.maxRouters(), limits.maxUnauthenticatedConnections()),
+                new PeerConnections.Timeouts(
+                        timing.handshakeTimeoutUs(),
+                        timing.idleTimeoutUs(),
+                        timing.probeIntervalUs() / 2),
+                new PeerConnections.Limits(
+                        limits.maxRouters(), limits.maxUnauthenticatedConnections()),
                 this);
         counters = connections.counters();
         connections.listen(localRouter.listenAddress());
-        String at = localRouter.advertisedAddress().isEmpty() ? "127.0.0.1:" + connections.address().getPort() : localRouter.advertisedAddress();
+        String at = localRouter.advertisedAddress().isEmpty()
+                ? "127.0.0.1:" + connections.address().getPort()
+                : localRouter.advertisedAddress();
         membership = new Membership(
                 identity.incarnation,
                 withRouterName(localRouter.router(), at),
                 knownRouters.addresses().entrySet().stream()
                         .map(e -> withRouterName(e.getKey(), e.getValue()))
                         .toList(),
-                new Membership.Settings(timing.probeIntervalUs(), timing.indirectProbes(), limits.maxRouters()),
+                new Membership.Settings(
+                        timing.probeIntervalUs(), timing.indirectProbes(), limits.maxRouters()),
                 random.split());
     }
 
@@ -216,7 +244,8 @@
 
     private String address(String at) {
         int separator = at.lastIndexOf('@');
-        return knownRouters.addresses()
+        return knownRouters
+                .addresses()
                 .getOrDefault(at.substring(0, Math.max(0, separator)), at.substring(separator + 1));
     }
 
@@ -228,7 +257,8 @@
 
     /** From now on it looks for others and takes its part in agreeing. */
     public void start() {
-        boolean isInitialVoter = knownRouters.initialVoters().contains(localRouter.router()) && !identity.replacesLostDisk();
+        boolean isInitialVoter = knownRouters.initialVoters().contains(localRouter.router())
+                && !identity.replacesLostDisk();
         localVoter = stateStore.localVoter() != null
                 ? stateStore.localVoter()
                 : new Voter(localRouter.router(), isInitialVoter ? 0 : identity.diskId);
@@ -262,7 +292,11 @@
                 voterStateMachine,
                 this,
                 new RaftReplica.Environment(
-                        raftExecutor, raftExecutor, new Random(random.nextLong()), this::sendRaft, v -> true),
+                        raftExecutor,
+                        raftExecutor,
+                        new Random(random.nextLong()),
+                        this::sendRaft,
+                        v -> true),
                 limits.snapshotIntervalLines());
         if (grantedAdmission != null) {
             raft.setFloor(grantedAdmission.floor());
@@ -355,8 +389,12 @@
             // what
             // those know who are there now.
             if (leader.isEmpty() && !raft.hasReachedFloor()) {
-                grantedAdmission.votersToAsk()
-                        .forEach(r -> word(r, ADMISSION_REQUEST, new MessageCodec.Builder().putText(localVoter.toString())));
+                grantedAdmission
+                        .votersToAsk()
+                        .forEach(r -> word(
+                                r,
+                                ADMISSION_REQUEST,
+                                new MessageCodec.Builder().putText(localVoter.toString())));
             }
             raft.setFloor(grantedAdmission.floor());
         }
@@ -398,11 +436,13 @@
             changeInProgress = false;
             return;
         }
-        lastPresentUs.values().removeIf(at -> loop.nowUs() - at > PRESENCE_TIMEOUT_SECONDS * timing.librarySecondUs());
+        lastPresentUs
+                .values()
+                .removeIf(at ->
+                        loop.nowUs() - at > PRESENCE_TIMEOUT_SECONDS * timing.librarySecondUs());
         presentDisks.keySet().retainAll(lastPresentUs.keySet());
         Map<String, String> voters = new TreeMap<>();
-        raft
-                .committedMembers()
+        raft.committedMembers()
                 .getMembers()
                 .forEach(m ->
                         voters.put(((Voter) m).router(), Long.toHexString(((Voter) m).diskId())));
@@ -411,14 +451,20 @@
                 .removeIf(r -> !voters.containsKey(r)
                         && !knownRouters.initialVoters().contains(r)
                         && !operatorReplacements.containsValue(r));
-        operatorReplacements.keySet()
+        operatorReplacements
+                .keySet()
                 .removeIf(r -> !voters.containsKey(r)
                         && voters.size() >= knownRouters.initialVoters().size());
         VoterReplacement.Change next = changeInProgress
                 ? null
-                : VoterReplacement.nextChange(voters, eligible, operatorReplacements, knownRouters.initialVoters().size());
+                : VoterReplacement.nextChange(
+                        voters,
+                        eligible,
+                        operatorReplacements,
+                        knownRouters.initialVoters().size());
         if (next != null
-                && !Voter.parse(next.removed() == null ? next.added() : next.removed()).equals(localVoter)) {
+                && !Voter.parse(next.removed() == null ? next.added() : next.removed())
+                        .equals(localVoter)) {
             changeInProgress = true;
             Voter voter = Voter.parse(next.removed() == null ? next.added() : next.removed());
             LOG.log(Level.WARNING, "event=voter_change {0}={1}", new Object[] {
@@ -429,7 +475,8 @@
                     next.removed() == null,
                     (reply, e) -> loop.execute(() -> {
                         changeInProgress = false;
-                        counters.increment(e == null ? "peers_seats_changed" : "peers_seats_not_changed");
+                        counters.increment(
+                                e == null ? "peers_seats_changed" : "peers_seats_not_changed");
                     }));
         }
     }
@@ -504,7 +551,8 @@
     }
 
     private void requestLearn() {
-        List<String> all = new ArrayList<>(without(knownRouters.initialVoters(), localRouter.router()));
+        List<String> all =
+                new ArrayList<>(without(knownRouters.initialVoters(), localRouter.router()));
         if (!all.isEmpty()) {
             word(
                     all.get(random.nextInt(all.size())),
@@ -521,8 +569,8 @@
         if (isLeader()) {
             raft.propose(
                     line,
-                    (reply, e) ->
-                            loop.execute(() -> onResult.accept(reply, e == null ? null : e.toString())));
+                    (reply, e) -> loop.execute(
+                            () -> onResult.accept(reply, e == null ? null : e.toString())));
             return;
         }
         if (leader.isEmpty()) {
@@ -597,12 +645,18 @@
             connections.send(
                     at,
                     PeerProtocol.NODE,
-                    new MessageCodec.Builder().putByte(kind).putText(localRouter.router()).putBytes(b).build());
+                    new MessageCodec.Builder()
+                            .putByte(kind)
+                            .putText(localRouter.router())
+                            .putBytes(b)
+                            .build());
         }
     }
 
-    private void sendMembershipMessage(String at, int kind, long number, String target, List<Rumor> rumors) {
-        MessageCodec.Builder o = new MessageCodec.Builder().putByte(kind).putLong(number).putText(target);
+    private void sendMembershipMessage(
+            String at, int kind, long number, String target, List<Rumor> rumors) {
+        MessageCodec.Builder o =
+                new MessageCodec.Builder().putByte(kind).putLong(number).putText(target);
         PeerProtocol.rumors(o, rumors);
         connections.send(address(at), PeerProtocol.MEMBERSHIP, o.build());
     }
@@ -629,9 +683,15 @@
 
     @Override
     public void onMemberChanged(Member m) {
-        LOG.log(Level.INFO, "event=member_changed router={0} incarnation={1} state={2}{3}", new Object[] {
-            m.router(), m.incarnation(), m.state(), m.duplicate() == null ? "" : " twin=" + m.duplicate()
-        });
+        LOG.log(
+                Level.INFO,
+                "event=member_changed router={0} incarnation={1} state={2}{3}",
+                new Object[] {
+                    m.router(),
+                    m.incarnation(),
+                    m.state(),
+                    m.duplicate() == null ? "" : " twin=" + m.duplicate()
+                });
         counters.increment("peers_" + m.state().name().toLowerCase(java.util.Locale.ROOT));
     }
 
@@ -653,7 +713,8 @@
     // ---- Words of others. ----
 
     @Override
-    public void onMessage(Incarnation from, byte type, ByteBuffer in) throws MessageRejectedException {
+    public void onMessage(Incarnation from, byte type, ByteBuffer in)
+            throws MessageRejectedException {
         switch (type) {
             case PeerProtocol.MEMBERSHIP -> onMembershipMessage(in);
             case PeerProtocol.RAFT -> onRaftMessage(in);
@@ -690,7 +751,10 @@
                 connections.send(
                         at,
                         PeerProtocol.RAFT,
-                        new MessageCodec.Builder().putText(to.toString()).putBytes(b).build());
+                        new MessageCodec.Builder()
+                                .putText(to.toString())
+                                .putBytes(b)
+                                .build());
             }
         });
     }
@@ -760,7 +824,10 @@
                     word(
                             router,
                             PROPOSED,
-                            new MessageCodec.Builder().putLong(n).putByte(0).putLongText("it does not lead"));
+                            new MessageCodec.Builder()
+                                    .putLong(n)
+                                    .putByte(0)
+                                    .putLongText("it does not lead"));
                     return;
                 }
                 raft.propose(
@@ -772,7 +839,9 @@
                                         .putLong(n)
                                         .putByte(e == null ? 1 : 0)
                                         .putLongText(
-                                                e == null ? String.valueOf(reply) : e.toString()))));
+                                                e == null
+                                                        ? String.valueOf(reply)
+                                                        : e.toString()))));
             }
             case PROPOSED -> {
                 BiConsumer<String, String> onResult = pendingProposals.remove(in.getLong());
@@ -789,7 +858,10 @@
                 if (m != null) {
                     // Whom we know besides the one who asks, if there is another.
                     PeerProtocol.incarnation(
-                            o, m.duplicate() != null && m.incarnation().equals(from) ? m.duplicate() : m.incarnation());
+                            o,
+                            m.duplicate() != null && m.incarnation().equals(from)
+                                    ? m.duplicate()
+                                    : m.incarnation());
                 }
                 o.putByte(r == null ? 0 : 1);
                 if (r != null) {
@@ -801,9 +873,11 @@
             }
             case ADMISSION_RESPONSE -> {
                 Incarnation knownIncarnation = in.get() == 0 ? null : PeerProtocol.incarnation(in);
-                VoterAdmission.LogPosition r =
-                        in.get() == 0 ? null : new VoterAdmission.LogPosition(in.getInt(), in.getLong());
-                RecoveryFloor voterPosition = new RecoveryFloor(in.getInt(), in.getInt(), in.getLong());
+                VoterAdmission.LogPosition r = in.get() == 0
+                        ? null
+                        : new VoterAdmission.LogPosition(in.getInt(), in.getLong());
+                RecoveryFloor voterPosition =
+                        new RecoveryFloor(in.getInt(), in.getInt(), in.getLong());
                 VoterAdmission e = voterAdmission != null ? voterAdmission : grantedAdmission;
                 if (e != null) {
                     e.answered(router, knownIncarnation, r, voterPosition, loop.nowUs());
@@ -814,7 +888,10 @@
                 if (isLeader()) {
                     raft.confirmCommitIndex((index, e) -> loop.execute(() -> {
                         if (e == null) {
-                            word(router, CONFIRM_RESPONSE, new MessageCodec.Builder().putLong(n).putLong(index));
+                            word(
+                                    router,
+                                    CONFIRM_RESPONSE,
+                                    new MessageCodec.Builder().putLong(n).putLong(index));
                         }
                     }));
                 }
--- a/src/main/java/tinlink/cluster/CompositeStateMachine.java
+++ b/src/main/java/tinlink/cluster/CompositeStateMachine.java
@@ -15,7 +15,9 @@
     private final Map<String, ReplicatedStateMachine> byPrefix;
 
     /** @param defaultStateMachine has all lines whose first word is none of the others' */
-    public CompositeStateMachine(ReplicatedStateMachine defaultStateMachine, Map<String, ReplicatedStateMachine> byPrefix) {
+    public CompositeStateMachine(
+            ReplicatedStateMachine defaultStateMachine,
+            Map<String, ReplicatedStateMachine> byPrefix) {
         this.defaultStateMachine = defaultStateMachine;
         this.byPrefix = new TreeMap<>(byPrefix);
     }
@@ -41,7 +43,8 @@
     public void restore(List<String> lines) {
         Map<ReplicatedStateMachine, List<String>> linesByStateMachine = new LinkedHashMap<>();
         linesByStateMachine.put(defaultStateMachine, new ArrayList<>());
-        byPrefix.values().forEach(stateMachine -> linesByStateMachine.put(stateMachine, new ArrayList<>()));
+        byPrefix.values()
+                .forEach(stateMachine -> linesByStateMachine.put(stateMachine, new ArrayList<>()));
         lines.forEach(line -> linesByStateMachine.get(stateMachineFor(line)).add(line));
         linesByStateMachine.forEach(ReplicatedStateMachine::restore);
     }
--- a/src/main/java/tinlink/cluster/DiskRecordLog.java
+++ b/src/main/java/tinlink/cluster/DiskRecordLog.java
@@ -15,7 +15,8 @@
 
     /** As it was found. */
     RaftStateStore openStateStore() throws IOException {
-        RaftStateStore stateStore = new RaftStateStore(this, durableLog.snapshot(), durableLog.records());
+        RaftStateStore stateStore =
+                new RaftStateStore(this, durableLog.snapshot(), durableLog.records());
         durableLog.releaseRecovered();
         return stateStore;
     }
--- a/src/main/java/tinlink/cluster/LearnerLog.java
+++ b/src/main/java/tinlink/cluster/LearnerLog.java
@@ -69,7 +69,9 @@
             return new Batch(index, true, stateMachine.snapshot());
         }
         List<String> texts = new ArrayList<>();
-        lines.stream().filter(logLine -> logLine.index() > learnedIndex).forEach(logLine -> texts.add(logLine.text()));
+        lines.stream()
+                .filter(logLine -> logLine.index() > learnedIndex)
+                .forEach(logLine -> texts.add(logLine.text()));
         return new Batch(index, false, texts);
     }
 
--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/PeerConnections.java
@@ -1,12 +1,12 @@
 package tinlink.cluster;
 
-import tinlink.net.MessageRejectedException;
-import tinlink.net.Counters;
+import tinlink.cluster.membership.Incarnation;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.Counters;
 import tinlink.net.EventLoop;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
-import tinlink.cluster.membership.Incarnation;
 import tinlink.securechannel.KeyRing;
 
 import java.io.IOException;
@@ -57,7 +57,8 @@
          *
          * @param sender proved by its key; that it is the one router of that name is not
          */
-        void onMessage(Incarnation sender, byte type, ByteBuffer body) throws MessageRejectedException;
+        void onMessage(Incarnation sender, byte type, ByteBuffer body)
+                throws MessageRejectedException;
     }
 
     @SuppressWarnings(
@@ -133,7 +134,9 @@
 
     /** Open at the moment: called, calling, and those that have not proved themselves yet. */
     public int connectionCount() {
-        int outbound = (int) destinations.values().stream().filter(destination -> destination.session != null).count();
+        int outbound = (int) destinations.values().stream()
+                .filter(destination -> destination.session != null)
+                .count();
         return outbound + inboundSessions.size() + unauthenticatedConnections.size();
     }
 
@@ -174,7 +177,8 @@
         }
         destination.queue.add(new QueuedMessage(type, body));
         destination.queuedBytes += body.length;
-        while (destination.queue.size() > MAX_QUEUED_MESSAGES || destination.queuedBytes > MAX_QUEUED_BYTES) {
+        while (destination.queue.size() > MAX_QUEUED_MESSAGES
+                || destination.queuedBytes > MAX_QUEUED_BYTES) {
             destination.queuedBytes -= destination.queue.poll().body().length;
             counters.increment("peers_not_sent");
         }
@@ -228,7 +232,8 @@
 
     private void closeIdleSessions() {
         for (Destination destination : Set.copyOf(destinations.values())) {
-            if (destination.isUp && loop.nowUs() - destination.session.lastUsedUs > timeouts.idleUs()) {
+            if (destination.isUp
+                    && loop.nowUs() - destination.session.lastUsedUs > timeouts.idleUs()) {
                 destination.session.close(CloseReason.IDLE);
             }
         }
@@ -263,7 +268,8 @@
             connectionFailed(destination);
             destination.retryAtUs = wasUp
                     ? 0
-                    : destination.retryAtUs; // It was there a moment ago: called again as there is need.
+                    : destination
+                            .retryAtUs; // It was there a moment ago: called again as there is need.
         }
     }
 
--- a/src/main/java/tinlink/cluster/PeerProtocol.java
+++ b/src/main/java/tinlink/cluster/PeerProtocol.java
@@ -1,9 +1,9 @@
 package tinlink.cluster;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.cluster.membership.Incarnation;
-import tinlink.cluster.membership.Rumor;
 import tinlink.cluster.membership.MemberState;
+import tinlink.cluster.membership.Rumor;
+import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 
 import java.nio.ByteBuffer;
@@ -34,7 +34,9 @@
     private PeerProtocol() {}
 
     static void incarnation(Builder out, Incarnation incarnation) {
-        out.putText(incarnation.router()).putLong(incarnation.startCount()).putLong(incarnation.nonce());
+        out.putText(incarnation.router())
+                .putLong(incarnation.startCount())
+                .putLong(incarnation.nonce());
     }
 
     static Incarnation incarnation(ByteBuffer in) throws MessageRejectedException {
@@ -50,7 +52,10 @@
         out.putByte(rumors.size());
         for (Rumor rumor : rumors) {
             incarnation(out, rumor.incarnation());
-            out.putLong(rumor.refutationCount()).putByte(rumor.state().ordinal()).putText(rumor.address()).putText(rumor.suspectedBy());
+            out.putLong(rumor.refutationCount())
+                    .putByte(rumor.state().ordinal())
+                    .putText(rumor.address())
+                    .putText(rumor.suspectedBy());
         }
     }
 
@@ -68,7 +73,12 @@
             if (state < 0 || state >= MemberState.values().length) {
                 throw malformed("a standing of " + state);
             }
-            rumors.add(new Rumor(incarnation, refutationCount, MemberState.values()[state], readText(in), readText(in)));
+            rumors.add(new Rumor(
+                    incarnation,
+                    refutationCount,
+                    MemberState.values()[state],
+                    readText(in),
+                    readText(in)));
         }
         return rumors;
     }
--- a/src/main/java/tinlink/cluster/PeerSession.java
+++ b/src/main/java/tinlink/cluster/PeerSession.java
@@ -1,8 +1,8 @@
 package tinlink.cluster;
 
-import tinlink.net.MessageRejectedException;
-import tinlink.net.CloseReason;
 import tinlink.cluster.membership.Incarnation;
+import tinlink.net.CloseReason;
+import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 import tinlink.securechannel.SecureSession;
@@ -34,7 +34,11 @@
     long lastUsedUs;
 
     PeerSession(PeerConnections connections, String dialedAddress) {
-        super(connections.loop, connections.timeouts.handshakeUs(), PeerProtocol.MAX_HANDSHAKE_BYTES, PeerProtocol.MAX_FRAME_BYTES);
+        super(
+                connections.loop,
+                connections.timeouts.handshakeUs(),
+                PeerProtocol.MAX_HANDSHAKE_BYTES,
+                PeerProtocol.MAX_FRAME_BYTES);
         this.connections = connections;
         this.dialedAddress = dialedAddress;
     }
@@ -45,7 +49,10 @@
             return; // Who was called listens first.
         }
         keyId = connections.keys.activeKeyId();
-        MessageCodec.Builder out = new MessageCodec.Builder().putShort(PeerProtocol.VERSION).putText(keyId).putText(connections.cluster);
+        MessageCodec.Builder out = new MessageCodec.Builder()
+                .putShort(PeerProtocol.VERSION)
+                .putText(keyId)
+                .putText(connections.cluster);
         PeerProtocol.incarnation(out, connections.self);
         hello = out.putBytes(connections.nonce()).build();
         send(PeerProtocol.HELLO, hello);
@@ -54,7 +61,11 @@
     @Override
     public long send(byte type, byte[] body) {
         connections.traffic.countSent(
-                type, body, FRAME_HEADER_BYTES + body.length + (wasAuthenticated() ? MessageCodec.TAG_BYTES : 0));
+                type,
+                body,
+                FRAME_HEADER_BYTES
+                        + body.length
+                        + (wasAuthenticated() ? MessageCodec.TAG_BYTES : 0));
         return super.send(type, body);
     }
 
@@ -65,7 +76,8 @@
     }
 
     @Override
-    protected void onMessage(byte type, ByteBuffer in, byte[] whole) throws MessageRejectedException {
+    protected void onMessage(byte type, ByteBuffer in, byte[] whole)
+            throws MessageRejectedException {
         if (isAuthenticated()) {
             if (dialedAddress != null) {
                 throw MessageCodec.malformed("the one who was called speaks");
@@ -93,7 +105,9 @@
                     "another cluster, or a key that is not known here: " + cluster + ", " + keyId);
         }
         hello = Arrays.copyOfRange(whole, 1, in.position());
-        MessageCodec.Builder out = new MessageCodec.Builder().putShort(PeerProtocol.VERSION).putText(connections.cluster);
+        MessageCodec.Builder out = new MessageCodec.Builder()
+                .putShort(PeerProtocol.VERSION)
+                .putText(connections.cluster);
         PeerProtocol.incarnation(out, connections.self);
         challenge = out.putBytes(connections.nonce()).build();
         restartHandshakeDeadline(connections.timeouts.handshakeUs());
@@ -105,7 +119,8 @@
                         .build());
     }
 
-    private void onChallenge(byte type, ByteBuffer in, byte[] whole) throws MessageRejectedException {
+    private void onChallenge(byte type, ByteBuffer in, byte[] whole)
+            throws MessageRejectedException {
         if (type != PeerProtocol.CHALLENGE || in.getShort() != PeerProtocol.VERSION) {
             throw MessageCodec.malformed("no challenge of this version");
         }
@@ -117,7 +132,8 @@
         challenge = Arrays.copyOfRange(whole, 1, signedEnd);
         if (!cluster.equals(connections.cluster)
                 || !connections.keys.contains(keyId)
-                || !KeyRing.constantTimeEquals(proof, connections.keys.proof(keyId, "called proof", hello, challenge))) {
+                || !KeyRing.constantTimeEquals(
+                        proof, connections.keys.proof(keyId, "called proof", hello, challenge))) {
             connections.counters.increment("peers_wrong_proof");
             throw MessageCodec.malformed("a wrong proof");
         }
@@ -144,9 +160,10 @@
 
     @Override
     protected void onClosed(CloseReason reason) {
-        LOG.log(Level.FINE, "event=peer_connection_closed peer={0} dialed={1} reason={2}", new Object[] {
-            peerName(), dialedAddress, reason
-        });
+        LOG.log(
+                Level.FINE,
+                "event=peer_connection_closed peer={0} dialed={1} reason={2}",
+                new Object[] {peerName(), dialedAddress, reason});
         connections.sessionClosed(this);
     }
 
--- a/src/main/java/tinlink/cluster/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/RaftCodec.java
@@ -87,7 +87,9 @@
                     .putLong(response.getQuerySequenceNumber())
                     .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest request) {
-            header(out, 6, request).putInt(request.getLastLogTerm()).putLong(request.getLastLogIndex());
+            header(out, 6, request)
+                    .putInt(request.getLastLogTerm())
+                    .putLong(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
             header(out, 7, response).putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof VoteRequest request) {
@@ -98,14 +100,17 @@
         } else if (message instanceof VoteResponse response) {
             header(out, 9, response).putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof TriggerLeaderElectionRequest request) {
-            header(out, 10, request).putInt(request.getLastLogTerm()).putLong(request.getLastLogIndex());
+            header(out, 10, request)
+                    .putInt(request.getLastLogTerm())
+                    .putLong(request.getLastLogIndex());
         } else {
             throw new IllegalArgumentException("a message of another kind: " + message);
         }
         return out.build();
     }
 
-    private static MessageCodec.Builder header(MessageCodec.Builder out, int type, RaftMessage message) {
+    private static MessageCodec.Builder header(
+            MessageCodec.Builder out, int type, RaftMessage message) {
         return out.putByte(type).putText(message.getSender().toString()).putInt(message.getTerm());
     }
 
@@ -130,7 +135,8 @@
                 for (int i = 0; i < count; i++) {
                     entries.add(entry(in));
                 }
-                yield MODEL_FACTORY.createAppendEntriesRequestBuilder()
+                yield MODEL_FACTORY
+                        .createAppendEntriesRequestBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -143,7 +149,8 @@
                         .build();
             }
             case 2 ->
-                MODEL_FACTORY.createAppendEntriesSuccessResponseBuilder()
+                MODEL_FACTORY
+                        .createAppendEntriesSuccessResponseBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -152,7 +159,8 @@
                         .setFlowControlSequenceNumber(in.getLong())
                         .build();
             case 3 ->
-                MODEL_FACTORY.createAppendEntriesFailureResponseBuilder()
+                MODEL_FACTORY
+                        .createAppendEntriesFailureResponseBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -170,7 +178,8 @@
                 List<RaftEndpoint> members = voters(in);
                 RaftGroupMembersView view = view(in);
                 SnapshotChunk chunk = in.get() == 0 ? null : chunk(in);
-                yield MODEL_FACTORY.createInstallSnapshotRequestBuilder()
+                yield MODEL_FACTORY
+                        .createInstallSnapshotRequestBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -186,7 +195,8 @@
                         .build();
             }
             case 5 ->
-                MODEL_FACTORY.createInstallSnapshotResponseBuilder()
+                MODEL_FACTORY
+                        .createInstallSnapshotResponseBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -196,7 +206,8 @@
                         .setFlowControlSequenceNumber(in.getLong())
                         .build();
             case 6 ->
-                MODEL_FACTORY.createPreVoteRequestBuilder()
+                MODEL_FACTORY
+                        .createPreVoteRequestBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -204,14 +215,16 @@
                         .setLastLogIndex(in.getLong())
                         .build();
             case 7 ->
-                MODEL_FACTORY.createPreVoteResponseBuilder()
+                MODEL_FACTORY
+                        .createPreVoteResponseBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
                         .setGranted(in.get() == 1)
                         .build();
             case 8 ->
-                MODEL_FACTORY.createVoteRequestBuilder()
+                MODEL_FACTORY
+                        .createVoteRequestBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -220,14 +233,16 @@
                         .setSticky(in.get() == 1)
                         .build();
             case 9 ->
-                MODEL_FACTORY.createVoteResponseBuilder()
+                MODEL_FACTORY
+                        .createVoteResponseBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
                         .setGranted(in.get() == 1)
                         .build();
             case 10 ->
-                MODEL_FACTORY.createTriggerLeaderElectionRequestBuilder()
+                MODEL_FACTORY
+                        .createTriggerLeaderElectionRequestBuilder()
                         .setGroupId(GROUP_ID)
                         .setSender(sender)
                         .setTerm(term)
@@ -280,7 +295,8 @@
     static RaftGroupMembersView view(ByteBuffer in) throws MessageRejectedException {
         long index = in.getLong();
         List<RaftEndpoint> members = voters(in);
-        return MODEL_FACTORY.createRaftGroupMembersViewBuilder()
+        return MODEL_FACTORY
+                .createRaftGroupMembersViewBuilder()
                 .setLogIndex(index)
                 .setMembers(members)
                 .setVotingMembers(voters(in))
@@ -295,7 +311,8 @@
     static LogEntry entry(ByteBuffer in) throws MessageRejectedException {
         long index = in.getLong();
         int term = in.getInt();
-        return MODEL_FACTORY.createLogEntryBuilder()
+        return MODEL_FACTORY
+                .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
                 .setOperation(operation(in))
@@ -308,7 +325,8 @@
             out.putByte(1);
             voters(out, update.getMembers());
             voters(out, update.getVotingMembers());
-            out.putText(update.getEndpoint().toString()).putByte(update.getMode().ordinal());
+            out.putText(update.getEndpoint().toString())
+                    .putByte(update.getMode().ordinal());
         } else {
             out.putByte(0).putLongText((String) operation);
         }
@@ -326,7 +344,8 @@
         if (mode < 0 || mode >= MembershipChangeMode.values().length) {
             throw MessageCodec.malformed("a change of kind " + mode);
         }
-        return MODEL_FACTORY.createUpdateRaftGroupMembersOpBuilder()
+        return MODEL_FACTORY
+                .createUpdateRaftGroupMembersOpBuilder()
                 .setMembers(members)
                 .setVotingMembers(voting)
                 .setEndpoint(voter)
@@ -349,7 +368,8 @@
         int chunkIndex = in.getInt();
         int chunkCount = in.getInt();
         RaftGroupMembersView view = view(in);
-        return MODEL_FACTORY.createSnapshotChunkBuilder()
+        return MODEL_FACTORY
+                .createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(term)
                 .setSnapshotChunkIndex(chunkIndex)
--- a/src/main/java/tinlink/cluster/RaftExecutor.java
+++ b/src/main/java/tinlink/cluster/RaftExecutor.java
@@ -49,7 +49,8 @@
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
-            executor.schedule(task, (long) (unit.toMicros(delay) * secondScale), TimeUnit.MICROSECONDS);
+            executor.schedule(
+                    task, (long) (unit.toMicros(delay) * secondScale), TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
             // As above.
         }
--- a/src/main/java/tinlink/cluster/RaftReplica.java
+++ b/src/main/java/tinlink/cluster/RaftReplica.java
@@ -23,8 +23,8 @@
 import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 
-import tinlink.cluster.membership.VoterAdmission;
 import tinlink.cluster.membership.RecoveryFloor;
+import tinlink.cluster.membership.VoterAdmission;
 
 import java.time.Clock;
 import java.time.Duration;
@@ -197,7 +197,8 @@
      */
     public static VoterAdmission.LogPosition confirmedPosition(RaftMessage message) {
         if (message instanceof AppendEntriesSuccessResponse appendResponse) {
-            return new VoterAdmission.LogPosition(message.getTerm(), appendResponse.getLastLogIndex());
+            return new VoterAdmission.LogPosition(
+                    message.getTerm(), appendResponse.getLastLogIndex());
         }
         boolean isPersisted = message instanceof VoteRequest
                 || (message instanceof VoteResponse voteResponse && voteResponse.isGranted())
@@ -248,9 +249,13 @@
      */
     private void countAppendFailures(RaftMessage message) {
         if (message instanceof AppendEntriesFailureResponse failure) {
-            repeatedAppendFailures = failure.getExpectedNextIndex() == failedNextIndex ? repeatedAppendFailures + 1 : 0;
+            repeatedAppendFailures = failure.getExpectedNextIndex() == failedNextIndex
+                    ? repeatedAppendFailures + 1
+                    : 0;
             failedNextIndex = failure.getExpectedNextIndex();
-            if (repeatedAppendFailures >= MAX_REPEATED_APPEND_FAILURES && !restarting && !terminated) {
+            if (repeatedAppendFailures >= MAX_REPEATED_APPEND_FAILURES
+                    && !restarting
+                    && !terminated) {
                 repeatedAppendFailures = 0;
                 RaftNode current = node;
                 environment.executor().submit(() -> restart(current));
@@ -261,8 +266,8 @@
     }
 
     private boolean isStuck(RaftNodeReport report) {
-        long silentMs =
-                environment.clock().millis() - report.getLeaderHeartbeatTimestamp().orElse(Long.MAX_VALUE);
+        long silentMs = environment.clock().millis()
+                - report.getLeaderHeartbeatTimestamp().orElse(Long.MAX_VALUE);
         return report.getRole() != RaftRole.LEADER
                 && report.getTerm().getLeaderEndpoint() != null
                 && silentMs > STUCK_AFTER_TIMEOUTS * 1000L * HEARTBEAT_TIMEOUT_S;
@@ -278,7 +283,8 @@
         restarting = true;
         current.terminate().whenComplete((result, failure) -> {
             if (!terminated) {
-                stateMachine.restore(List.of()); // What is kept is played through from its beginning.
+                stateMachine.restore(
+                        List.of()); // What is kept is played through from its beginning.
                 node = createNode.get();
                 restarting = false;
                 node.start();
@@ -299,16 +305,21 @@
 
     /** It asks nobody for a vote before it is as far as others were. */
     private boolean maySend(RaftMessage message) {
-        return !(message instanceof PreVoteRequest || message instanceof VoteRequest) || hasReachedFloor();
+        return !(message instanceof PreVoteRequest || message instanceof VoteRequest)
+                || hasReachedFloor();
     }
 
     /** From any thread. */
     public void receive(RaftMessage message) {
         RecoveryFloor currentFloor = floor;
         boolean isAllowed = message instanceof VoteRequest voteRequest
-                ? currentFloor.mayGrant(voteRequest.getTerm(), voteRequest.getLastLogTerm(), voteRequest.getLastLogIndex())
+                ? currentFloor.mayGrant(
+                        voteRequest.getTerm(),
+                        voteRequest.getLastLogTerm(),
+                        voteRequest.getLastLogIndex())
                 : message instanceof PreVoteRequest preVoteRequest
-                        ? currentFloor.mayAnswerPreVote(preVoteRequest.getLastLogTerm(), preVoteRequest.getLastLogIndex())
+                        ? currentFloor.mayAnswerPreVote(
+                                preVoteRequest.getLastLogTerm(), preVoteRequest.getLastLogIndex())
                         : !(message instanceof AppendEntriesRequest
                                         || message instanceof InstallSnapshotRequest)
                                 || currentFloor.mayFollow(message.getTerm());
@@ -326,7 +337,8 @@
     @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
     public void propose(String line, BiConsumer<String, Throwable> onResult) {
         node.<String>replicate(line)
-                .whenComplete((result, failure) -> onResult.accept(result == null ? null : result.getResult(), failure));
+                .whenComplete((result, failure) ->
+                        onResult.accept(result == null ? null : result.getResult(), failure));
     }
 
     /**
@@ -335,7 +347,8 @@
     @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
     public void confirmCommitIndex(BiConsumer<Long, Throwable> onResult) {
         node.query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.<Duration>empty())
-                .whenComplete((result, failure) -> onResult.accept(result == null ? null : result.getCommitIndex(), failure));
+                .whenComplete((result, failure) ->
+                        onResult.accept(result == null ? null : result.getCommitIndex(), failure));
     }
 
     /** Null where none is known. */
@@ -362,13 +375,15 @@
 
     /** One change at a time; on the leader. */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
-    public void changeMembership(Voter voter, boolean adding, BiConsumer<String, Throwable> onResult) {
+    public void changeMembership(
+            Voter voter, boolean adding, BiConsumer<String, Throwable> onResult) {
         node.changeMembership(
                         voter,
                         adding
                                 ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
                                 : MembershipChangeMode.REMOVE_MEMBER,
                         committedMembers().getLogIndex())
-                .whenComplete((result, failure) -> onResult.accept(result == null ? null : "", failure));
+                .whenComplete(
+                        (result, failure) -> onResult.accept(result == null ? null : "", failure));
     }
 }
--- a/src/main/java/tinlink/cluster/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/RaftStateStore.java
@@ -10,8 +10,8 @@
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.cluster.membership.RecoveryFloor;
+import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 
 import java.io.IOException;
@@ -60,7 +60,8 @@
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
     /** @param state as {@link RecordLog#compactTo} last had it; null for none */
-    public RaftStateStore(RecordLog recordLog, byte[] state, List<byte[]> recordsSince) throws IOException {
+    public RaftStateStore(RecordLog recordLog, byte[] state, List<byte[]> recordsSince)
+            throws IOException {
         this.recordLog = recordLog;
         try {
             if (state != null) {
@@ -202,7 +203,8 @@
     }
 
     @Override
-    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState localEndpoint) throws IOException {
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState localEndpoint)
+            throws IOException {
         persist(endpoint(localEndpoint));
         recordLog.sync();
     }
@@ -233,9 +235,13 @@
     }
 
     private static MessageCodec.Builder term(RaftTermPersistentState newTerm) {
-        MessageCodec.Builder out =
-                new MessageCodec.Builder().putByte(TERM).putInt(newTerm.getTerm()).putByte(newTerm.getVotedFor() == null ? 0 : 1);
-        return newTerm.getVotedFor() == null ? out : out.putText(newTerm.getVotedFor().toString());
+        MessageCodec.Builder out = new MessageCodec.Builder()
+                .putByte(TERM)
+                .putInt(newTerm.getTerm())
+                .putByte(newTerm.getVotedFor() == null ? 0 : 1);
+        return newTerm.getVotedFor() == null
+                ? out
+                : out.putText(newTerm.getVotedFor().toString());
     }
 
     @Override
@@ -244,7 +250,8 @@
     }
 
     private static MessageCodec.Builder entries(List<LogEntry> entries) {
-        MessageCodec.Builder out = new MessageCodec.Builder().putByte(ENTRIES).putInt(entries.size());
+        MessageCodec.Builder out =
+                new MessageCodec.Builder().putByte(ENTRIES).putInt(entries.size());
         entries.forEach(entry -> RaftCodec.entry(out, entry));
         return out;
     }
@@ -278,7 +285,8 @@
         if (term != null) {
             appendPart(state, term(term));
         }
-        chunks.values().forEach(batch -> batch.values().forEach(chunk -> appendPart(state, chunk(chunk))));
+        chunks.values()
+                .forEach(batch -> batch.values().forEach(chunk -> appendPart(state, chunk(chunk))));
         List<LogEntry> batch = new ArrayList<>();
         long chars = 0;
         for (Iterator<LogEntry> iterator = log.values().iterator(); iterator.hasNext(); ) {
--- a/src/main/java/tinlink/cluster/Voter.java
+++ b/src/main/java/tinlink/cluster/Voter.java
@@ -31,7 +31,9 @@
         if (separator < 1) {
             throw new IllegalArgumentException("no voter: " + text);
         }
-        return new Voter(text.substring(0, separator), Long.parseUnsignedLong(text.substring(separator + 1), 16));
+        return new Voter(
+                text.substring(0, separator),
+                Long.parseUnsignedLong(text.substring(separator + 1), 16));
     }
 
     @Override
--- a/src/main/java/tinlink/cluster/membership/LineCodec.java
+++ b/src/main/java/tinlink/cluster/membership/LineCodec.java
@@ -41,7 +41,10 @@
                 field.setLength(0);
             } else if (c == '\\' && i + 1 < line.length()) {
                 char escaped = line.charAt(++i);
-                field.append(escaped == 't' ? '\t' : escaped == 'n' ? '\n' : escaped == 'r' ? '\r' : escaped);
+                field.append(
+                        escaped == 't'
+                                ? '\t'
+                                : escaped == 'n' ? '\n' : escaped == 'r' ? '\r' : escaped);
             } else {
                 field.append(c);
             }
--- a/src/main/java/tinlink/cluster/membership/Member.java
+++ b/src/main/java/tinlink/cluster/membership/Member.java
@@ -19,7 +19,12 @@
     /** Two processes say that they are this start of this router; said once for each pair. */
     Incarnation duplicate;
 
-    Member(Incarnation incarnation, long refutationCount, MemberState state, String address, long stateSinceUs) {
+    Member(
+            Incarnation incarnation,
+            long refutationCount,
+            MemberState state,
+            String address,
+            long stateSinceUs) {
         this.incarnation = incarnation;
         this.refutationCount = refutationCount;
         this.state = state;
--- a/src/main/java/tinlink/cluster/membership/Membership.java
+++ b/src/main/java/tinlink/cluster/membership/Membership.java
@@ -71,7 +71,8 @@
         void sendAck(String address, long sequenceNumber, List<Rumor> rumors);
 
         /** Asks the first to probe the second. */
-        void sendProbeRequest(String address, long sequenceNumber, String target, List<Rumor> rumors);
+        void sendProbeRequest(
+                String address, long sequenceNumber, String target, List<Rumor> rumors);
 
         /** It was asked to probe another one, which is silent; so the helper at least is heard. */
         void sendNack(String address, long sequenceNumber, List<Rumor> rumors);
@@ -94,7 +95,12 @@
         boolean indirectSent;
         int missingNacks;
 
-        Probe(Member target, String address, long sequenceNumber, long indirectAtUs, long deadlineUs) {
+        Probe(
+                Member target,
+                String address,
+                long sequenceNumber,
+                long indirectAtUs,
+                long deadlineUs) {
             this.target = target;
             this.address = address;
             this.sequenceNumber = sequenceNumber;
@@ -159,7 +165,11 @@
 
     /** @param seeds addresses of some routers to begin with; this one's own may be among them */
     public Membership(
-            Incarnation self, String selfAddress, List<String> seeds, Settings settings, SplittableRandom random) {
+            Incarnation self,
+            String selfAddress,
+            List<String> seeds,
+            Settings settings,
+            SplittableRandom random) {
         this.self = self;
         this.selfAddress = selfAddress;
         this.seeds = seeds.stream().filter(seed -> !seed.equals(selfAddress)).toList();
@@ -190,7 +200,12 @@
     }
 
     public Rumor self() {
-        return new Rumor(self, refutationCount, leaving ? MemberState.LEFT : MemberState.ALIVE, selfAddress, "");
+        return new Rumor(
+                self,
+                refutationCount,
+                leaving ? MemberState.LEFT : MemberState.ALIVE,
+                selfAddress,
+                "");
     }
 
     private int logClusterSize() {
@@ -214,7 +229,12 @@
     public void onProbeRequest(String requester, long requesterSequenceNumber, String target) {
         if (indirectProbes.size() < settings.maxMembers()) {
             long sequenceNumber = ++lastSequenceNumber;
-            indirectProbes.put(sequenceNumber, new IndirectProbe(requester, requesterSequenceNumber, clockUs + settings.probeIntervalUs() / 2));
+            indirectProbes.put(
+                    sequenceNumber,
+                    new IndirectProbe(
+                            requester,
+                            requesterSequenceNumber,
+                            clockUs + settings.probeIntervalUs() / 2));
             enqueue(new OutgoingMessage(PROBE, target, sequenceNumber, null));
         }
     }
@@ -222,7 +242,8 @@
     public void onAck(long sequenceNumber) {
         IndirectProbe indirectProbe = indirectProbes.remove(sequenceNumber);
         if (indirectProbe != null) {
-            enqueue(new OutgoingMessage(ACK, indirectProbe.requester(), indirectProbe.requesterSequenceNumber(), null));
+            enqueue(new OutgoingMessage(
+                    ACK, indirectProbe.requester(), indirectProbe.requesterSequenceNumber(), null));
             return;
         }
         Probe probe = pendingProbes.remove(sequenceNumber);
@@ -258,7 +279,12 @@
         Member member = members.get(rumor.incarnation().router());
         if (member == null) {
             if (rumor.state().isServing() && ensureCapacity()) {
-                Member newMember = new Member(rumor.incarnation(), rumor.refutationCount(), rumor.state(), rumor.address(), clockUs);
+                Member newMember = new Member(
+                        rumor.incarnation(),
+                        rumor.refutationCount(),
+                        rumor.state(),
+                        rumor.address(),
+                        clockUs);
                 members.put(newMember.router(), newMember);
                 recordSuspicion(newMember, rumor);
                 disseminate(newMember.rumor(rumor.suspectedBy()));
@@ -277,9 +303,12 @@
                 boolean supersedes = rumor.refutationCount() > member.refutationCount
                         || (rumor.refutationCount() == member.refutationCount
                                 && rumor.state().compareTo(member.state) > 0);
-                // Danger: a dead incarnation stays dead; what returns says a higher refutation count of its
+                // Danger: a dead incarnation stays dead; what returns says a higher refutation
+                // count of its
                 // own.
-                if (supersedes && (member.state != MemberState.LEFT || rumor.refutationCount() > member.refutationCount)) {
+                if (supersedes
+                        && (member.state != MemberState.LEFT
+                                || rumor.refutationCount() > member.refutationCount)) {
                     applyRumor(member, rumor);
                 } else if (rumor.refutationCount() == member.refutationCount
                         && rumor.state() == MemberState.SUSPECT
@@ -297,7 +326,8 @@
                 }
             }
             default -> {
-                // An earlier incarnation: what is said of it is over. The one that says so is told what is
+                // An earlier incarnation: what is said of it is over. The one that says so is told
+                // what is
                 // held.
                 disseminate(member.rumor(""));
             }
@@ -349,10 +379,13 @@
             disseminate(self());
             return;
         }
-        if (rumor.state() != MemberState.ALIVE && rumor.refutationCount() >= refutationCount && !leaving) {
+        if (rumor.state() != MemberState.ALIVE
+                && rumor.refutationCount() >= refutationCount
+                && !leaving) {
             refutationCount = rumor.refutationCount() + 1;
             // Somebody found this router silent: it may be slow itself.
-            localHealthMultiplier = Math.min(MAX_LOCAL_HEALTH_MULTIPLIER, localHealthMultiplier + 1);
+            localHealthMultiplier =
+                    Math.min(MAX_LOCAL_HEALTH_MULTIPLIER, localHealthMultiplier + 1);
             disseminate(self());
         } else if (rumor.refutationCount() > refutationCount) {
             refutationCount = rumor.refutationCount() + 1;
@@ -367,7 +400,8 @@
         disseminate(self());
         int notified = 0;
         for (Member member : members.values()) {
-            if (member.state.isServing() && notified++ < settings.indirectProbes() + logClusterSize()) {
+            if (member.state.isServing()
+                    && notified++ < settings.indirectProbes() + logClusterSize()) {
                 enqueue(new OutgoingMessage(PROBE, member.address, ++lastSequenceNumber, null));
             }
         }
@@ -420,7 +454,9 @@
             dueUs = Math.min(dueUs, probe.indirectSent ? probe.deadlineUs : probe.indirectAtUs);
         }
         for (Member member : members.values()) {
-            dueUs = member.state == MemberState.ALIVE ? dueUs : Math.min(dueUs, stateExpiresAtUs(member));
+            dueUs = member.state == MemberState.ALIVE
+                    ? dueUs
+                    : Math.min(dueUs, stateExpiresAtUs(member));
         }
         for (IndirectProbe indirectProbe : indirectProbes.values()) {
             dueUs = Math.min(dueUs, indirectProbe.deadlineUs());
@@ -445,9 +481,11 @@
         int expectedConfirmations = Math.min(MAX_CONFIRMATIONS, Math.max(0, servingCount() - 3));
         double confirmedFraction = expectedConfirmations == 0
                 ? 1
-                : Math.log(Math.max(0, member.suspectedBy.size() - 1) + 1.0) / Math.log(expectedConfirmations + 1.0);
+                : Math.log(Math.max(0, member.suspectedBy.size() - 1) + 1.0)
+                        / Math.log(expectedConfirmations + 1.0);
         double maxUs = MAX_SUSPICION_FACTOR * minUs;
-        return ((long) Math.max(minUs, maxUs - (maxUs - minUs) * confirmedFraction)) * (1 + localHealthMultiplier);
+        return ((long) Math.max(minUs, maxUs - (maxUs - minUs) * confirmedFraction))
+                * (1 + localHealthMultiplier);
     }
 
     private boolean expireStates() {
@@ -484,9 +522,14 @@
             if (!probe.indirectSent && clockUs >= probe.indirectAtUs) {
                 probe.indirectSent = true;
                 if (probe.target != null) {
-                    for (Member helper : randomAliveMembers(settings.indirectProbes(), probe.target)) {
+                    for (Member helper :
+                            randomAliveMembers(settings.indirectProbes(), probe.target)) {
                         probe.missingNacks++;
-                        outbox.add(new OutgoingMessage(PROBE_REQUEST, helper.address, probe.sequenceNumber, probe.address));
+                        outbox.add(new OutgoingMessage(
+                                PROBE_REQUEST,
+                                helper.address,
+                                probe.sequenceNumber,
+                                probe.address));
                     }
                 }
                 return true;
@@ -508,7 +551,9 @@
         if (probe.target == null) {
             return; // A named router that has never been heard.
         }
-        localHealthMultiplier = Math.min(MAX_LOCAL_HEALTH_MULTIPLIER, localHealthMultiplier + (probe.missingNacks > 0 ? 1 : 0));
+        localHealthMultiplier = Math.min(
+                MAX_LOCAL_HEALTH_MULTIPLIER,
+                localHealthMultiplier + (probe.missingNacks > 0 ? 1 : 0));
         Member member = members.get(probe.target.router());
         if (member == probe.target && member.state == MemberState.ALIVE) {
             changeState(member, MemberState.SUSPECT);
@@ -521,11 +566,16 @@
     }
 
     private boolean expireIndirectProbes() {
-        for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator(); iterator.hasNext(); ) {
+        for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator();
+                iterator.hasNext(); ) {
             IndirectProbe indirectProbe = iterator.next();
             if (clockUs >= indirectProbe.deadlineUs()) {
                 iterator.remove();
-                enqueue(new OutgoingMessage(NACK, indirectProbe.requester(), indirectProbe.requesterSequenceNumber(), null));
+                enqueue(new OutgoingMessage(
+                        NACK,
+                        indirectProbe.requester(),
+                        indirectProbe.requesterSequenceNumber(),
+                        null));
                 return true;
             }
         }
@@ -575,7 +625,8 @@
                 address = member.address;
             }
         }
-        Probe probe = new Probe(target, address, ++lastSequenceNumber, clockUs + roundUs / 2, nextRoundUs);
+        Probe probe = new Probe(
+                target, address, ++lastSequenceNumber, clockUs + roundUs / 2, nextRoundUs);
         pendingProbes.put(probe.sequenceNumber, probe);
         outbox.add(new OutgoingMessage(PROBE, address, probe.sequenceNumber, null));
     }
@@ -587,7 +638,8 @@
     private String nextUnconnectedAddress() {
         List<String> addresses = new ArrayList<>();
         for (String seed : seeds) {
-            if (members.values().stream().noneMatch(member -> member.address.equals(seed) && member.state.isServing())) {
+            if (members.values().stream()
+                    .noneMatch(member -> member.address.equals(seed) && member.state.isServing())) {
                 addresses.add(seed);
             }
         }
@@ -596,7 +648,9 @@
                 addresses.add(member.address);
             }
         }
-        return addresses.isEmpty() ? null : addresses.get(Math.floorMod(seedCursor++, addresses.size()));
+        return addresses.isEmpty()
+                ? null
+                : addresses.get(Math.floorMod(seedCursor++, addresses.size()));
     }
 
     private void refillProbeOrder() {
@@ -620,7 +674,9 @@
         switch (message.type) {
             case PROBE -> handler.sendProbe(message.address, message.sequenceNumber, rumors);
             case ACK -> handler.sendAck(message.address, message.sequenceNumber, rumors);
-            case PROBE_REQUEST -> handler.sendProbeRequest(message.address, message.sequenceNumber, message.target, rumors);
+            case PROBE_REQUEST ->
+                handler.sendProbeRequest(
+                        message.address, message.sequenceNumber, message.target, rumors);
             default -> handler.sendNack(message.address, message.sequenceNumber, rumors);
         }
     }
@@ -635,7 +691,9 @@
         for (Member member : members.values()) {
             if (member.address.equals(address) && member.state != MemberState.ALIVE) {
                 selected.add(member.rumor(
-                        member.suspectedBy.isEmpty() ? "" : member.suspectedBy.iterator().next()));
+                        member.suspectedBy.isEmpty()
+                                ? ""
+                                : member.suspectedBy.iterator().next()));
             }
         }
         List<PendingRumor> candidates = new ArrayList<>(pendingRumors.values());
--- a/src/main/java/tinlink/cluster/membership/RecoveryFloor.java
+++ b/src/main/java/tinlink/cluster/membership/RecoveryFloor.java
@@ -32,7 +32,8 @@
             return NONE;
         }
         List<RecoveryFloor> sorted = new ArrayList<>(answers);
-        sorted.sort(Comparator.comparingInt(RecoveryFloor::lastTerm).thenComparingLong(RecoveryFloor::lastIndex));
+        sorted.sort(Comparator.comparingInt(RecoveryFloor::lastTerm)
+                .thenComparingLong(RecoveryFloor::lastIndex));
         RecoveryFloor quorumPosition = sorted.get(quorum - 1);
         int latestTerm = sorted.stream().mapToInt(RecoveryFloor::term).max().orElse(0);
         return new RecoveryFloor(latestTerm, quorumPosition.lastTerm, quorumPosition.lastIndex);
--- a/src/main/java/tinlink/cluster/membership/VoterAdmission.java
+++ b/src/main/java/tinlink/cluster/membership/VoterAdmission.java
@@ -35,12 +35,16 @@
     public record LogPosition(int term, long confirmedIndex) {
         /** Whether a disk that is there can have said this. */
         boolean isWithin(LogPosition diskPosition) {
-            return term < diskPosition.term || (term == diskPosition.term && confirmedIndex <= diskPosition.confirmedIndex);
+            return term < diskPosition.term
+                    || (term == diskPosition.term && confirmedIndex <= diskPosition.confirmedIndex);
         }
 
         /** Both heard. */
         public LogPosition max(LogPosition other) {
-            return other.term > term || (other.term == term && other.confirmedIndex > confirmedIndex) ? other : this;
+            return other.term > term
+                            || (other.term == term && other.confirmedIndex > confirmedIndex)
+                    ? other
+                    : this;
         }
     }
 
@@ -67,7 +71,11 @@
      * @param isDiskEmpty nothing is on the disk: it may be the first start, or the disk before it was
      *     lost
      */
-    public VoterAdmission(Incarnation self, LogPosition diskPosition, Set<String> otherVoters, boolean isDiskEmpty) {
+    public VoterAdmission(
+            Incarnation self,
+            LogPosition diskPosition,
+            Set<String> otherVoters,
+            boolean isDiskEmpty) {
         this.isDiskEmpty = isDiskEmpty;
         this.self = self;
         this.diskPosition = diskPosition;
@@ -99,18 +107,29 @@
      * @param knownPosition how far it has heard this disk to be; null for nothing
      * @param voterPosition where its own disk is
      */
-    public void answered(String router, Incarnation knownIncarnation, LogPosition knownPosition, RecoveryFloor voterPosition, long nowUs) {
+    public void answered(
+            String router,
+            Incarnation knownIncarnation,
+            LogPosition knownPosition,
+            RecoveryFloor voterPosition,
+            long nowUs) {
         if (decision == Decision.ADMITTED && answered.containsKey(router)) {
-            answered.put(router, voterPosition); // It has voted since; what binds it may have become less.
+            answered.put(
+                    router,
+                    voterPosition); // It has voted since; what binds it may have become less.
         }
         if (decision != Decision.UNDECIDED || !otherVoters.contains(router)) {
             return;
         }
-        Incarnation.Relation relation = knownIncarnation == null ? Incarnation.Relation.EARLIER : self.relationTo(knownIncarnation);
+        Incarnation.Relation relation = knownIncarnation == null
+                ? Incarnation.Relation.EARLIER
+                : self.relationTo(knownIncarnation);
         if (relation == Incarnation.Relation.TWIN && !isDiskEmpty) {
             decision = Decision.DUPLICATE_PROCESS;
         } else if (relation == Incarnation.Relation.LATER
-                || (isDiskEmpty && knownIncarnation != null && relation != Incarnation.Relation.SAME)
+                || (isDiskEmpty
+                        && knownIncarnation != null
+                        && relation != Incarnation.Relation.SAME)
                 || (knownPosition != null && !knownPosition.isWithin(diskPosition))) {
             decision = Decision.STALE_DISK;
             knownStartCount = knownIncarnation == null ? 1 : knownIncarnation.startCount();
@@ -136,7 +155,8 @@
         if (decision == Decision.UNDECIDED
                 && (answered.size() == otherVoters.size()
                         || (hasQuorum && nowUs >= quorumSinceUs + graceUs)
-                        || (answered.size() >= groupSize / 2 && nowUs >= quorumSinceUs + 5 * graceUs))) {
+                        || (answered.size() >= groupSize / 2
+                                && nowUs >= quorumSinceUs + 5 * graceUs))) {
             decision = Decision.ADMITTED;
         }
         return decision;
--- a/src/main/java/tinlink/cluster/membership/VoterReplacement.java
+++ b/src/main/java/tinlink/cluster/membership/VoterReplacement.java
@@ -56,9 +56,12 @@
     }
 
     private static Change nextAddition(
-            Collection<String> voters, Map<String, String> present, Map<String, String> operatorReplacements) {
+            Collection<String> voters,
+            Map<String, String> present,
+            Map<String, String> operatorReplacements) {
         for (Map.Entry<String, String> entry : present.entrySet()) {
-            if (!voters.contains(entry.getKey()) && !operatorReplacements.containsKey(entry.getKey())) {
+            if (!voters.contains(entry.getKey())
+                    && !operatorReplacements.containsKey(entry.getKey())) {
                 return new Change(null, entry.getKey() + "/" + entry.getValue());
             }
         }
--- a/src/main/java/tinlink/config/ConfigFile.java
+++ b/src/main/java/tinlink/config/ConfigFile.java
@@ -112,7 +112,8 @@
         if (!value.isNumber() || value.doubleValue() < min || value.doubleValue() > max) {
             throw invalid(
                     key,
-                    "is no number from " + FlatSettings.plainNumber(min) + " to " + FlatSettings.plainNumber(max));
+                    "is no number from " + FlatSettings.plainNumber(min) + " to "
+                            + FlatSettings.plainNumber(max));
         }
         return value.doubleValue();
     }
@@ -159,7 +160,8 @@
         if (value != null && !value.isObject()) {
             throw invalid(key, "is no object");
         }
-        return child(path + key + ".", value == null ? JsonNodeFactory.instance.objectNode() : value);
+        return child(
+                path + key + ".", value == null ? JsonNodeFactory.instance.objectNode() : value);
     }
 
     public List<ConfigFile> objects(String key) {
--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -1,8 +1,8 @@
 package tinlink.config;
 
-import tinlink.decision.QueryCoordinator;
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.LookupClass;
+import tinlink.decision.QueryCoordinator;
 
 /** Builds the decision module from its settings, whichever source they have; each part gets its own few. */
 public final class DecisionConfig {
@@ -21,8 +21,11 @@
             longestSoftUs = Math.max(longestSoftUs, lookupClasses[i].latencyObjectiveUs);
         }
         maxInFlight = settings.integer("limits.openCap", 1000);
-        maxRetryAfterUs = settings.flag("limits.retryAfter") ? settings.micros("limits.maxRetryAfterMs", 0) : 0;
-        FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(longestSoftUs);
+        maxRetryAfterUs = settings.flag("limits.retryAfter")
+                ? settings.micros("limits.maxRetryAfterMs", 0)
+                : 0;
+        FastestValidCoordinator.OutlierDetector health =
+                new FastestValidCoordinator.OutlierDetector(longestSoftUs);
         module = new FastestValidCoordinator(
                 new FastestValidCoordinator.AttemptTiming(
                         settings.micros("stepMs", 1000),
@@ -69,12 +72,14 @@
             default -> throw settings.invalid(prefix + "effect", "is not known: " + effect);
         };
         lookupClass.deadlineUs = settings.micros(prefix + "deadlineMs", 1_000_000);
-        lookupClass.latencyObjectiveUs = settings.micros(prefix + "onTimeMs", lookupClass.deadlineUs);
+        lookupClass.latencyObjectiveUs =
+                settings.micros(prefix + "onTimeMs", lookupClass.deadlineUs);
         lookupClass.deduplicationWindowUs = settings.micros(prefix + "windowMs", 0);
         lookupClass.priorityWeight = settings.number(prefix + "worth", 1);
         lookupClass.lateAnswerWeight = settings.number(prefix + "lateWorth", 0);
         lookupClass.completeShare = settings.item("familyInfo.completeFrom", i, 1);
-        lookupClass.minimumShare = settings.item("familyInfo.minShare", i, lookupClass.completeShare);
+        lookupClass.minimumShare =
+                settings.item("familyInfo.minShare", i, lookupClass.completeShare);
         lookupClass.partialAnswerWeight = settings.item("familyInfo.incompleteWorth", i, 0);
         lookupClass.secondStepParts = (int) settings.item("familyInfo.followUp", i, 0);
         return lookupClass;
--- a/src/main/java/tinlink/config/FlatSettings.java
+++ b/src/main/java/tinlink/config/FlatSettings.java
@@ -49,7 +49,8 @@
         if (value instanceof Map<?, ?> map) {
             map.forEach((key, element) -> flatten(path + "." + key, element));
         } else if (value instanceof List<?> list) {
-            boolean allPlain = list.stream().noneMatch(element -> element instanceof Map || element instanceof List);
+            boolean allPlain = list.stream()
+                    .noneMatch(element -> element instanceof Map || element instanceof List);
             if (allPlain) {
                 List<String> all = new ArrayList<>();
                 list.forEach(element -> all.add(plainName(String.valueOf(element))));
@@ -123,7 +124,9 @@
     /** Item i of a list of plain values. */
     double item(String path, int i, double defaultValue) {
         List<String> items = items(path);
-        return i < items.size() && !items.get(i).isEmpty() ? number(path, items.get(i)) : defaultValue;
+        return i < items.size() && !items.get(i).isEmpty()
+                ? number(path, items.get(i))
+                : defaultValue;
     }
 
     InvalidInputException invalid(String path, String problem) {
--- a/src/main/java/tinlink/config/GatewayConfig.java
+++ b/src/main/java/tinlink/config/GatewayConfig.java
@@ -79,7 +79,8 @@
                 if (addresses.isEmpty() || addresses.size() > 16) {
                     throw routerEntry.invalid("lines", "is no list of 1 to 16 addresses");
                 }
-                String remoteRouter = checkedName(routerEntry, "router", routerEntry.text("router"));
+                String remoteRouter =
+                        checkedName(routerEntry, "router", routerEntry.text("router"));
                 if (!seenRouters.add(remoteSite + "/" + remoteRouter)) {
                     throw routerEntry.invalid("router", "is there twice: " + remoteRouter);
                 }
--- a/src/main/java/tinlink/config/MaintenanceConfig.java
+++ b/src/main/java/tinlink/config/MaintenanceConfig.java
@@ -45,7 +45,8 @@
             GatewayConfig.checkedName(siteEntries, site, site);
             for (String zone : siteEntries.texts(site)) {
                 if (siteByZone.put(FlatSettings.plainName(zone), site) != null) {
-                    throw siteEntries.invalid(site, "has a zone that another site has too: " + zone);
+                    throw siteEntries.invalid(
+                            site, "has a zone that another site has too: " + zone);
                 }
             }
         }
@@ -71,7 +72,9 @@
         followsAgreedPolicy = file.flag("policy", false);
         startupWaitUs = file.micros("await_ms", 3000, 0, 60_000);
         ConfigFile control = file.object("control");
-        controlAddress = control.has("listen") ? GatewayConfig.checkedAddress(control, "listen", control.text("listen")) : null;
+        controlAddress = control.has("listen")
+                ? GatewayConfig.checkedAddress(control, "listen", control.text("listen"))
+                : null;
         if (controlAddress != null && !controlAddress.getAddress().isLoopbackAddress()) {
             throw control.invalid("listen", "is not on loopback");
         }
--- a/src/main/java/tinlink/config/PolicyDocument.java
+++ b/src/main/java/tinlink/config/PolicyDocument.java
@@ -37,12 +37,15 @@
                 throw classEntries.invalid(
                         name,
                         "is no index of this router's: "
-                                + String.join(", ", config.lookups.lookupClasses().keySet()));
+                                + String.join(
+                                        ", ", config.lookups.lookupClasses().keySet()));
             }
             lookupClasses.put(name, lookupClass(classEntries.object(name), configured));
         }
-        maxInFlight = file.integer("open_cap", config.lookups.maxInFlight(), 1, config.maxInFlightOfPolicy);
-        ConfigFile absence = file.object("absent"); // Of the change itself, and read by whoever proposes it.
+        maxInFlight = file.integer(
+                "open_cap", config.lookups.maxInFlight(), 1, config.maxInFlightOfPolicy);
+        ConfigFile absence =
+                file.object("absent"); // Of the change itself, and read by whoever proposes it.
         absence.text("rule", "");
         for (String key : List.of("wait_ms", "hold_ms", "lease_ms", "clock_error_ms")) {
             absence.number(key, 0, 0, 3_600_000);
@@ -56,12 +59,22 @@
         lookupClass.deduplicationWindowUs = configured.deduplicationWindowUs;
         lookupClass.secondStepParts = configured.secondStepParts;
         lookupClass.deadlineUs = configured.deadlineUs;
-        lookupClass.latencyObjectiveUs = file.micros("soft_ms", configured.latencyObjectiveUs / 1000.0, 1, configured.deadlineUs / 1000.0);
+        lookupClass.latencyObjectiveUs = file.micros(
+                "soft_ms",
+                configured.latencyObjectiveUs / 1000.0,
+                1,
+                configured.deadlineUs / 1000.0);
         lookupClass.priorityWeight = file.number("gain", configured.priorityWeight, 0, 1e6);
-        lookupClass.lateAnswerWeight = file.number("late_gain", configured.lateAnswerWeight, 0, 1e6);
+        lookupClass.lateAnswerWeight =
+                file.number("late_gain", configured.lateAnswerWeight, 0, 1e6);
         lookupClass.completeShare = file.number("need", configured.completeShare, 1e-6, 1);
-        lookupClass.minimumShare = file.number("floor", Math.min(configured.minimumShare, lookupClass.completeShare), 0, lookupClass.completeShare);
-        lookupClass.partialAnswerWeight = file.number("partial_gain", configured.partialAnswerWeight, 0, 1e6);
+        lookupClass.minimumShare = file.number(
+                "floor",
+                Math.min(configured.minimumShare, lookupClass.completeShare),
+                0,
+                lookupClass.completeShare);
+        lookupClass.partialAnswerWeight =
+                file.number("partial_gain", configured.partialAnswerWeight, 0, 1e6);
         return lookupClass;
     }
 }
--- a/src/main/java/tinlink/config/RouterConfig.java
+++ b/src/main/java/tinlink/config/RouterConfig.java
@@ -1,8 +1,8 @@
 package tinlink.config;
 
 import tinlink.decision.LookupClass;
-import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
+import tinlink.net.MessageRejectedException;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -68,13 +68,15 @@
     public final MaintenanceConfig maintenance;
 
     /** What a lookup is checked against. */
-    public record LookupSettings(Map<String, LookupClass> lookupClasses, int shardCount, int maxInFlight) {}
+    public record LookupSettings(
+            Map<String, LookupClass> lookupClasses, int shardCount, int maxInFlight) {}
 
     /**
      * What connections to data nodes need; after {@code idleUs} without use a node's machine closes
      * one.
      */
-    public record NodeConnectionSettings(long connectTimeoutUs, long idleTimeoutUs, int callsPerConnection, boolean canCancel) {}
+    public record NodeConnectionSettings(
+            long connectTimeoutUs, long idleTimeoutUs, int callsPerConnection, boolean canCancel) {}
 
     /** What the names in the list of data nodes stand for, in the settings' order. */
     public record EndpointNames(List<String> zones, List<String> kinds) {}
@@ -109,13 +111,19 @@
                         "limits",
                         orEmpty(tree, "limits")));
         name = environment.getOrDefault("NODE_NAME", topLevel.text("name", "router"));
-        listen = parseAddress(topLevel, "listen", environment.getOrDefault("NODE_LISTEN", topLevel.text("listen", "")));
+        listen = parseAddress(
+                topLevel,
+                "listen",
+                environment.getOrDefault("NODE_LISTEN", topLevel.text("listen", "")));
         // Danger: NODE_DISCOVERY is of the start. Were it to win over a file that has changed
         // since, a reload
         // would never leave an address that is about to close.
         fileDiscovery = topLevel.text("discovery", "");
         discovery = previous == null
-                ? parseAddress(topLevel, "discovery", environment.getOrDefault("NODE_DISCOVERY", fileDiscovery))
+                ? parseAddress(
+                        topLevel,
+                        "discovery",
+                        environment.getOrDefault("NODE_DISCOVERY", fileDiscovery))
                 : fileDiscovery.equals(previous.fileDiscovery)
                         ? previous.discovery
                         : parseAddress(topLevel, "discovery", fileDiscovery);
@@ -135,7 +143,8 @@
         }
         FlatSettings flatSettings = FlatSettings.ofTree("config: settings", settings);
         if (!flatSettings.text("family", "fanout").equals("fanout")) {
-            throw flatSettings.invalid("family", "is not served: " + flatSettings.text("family", ""));
+            throw flatSettings.invalid(
+                    "family", "is not served: " + flatSettings.text("family", ""));
         }
         int count = atLeast(flatSettings, "profiles.count", 0, 1);
         seed = seed(topLevel);
@@ -143,7 +152,9 @@
         Map<String, LookupClass> lookupClasses = new LinkedHashMap<>();
         long longestDeadlineUs = 0;
         for (int i = 0; i < count; i++) {
-            lookupClasses.put(requiredText(flatSettings, "profiles." + i + ".name"), decision.lookupClasses[i]);
+            lookupClasses.put(
+                    requiredText(flatSettings, "profiles." + i + ".name"),
+                    decision.lookupClasses[i]);
             longestDeadlineUs = Math.max(longestDeadlineUs, decision.lookupClasses[i].deadlineUs);
             if (decision.lookupClasses[i].secondStepParts > 0) {
                 throw flatSettings.invalid(
@@ -156,14 +167,17 @@
                 lookupClasses,
                 flatSettings.count("familyInfo.slabs", 1, 1),
                 atLeast(flatSettings, "limits.openCap", decision.maxInFlight, 1));
-        maxInFlightOfPolicy = Math.max(lookups.maxInFlight(), flatSettings.integer("limits.mostOpen", lookups.maxInFlight()));
+        maxInFlightOfPolicy = Math.max(
+                lookups.maxInFlight(),
+                flatSettings.integer("limits.mostOpen", lookups.maxInFlight()));
         long connectUs = positive(flatSettings, "limits.connectTimeoutMs", 250_000);
         nodeConnections = new NodeConnectionSettings(
                 connectUs,
                 positive(flatSettings, "limits.connIdleMs", 30_000_000),
                 atLeast(flatSettings, "limits.streamsPerConn", 1, 1),
                 flatSettings.flag("limits.cancel"));
-        endpointNames = new EndpointNames(flatSettings.items("localities"), flatSettings.items("models"));
+        endpointNames =
+                new EndpointNames(flatSettings.items("localities"), flatSettings.items("models"));
         isDiscoveryPushed = flatSettings.text("discovery", "pushed").equals("pushed");
         maxRetryAfterUs = decision.maxRetryAfterUs;
         cells = flatSettings.count("familyInfo.sets", 1, 1);
@@ -174,7 +188,8 @@
         String peersFile = environment.getOrDefault("NODE_PEERS", "");
         String workFile = environment.getOrDefault("NODE_WORK", "");
         if (peersFile.isEmpty() != workFile.isEmpty()) {
-            throw new InvalidInputException("environment: 'NODE_PEERS' and 'NODE_WORK' go together");
+            throw new InvalidInputException(
+                    "environment: 'NODE_PEERS' and 'NODE_WORK' go together");
         }
         cluster = peersFile.isEmpty() ? null : new ClusterConfig(peersFile, name);
         maintenance = workFile.isEmpty() ? null : new MaintenanceConfig(workFile);
@@ -192,7 +207,8 @@
             }
             throw new InvalidInputException("config: it is no JSON object");
         } catch (IOException e) {
-            throw new InvalidInputException("environment: 'NODE_CONFIG' can't be read: " + e.getMessage());
+            throw new InvalidInputException(
+                    "environment: 'NODE_CONFIG' can't be read: " + e.getMessage());
         } catch (MessageRejectedException e) {
             throw new InvalidInputException("config: " + e.getMessage());
         }
@@ -202,7 +218,8 @@
         try {
             return Level.parse(name);
         } catch (IllegalArgumentException e) {
-            throw new InvalidInputException("environment: 'NODE_LOG' is no level of java.util.logging: " + name);
+            throw new InvalidInputException(
+                    "environment: 'NODE_LOG' is no level of java.util.logging: " + name);
         }
     }
 
@@ -237,7 +254,8 @@
         return flatSettings.text(path, "");
     }
 
-    private static InetSocketAddress parseAddress(FlatSettings flatSettings, String path, String text) {
+    private static InetSocketAddress parseAddress(
+            FlatSettings flatSettings, String path, String text) {
         try {
             return parseAddress(text);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -148,7 +148,9 @@
     }
 
     private void cancelOut(Part part) {
-        part.attempts.stream().filter(c -> c.outcome == null && !c.isCancelled).forEach(surplus::add);
+        part.attempts.stream()
+                .filter(c -> c.outcome == null && !c.isCancelled)
+                .forEach(surplus::add);
     }
 
     private void end(Lookup lookup) {
@@ -194,7 +196,9 @@
             lookup.isQueued = false;
             touched.poll();
         }
-        long next = open.stream().mapToLong(lookup -> lookup.nextCheckAtUs).reduce(list.nextAt, Math::min);
+        long next = open.stream()
+                .mapToLong(lookup -> lookup.nextCheckAtUs)
+                .reduce(list.nextAt, Math::min);
         if (next < armed) {
             armed = next;
             h.wakeAt(next);
@@ -215,7 +219,8 @@
         // lost two
         // nodes and satisfied no part is not sent again; may hurt where well nodes lose many
         // connections.
-        if (now >= lookup.endsAtUs || (allThere && (lookup.suspect && in == 0 || hopeless(lookup, in)))) {
+        if (now >= lookup.endsAtUs
+                || (allThere && (lookup.suspect && in == 0 || hopeless(lookup, in)))) {
             return giveUp(lookup, h, in);
         }
         lookup.nextCheckAtUs = lookup.endsAtUs;
@@ -232,15 +237,19 @@
             lookup.roundStartedAtUs = now;
             // All k parts leave together; while nodes die around us one goes first, to see whether
             // it kills.
-            lookup.awaitsCanary = lookup.parts.size() > 1 && health.nodesDie(lookup.isClientRetry, now);
+            lookup.awaitsCanary =
+                    lookup.parts.size() > 1 && health.nodesDie(lookup.isClientRetry, now);
             if (lookup.awaitsCanary) {
-                lookup.awaitsCanary = lookup.parts.stream().anyMatch(part -> place(List.of(part), false));
+                lookup.awaitsCanary =
+                        lookup.parts.stream().anyMatch(part -> place(List.of(part), false));
             } else {
                 place(lookup.parts, false);
             }
             // Silence means nothing before the line to another site could have brought an answer.
-            lookup.roundStartedAtUs += outbox.stream().mapToLong(c -> c.node.linkRoundTripUs).max().orElse(0);
-            lookup.nextCheckAtUs = Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
+            lookup.roundStartedAtUs +=
+                    outbox.stream().mapToLong(c -> c.node.linkRoundTripUs).max().orElse(0);
+            lookup.nextCheckAtUs =
+                    Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
             return !outbox.isEmpty() || step(lookup, h);
         }
         if (lookup.awaitsCanary && (in > 0 || now >= lookup.roundStartedAtUs + lookup.roundUs)) {
@@ -255,13 +264,17 @@
         }
         sendAgain(lookup, in);
         if (!lookup.isFirstRoundOver) {
-            lookup.nextCheckAtUs = Math.min(lookup.nextCheckAtUs, lookup.roundStartedAtUs + lookup.roundUs);
+            lookup.nextCheckAtUs =
+                    Math.min(lookup.nextCheckAtUs, lookup.roundStartedAtUs + lookup.roundUs);
         }
         return !outbox.isEmpty() || !surplus.isEmpty();
     }
 
     private static double weight(Lookup lookup, Predicate<Part> which) {
-        return lookup.parts.stream().filter(which).mapToDouble(part -> part.weight).sum();
+        return lookup.parts.stream()
+                .filter(which)
+                .mapToDouble(part -> part.weight)
+                .sum();
     }
 
     private static boolean awaited(Part part) {
@@ -277,17 +290,21 @@
         double may = in;
         boolean out = false;
         for (Part part : lookup.parts) {
-            if (!part.isSatisfied && (part.attemptsInFlight > 0 || rounds.mayCall(part, now) && replicas.held(part, now))) {
+            if (!part.isSatisfied
+                    && (part.attemptsInFlight > 0
+                            || rounds.mayCall(part, now) && replicas.held(part, now))) {
                 may += part.weight;
                 out |= part.attemptsInFlight > 0;
             }
         }
-        return may < needed(lookup) - SLACK && !(out && lookup.lookupClass.minimumShare < lookup.lookupClass.completeShare);
+        return may < needed(lookup) - SLACK
+                && !(out && lookup.lookupClass.minimumShare < lookup.lookupClass.completeShare);
     }
 
     private boolean answer(Lookup lookup, DecisionHandler h, boolean whole) {
         if (lookup.lookupClass.secondStepParts > 0 && !lookup.isSecondStep) {
-            int satisfied = (int) lookup.parts.stream().filter(part -> part.isSatisfied).count();
+            int satisfied =
+                    (int) lookup.parts.stream().filter(part -> part.isSatisfied).count();
             lookup.parts.forEach(this::cancelOut);
             lookup.isSecondStep = true;
             lookup.isFirstStepComplete = whole;
@@ -304,7 +321,10 @@
 
     /** Short of n: a partial answer above the floor, a nack where nothing forbids it, else an abort. */
     private boolean giveUp(Lookup lookup, DecisionHandler h, double in) {
-        double floor = lookup.isSecondStep && lookup.lookupClass.minimumShare >= lookup.lookupClass.completeShare ? 1 : lookup.lookupClass.minimumShare;
+        double floor = lookup.isSecondStep
+                        && lookup.lookupClass.minimumShare >= lookup.lookupClass.completeShare
+                ? 1
+                : lookup.lookupClass.minimumShare;
         if (lookup.parts.size() >= lookup.announcedParts && in > 0 && in >= floor - SLACK) {
             return answer(lookup, h, false);
         }
@@ -324,15 +344,16 @@
             lookup.parts.forEach(part -> part.attempts.stream()
                     .filter(c -> c.outcome == null)
                     .forEach(c -> health.silent(replicas.seen(c.node), c, now)));
-            health.round(lookup.parts.size(), (int)
-                    lookup.parts.stream().filter(FastestValidCoordinator::awaited).count());
+            health.round(lookup.parts.size(), (int) lookup.parts.stream()
+                    .filter(FastestValidCoordinator::awaited)
+                    .count());
         }
     }
 
     /** After the silent first round: missing parts still short of n go once more, to another replica. */
     private void replay(Lookup lookup, double in) {
-        List<Part> silent =
-                new ArrayList<>(lookup.parts.stream().filter(FastestValidCoordinator::awaited).toList());
+        List<Part> silent = new ArrayList<>(
+                lookup.parts.stream().filter(FastestValidCoordinator::awaited).toList());
         // When most nodes look bad the cause is shared, and a second copy only adds to it; but a
         // part that
         // later ones have overtaken at its node is stuck, not slow.
@@ -425,8 +446,10 @@
             int age = s.calls == 0 ? health.age(now - s.usedAt) : 0;
             // Lookups that can spare a part try one old connection, so that the suspicion is
             // renewed or ends.
-            boolean tries = part.lookup.lookupClass.completeShare < 1 && part == part.lookup.parts.get(0);
-            c.reconnectFirst = health.dropped(age, replay ? 0 : OutlierDetector.SURE, now) && (replay || !tries);
+            boolean tries =
+                    part.lookup.lookupClass.completeShare < 1 && part == part.lookup.parts.get(0);
+            c.reconnectFirst = health.dropped(age, replay ? 0 : OutlierDetector.SURE, now)
+                    && (replay || !tries);
             c.idleStep = c.reconnectFirst ? 0 : age;
             s.usedAt = now;
             c.sharedCall = replicas.share(s, now);
@@ -504,8 +527,11 @@
             long last = Math.max(now, lookup.clientDeadlineUs - 2 * stepUs);
             // Danger: one tenant's clients that give short times would make well nodes look silent
             // to all.
-            lookup.isSilenceConclusive = last - now >= patience(lookup.lookupClass.latencyObjectiveUs);
-            lookup.roundUs = Math.max(stepUs, Math.min(patience(lookup.lookupClass.latencyObjectiveUs), last - now) / 3);
+            lookup.isSilenceConclusive =
+                    last - now >= patience(lookup.lookupClass.latencyObjectiveUs);
+            lookup.roundUs = Math.max(
+                    stepUs,
+                    Math.min(patience(lookup.lookupClass.latencyObjectiveUs), last - now) / 3);
             lookup.endsAtUs = endsAt(lookup, last, now);
             lookup.nextCheckAtUs = now;
             lookup.isStarted = false;
@@ -518,7 +544,9 @@
             // Danger: a partial answer that leaves at the aim reaches its client after it, and
             // earns nothing.
             long inTime = lookup.arrivedAtUs + lookupClass.latencyObjectiveUs - 2 * stepUs;
-            if (lookupClass.minimumShare < lookupClass.completeShare && lookupClass.lateAnswerWeight <= lookupClass.partialAnswerWeight && inTime > now) {
+            if (lookupClass.minimumShare < lookupClass.completeShare
+                    && lookupClass.lateAnswerWeight <= lookupClass.partialAnswerWeight
+                    && inTime > now) {
                 return Math.min(last, inTime);
             }
             // Departure: where all parts are needed and a late answer still has gain, an abort at
@@ -526,7 +554,11 @@
             if (lookupClass.completeShare >= 1 && lookupClass.lateAnswerWeight > 0) {
                 return last;
             }
-            return Math.min(last, Math.max(lookup.arrivedAtUs + lookupClass.latencyObjectiveUs, now + 3 * lookup.roundUs));
+            return Math.min(
+                    last,
+                    Math.max(
+                            lookup.arrivedAtUs + lookupClass.latencyObjectiveUs,
+                            now + 3 * lookup.roundUs));
         }
 
         /**
@@ -541,11 +573,16 @@
         void left(Lookup lookup, boolean client, long now) {
             // Danger: who is gone at once, or before a late router has read it, did not wait: no
             // patience.
-            boolean early = client && !lookup.isForwarded && now < lookup.clientDeadlineUs - lookup.roundUs;
-            double step = early && now - lookup.arrivedAtUs < lookup.lookupClass.latencyObjectiveUs / 16 ? 0 : LEAVE_STEP;
+            boolean early =
+                    client && !lookup.isForwarded && now < lookup.clientDeadlineUs - lookup.roundUs;
+            double step =
+                    early && now - lookup.arrivedAtUs < lookup.lookupClass.latencyObjectiveUs / 16
+                            ? 0
+                            : LEAVE_STEP;
             leaving += step * ((early ? 1 : 0) - leaving);
             if (early && step > 0) {
-                leaveUs += (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lookup.arrivedAtUs - leaveUs);
+                leaveUs +=
+                        (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lookup.arrivedAtUs - leaveUs);
             }
         }
 
@@ -566,8 +603,11 @@
             return lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
                     || part.attempts.stream()
                             .allMatch(c -> neverRan(c)
-                                    || lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED
-                                            && now + stallUs() <= c.sentAtUs + lookupClass.deduplicationWindowUs);
+                                    || lookupClass.idempotency
+                                                    == LookupClass.Idempotency.FINGERPRINTED
+                                            && now + stallUs()
+                                                    <= c.sentAtUs
+                                                            + lookupClass.deduplicationWindowUs);
         }
 
         boolean mayGiveUpSilent(Part part) {
@@ -582,7 +622,8 @@
             return !lookup.isSecondStep
                     && (lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
                             || lookup.parts.stream()
-                                    .allMatch(part -> part.attempts.stream().allMatch(AttemptTiming::neverRan)));
+                                    .allMatch(part -> part.attempts.stream()
+                                            .allMatch(AttemptTiming::neverRan)));
         }
 
         private static boolean neverRan(Attempt c) {
@@ -666,7 +707,8 @@
             return !holders(part, now).isEmpty();
         }
 
-        boolean heldWithRoom(Part part, AdmissionController admission, double luck, SlowStart cold, long now) {
+        boolean heldWithRoom(
+                Part part, AdmissionController admission, double luck, SlowStart cold, long now) {
             return holders(part, now).stream()
                     .anyMatch(s -> cold.admits(s, known.values(), now)
                             && admission.room(
@@ -686,7 +728,8 @@
                     if (s.node.state == DataNode.State.READY
                             && (s.node.linkRoundTripUs == 0
                                     || !part.lookup.isForwarded
-                                            && part.lookup.endsAtUs - now > s.node.linkRoundTripUs)) {
+                                            && part.lookup.endsAtUs - now
+                                                    > s.node.linkRoundTripUs)) {
                         ready.add(s);
                     }
                 }
@@ -728,7 +771,8 @@
                 // A call that goes bad costs its lookup the rounds; without this, failing fast
                 // looks quick.
                 // Lookups that can spare a part are the trials by which a node finds its way back.
-                double toll = (part.lookup.lookupClass.completeShare < 1 ? 3 : 9) * part.lookup.roundUs;
+                double toll =
+                        (part.lookup.lookupClass.completeShare < 1 ? 3 : 9) * part.lookup.roundUs;
                 double doubt = health.badness(s, now) * toll;
                 double cost = (health.latency(s, part.lookup.roundUs, now) * (s.calls + 1) + doubt)
                         / cold.present(s, now)
@@ -798,7 +842,8 @@
         }
 
         /** @param tookUs below 0 where the router can't tell */
-        void outcome(ReplicaStats s, Attempt c, Outcome outcome, long tookUs, long roundUs, long now) {
+        void outcome(
+                ReplicaStats s, Attempt c, Outcome outcome, long tookUs, long roundUs, long now) {
             switch (outcome) {
                 case SATISFIED -> {
                     sample(s, c, tookUs, now);
--- a/src/main/java/tinlink/emulator/EmulatedClient.java
+++ b/src/main/java/tinlink/emulator/EmulatedClient.java
@@ -1,10 +1,10 @@
 package tinlink.emulator;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
+import tinlink.net.Connection;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
-import tinlink.net.Connection;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.RingBuffer;
 
 import java.io.IOException;
@@ -187,7 +187,8 @@
 
         @Override
         public void messageEnded() {
-            deliver(new LookupResponse(status, body.toString().strip(), emulatorLoop.now(), retryAfterUs));
+            deliver(new LookupResponse(
+                    status, body.toString().strip(), emulatorLoop.now(), retryAfterUs));
             if (closes) {
                 link.close(CloseReason.DONE);
             } else if (!link.isClosed()) {
--- a/src/main/java/tinlink/emulator/EmulatedDiscovery.java
+++ b/src/main/java/tinlink/emulator/EmulatedDiscovery.java
@@ -1,9 +1,9 @@
 package tinlink.emulator;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
-import tinlink.net.HttpReader;
 import tinlink.net.Connection;
+import tinlink.net.HttpReader;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
 import tinlink.net.RingBuffer;
@@ -108,7 +108,8 @@
                 + String.join(",", some) + "]}";
     }
 
-    private final class Watch implements EmulatorLoop.ConnectionHandler, HttpReader.MessageListener {
+    private final class Watch
+            implements EmulatorLoop.ConnectionHandler, HttpReader.MessageListener {
         private final HttpReader reader = HttpReader.forRequests(this);
         private Connection link;
         /** Else the whole list is wanted, once. */
--- a/src/main/java/tinlink/emulator/EmulatedFleet.java
+++ b/src/main/java/tinlink/emulator/EmulatedFleet.java
@@ -43,7 +43,10 @@
          */
         public void publish(String uid, String state) {
             discovery.publish(
-                    nodes.get(uid), toNodes.get(uid).address(), placements.get(uid).zone(), state);
+                    nodes.get(uid),
+                    toNodes.get(uid).address(),
+                    placements.get(uid).zone(),
+                    state);
         }
     }
 
@@ -69,7 +72,8 @@
         for (NodePlacement s : all) {
             placements.put(s.uid(), s);
             nodes.put(
-                    s.uid(), new EmulatedNode(emulatorLoop, runLog, s.uid(), s.cell(), work, this.seed++));
+                    s.uid(),
+                    new EmulatedNode(emulatorLoop, runLog, s.uid(), s.cell(), work, this.seed++));
         }
     }
 
--- a/src/main/java/tinlink/emulator/EmulatedLink.java
+++ b/src/main/java/tinlink/emulator/EmulatedLink.java
@@ -52,7 +52,9 @@
     private final Histogram timesThere = new Histogram(60_000_000, 3);
     private final Histogram timesBack = new Histogram(60_000_000, 3);
 
-    public EmulatedLink(EmulatorLoop emulatorLoop, LinkConditions there, LinkConditions back, long seed) throws IOException {
+    public EmulatedLink(
+            EmulatorLoop emulatorLoop, LinkConditions there, LinkConditions back, long seed)
+            throws IOException {
         this.emulatorLoop = emulatorLoop;
         this.there = there;
         this.back = back;
@@ -113,7 +115,10 @@
             blackholeBack = false;
             corruptionRate = 0;
             if (was) {
-                List.copyOf(pairs).forEach(ProxiedConnection::closeBoth); // What was swallowed can't be made good.
+                List.copyOf(pairs)
+                        .forEach(
+                                ProxiedConnection
+                                        ::closeBoth); // What was swallowed can't be made good.
             }
         });
     }
--- a/src/main/java/tinlink/emulator/EmulatedNode.java
+++ b/src/main/java/tinlink/emulator/EmulatedNode.java
@@ -90,7 +90,13 @@
         public int resetNext;
     }
 
-    EmulatedNode(EmulatorLoop emulatorLoop, RunLog runLog, String uid, int cell, ServiceModel work, long seed)
+    EmulatedNode(
+            EmulatorLoop emulatorLoop,
+            RunLog runLog,
+            String uid,
+            int cell,
+            ServiceModel work,
+            long seed)
             throws IOException {
         this.emulatorLoop = emulatorLoop;
         this.runLog = runLog;
@@ -304,7 +310,11 @@
                 if (head < 4) {
                     length = length << 8 | (in.take() & 0xff);
                     if (++head == 4) {
-                        if (length < 1 || length > 64 * (ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES)) {
+                        if (length < 1
+                                || length
+                                        > 64
+                                                * (ProtocolLimits.MAX_HEAD_BYTES
+                                                        + ProtocolLimits.MAX_BODY_BYTES)) {
                             unusable("a length of " + length);
                             return;
                         }
@@ -358,7 +368,8 @@
             int n = Integer.parseInt(w[3]);
             int at = w[2].indexOf("k=");
             if (w[2].matches("d=[0-9]{1,9}(,.*)?")) {
-                runLog.callReceived(w[0], Long.parseLong(w[2].substring(2).replaceFirst(",.*", "")));
+                runLog.callReceived(
+                        w[0], Long.parseLong(w[2].substring(2).replaceFirst(",.*", "")));
             }
             enqueue(new Job(
                     this,
@@ -371,7 +382,8 @@
 
         private void unusable(String why) {
             frame('N', why);
-            emulatorLoop.schedule(emulatorLoop.now() + 1000, () -> link.close(CloseReason.BAD_INPUT));
+            emulatorLoop.schedule(
+                    emulatorLoop.now() + 1000, () -> link.close(CloseReason.BAD_INPUT));
         }
 
         private void frame(char letter, String rest) {
--- a/src/main/java/tinlink/emulator/EmulatedSite.java
+++ b/src/main/java/tinlink/emulator/EmulatedSite.java
@@ -18,7 +18,11 @@
      * @param settings of a router, as JSON: what its configuration has under that key
      */
     public record Plan(
-            String name, List<Integer> cells, EmulatedNode.ServiceModel work, String settings, long seed) {}
+            String name,
+            List<Integer> cells,
+            EmulatedNode.ServiceModel work,
+            String settings,
+            long seed) {}
 
     public final String name;
     public final List<EmulatedNode> nodes = new ArrayList<>();
--- a/src/main/java/tinlink/emulator/EmulatorLoop.java
+++ b/src/main/java/tinlink/emulator/EmulatorLoop.java
@@ -79,7 +79,8 @@
     }
 
     /** Whoever connects there gets an owner made by the door. */
-    Network.ListeningSocket listen(InetSocketAddress at, Supplier<ConnectionHandler> owners) throws IOException {
+    Network.ListeningSocket listen(InetSocketAddress at, Supplier<ConnectionHandler> owners)
+            throws IOException {
         Network.ListeningSocket listening = network.listenAt(at);
         listening.accept(new Network.AcceptHandler() {
             @Override
--- a/src/main/java/tinlink/experiment/Emulation.java
+++ b/src/main/java/tinlink/experiment/Emulation.java
@@ -1,8 +1,8 @@
 package tinlink.experiment;
 
+import tinlink.config.ConfigFile;
 import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
-import tinlink.config.ConfigFile;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/tinlink/experiment/GatewayExperiment.java
+++ b/src/main/java/tinlink/experiment/GatewayExperiment.java
@@ -99,8 +99,8 @@
     }
 
     private TwoSites world(boolean fates, boolean jitter) throws IOException, InterruptedException {
-        EmulatedLink.LinkConditions way =
-                new EmulatedLink.LinkConditions(1000 * delayMs, jitter ? 100 * delayMs : 0, 2_000_000);
+        EmulatedLink.LinkConditions way = new EmulatedLink.LinkConditions(
+                1000 * delayMs, jitter ? 100 * delayMs : 0, 2_000_000);
         return new TwoSites(new TwoSites.Plan(
                 Map.of(
                         "east",
@@ -289,7 +289,11 @@
      * killed and back.
      */
     private void trouble(
-            TwoSites world, LoadGenerator load, SplittableRandom random, double seconds, Scenario side)
+            TwoSites world,
+            LoadGenerator load,
+            SplittableRandom random,
+            double seconds,
+            Scenario side)
             throws InterruptedException, IOException {
         long end = System.nanoTime() + Math.round(1e9 * seconds);
         long killAt =
@@ -333,7 +337,8 @@
                 victim.kill();
                 Thread.sleep(500 + random.nextInt(1000));
                 victim.start();
-                load.routerAway(victim, from, world.emulatorLoop.call(world.emulatorLoop::now) + 100_000);
+                load.routerAway(
+                        victim, from, world.emulatorLoop.call(world.emulatorLoop::now) + 100_000);
                 side.troubles.merge("router killed", 1, Integer::sum);
                 victim = null;
             }
--- a/src/main/java/tinlink/experiment/LoadGenerator.java
+++ b/src/main/java/tinlink/experiment/LoadGenerator.java
@@ -1,7 +1,7 @@
 package tinlink.experiment;
 
-import tinlink.emulator.EmulatedClient.LookupResponse;
 import tinlink.emulator.EmulatedClient.LookupRequest;
+import tinlink.emulator.EmulatedClient.LookupResponse;
 import tinlink.emulator.EmulatorLoop;
 
 import java.util.ArrayList;
@@ -37,7 +37,8 @@
     }
 
     /** An index: its name, its effect, and for a fingerprinted one the window of its key. */
-    public record LookupKind(String name, boolean keyed, boolean onceOnly, long windowUs, double floor) {
+    public record LookupKind(
+            String name, boolean keyed, boolean onceOnly, long windowUs, double floor) {
         public boolean isIdempotent() {
             return !keyed && !onceOnly;
         }
--- a/src/main/java/tinlink/experiment/MaintenanceSimulationExperiment.java
+++ b/src/main/java/tinlink/experiment/MaintenanceSimulationExperiment.java
@@ -1,9 +1,9 @@
 package tinlink.experiment;
 
-import tinlink.experiment.simulation.OptimalSchedule;
 import tinlink.experiment.simulation.MaintenanceEvent;
-import tinlink.experiment.simulation.MaintenanceSimulation;
 import tinlink.experiment.simulation.MaintenanceSchedule;
+import tinlink.experiment.simulation.MaintenanceSimulation;
+import tinlink.experiment.simulation.OptimalSchedule;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -32,12 +32,14 @@
     private final Path out;
 
     /** @param planted a fault that has to be found, so that the checks are seen to bite */
-    public MaintenanceSimulationExperiment(long seed, int routers, int schedules, boolean planted, Path out) {
+    public MaintenanceSimulationExperiment(
+            long seed, int routers, int schedules, boolean planted, Path out) {
         this.seed = seed;
         this.schedules = schedules;
         this.out = out;
         int voters = routers < 5 ? 3 : routers < 20 ? 5 : 7;
-        size = new MaintenanceSimulation.Size(routers, voters, Math.max(4, routers / 5), 3, planted);
+        size = new MaintenanceSimulation.Size(
+                routers, voters, Math.max(4, routers / 5), 3, planted);
     }
 
     private List<MaintenanceEvent> schedule(long s) {
@@ -51,7 +53,8 @@
         MaintenanceSimulation.Outcome[] came = new MaintenanceSimulation.Outcome[schedules];
         IntStream.range(0, schedules)
                 .parallel()
-                .forEach(i -> came[i] = MaintenanceSimulation.play(seed + i, size, schedule(seed + i)));
+                .forEach(i ->
+                        came[i] = MaintenanceSimulation.play(seed + i, size, schedule(seed + i)));
         double seconds = (System.nanoTime() - from) / 1e9;
         long steps = 0;
         long digest = 0;
@@ -92,7 +95,8 @@
             long bad = seed + first;
             report.add("seed " + bad + ": " + came[first].violations());
             List<MaintenanceEvent> small = MaintenanceSimulation.shrink(bad, size, schedule(bad));
-            report.add("made smaller: " + MaintenanceSimulation.play(bad, size, small).violations());
+            report.add("made smaller: "
+                    + MaintenanceSimulation.play(bad, size, small).violations());
             small.forEach(e -> report.add("    " + e));
         }
         Files.write(out.resolve("work-sim.txt"), report);
--- a/src/main/java/tinlink/experiment/PolicySimulationExperiment.java
+++ b/src/main/java/tinlink/experiment/PolicySimulationExperiment.java
@@ -1,8 +1,8 @@
 package tinlink.experiment;
 
 import tinlink.experiment.simulation.PolicyEvent;
-import tinlink.experiment.simulation.PolicySimulation;
 import tinlink.experiment.simulation.PolicySchedule;
+import tinlink.experiment.simulation.PolicySimulation;
 import tinlink.policy.rollout.AbsencePolicy;
 
 import java.io.IOException;
@@ -29,7 +29,8 @@
     private final Path out;
 
     /** @param planted a fault that has to be found, so that the checks are seen to bite */
-    public PolicySimulationExperiment(long seed, int routers, int schedules, boolean planted, Path out) {
+    public PolicySimulationExperiment(
+            long seed, int routers, int schedules, boolean planted, Path out) {
         this.seed = seed;
         this.routers = routers;
         this.schedules = schedules;
@@ -40,7 +41,9 @@
     @SuppressWarnings("EnumOrdinal") // The rules take turns, schedule by schedule.
     private PolicySimulation.Size size(int i) {
         return new PolicySimulation.Size(
-                routers, AbsencePolicy.Rule.values()[i % AbsencePolicy.Rule.values().length], planted);
+                routers,
+                AbsencePolicy.Rule.values()[i % AbsencePolicy.Rule.values().length],
+                planted);
     }
 
     private List<PolicyEvent> schedule(int i) {
@@ -99,7 +102,9 @@
             List<PolicyEvent> small = PolicySimulation.shrink(seed + at, size(at), schedule(at));
             report.add("seed " + (seed + at) + ": " + came[at].violations().get(0));
             report.add("made smaller: "
-                    + PolicySimulation.play(seed + at, size(at), small).violations().get(0));
+                    + PolicySimulation.play(seed + at, size(at), small)
+                            .violations()
+                            .get(0));
             small.forEach(e -> report.add("    " + e));
         }
         Files.createDirectories(out);
--- a/src/main/java/tinlink/experiment/TwoSites.java
+++ b/src/main/java/tinlink/experiment/TwoSites.java
@@ -1,5 +1,6 @@
 package tinlink.experiment;
 
+import tinlink.config.RouterConfig;
 import tinlink.emulator.EmulatedClient;
 import tinlink.emulator.EmulatedLink;
 import tinlink.emulator.EmulatedNode;
@@ -7,7 +8,6 @@
 import tinlink.emulator.EmulatorLoop;
 import tinlink.emulator.RunLog;
 import tinlink.router.Router;
-import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -93,7 +93,8 @@
         }
 
         @Override
-        public void send(LoadGenerator.LookupRecord a, Consumer<EmulatedClient.LookupResponse> hears) {
+        public void send(
+                LoadGenerator.LookupRecord a, Consumer<EmulatedClient.LookupResponse> hears) {
             clients.send(a.ask, hears);
         }
 
--- a/src/main/java/tinlink/experiment/processes/ClientGroup.java
+++ b/src/main/java/tinlink/experiment/processes/ClientGroup.java
@@ -120,7 +120,11 @@
         send(a, some, 0, hears);
     }
 
-    private void send(LoadGenerator.LookupRecord a, List<ClientGroup> order, int from, Consumer<LookupResponse> hears) {
+    private void send(
+            LoadGenerator.LookupRecord a,
+            List<ClientGroup> order,
+            int from,
+            Consumer<LookupResponse> hears) {
         long now = fleet.emulatorLoop.now();
         ClientGroup f = order.get(from);
         int next = from + 1;
--- a/src/main/java/tinlink/experiment/processes/FaultInjector.java
+++ b/src/main/java/tinlink/experiment/processes/FaultInjector.java
@@ -238,10 +238,16 @@
                 if (!isTaken(node) && !nodesDead.contains(node)) {
                     nodesDead.add(node);
                     history.add(now(), MachineHistory.EventKind.FAILED, node, "");
-                    fleet.emulated.nodes.get(node).behavior(tinlink.emulator.EmulatedNode.Behavior.STALLED);
+                    fleet.emulated
+                            .nodes
+                            .get(node)
+                            .behavior(tinlink.emulator.EmulatedNode.Behavior.STALLED);
                     heals.add(new Heal(heal, () -> {
                         nodesDead.remove(node);
-                        fleet.emulated.nodes.get(node).behavior(tinlink.emulator.EmulatedNode.Behavior.WELL);
+                        fleet.emulated
+                                .nodes
+                                .get(node)
+                                .behavior(tinlink.emulator.EmulatedNode.Behavior.WELL);
                         history.add(now(), MachineHistory.EventKind.HEALED, node, "");
                     }));
                 }
@@ -258,7 +264,8 @@
         return fleet.emulatorLoop.call(fleet.emulatorLoop::now);
     }
 
-    private void kill(RouterProcess c, List<Heal> heals, long heal, Path disk) throws InterruptedException {
+    private void kill(RouterProcess c, List<Heal> heals, long heal, Path disk)
+            throws InterruptedException {
         synchronized (c) {
             if (!c.isUp() || c.isPaused() || isTaken(c.name)) {
                 return;
--- a/src/main/java/tinlink/experiment/processes/Fleet.java
+++ b/src/main/java/tinlink/experiment/processes/Fleet.java
@@ -196,7 +196,8 @@
         routers.put(name, c);
         clientGroups.put(
                 name,
-                new ClientGroup(this, c, IntStream.range(0, plan.blocks()).boxed().toList()));
+                new ClientGroup(
+                        this, c, IntStream.range(0, plan.blocks()).boxed().toList()));
     }
 
     private String settings(boolean small) {
@@ -228,7 +229,8 @@
 
     /** Starts all that don't run, and waits until they serve. */
     public void startAll() throws IOException, InterruptedException {
-        List<RouterProcess> some = routers.values().stream().filter(c -> !c.isUp()).toList();
+        List<RouterProcess> some =
+                routers.values().stream().filter(c -> !c.isUp()).toList();
         for (RouterProcess c : some) {
             c.start();
         }
--- a/src/main/java/tinlink/experiment/processes/MaintenanceExperiment.java
+++ b/src/main/java/tinlink/experiment/processes/MaintenanceExperiment.java
@@ -102,7 +102,8 @@
             ops.awaitRest(REST_MS, 6 * REST_MS);
             Map<String, String> stuck = ops.open();
             double rest = (System.nanoTime() - healed) / 1e9;
-            for (RouterProcess c : stuck.isEmpty() ? List.<RouterProcess>of() : List.copyOf(fleet.running())) {
+            for (RouterProcess c :
+                    stuck.isEmpty() ? List.<RouterProcess>of() : List.copyOf(fleet.running())) {
                 System.out.println(
                         c.name + " " + Fleet.send(c, Map.of("do", "router")).body() + " "
                                 + Fleet.send(c, Map.of("do", "machines")).body());
@@ -167,14 +168,16 @@
                                             OUT_MS,
                                             r.nextInt(10));
                                 case 2 -> {
-                                    ops.submit("q" + i, List.of(block + "-0"), OUT_MS, r.nextInt(10));
+                                    ops.submit(
+                                            "q" + i, List.of(block + "-0"), OUT_MS, r.nextInt(10));
                                     ops.submit(
                                             "q" + i + "b",
                                             List.of(block + "-1"),
                                             OUT_MS,
                                             r.nextInt(10));
                                 }
-                                default -> ops.submit("q" + i, List.of(node), OUT_MS, r.nextInt(10));
+                                default ->
+                                    ops.submit("q" + i, List.of(node), OUT_MS, r.nextInt(10));
                             }
                             if (r.nextInt(8) == 0) {
                                 ops.callOff("q" + i);
@@ -242,7 +245,8 @@
                 broken,
                 "stuck",
                 List.copyOf(stuck.entrySet()).stream().map(String::valueOf).toList());
-        long satisfied = all.stream().filter(LoadGenerator.LookupRecord::isSatisfied).count();
+        long satisfied =
+                all.stream().filter(LoadGenerator.LookupRecord::isSatisfied).count();
         long gone = all.stream().filter(a -> a.excused).count();
         List<String> report = new ArrayList<>();
         report.add(String.format(
--- a/src/main/java/tinlink/experiment/processes/PolicyExperiment.java
+++ b/src/main/java/tinlink/experiment/processes/PolicyExperiment.java
@@ -242,7 +242,10 @@
         final Set<Long> mixed = new TreeSet<>();
     }
 
-    private static Seen seen(List<LoadGenerator.LookupRecord> all, RunLog runLog, NavigableMap<Long, Boolean> holds) {
+    private static Seen seen(
+            List<LoadGenerator.LookupRecord> all,
+            RunLog runLog,
+            NavigableMap<Long, Boolean> holds) {
         Seen s = new Seen();
         Map<Long, Set<Boolean>> windows = new TreeMap<>();
         for (LoadGenerator.LookupRecord a : all) {
--- a/src/main/java/tinlink/experiment/processes/SimulatedOperators.java
+++ b/src/main/java/tinlink/experiment/processes/SimulatedOperators.java
@@ -61,8 +61,11 @@
     /** Asks for these machines, each out for so long. */
     public synchronized void submit(String id, List<String> machines, long forMs, int urgency) {
         open.put(id, "asked");
-        machines.forEach(
-                m -> history.add(fleet.emulatorLoop.call(fleet.emulatorLoop::now), MachineHistory.EventKind.ASKED, m, id));
+        machines.forEach(m -> history.add(
+                fleet.emulatorLoop.call(fleet.emulatorLoop::now),
+                MachineHistory.EventKind.ASKED,
+                m,
+                id));
         SplittableRandom own = random.split();
         Thread t = new Thread(
                 () -> {
@@ -111,7 +114,8 @@
         boolean asked = false;
         while (!stop) {
             Thread.sleep(60 + own.nextInt(120));
-            Fleet.ControlResponse t = asked ? send(own, Map.of("do", "show", "id", id)) : send(own, ask);
+            Fleet.ControlResponse t =
+                    asked ? send(own, Map.of("do", "show", "id", id)) : send(own, ask);
             asked |= t.status() == 200;
             JsonNode r = t.body().path("request");
             if (t.status() != 200 || r.isMissingNode()) {
@@ -145,7 +149,11 @@
                     ended.put(
                             id + "/" + m.path("machine").asText(),
                             m.path("state").asText());
-                    history.add(now(), MachineHistory.EventKind.OVER, m.path("machine").asText(), id);
+                    history.add(
+                            now(),
+                            MachineHistory.EventKind.OVER,
+                            m.path("machine").asText(),
+                            id);
                 }
                 open.remove(id);
                 return;
@@ -163,7 +171,8 @@
         EmulatedNode n = fleet.emulated.nodes.get(machine);
         if (n != null) {
             Thread.sleep(WATCHED_MS);
-            long ran = fleet.emulatorLoop.call(() -> fleet.runLog.countBetween(machine, at, Long.MAX_VALUE));
+            long ran = fleet.emulatorLoop.call(
+                    () -> fleet.runLog.countBetween(machine, at, Long.MAX_VALUE));
             if (ran > 0) {
                 staleActs.add(
                         machine + " ran " + ran + " parts after it was told as out for " + id);
@@ -177,8 +186,8 @@
             if (c.isUp() && !c.isPaused()) {
                 int status = c.stop(10_000);
                 if (status != 0 && status != 143) {
-                    faults.add(
-                            machine + " ended with " + status + " as it was stopped:\n" + c.output());
+                    faults.add(machine + " ended with " + status + " as it was stopped:\n"
+                            + c.output());
                 }
             } else {
                 c.kill();
--- a/src/main/java/tinlink/experiment/scale/ControlFleet.java
+++ b/src/main/java/tinlink/experiment/scale/ControlFleet.java
@@ -146,9 +146,10 @@
                 new EmulatedLink.LinkConditions(0, 0, 0),
                 plan.seed());
         for (String name : plan.realNames()) {
-            String discovery = EmulatedFleet.address(around.addRouterView().toDiscovery.address());
-            RouterProcess child =
-                    new RouterProcess(name, folder.resolve(name), files.write(name, voters, discovery));
+            String discovery =
+                    EmulatedFleet.address(around.addRouterView().toDiscovery.address());
+            RouterProcess child = new RouterProcess(
+                    name, folder.resolve(name), files.write(name, voters, discovery));
             real.put(name, child);
             child.start();
         }
--- a/src/main/java/tinlink/experiment/scale/ControlRun.java
+++ b/src/main/java/tinlink/experiment/scale/ControlRun.java
@@ -2,8 +2,8 @@
 
 import org.HdrHistogram.Histogram;
 
-import tinlink.experiment.processes.RouterProcess;
 import tinlink.experiment.processes.Fleet;
+import tinlink.experiment.processes.RouterProcess;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -1,23 +1,23 @@
 package tinlink.experiment.scale;
 
-import tinlink.net.EventLoop;
-import tinlink.net.Network;
+import tinlink.cluster.ClusterNode;
 import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.PeerKeys;
-import tinlink.cluster.ClusterNode;
 import tinlink.cluster.membership.MemberState;
-import tinlink.policy.PolicyRolloutService;
-import tinlink.policy.PolicyStateMachine;
-import tinlink.policy.ProposalTerms;
-import tinlink.policy.rollout.PolicyVersion;
-import tinlink.config.InvalidInputException;
 import tinlink.config.ClusterConfig;
+import tinlink.config.InvalidInputException;
+import tinlink.config.MaintenanceConfig;
 import tinlink.config.PolicyDocument;
 import tinlink.config.RouterConfig;
-import tinlink.config.MaintenanceConfig;
 import tinlink.maintenance.MaintenanceService;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
+import tinlink.policy.PolicyRolloutService;
+import tinlink.policy.PolicyStateMachine;
+import tinlink.policy.ProposalTerms;
+import tinlink.policy.rollout.PolicyVersion;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -41,7 +41,8 @@
  * share one process; each has a thread group of its own, so that its processor time can be told
  * from that of the others.
  */
-final class HollowRouter implements EventLoop.EventLoopParticipant, MaintenanceService.DataPlane, AutoCloseable {
+final class HollowRouter
+        implements EventLoop.EventLoopParticipant, MaintenanceService.DataPlane, AutoCloseable {
     private static final long ANSWER_SECONDS = 20;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int MOST_THREADS = 64;
@@ -100,15 +101,31 @@
         clusterNode = new ClusterNode(
                 loop,
                 network.withoutServer(),
-                new ClusterNode.LocalRouter(clusterConfig.cluster, clusterConfig.router, clusterConfig.listen, clusterConfig.advertisedAddress),
+                new ClusterNode.LocalRouter(
+                        clusterConfig.cluster,
+                        clusterConfig.router,
+                        clusterConfig.listen,
+                        clusterConfig.advertisedAddress),
                 new ClusterNode.KnownRouters(clusterConfig.peers, clusterConfig.voters),
                 new PeerKeys(clusterConfig.keys, clusterConfig.activeKeyId),
-                new ClusterNode.Timing(clusterConfig.probeIntervalUs, clusterConfig.indirectProbeCount, clusterConfig.heartbeatUs, clusterConfig.handshakeUs, clusterConfig.idleUs),
-                new ClusterNode.Limits(clusterConfig.maxMembers, clusterConfig.maxUnauthenticatedConnections, clusterConfig.maxDiskBytes, clusterConfig.snapshotInterval),
+                new ClusterNode.Timing(
+                        clusterConfig.probeIntervalUs,
+                        clusterConfig.indirectProbeCount,
+                        clusterConfig.heartbeatUs,
+                        clusterConfig.handshakeUs,
+                        clusterConfig.idleUs),
+                new ClusterNode.Limits(
+                        clusterConfig.maxMembers,
+                        clusterConfig.maxUnauthenticatedConnections,
+                        clusterConfig.maxDiskBytes,
+                        clusterConfig.snapshotInterval),
                 clusterConfig.dataDirectory,
                 config.seed,
-                new CompositeStateMachine(replicatedState, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine)),
-                new CompositeStateMachine(new ReplicatedMaintenance(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine())));
+                new CompositeStateMachine(
+                        replicatedState, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine)),
+                new CompositeStateMachine(
+                        new ReplicatedMaintenance(),
+                        Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine())));
         DisruptionLimits limits = new DisruptionLimits(
                 maintenanceConfig.minServingPerCell,
                 maintenanceConfig.minZoneShare,
@@ -280,11 +297,14 @@
         if (newest.epoch() != newestEpoch) {
             newestEpoch = newest.epoch();
             if (tookLast < newestEpoch
-                    && tookLastAtUs > newest.effectiveAtUs() + newest.absencePolicy().maxClockErrorUs()) {
+                    && tookLastAtUs
+                            > newest.effectiveAtUs() + newest.absencePolicy().maxClockErrorUs()) {
                 tookOldTooLate++;
             }
             // So that there is a turn as its time comes.
-            loop.schedule(loop.nowUs() + Math.max(0, newest.effectiveAtUs() - clockUs) + CLOCK_STEP_US, () -> {});
+            loop.schedule(
+                    loop.nowUs() + Math.max(0, newest.effectiveAtUs() - clockUs) + CLOCK_STEP_US,
+                    () -> {});
         }
         PolicyVersion taken = policyRollout.effectiveVersion();
         if (taken != null) {
--- a/src/main/java/tinlink/experiment/scale/ServingLoad.java
+++ b/src/main/java/tinlink/experiment/scale/ServingLoad.java
@@ -3,8 +3,8 @@
 import org.HdrHistogram.Histogram;
 
 import tinlink.emulator.EmulatedClient;
-import tinlink.emulator.EmulatedClient.LookupResponse;
 import tinlink.emulator.EmulatedClient.LookupRequest;
+import tinlink.emulator.EmulatedClient.LookupResponse;
 import tinlink.emulator.EmulatorLoop;
 
 import java.io.IOException;
--- a/src/main/java/tinlink/experiment/scale/SimulatedControlExperiment.java
+++ b/src/main/java/tinlink/experiment/scale/SimulatedControlExperiment.java
@@ -104,7 +104,8 @@
             Outcome control = ControlSimulation.play(
                     seed, new ControlSimulation.Size(routers, voters, nodes, DOWN_SHARE, CHANGES));
             MembershipSimulation.Idle membership = MembershipSimulation.idle(seed, routers);
-            return new SimulatedRun(seed, routers, control, membership, (System.nanoTime() - from) / 1e9);
+            return new SimulatedRun(
+                    seed, routers, control, membership, (System.nanoTime() - from) / 1e9);
         }
     }
 
@@ -149,7 +150,8 @@
                 played.seconds());
     }
 
-    private void idle(String role, int routers, Traffic idle, MembershipSimulation.Idle membership) {
+    private void idle(
+            String role, int routers, Traffic idle, MembershipSimulation.Idle membership) {
         add(role, "messages a second", "1/s", routers, idle.messages() + membership.messages());
         add(role, "bytes a second", "B/s", routers, idle.bytes() + membership.bytes());
         add(
--- a/src/main/java/tinlink/experiment/simulation/ConsensusGroup.java
+++ b/src/main/java/tinlink/experiment/simulation/ConsensusGroup.java
@@ -37,7 +37,10 @@
     private List<SimulatedMember> voters = List.of();
 
     ConsensusGroup(
-            Simulation simulation, SimulatedNetwork network, Settings settings, Supplier<ReplicatedStateMachine> replicas) {
+            Simulation simulation,
+            SimulatedNetwork network,
+            Settings settings,
+            Supplier<ReplicatedStateMachine> replicas) {
         this.simulation = simulation;
         this.network = network;
         this.settings = settings;
--- a/src/main/java/tinlink/experiment/simulation/ControlFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlFleet.java
@@ -5,14 +5,14 @@
 
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.cluster.membership.Incarnation;
-import tinlink.policy.rollout.AbsencePolicy;
-import tinlink.policy.rollout.PolicyChanges;
 import tinlink.maintenance.scheduling.DisruptionLimits;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
-import tinlink.maintenance.scheduling.NodeListDifference;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MachineFailureDetector;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.NodeListDifference;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChanges;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -36,26 +36,30 @@
     private static final int HOLDERS = 3;
     private static final ConsensusGroup.Settings SETTINGS =
             new ConsensusGroup.Settings(LIBRARY_MILLISECOND_US, LINES_KEPT, LINES_KEPT, 2 * SEC);
-    private static final SimulatedNetwork.LinkConditions IN_ZONE = new SimulatedNetwork.LinkConditions(100, 400, 0, 0);
+    private static final SimulatedNetwork.LinkConditions IN_ZONE =
+            new SimulatedNetwork.LinkConditions(100, 400, 0, 0);
     private static final SimulatedNetwork.LinkConditions IN_REGION =
             new SimulatedNetwork.LinkConditions(300, 1500, 0.0001, 0);
     private static final SimulatedNetwork.LinkConditions BETWEEN_REGIONS =
             new SimulatedNetwork.LinkConditions(15 * MS, 40 * MS, 0.005, 0);
     /** Until a first change says otherwise; as in service. */
-    private static final AbsencePolicy FIRST = new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10 * SEC, SEC, 0, 50 * MS);
+    private static final AbsencePolicy FIRST =
+            new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10 * SEC, SEC, 0, 50 * MS);
 
     final Simulation simulation;
     final SimulatedNetwork network;
     final TrafficMeter meter = new TrafficMeter();
     final ConsensusGroup group;
     final Map<String, ControlRouter> routers = new LinkedHashMap<>();
-    final SharedReplicas<PolicyChanges> states = new SharedReplicas<>(new SharedPolicyStateMachine(FIRST));
+    final SharedReplicas<PolicyChanges> states =
+            new SharedReplicas<>(new SharedPolicyStateMachine(FIRST));
     /** What each router reports as its list of data nodes: it is the same for all of a region. */
     private final List<String> nodeLists = new ArrayList<>();
 
     private final Map<String, Map<String, Boolean>> watched = new HashMap<>();
     /** The order of work with all machines and routers and no work in hand: held by every router too. */
-    private final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(new DisruptionLimits(1, 0.5, 0.5, SEC, SEC, SEC, 1000, 4096));
+    private final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(
+            new DisruptionLimits(1, 0.5, 0.5, SEC, SEC, SEC, 1000, 4096));
 
     ControlFleet(long seed, int routerCount, int voterCount, int nodeCount) {
         simulation = new Simulation(seed);
@@ -77,10 +81,13 @@
         }
         nodes.forEach(node -> stateMachine.apply(MaintenanceStateMachine.machineLine(node)));
         for (int region = 0; region < REGIONS; region++) {
-            nodeLists.add(NodeListDifference.between("region-" + region, nodes, stateMachine.agreedNodes())
+            nodeLists.add(NodeListDifference.between(
+                            "region-" + region, nodes, stateMachine.agreedNodes())
                     .encode());
         }
-        routers.values().forEach(router -> stateMachine.apply(MaintenanceStateMachine.machineLine(router.machine)));
+        routers.values()
+                .forEach(router ->
+                        stateMachine.apply(MaintenanceStateMachine.machineLine(router.machine)));
         routers.keySet()
                 .forEach(name -> stateMachine.apply(MaintenanceStateMachine.routerLine(
                         name, new Incarnation(name, 1, simulation.random.nextLong()).toString())));
@@ -101,7 +108,8 @@
     }
 
     private void watch(String machine) {
-        for (String watcher : MachineFailureDetector.watchers(routers.keySet(), machine, WATCHERS)) {
+        for (String watcher :
+                MachineFailureDetector.watchers(routers.keySet(), machine, WATCHERS)) {
             watched.computeIfAbsent(watcher, w -> new HashMap<>()).put(machine, true);
         }
     }
@@ -158,7 +166,8 @@
     }
 
     /** A shared replica as that which is agreed on. */
-    record SharedPolicyReplica(SharedReplicas<PolicyChanges>.Replica replica) implements ReplicatedStateMachine {
+    record SharedPolicyReplica(SharedReplicas<PolicyChanges>.Replica replica)
+            implements ReplicatedStateMachine {
         @Override
         public String apply(String line) {
             return replica.apply(line);
--- a/src/main/java/tinlink/experiment/simulation/ControlRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlRouter.java
@@ -4,16 +4,16 @@
 import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.cluster.membership.LineCodec;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
 import tinlink.policy.rollout.AbsencePolicy;
-import tinlink.policy.rollout.PolicyChange;
-import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.ChangeCoordinator;
 import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyCommandCodec;
 import tinlink.policy.rollout.PolicyVersion;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
-import tinlink.maintenance.scheduling.Machine;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -58,8 +58,8 @@
         }
         replica = fleet.states.replica();
         startMember(new ControlFleet.SharedPolicyReplica(replica));
-        participant =
-                new ChangeParticipant(name, incarnation.toString(), incarnation.startCount(), REPORT_US, change -> "");
+        participant = new ChangeParticipant(
+                name, incarnation.toString(), incarnation.startCount(), REPORT_US, change -> "");
         coordinator = new ChangeCoordinator(REPORT_US);
         listToldAt = Long.MIN_VALUE / 2;
         confirmed = -1;
@@ -166,7 +166,8 @@
         PolicyChanges changes = changes();
         participant.updateClocks(simulation.now(), simulation.now());
         if (confirmed >= 0 && learnerLog.index() >= confirmed) {
-            participant.leaseGranted(confirmedAskedAt, changes.inForce().absencePolicy().leaseUs());
+            participant.leaseGranted(
+                    confirmedAskedAt, changes.inForce().absencePolicy().leaseUs());
             confirmed = -1;
         }
         participant.decide(changes, this::propose);
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceChecks.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceChecks.java
@@ -2,8 +2,8 @@
 
 import static tinlink.experiment.simulation.Simulation.SEC;
 
-import tinlink.maintenance.scheduling.MaintenanceTask;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.maintenance.scheduling.MaintenanceTask;
 
 /**
  * What must hold when an operator takes a machine, by what machines and calls are, not by what routers say of
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceFaults.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceFaults.java
@@ -105,7 +105,8 @@
             if (router.up && !router.stoppedForWork) {
                 router.kill();
                 fleet.simulation.scheduleIn(
-                        fleet.simulation.random.nextLong(MOST_RESTART_US), () -> startIfDown(router));
+                        fleet.simulation.random.nextLong(MOST_RESTART_US),
+                        () -> startIfDown(router));
             }
         }
     }
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceFleet.java
@@ -5,10 +5,10 @@
 
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MachineFailureDetector;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,7 +19,8 @@
 
 /** The machines of one play of work, and what is agreed among its routers. */
 final class MaintenanceFleet {
-    static final DisruptionLimits BOUNDS = new DisruptionLimits(2, 0.5, 0.5, SEC, 4 * SEC, 20 * SEC, 2000, 4000);
+    static final DisruptionLimits BOUNDS =
+            new DisruptionLimits(2, 0.5, 0.5, SEC, 4 * SEC, 20 * SEC, 2000, 4000);
     private static final int WATCHERS = 3;
     private static final ConsensusGroup.Settings SETTINGS =
             new ConsensusGroup.Settings(MS, 64, 40, 2 * SEC);
@@ -47,7 +48,8 @@
         this.size = size;
         simulation = new Simulation(seed);
         network = new SimulatedNetwork(simulation, PATH);
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared =
+                new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         replicas = sharesState
                 ? () -> new MaintenanceReplica.Shared(shared.replica())
                 : () -> new MaintenanceReplica.Own(BOUNDS);
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceOperators.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceOperators.java
@@ -3,9 +3,9 @@
 import static tinlink.experiment.simulation.Simulation.MS;
 import static tinlink.experiment.simulation.Simulation.SEC;
 
+import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
-import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.TaskState;
 
 import java.util.HashMap;
@@ -85,8 +85,9 @@
         if (pieces.isEmpty()) {
             router.propose(MaintenanceStateMachine.requestLine(request));
         } else if (pieces.stream().allMatch(MaintenanceTask::isFinished)) {
-            finished +=
-                    (int) pieces.stream().filter(task -> task.state() == TaskState.BACK).count();
+            finished += (int) pieces.stream()
+                    .filter(task -> task.state() == TaskState.BACK)
+                    .count();
             return true;
         }
         if (calledOff.contains(request.id())
@@ -105,7 +106,8 @@
 
     private void tend(MaintenanceRequest request, MaintenanceTask task, SimulatedRouter router) {
         String key = request.id() + "/" + task.machine();
-        boolean out = task.state() == TaskState.OUT || task.state() == TaskState.OVERDUE && task.isActive();
+        boolean out = task.state() == TaskState.OUT
+                || task.state() == TaskState.OVERDUE && task.isActive();
         if (!out) {
             return;
         }
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceSchedule.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceSchedule.java
@@ -44,7 +44,11 @@
         if (random.nextInt(5) == 0) {
             add(atUs, MaintenanceEvent.Kind.ASK_BLOCK, random.nextInt(size.blocks()), number);
         } else {
-            add(atUs, MaintenanceEvent.Kind.ASK, random.nextInt(size.routers() + size.nodes()), number);
+            add(
+                    atUs,
+                    MaintenanceEvent.Kind.ASK,
+                    random.nextInt(size.routers() + size.nodes()),
+                    number);
         }
         if (random.nextInt(6) == 0) {
             add(atUs + random.nextLong(4 * SEC), MaintenanceEvent.Kind.CALL_OFF, number, 0);
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceSimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceSimulation.java
@@ -46,13 +46,16 @@
     }
 
     /** @param sharesState whether routers that have heard the same lines have their states in common */
-    static Outcome play(long seed, Size size, List<MaintenanceEvent> schedule, boolean sharesState) {
+    static Outcome play(
+            long seed, Size size, List<MaintenanceEvent> schedule, boolean sharesState) {
         return new MaintenanceSimulation(seed, size, sharesState).run(schedule);
     }
 
     /** The smallest part of a schedule, found by leaving events out, that breaks the rules too. */
-    public static List<MaintenanceEvent> shrink(long seed, Size size, List<MaintenanceEvent> schedule) {
-        return ScheduleShrinker.shrink(schedule, s -> !play(seed, size, s).violations().isEmpty());
+    public static List<MaintenanceEvent> shrink(
+            long seed, Size size, List<MaintenanceEvent> schedule) {
+        return ScheduleShrinker.shrink(
+                schedule, s -> !play(seed, size, s).violations().isEmpty());
     }
 
     private Outcome run(List<MaintenanceEvent> schedule) {
@@ -101,7 +104,8 @@
 
     private String stuck() {
         List<String> open = fleet.truth().openTasks().stream()
-                .map(task -> task.request().id() + " " + task.machine() + " " + task.state() + " " + task.reason())
+                .map(task -> task.request().id() + " " + task.machine() + " " + task.state() + " "
+                        + task.reason())
                 .toList();
         List<String> voters =
                 fleet.voters().stream().map(SimulatedRouter::summary).toList();
--- a/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
@@ -2,9 +2,9 @@
 
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.Member;
+import tinlink.cluster.membership.MemberState;
 import tinlink.cluster.membership.Membership;
 import tinlink.cluster.membership.Rumor;
-import tinlink.cluster.membership.MemberState;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -51,7 +51,8 @@
 
         void start(long starts) {
             this.starts = starts;
-            incarnation = new Incarnation(name, starts, simulation.random.nextLong(1, Long.MAX_VALUE));
+            incarnation =
+                    new Incarnation(name, starts, simulation.random.nextLong(1, Long.MAX_VALUE));
             List<String> seeds =
                     new ArrayList<>(routers.keySet()).subList(0, Math.min(3, routers.size()));
             membership = new Membership(
@@ -107,8 +108,7 @@
             Incarnation to = routers.get(at) == null ? null : routers.get(at).incarnation;
             send(at, "", rumors, t -> {
                 if (routers.get(at).incarnation == to) {
-                    t.onAck(
-                            number); // A link ends with its process; so do the numbers said on it.
+                    t.onAck(number); // A link ends with its process; so do the numbers said on it.
                 }
             });
         }
@@ -131,8 +131,11 @@
                 violations.add(name + " went back to an earlier life of " + member.router());
             }
             Router r = routers.get(member.router());
-            boolean well =
-                    r != null && r.up && !r.paused && r.incarnation.equals(member.incarnation()) && !troubled;
+            boolean well = r != null
+                    && r.up
+                    && !r.paused
+                    && r.incarnation.equals(member.incarnation())
+                    && !troubled;
             if (member.state() == MemberState.DEAD && well) {
                 falseDeaths++;
             }
@@ -168,7 +171,11 @@
     }
 
     private MembershipSimulation(
-            long seed, int count, SimulatedNetwork.LinkConditions path, long roundUs, String prefix) {
+            long seed,
+            int count,
+            SimulatedNetwork.LinkConditions path,
+            long roundUs,
+            String prefix) {
         this.roundUs = roundUs;
         simulation = new Simulation(seed);
         net = new SimulatedNetwork(simulation, path);
@@ -184,7 +191,8 @@
      * @param twin a router is also started a second time from a copy of its folder, and ended again
      */
     public static Outcome play(long seed, int count, int faults, boolean twin) {
-        return new MembershipSimulation(seed, count, new SimulatedNetwork.LinkConditions(500, 20_000, 0.02, 0.02))
+        return new MembershipSimulation(
+                        seed, count, new SimulatedNetwork.LinkConditions(500, 20_000, 0.02, 0.02))
                 .go(faults, twin);
     }
 
@@ -199,15 +207,19 @@
 
     /** A fleet with the rounds of service, started at once; each router knows three to begin with. */
     public static Idle idle(long seed, int count) {
-        SimulatedNetwork.LinkConditions path = new SimulatedNetwork.LinkConditions(500, 20_000, 0, 0);
+        SimulatedNetwork.LinkConditions path =
+                new SimulatedNetwork.LinkConditions(500, 20_000, 0, 0);
         return new MembershipSimulation(seed, count, path, SERVICE_ROUND_US, "router-").idle();
     }
 
     private Idle idle() {
         TrafficMeter meter = new TrafficMeter();
         net.meter(meter);
-        routers.values().forEach(r -> simulation.scheduleIn(simulation.random.nextLong(roundUs), () -> r.start(1)));
-        while (simulation.now() < MOST_JOIN_US && (simulation.now() == 0 || disagreement() != null)) {
+        routers.values()
+                .forEach(r -> simulation.scheduleIn(
+                        simulation.random.nextLong(roundUs), () -> r.start(1)));
+        while (simulation.now() < MOST_JOIN_US
+                && (simulation.now() == 0 || disagreement() != null)) {
             simulation.run(simulation.now() + roundUs);
         }
         long joinedUs = simulation.now();
@@ -232,7 +244,9 @@
     }
 
     private Outcome go(int faults, boolean twin) {
-        routers.values().forEach(r -> simulation.scheduleIn(simulation.random.nextLong(ROUND), () -> r.start(1)));
+        routers.values()
+                .forEach(r ->
+                        simulation.scheduleIn(simulation.random.nextLong(ROUND), () -> r.start(1)));
         simulation.run(60 * ROUND);
         troubled = false;
         simulation.run(simulation.now() + 60 * ROUND);
@@ -261,7 +275,8 @@
         if (not != null) {
             violations.add("not at rest: " + not);
         }
-        return new Outcome(simulation.steps(), simulation.digest(), falseDeaths, List.copyOf(violations));
+        return new Outcome(
+                simulation.steps(), simulation.digest(), falseDeaths, List.copyOf(violations));
     }
 
     private String disagreement() {
@@ -271,9 +286,12 @@
                     continue;
                 }
                 Member m = r.membership.member(o.name);
-                if (m == null || m.state() != MemberState.ALIVE || !m.incarnation().equals(o.incarnation)) {
+                if (m == null
+                        || m.state() != MemberState.ALIVE
+                        || !m.incarnation().equals(o.incarnation)) {
                     return r.name + " holds " + o.name + " for "
-                            + (m == null ? "unknown" : m.state() + " " + m.incarnation()) + ", it is "
+                            + (m == null ? "unknown" : m.state() + " " + m.incarnation())
+                            + ", it is "
                             + o.incarnation;
                 }
             }
@@ -345,7 +363,8 @@
             seen.start(seen.starts + 1);
             simulation.run(simulation.now() + 60 * ROUND);
         }
-        seen.deliver(() -> seen.membership.onRumors(new Rumor(twin.incarnation, 1, MemberState.ALIVE, "r0", "")));
+        seen.deliver(() -> seen.membership.onRumors(
+                new Rumor(twin.incarnation, 1, MemberState.ALIVE, "r0", "")));
         simulation.run(simulation.now() + 60 * ROUND);
         if (r.toldOfSelf.stream().noneMatch(s -> s.startsWith("TWIN"))) {
             violations.add("r0 was not told of its twin");
--- a/src/main/java/tinlink/experiment/simulation/OptimalSchedule.java
+++ b/src/main/java/tinlink/experiment/simulation/OptimalSchedule.java
@@ -2,9 +2,9 @@
 
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
-import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.TaskState;
 
 import java.util.ArrayList;
@@ -70,16 +70,18 @@
     /** What the order itself does with them. */
     private long granted() {
         MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
-        machines.forEach(machine -> stateMachine.apply(MaintenanceStateMachine.machineLine(machine)));
+        machines.forEach(
+                machine -> stateMachine.apply(MaintenanceStateMachine.machineLine(machine)));
         IntStream.range(0, asked.size())
-                .forEach(i -> stateMachine.apply(MaintenanceStateMachine.requestLine(new MaintenanceRequest(
-                        "q" + i,
-                        List.of(asked.get(i).id()),
-                        forUs.get(i),
-                        Long.MAX_VALUE,
-                        5,
-                        "op",
-                        "work"))));
+                .forEach(i -> stateMachine.apply(
+                        MaintenanceStateMachine.requestLine(new MaintenanceRequest(
+                                "q" + i,
+                                List.of(asked.get(i).id()),
+                                forUs.get(i),
+                                Long.MAX_VALUE,
+                                5,
+                                "op",
+                                "work"))));
         Map<String, Long> since = new HashMap<>();
         long waits = 0;
         for (long now = 0; !stateMachine.openTasks().isEmpty(); now += STEP) {
@@ -88,7 +90,8 @@
                     Long from = since.putIfAbsent(task.machine(), now);
                     waits += from == null ? now : 0;
                     if (now - since.get(task.machine()) >= task.request().durationUs()) {
-                        stateMachine.apply(MaintenanceStateMachine.doneLine(task.request().id(), "", false));
+                        stateMachine.apply(
+                                MaintenanceStateMachine.doneLine(task.request().id(), "", false));
                     }
                 }
             }
@@ -177,6 +180,9 @@
     }
 
     private long here(List<Machine> away, java.util.function.Predicate<Machine> where) {
-        return machines.stream().filter(where).filter(machine -> !away.contains(machine)).count();
+        return machines.stream()
+                .filter(where)
+                .filter(machine -> !away.contains(machine))
+                .count();
     }
 }
--- a/src/main/java/tinlink/experiment/simulation/PolicySimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicySimulation.java
@@ -4,10 +4,10 @@
 import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.policy.rollout.AbsencePolicy;
-import tinlink.policy.rollout.PolicyChange;
-import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.ChangeCoordinator;
 import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyCommandCodec;
 
@@ -207,7 +207,9 @@
     }
 
     private long delay() {
-        return 300 + simulation.random.nextLong(simulation.random.nextInt(10) == 0 ? 300 * MS : 8 * MS);
+        return 300
+                + simulation.random.nextLong(
+                        simulation.random.nextInt(10) == 0 ? 300 * MS : 8 * MS);
     }
 
     private void agree(PolicyCommand command) {
@@ -255,7 +257,8 @@
     private void checkSettled() {
         for (Router r : routers) {
             PolicyChange open = r.view.openChange();
-            ChangeParticipant.EffectivePolicy effectivePolicy = r.participant.effectivePolicy(r.view);
+            ChangeParticipant.EffectivePolicy effectivePolicy =
+                    r.participant.effectivePolicy(r.view);
             if (open != null || !effectivePolicy.isPresent()) {
                 checks.violated("unsettled: " + r.name + " " + effectivePolicy.unavailableReason()
                         + (open == null
@@ -331,6 +334,7 @@
 
     /** The smallest part of a schedule, found by leaving events out, that breaks the rules too. */
     public static List<PolicyEvent> shrink(long seed, Size size, List<PolicyEvent> schedule) {
-        return ScheduleShrinker.shrink(schedule, s -> !play(seed, size, s).violations().isEmpty());
+        return ScheduleShrinker.shrink(
+                schedule, s -> !play(seed, size, s).violations().isEmpty());
     }
 }
--- a/src/main/java/tinlink/experiment/simulation/SharedMaintenanceStateMachine.java
+++ b/src/main/java/tinlink/experiment/simulation/SharedMaintenanceStateMachine.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /** The order of work as a state machine whose states replicas can share. */
-final class SharedMaintenanceStateMachine implements SharedReplicas.StateMachine<MaintenanceStateMachine> {
+final class SharedMaintenanceStateMachine
+        implements SharedReplicas.StateMachine<MaintenanceStateMachine> {
     private final DisruptionLimits limits;
 
     SharedMaintenanceStateMachine(DisruptionLimits limits) {
--- a/src/main/java/tinlink/experiment/simulation/SharedPolicyStateMachine.java
+++ b/src/main/java/tinlink/experiment/simulation/SharedPolicyStateMachine.java
@@ -35,7 +35,9 @@
 
     @Override
     public List<String> snapshot(PolicyChanges state) {
-        return state.snapshot().stream().map(words -> LineCodec.encode(words.toArray())).toList();
+        return state.snapshot().stream()
+                .map(words -> LineCodec.encode(words.toArray()))
+                .toList();
     }
 
     @Override
--- a/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
@@ -3,16 +3,16 @@
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.RaftMessage;
 
-import tinlink.net.MessageRejectedException;
-import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.LearnerLog;
+import tinlink.cluster.RaftCodec;
 import tinlink.cluster.RaftReplica;
 import tinlink.cluster.RaftStateStore;
-import tinlink.cluster.RaftCodec;
-import tinlink.cluster.LearnerLog;
+import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.cluster.Voter;
-import tinlink.cluster.membership.VoterAdmission;
-import tinlink.cluster.membership.RecoveryFloor;
 import tinlink.cluster.membership.Incarnation;
+import tinlink.cluster.membership.RecoveryFloor;
+import tinlink.cluster.membership.VoterAdmission;
+import tinlink.net.MessageRejectedException;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -102,7 +102,9 @@
         } else {
             long[] reached = stateStore.lastPosition();
             voterAdmission = new VoterAdmission(
-                    incarnation, new VoterAdmission.LogPosition((int) reached[0], reached[1]), group.otherVoters(name));
+                    incarnation,
+                    new VoterAdmission.LogPosition((int) reached[0], reached[1]),
+                    group.otherVoters(name));
         }
     }
 
@@ -121,7 +123,8 @@
     }
 
     private void startVoting() {
-        SimulatedClock clock = new SimulatedClock(simulation, group.settings.libraryMillisecondUs());
+        SimulatedClock clock =
+                new SimulatedClock(simulation, group.settings.libraryMillisecondUs());
         List<Voter> first = group.voters().stream().map(SimulatedMember::self).toList();
         raft = new RaftReplica(
                 self(),
@@ -243,10 +246,15 @@
         group.network.send(
                 name,
                 asker.name,
-                () -> asker.deliver(() -> asker.onAdmissionAnswer(name, knownIncarnation, position, logEnd)));
+                () -> asker.deliver(
+                        () -> asker.onAdmissionAnswer(name, knownIncarnation, position, logEnd)));
     }
 
-    private void onAdmissionAnswer(String from, Incarnation knownIncarnation, VoterAdmission.LogPosition position, RecoveryFloor logEnd) {
+    private void onAdmissionAnswer(
+            String from,
+            Incarnation knownIncarnation,
+            VoterAdmission.LogPosition position,
+            RecoveryFloor logEnd) {
         if (voterAdmission != null) {
             voterAdmission.answered(from, knownIncarnation, position, logEnd, simulation.now());
         }
@@ -337,7 +345,9 @@
         return name
                 + (up ? "" : " down")
                 + (hasOldDisk ? " old disk" : "")
-                + (voterAdmission == null ? "" : " " + voterAdmission.decision() + " " + voterAdmission.floor())
+                + (voterAdmission == null
+                        ? ""
+                        : " " + voterAdmission.decision() + " " + voterAdmission.floor())
                 + (raft == null
                         ? ""
                         : " leader " + raft.leader() + " term " + raft.term() + " end "
--- a/src/main/java/tinlink/experiment/simulation/SimulatedNetwork.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedNetwork.java
@@ -10,7 +10,8 @@
  */
 final class SimulatedNetwork {
     /** @param minDelayUs and up to {@code mostUs}: each message's own delay, so they overtake each other */
-    record LinkConditions(long minDelayUs, long maxDelayUs, double dropRate, double duplicateRate) {}
+    record LinkConditions(
+            long minDelayUs, long maxDelayUs, double dropRate, double duplicateRate) {}
 
     /** Which path a message takes. */
     interface Paths {
@@ -65,8 +66,8 @@
         }
         int copies = simulation.random.nextDouble() < path.duplicateRate() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long delayUs =
-                    path.minDelayUs() + simulation.random.nextLong(path.maxDelayUs() - path.minDelayUs() + 1);
+            long delayUs = path.minDelayUs()
+                    + simulation.random.nextLong(path.maxDelayUs() - path.minDelayUs() + 1);
             simulation.scheduleIn(delayUs, () -> {
                 if (!isCut(from, to)) {
                     if (counts != null) {
--- a/src/main/java/tinlink/experiment/simulation/SimulatedRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedRouter.java
@@ -4,8 +4,8 @@
 import static tinlink.experiment.simulation.Simulation.SEC;
 
 import tinlink.maintenance.scheduling.DrainController;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.ArrayList;
@@ -22,7 +22,8 @@
  * MaintenanceCoordinator} decide, watches machines, reports them to whoever leads, and serves clients by data
  * nodes that are not left out.
  */
-final class SimulatedRouter extends SimulatedMember implements DrainController.DrainHandler, DrainController.InFlightCounts {
+final class SimulatedRouter extends SimulatedMember
+        implements DrainController.DrainHandler, DrainController.InFlightCounts {
     private static final long BEAT_US = 200 * MS;
     private static final long SERVE_US = 150 * MS;
     private static final long WATCH_US = 500 * MS;
@@ -75,7 +76,8 @@
         clients = 0;
         draining = false;
         drainController = new DrainController(name, incarnation.toString(), SAY_AGAIN_US);
-        coordinator = new MaintenanceCoordinator(MaintenanceFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
+        coordinator = new MaintenanceCoordinator(
+                MaintenanceFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
         joinGroup();
         long run = generation;
         scheduleEvery(run, BEAT_US, this::sendHeartbeat);
@@ -121,7 +123,8 @@
         coordinator.setLeader(isLeader());
         coordinator.setVoters(seated);
         while (coordinator.decide(
-                order(), line -> raft.propose(line, (said, failure) -> coordinator.onProposalCompleted()))) {
+                order(),
+                line -> raft.propose(line, (said, failure) -> coordinator.onProposalCompleted()))) {
             // Each has been put to the vote.
         }
     }
@@ -151,7 +154,9 @@
     private void answerProbe(SimulatedRouter from) {
         if (!stoppedForWork) {
             fleet.network.send(
-                    name, from.name, () -> from.deliver(() -> from.pongs.put(name, simulation.now())));
+                    name,
+                    from.name,
+                    () -> from.deliver(() -> from.pongs.put(name, simulation.now())));
         }
     }
 
@@ -163,7 +168,8 @@
         }
         for (SimulatedRouter router : watchedRouters) {
             sound.put(
-                    router.name, simulation.now() - pongs.getOrDefault(router.name, 0L) < PONG_COUNTS_US);
+                    router.name,
+                    simulation.now() - pongs.getOrDefault(router.name, 0L) < PONG_COUNTS_US);
         }
         return sound;
     }
--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -1,12 +1,11 @@
 package tinlink.gateway;
 
 import tinlink.decision.Outcome;
-import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.gateway.forwarding.PartStatus;
+import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.securechannel.MessageCodec;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -29,7 +28,8 @@
     private static final long COUNTER_LOG_INTERVAL_US = 60_000_000;
 
     /** Who this router is, and which sites' routers it takes parts from. */
-    public record Identity(String site, String router, long incarnation, Set<String> acceptedSites) {}
+    public record Identity(
+            String site, String router, long incarnation, Set<String> acceptedSites) {}
 
     /**
      * The times of a gateway, in microseconds.
@@ -39,7 +39,12 @@
     public record Timing(long heartbeatUs, long handshakeUs, long recoveryUs, long maxRequestUs) {}
 
     /** What other sites may have here, and what may wait for a credit of theirs. */
-    public record Limits(int maxRunningParts, int maxEndedParts, long maxEndedBytes, int maxInboundChannels, int maxQueuedParts) {}
+    public record Limits(
+            int maxRunningParts,
+            int maxEndedParts,
+            long maxEndedBytes,
+            int maxInboundChannels,
+            int maxQueuedParts) {}
 
     /** A router of another site; its lines lead to the same process. */
     public record RemoteEndpoint(String site, String router, List<InetSocketAddress> addresses) {}
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -1,9 +1,9 @@
 package tinlink.gateway;
 
-import tinlink.gateway.forwarding.RemoteRouter;
-import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ForwardedPart;
 import tinlink.gateway.forwarding.GatewayChannel;
+import tinlink.gateway.forwarding.PartStatus;
+import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.CloseReason;
 
 import java.io.IOException;
@@ -33,11 +33,15 @@
     /** One for each line that is up or being connected. */
     private final Map<GatewayChannel, GatewayClientSession> sessions = new IdentityHashMap<>();
 
-    GatewayClient(Gateway gateway, List<Gateway.RemoteEndpoint> endpoints, int maxQueuedParts, long seed) {
+    GatewayClient(
+            Gateway gateway,
+            List<Gateway.RemoteEndpoint> endpoints,
+            int maxQueuedParts,
+            long seed) {
         this.gateway = gateway;
         SplittableRandom random = new SplittableRandom(seed);
-        RemoteRouter.Settings settings =
-                new RemoteRouter.Settings(gateway.timing.heartbeatUs(), maxQueuedParts, gateway.timing.recoveryUs());
+        RemoteRouter.Settings settings = new RemoteRouter.Settings(
+                gateway.timing.heartbeatUs(), maxQueuedParts, gateway.timing.recoveryUs());
         for (Gateway.RemoteEndpoint each : endpoints) {
             remoteRouters.put(
                     new RemoteRouter(
@@ -61,7 +65,9 @@
 
     /** Carries out all decisions that are due. */
     void decide() {
-        remoteRouters.keySet().forEach(router -> Gateway.runAllDecisions(() -> router.decide(this)));
+        remoteRouters
+                .keySet()
+                .forEach(router -> Gateway.runAllDecisions(() -> router.decide(this)));
     }
 
     String siteOf(RemoteRouter router) {
@@ -79,7 +85,8 @@
     @Override
     public void connect(GatewayChannel channel) {
         Gateway.RemoteEndpoint endpoint = remoteRouters.get(channel.router);
-        GatewayClientSession session = new GatewayClientSession(gateway, this, channel, endpoint.site());
+        GatewayClientSession session =
+                new GatewayClientSession(gateway, this, channel, endpoint.site());
         try {
             sessions.put(channel, session);
             session.attach(
@@ -103,7 +110,12 @@
     @Override
     public void sendHeartbeat(GatewayChannel channel, long number, long lowest) {
         sessions.get(channel)
-                .send(GatewayProtocol.HEARTBEAT, new GatewayProtocol.Builder().putLong(number).putLong(lowest).build());
+                .send(
+                        GatewayProtocol.HEARTBEAT,
+                        new GatewayProtocol.Builder()
+                                .putLong(number)
+                                .putLong(lowest)
+                                .build());
     }
 
     @Override
@@ -111,11 +123,15 @@
         OutgoingPart part = (OutgoingPart) forwarded;
         long now = gateway.loop.nowUs();
         GatewayChannel channel = part.channel();
-        int flags = (part.clientRetry ? CLIENT_RETRY_FLAG : 0) | (part.idempotencyKey == null ? 0 : IDEMPOTENCY_KEY_FLAG);
+        int flags = (part.clientRetry ? CLIENT_RETRY_FLAG : 0)
+                | (part.idempotencyKey == null ? 0 : IDEMPOTENCY_KEY_FLAG);
         GatewayProtocol.Builder message = new GatewayProtocol.Builder()
                 .putLong(part.number())
                 .putLong(part.deadline - now - channel.marginUs())
-                .putLong(part.effectDeadline == Long.MAX_VALUE ? Long.MAX_VALUE : part.effectDeadline - now)
+                .putLong(
+                        part.effectDeadline == Long.MAX_VALUE
+                                ? Long.MAX_VALUE
+                                : part.effectDeadline - now)
                 .putLong(channel.lastAckedHeartbeat())
                 .putLong(channel.sinceAckUs(now))
                 .putInt(part.shard)
@@ -126,14 +142,17 @@
             message.putText(part.idempotencyKey);
         }
         gateway.counters.increment("near_parts");
-        part.endPosition = sessions.get(channel).send(GatewayProtocol.FORWARD_PART, message.putBytes(part.text).build());
+        part.endPosition = sessions.get(channel)
+                .send(GatewayProtocol.FORWARD_PART, message.putBytes(part.text).build());
     }
 
     @Override
     public void sendCancel(ForwardedPart part) {
         GatewayClientSession session = sessions.get(part.channel());
         if (session != null && session.isAuthenticated()) {
-            session.send(GatewayProtocol.CANCEL_PART, new GatewayProtocol.Builder().putLong(part.number()).build());
+            session.send(
+                    GatewayProtocol.CANCEL_PART,
+                    new GatewayProtocol.Builder().putLong(part.number()).build());
         }
     }
 
@@ -156,9 +175,11 @@
         String statusName = status.name().toLowerCase(Locale.ROOT);
         gateway.counters.increment("near_" + statusName);
         if (part.wasUnresolved() && !part.idempotent) {
-            gateway.counters.increment("near_unsure_" + (part.routerRestarted() ? "died" : statusName));
+            gateway.counters.increment(
+                    "near_unsure_" + (part.routerRestarted() ? "died" : statusName));
         }
-        gateway.partHandler.partEnded(part, status.outcome, status == PartStatus.DONE ? part.durationUs : -1);
+        gateway.partHandler.partEnded(
+                part, status.outcome, status == PartStatus.DONE ? part.durationUs : -1);
     }
 
     @Override
@@ -166,7 +187,8 @@
         LOG.log(
                 Level.FINE,
                 "event=far_serves site={0} router={1} cells={2} line_us={3}",
-                new Object[] {siteOf(router), router.name, cells.cardinality(), String.valueOf(roundTripUs)
+                new Object[] {
+                    siteOf(router), router.name, cells.cardinality(), String.valueOf(roundTripUs)
                 });
         gateway.partHandler.cellsChanged(router, cells, roundTripUs);
     }
--- a/src/main/java/tinlink/gateway/GatewayClientSession.java
+++ b/src/main/java/tinlink/gateway/GatewayClientSession.java
@@ -1,10 +1,10 @@
 package tinlink.gateway;
 
-import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ForwardedPart;
 import tinlink.gateway.forwarding.GatewayChannel;
-import tinlink.net.MessageRejectedException;
+import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.CloseReason;
+import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 import tinlink.securechannel.SecureSession;
 
@@ -27,8 +27,13 @@
     private byte[] hello;
     private long helloSentAt;
 
-    GatewayClientSession(Gateway gateway, GatewayClient client, GatewayChannel channel, String site) {
-        super(gateway.loop, gateway.timing.handshakeUs(), GatewayProtocol.MAX_UNAUTHENTICATED_BYTES, GatewayProtocol.MAX_MESSAGE_BYTES);
+    GatewayClientSession(
+            Gateway gateway, GatewayClient client, GatewayChannel channel, String site) {
+        super(
+                gateway.loop,
+                gateway.timing.handshakeUs(),
+                GatewayProtocol.MAX_UNAUTHENTICATED_BYTES,
+                GatewayProtocol.MAX_MESSAGE_BYTES);
         this.gateway = gateway;
         this.client = client;
         this.channel = channel;
@@ -52,15 +57,19 @@
     }
 
     @Override
-    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
+    protected void onMessage(byte type, ByteBuffer payload, byte[] frame)
+            throws MessageRejectedException {
         if (!isAuthenticated()) {
             onChallenge(type, payload, frame);
             return;
         }
         switch (type) {
-            case GatewayProtocol.HEARTBEAT_ACK -> channel.router.onHeartbeatAck(channel, payload.getLong());
-            case GatewayProtocol.CREDIT_WINDOW -> channel.router.creditWindow(Math.max(0, payload.getInt()));
-            case GatewayProtocol.SERVED_CELLS -> channel.router.onServedCells(BitSet.valueOf(payload));
+            case GatewayProtocol.HEARTBEAT_ACK ->
+                channel.router.onHeartbeatAck(channel, payload.getLong());
+            case GatewayProtocol.CREDIT_WINDOW ->
+                channel.router.creditWindow(Math.max(0, payload.getInt()));
+            case GatewayProtocol.SERVED_CELLS ->
+                channel.router.onServedCells(BitSet.valueOf(payload));
             case GatewayProtocol.GO_AWAY -> {
                 LOG.log(Level.INFO, "event=far_leaves site={0} router={1}", new Object[] {
                     site, channel.router.name
@@ -73,7 +82,8 @@
     }
 
     /** The far router says who it is, and proves it with our nonce; then we do with its own. */
-    private void onChallenge(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
+    private void onChallenge(byte type, ByteBuffer payload, byte[] frame)
+            throws MessageRejectedException {
         if (type != GatewayProtocol.CHALLENGE || payload.getShort() != GatewayProtocol.VERSION) {
             throw GatewayProtocol.malformed("no challenge of this version");
         }
@@ -85,26 +95,36 @@
         byte[] proof = GatewayProtocol.readBytes(payload, GatewayProtocol.PROOF_BYTES);
         byte[] challenge = java.util.Arrays.copyOfRange(frame, 1, challengeEnd);
         if (!remoteSite.equals(site) || !remoteRouter.equals(channel.router.name)) {
-            throw GatewayProtocol.malformed("it is " + remoteSite + "/" + remoteRouter + ", not who was called");
+            throw GatewayProtocol.malformed(
+                    "it is " + remoteSite + "/" + remoteRouter + ", not who was called");
         }
         if (!gateway.keys.contains(keyId)
-                || !GatewayKeys.constantTimeEquals(proof, gateway.keys.proof(keyId, "far proof", hello, challenge))) {
+                || !GatewayKeys.constantTimeEquals(
+                        proof, gateway.keys.proof(keyId, "far proof", hello, challenge))) {
             gateway.counters.increment("near_wrong_proof");
             throw GatewayProtocol.malformed("a wrong proof");
         }
-        byte[] channelCounts = new MessageCodec.Builder().putLong(channel.connectCount() + 1).putLong(channel.nextPartNumber()).build();
+        byte[] channelCounts = new MessageCodec.Builder()
+                .putLong(channel.connectCount() + 1)
+                .putLong(channel.nextPartNumber())
+                .build();
         send(
                 GatewayProtocol.PROOF,
                 new MessageCodec.Builder()
                         .putBytes(channelCounts)
-                        .putBytes(gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))
+                        .putBytes(gateway.keys.proof(
+                                keyId, "near proof", hello, challenge, channelCounts))
                         .build());
         enableAuthentication(gateway.keys.proof(keyId, "session", hello, challenge), true);
         gateway.counters.increment("near_lines_up");
         LOG.log(
                 Level.INFO,
                 "event=line_up site={0} router={1} line={2} round_trip_us={3}",
-                new Object[] {site, remoteRouter, channel.index, String.valueOf(gateway.loop.nowUs() - helloSentAt)
+                new Object[] {
+                    site,
+                    remoteRouter,
+                    channel.index,
+                    String.valueOf(gateway.loop.nowUs() - helloSentAt)
                 });
         channel.router.onConnected(channel, incarnation, gateway.loop.nowUs() - helloSentAt);
     }
@@ -129,7 +149,8 @@
         ForwardedPart openPart = channel.router.findOpenPart(about, number);
         if (openPart instanceof OutgoingPart part) {
             part.value = GatewayProtocol.readBytes(payload, payload.remaining());
-            part.durationUs = Math.max(1, Math.min(durationUs, gateway.loop.nowUs() - part.forwardedAt));
+            part.durationUs =
+                    Math.max(1, Math.min(durationUs, gateway.loop.nowUs() - part.forwardedAt));
             part.retryAfterUs = Math.max(0, retryAfterUs);
             channel.router.onPartStatus(about, number, PartStatus.values()[statusCode]);
         }
@@ -142,13 +163,18 @@
                 wasUp ? Level.WARNING : Level.FINE,
                 "event=line_down site={0} router={1} line={2} how={3} open={4}",
                 new Object[] {
-                    site, channel.router.name, channel.index, closeReason, channel.openParts().size()
+                    site,
+                    channel.router.name,
+                    channel.index,
+                    closeReason,
+                    channel.openParts().size()
                 });
         gateway.counters.increment(
                 wasUp
                         ? "near_lines_" + closeReason.name().toLowerCase(java.util.Locale.ROOT)
                         : "near_not_up");
-        channel.router.onDisconnected(channel, part -> connection.mayHaveLeft(((OutgoingPart) part).endPosition));
+        channel.router.onDisconnected(
+                channel, part -> connection.mayHaveLeft(((OutgoingPart) part).endPosition));
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -1,8 +1,8 @@
 package tinlink.gateway;
 
+import tinlink.gateway.forwarding.ForwardedPartReceiver;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ReceivedPart;
-import tinlink.gateway.forwarding.ForwardedPartReceiver;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
@@ -83,7 +83,10 @@
 
     private void sendGoAway(GatewayServerSession session) {
         session.send(
-                GatewayProtocol.GO_AWAY, new GatewayProtocol.Builder().putLong(receiver.lastStarted(session.inbound)).build());
+                GatewayProtocol.GO_AWAY,
+                new GatewayProtocol.Builder()
+                        .putLong(receiver.lastStarted(session.inbound))
+                        .build());
     }
 
     // ---- Connections. ----
@@ -121,7 +124,8 @@
     @Override
     public void acceptFailed(Throwable why) {
         LOG.log(Level.WARNING, "event=accept_failed", why);
-        gateway.loop.schedule(gateway.loop.nowUs() + gateway.timing.heartbeatUs(), () -> listening.accept(this));
+        gateway.loop.schedule(
+                gateway.loop.nowUs() + gateway.timing.heartbeatUs(), () -> listening.accept(this));
     }
 
     /** How many connections have not proved themselves. */
@@ -143,8 +147,10 @@
     /** The session has sent a heartbeat. */
     void heartbeatReceived(GatewayServerSession session) {
         if (authenticated.containsKey(session)) {
-            long silenceAt = gateway.loop.nowUs() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
-            EventLoop.Timer silenceTimer = gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.SILENT));
+            long silenceAt =
+                    gateway.loop.nowUs() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
+            EventLoop.Timer silenceTimer =
+                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.SILENT));
             gateway.loop.cancel(authenticated.put(session, silenceTimer));
         }
     }
@@ -183,7 +189,8 @@
     }
 
     @Override
-    public void sendPartStatus(Object session, int channelIndex, long number, PartStatus status, ReceivedPart part) {
+    public void sendPartStatus(
+            Object session, int channelIndex, long number, PartStatus status, ReceivedPart part) {
         GatewayServerSession target = (GatewayServerSession) session;
         if (target.isAuthenticated()) {
             target.sendPartStatus(channelIndex, number, status, (IncomingPart) part);
@@ -194,7 +201,9 @@
     public void sendCreditWindow(Object session, int parts) {
         GatewayServerSession target = (GatewayServerSession) session;
         if (target.isAuthenticated()) {
-            target.send(GatewayProtocol.CREDIT_WINDOW, new GatewayProtocol.Builder().putInt(parts).build());
+            target.send(
+                    GatewayProtocol.CREDIT_WINDOW,
+                    new GatewayProtocol.Builder().putInt(parts).build());
         }
     }
 
--- a/src/main/java/tinlink/gateway/GatewayServerSession.java
+++ b/src/main/java/tinlink/gateway/GatewayServerSession.java
@@ -1,9 +1,9 @@
 package tinlink.gateway;
 
-import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.InboundChannel;
-import tinlink.net.MessageRejectedException;
+import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.CloseReason;
+import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 import tinlink.securechannel.SecureSession;
 
@@ -35,13 +35,18 @@
     private final LinkedHashMap<Long, Long> ackedHeartbeats = new LinkedHashMap<>();
 
     GatewayServerSession(Gateway gateway, GatewayServer server) {
-        super(gateway.loop, gateway.timing.handshakeUs(), GatewayProtocol.MAX_UNAUTHENTICATED_BYTES, GatewayProtocol.MAX_MESSAGE_BYTES);
+        super(
+                gateway.loop,
+                gateway.timing.handshakeUs(),
+                GatewayProtocol.MAX_UNAUTHENTICATED_BYTES,
+                GatewayProtocol.MAX_MESSAGE_BYTES);
         this.gateway = gateway;
         this.server = server;
     }
 
     @Override
-    protected void onMessage(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
+    protected void onMessage(byte type, ByteBuffer payload, byte[] frame)
+            throws MessageRejectedException {
         if (hello == null) {
             onHello(type, payload, frame);
         } else if (inbound == null) {
@@ -49,15 +54,19 @@
         } else {
             switch (type) {
                 case GatewayProtocol.FORWARD_PART -> onForwardPart(payload);
-                case GatewayProtocol.CANCEL_PART -> server.receiver.onCancelPart(inbound, payload.getLong());
+                case GatewayProtocol.CANCEL_PART ->
+                    server.receiver.onCancelPart(inbound, payload.getLong());
                 case GatewayProtocol.STATUS_QUERY -> onStatusQuery(payload);
                 case GatewayProtocol.HEARTBEAT -> {
                     long number = payload.getLong();
                     server.receiver.forgetBelow(inbound, payload.getLong());
-                    send(GatewayProtocol.HEARTBEAT_ACK, new GatewayProtocol.Builder().putLong(number).build());
+                    send(
+                            GatewayProtocol.HEARTBEAT_ACK,
+                            new GatewayProtocol.Builder().putLong(number).build());
                     ackedHeartbeats.put(number, gateway.loop.nowUs());
                     if (ackedHeartbeats.size() > MAX_ACKED_HEARTBEATS) {
-                        ackedHeartbeats.remove(ackedHeartbeats.keySet().iterator().next());
+                        ackedHeartbeats.remove(
+                                ackedHeartbeats.keySet().iterator().next());
                     }
                     server.heartbeatReceived(this);
                 }
@@ -66,7 +75,8 @@
         }
     }
 
-    private void onHello(byte type, ByteBuffer payload, byte[] frame) throws MessageRejectedException {
+    private void onHello(byte type, ByteBuffer payload, byte[] frame)
+            throws MessageRejectedException {
         if (type != GatewayProtocol.HELLO || payload.getShort() != GatewayProtocol.VERSION) {
             throw GatewayProtocol.malformed("no greeting of this version");
         }
@@ -80,7 +90,8 @@
                 || !gateway.identity.acceptedSites().contains(site)
                 || channelIndex < 0
                 || channelIndex >= Gateway.MAX_CHANNELS) {
-            throw GatewayProtocol.malformed("a site or a key that is not known here: " + site + ", " + keyId);
+            throw GatewayProtocol.malformed(
+                    "a site or a key that is not known here: " + site + ", " + keyId);
         }
         hello = java.util.Arrays.copyOfRange(frame, 1, payload.position());
         challenge = new MessageCodec.Builder()
@@ -110,14 +121,20 @@
         byte[] proof = GatewayProtocol.readBytes(payload, GatewayProtocol.PROOF_BYTES);
         if (!gateway.keys.contains(keyId)
                 || !GatewayKeys.constantTimeEquals(
-                        proof, gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))) {
+                        proof,
+                        gateway.keys.proof(keyId, "near proof", hello, challenge, channelCounts))) {
             gateway.counters.increment("far_wrong_proof");
             throw GatewayProtocol.malformed("a wrong proof");
         }
         enableAuthentication(gateway.keys.proof(keyId, "session", hello, challenge), false);
         ByteBuffer countsReader = ByteBuffer.wrap(channelCounts);
         inbound = server.receiver.onConnected(
-                site + "/" + router, channelIndex, incarnation, countsReader.getLong(), countsReader.getLong(), this);
+                site + "/" + router,
+                channelIndex,
+                incarnation,
+                countsReader.getLong(),
+                countsReader.getLong(),
+                this);
         if (inbound == null) {
             throw GatewayProtocol.malformed("too many routers are connected");
         }
@@ -174,14 +191,16 @@
         long connectCount = payload.getLong();
         long minAcceptedNumber = payload.getLong();
         int count = payload.getShort() & 0xffff;
-        if (count > GatewayProtocol.MAX_QUERIED_PARTS || payload.remaining() != count * Long.BYTES) {
+        if (count > GatewayProtocol.MAX_QUERIED_PARTS
+                || payload.remaining() != count * Long.BYTES) {
             throw GatewayProtocol.malformed("a list of fates that does not fit");
         }
         Set<Long> numbers = new HashSet<>();
         for (int i = 0; i < count; i++) {
             numbers.add(payload.getLong());
         }
-        server.receiver.onStatusQuery(inbound, this, aboutChannel, connectCount, minAcceptedNumber, numbers);
+        server.receiver.onStatusQuery(
+                inbound, this, aboutChannel, connectCount, minAcceptedNumber, numbers);
     }
 
     @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
--- a/src/main/java/tinlink/gateway/forwarding/AccrualFailureDetector.java
+++ b/src/main/java/tinlink/gateway/forwarding/AccrualFailureDetector.java
@@ -18,7 +18,8 @@
     private static final double SUSPECT_DEVIATIONS =
             NormalDistribution.of(0, 1).inverseSurvivalProbability(1e-3);
 
-    private static final double DEAD_DEVIATIONS = NormalDistribution.of(0, 1).inverseSurvivalProbability(1e-8);
+    private static final double DEAD_DEVIATIONS =
+            NormalDistribution.of(0, 1).inverseSurvivalProbability(1e-8);
     /** What failed is forgotten by half in so many heartbeats. */
     private static final double FAILURE_HALF_LIFE_HEARTBEATS = 40;
 
@@ -70,7 +71,8 @@
     }
 
     private double decayedFailureScore(long now) {
-        return failureScore * Math.pow(0.5, (now - failedAt) / (FAILURE_HALF_LIFE_HEARTBEATS * heartbeatUs));
+        return failureScore
+                * Math.pow(0.5, (now - failedAt) / (FAILURE_HALF_LIFE_HEARTBEATS * heartbeatUs));
     }
 
     /**
@@ -79,7 +81,8 @@
      */
     int requiredAcks(long now) {
         return (int) Math.min(
-                MAX_REQUIRED_ACKS, Math.round(Math.pow(2, Math.max(0, decayedFailureScore(now) - 0.5))));
+                MAX_REQUIRED_ACKS,
+                Math.round(Math.pow(2, Math.max(0, decayedFailureScore(now) - 0.5))));
     }
 
     private double boundedDeviationUs() {
