--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPartReceiver.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPartReceiver.java
@@ -22,7 +22,12 @@
         void cancelPart(ReceivedPart part);
 
         /** Says on a session what became of a part; the value is with the part. */
-        void sendPartStatus(Object session, int channelIndex, long number, PartStatus status, ReceivedPart part);
+        void sendPartStatus(
+                Object session,
+                int channelIndex,
+                long number,
+                PartStatus status,
+                ReceivedPart part);
 
         void sendCreditWindow(Object session, int parts);
 
@@ -41,7 +46,12 @@
      * @param adjustIntervalUs the window follows refusals no faster
      */
     public record Limits(
-            int maxRunning, int maxEnded, long maxEndedBytes, int maxChannels, long retentionUs, long adjustIntervalUs) {}
+            int maxRunning,
+            int maxEnded,
+            long maxEndedBytes,
+            int maxChannels,
+            long retentionUs,
+            long adjustIntervalUs) {}
 
     private final Limits limits;
     /**
@@ -88,7 +98,12 @@
      * @return null where the table is full of routers that are connected
      */
     public InboundChannel onConnected(
-            String router, int channelIndex, long incarnation, long connectCount, long nextNumber, Object session) {
+            String router,
+            int channelIndex,
+            long incarnation,
+            long connectCount,
+            long nextNumber,
+            Object session) {
         for (InboundChannel inbound : List.copyOf(channels.values())) {
             if (inbound.router.equals(router) && inbound.incarnation != incarnation) {
                 removeChannel(inbound); // It has started anew: nobody waits for these any more.
@@ -118,7 +133,8 @@
     private boolean evictOldestDisconnected() {
         InboundChannel oldest = null;
         for (InboundChannel inbound : channels.values()) {
-            if (inbound.session == null && (oldest == null || inbound.disconnectedAt < oldest.disconnectedAt)) {
+            if (inbound.session == null
+                    && (oldest == null || inbound.disconnectedAt < oldest.disconnectedAt)) {
                 oldest = inbound;
             }
         }
@@ -159,7 +175,9 @@
      */
     public void onForwardPart(InboundChannel inbound, ReceivedPart part, boolean inTime) {
         ReceivedPart known = inbound.parts.get(part.number);
-        if (known != null || part.number <= inbound.lastStarted || part.number < inbound.minAcceptedNumber) {
+        if (known != null
+                || part.number <= inbound.lastStarted
+                || part.number < inbound.minAcceptedNumber) {
             queueStatus(inbound, part.number, known);
             return;
         }
@@ -210,7 +228,9 @@
     private void queueStatus(InboundChannel inbound, long number, ReceivedPart known) {
         PartStatus status = known != null
                 ? known.status
-                : number < inbound.forgottenBelow ? PartStatus.MAY_HAVE_RUN : PartStatus.NEVER_BEGUN;
+                : number < inbound.forgottenBelow
+                        ? PartStatus.MAY_HAVE_RUN
+                        : PartStatus.NEVER_BEGUN;
         pendingActions.add(() -> {
             if (inbound.statusSession != null) {
                 handler.sendPartStatus(inbound.statusSession, inbound.index, number, status, known);
@@ -241,7 +261,9 @@
 
     /** Of what lies under that number nothing is of interest any more. */
     public void forgetBelow(InboundChannel inbound, long number) {
-        List.copyOf(inbound.parts.headMap(Math.min(number, inbound.lastStarted + 1), false).values())
+        List.copyOf(inbound.parts
+                        .headMap(Math.min(number, inbound.lastStarted + 1), false)
+                        .values())
                 .forEach(this::forgetPart);
     }
 
@@ -254,11 +276,18 @@
      * @param connectCount how often that line had come up when this was asked
      */
     public void onStatusQuery(
-            InboundChannel asker, Object session, int channelIndex, long connectCount, long minAcceptedNumber, Set<Long> numbers) {
-        InboundChannel inbound = channels.get(InboundChannel.key(asker.router, channelIndex, asker.incarnation));
+            InboundChannel asker,
+            Object session,
+            int channelIndex,
+            long connectCount,
+            long minAcceptedNumber,
+            Set<Long> numbers) {
+        InboundChannel inbound =
+                channels.get(InboundChannel.key(asker.router, channelIndex, asker.incarnation));
         if (inbound == null) {
             for (long number : numbers) {
-                pendingActions.add(() -> handler.sendPartStatus(session, channelIndex, number, PartStatus.MAY_HAVE_RUN, null));
+                pendingActions.add(() -> handler.sendPartStatus(
+                        session, channelIndex, number, PartStatus.MAY_HAVE_RUN, null));
             }
             return;
         }
@@ -321,12 +350,15 @@
             // here.
             concurrencyLimit = rejectedSinceAdjust
                     ? Math.max(1, 0.75 * concurrencyLimit)
-                    : Math.min(limits.maxRunning(), concurrencyLimit + Math.max(1, limits.maxRunning() / 32.0));
+                    : Math.min(
+                            limits.maxRunning(),
+                            concurrencyLimit + Math.max(1, limits.maxRunning() / 32.0));
             rejectedSinceAdjust = false;
         }
         for (InboundChannel inbound : channels.values()) {
             int window = window();
-            if (inbound.session != null && announcedWindows.getOrDefault(inbound.session, 0) != window) {
+            if (inbound.session != null
+                    && announcedWindows.getOrDefault(inbound.session, 0) != window) {
                 announcedWindows.put(inbound.session, window);
                 decisionHandler.sendCreditWindow(inbound.session, window);
                 return true;
@@ -340,7 +372,9 @@
         }
         long nextDueAt = concurrencyLimit < limits.maxRunning() ? adjustAt : Long.MAX_VALUE;
         for (InboundChannel inbound : channels.values()) {
-            nextDueAt = inbound.session == null ? Math.min(nextDueAt, inbound.disconnectedAt + limits.retentionUs()) : nextDueAt;
+            nextDueAt = inbound.session == null
+                    ? Math.min(nextDueAt, inbound.disconnectedAt + limits.retentionUs())
+                    : nextDueAt;
         }
         if (nextDueAt < nextWakeAt) {
             nextWakeAt = nextDueAt;
--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPartTable.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPartTable.java
@@ -32,7 +32,9 @@
     /** It waits for a credit, where the bound allows it. */
     void enqueue(ForwardedPart part, long now) {
         if (queued.size() >= settings.maxQueued()) {
-            finish(part, PartStatus.REFUSED); // Its bound is reached: as good as turned away over there.
+            finish(
+                    part,
+                    PartStatus.REFUSED); // Its bound is reached: as good as turned away over there.
             return;
         }
         part.queueDeadline = Math.min(part.deadline, now + settings.heartbeatUs());
@@ -42,7 +44,8 @@
 
     /** The part's outcome is known; its run over there should end too. */
     void cancel(ForwardedPart part) {
-        if (part.state == ForwardedPart.State.IN_FLIGHT && part.channel.state == GatewayChannel.State.UP) {
+        if (part.state == ForwardedPart.State.IN_FLIGHT
+                && part.channel.state == GatewayChannel.State.UP) {
             cancelled.add(part);
         }
         release(part);
@@ -50,7 +53,8 @@
 
     /** Its line was cut, and nobody will say on its own any more what becomes of it. */
     void markUnresolved(ForwardedPart part, long now) {
-        part.unresolvedSince = part.state == ForwardedPart.State.UNRESOLVED ? part.unresolvedSince : now;
+        part.unresolvedSince =
+                part.state == ForwardedPart.State.UNRESOLVED ? part.unresolvedSince : now;
         part.state = ForwardedPart.State.UNRESOLVED;
         setDueBy(recoveryDeadline(part));
     }
@@ -166,7 +170,11 @@
         for (ForwardedPart part : List.copyOf(queued)) {
             boolean isReachable = canServe.test(part);
             if (now >= part.queueDeadline || !isReachable) {
-                end(part, now >= part.deadline || !isReachable ? PartStatus.NEVER_LEFT : PartStatus.REFUSED);
+                end(
+                        part,
+                        now >= part.deadline || !isReachable
+                                ? PartStatus.NEVER_LEFT
+                                : PartStatus.REFUSED);
                 anyExpired = true;
             } else {
                 setDueBy(part.queueDeadline);
--- a/src/main/java/tinlink/gateway/forwarding/GatewayChannel.java
+++ b/src/main/java/tinlink/gateway/forwarding/GatewayChannel.java
@@ -85,7 +85,9 @@
         }
         state = State.DOWN;
         long maxBackoffUs = (long) (MAX_BACKOFF_HEARTBEATS * heartbeatUs);
-        backoffUs = Math.min(maxBackoffUs, Math.max((long) (MIN_BACKOFF_HEARTBEATS * heartbeatUs), 2 * backoffUs));
+        backoffUs = Math.min(
+                maxBackoffUs,
+                Math.max((long) (MIN_BACKOFF_HEARTBEATS * heartbeatUs), 2 * backoffUs));
         // Danger: routers that lost the same line at once and all come back at once.
         reconnectAt = now + backoffUs / 2 + random.nextLong(backoffUs);
     }
@@ -115,7 +117,9 @@
             case CONNECTING -> Long.MAX_VALUE;
             case UP -> {
                 long dueAt = Math.min(heartbeatAt, failureDetector.deadAt());
-                yield failureDetector.isTrusted(now) ? Math.min(dueAt, failureDetector.suspectAt()) : dueAt;
+                yield failureDetector.isTrusted(now)
+                        ? Math.min(dueAt, failureDetector.suspectAt())
+                        : dueAt;
             }
         };
     }
--- a/src/main/java/tinlink/gateway/forwarding/RemoteRouter.java
+++ b/src/main/java/tinlink/gateway/forwarding/RemoteRouter.java
@@ -170,7 +170,8 @@
      */
     public void onGoAway(GatewayChannel channel, long lastStarted) {
         draining = true;
-        for (ForwardedPart part : List.copyOf(channel.openParts.tailMap(lastStarted, false).values())) {
+        for (ForwardedPart part :
+                List.copyOf(channel.openParts.tailMap(lastStarted, false).values())) {
             partTable.end(part, PartStatus.NEVER_BEGUN);
         }
     }
@@ -258,7 +259,9 @@
                 return true;
             }
         }
-        if (partTable.expire(now, part -> canServe(part.cell)) || sendNextPart(handler) || announceCells(handler)) {
+        if (partTable.expire(now, part -> canServe(part.cell))
+                || sendNextPart(handler)
+                || announceCells(handler)) {
             return true;
         }
         long dueAt = nextDueAt();
@@ -329,8 +332,10 @@
         GatewayChannel channel = bestTrustedChannel();
         BitSet reachable = channel == null ? new BitSet() : servedCells;
         // Told again when it has moved by an eighth, not at each heartbeat.
-        long roundTripUs = channel == null ? announcedRoundTripUs : Math.max(1, channel.reservedUs());
-        if (reachable.equals(announcedCells) && Math.abs(roundTripUs - announcedRoundTripUs) <= announcedRoundTripUs / 8) {
+        long roundTripUs =
+                channel == null ? announcedRoundTripUs : Math.max(1, channel.reservedUs());
+        if (reachable.equals(announcedCells)
+                && Math.abs(roundTripUs - announcedRoundTripUs) <= announcedRoundTripUs / 8) {
             return false;
         }
         announcedCells = (BitSet) reachable.clone();
--- a/src/main/java/tinlink/http2/FrameParser.java
+++ b/src/main/java/tinlink/http2/FrameParser.java
@@ -32,9 +32,12 @@
                 if (headerBytesRead < Http2Constants.FRAME_HEADER_BYTES) {
                     continue;
                 }
-                int length = (header[0] & 0xff) << 16 | (header[1] & 0xff) << 8 | (header[2] & 0xff);
+                int length =
+                        (header[0] & 0xff) << 16 | (header[1] & 0xff) << 8 | (header[2] & 0xff);
                 if (length > Http2Constants.DEFAULT_MAX_FRAME_SIZE) {
-                    throw new Http2Exception(Http2Constants.ErrorCode.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
+                    throw new Http2Exception(
+                            Http2Constants.ErrorCode.FRAME_SIZE_ERROR,
+                            "a frame of " + length + " bytes");
                 }
                 payload = ByteBuffer.allocate(length);
             }
--- a/src/main/java/tinlink/http2/FrameWriter.java
+++ b/src/main/java/tinlink/http2/FrameWriter.java
@@ -31,7 +31,8 @@
         ByteBuffer settings = ByteBuffer.allocate(3 * SETTING_BYTES);
         settings.putShort((short) Http2Constants.ENABLE_PUSH).putInt(0);
         settings.putShort((short) Http2Constants.INITIAL_WINDOW_SIZE).putInt(streamWindow);
-        settings.putShort((short) Http2Constants.MAX_HEADER_LIST_SIZE).putInt(HeaderCodec.MAX_LIST_BYTES);
+        settings.putShort((short) Http2Constants.MAX_HEADER_LIST_SIZE)
+                .putInt(HeaderCodec.MAX_LIST_BYTES);
         frame(Http2Constants.SETTINGS, 0, 0, settings.array());
     }
 
@@ -48,10 +49,22 @@
     void headers(int streamId, byte[] block, boolean endStream) {
         int length = Math.min(block.length, maxFrameSize);
         int endStreamFlag = endStream ? Http2Constants.END_STREAM : 0;
-        frame(Http2Constants.HEADERS, endStreamFlag | endHeaders(block, length), streamId, block, 0, length);
+        frame(
+                Http2Constants.HEADERS,
+                endStreamFlag | endHeaders(block, length),
+                streamId,
+                block,
+                0,
+                length);
         for (int offset = length; offset < block.length; offset += length) {
             length = Math.min(block.length - offset, maxFrameSize);
-            frame(Http2Constants.CONTINUATION, endHeaders(block, offset + length), streamId, block, offset, length);
+            frame(
+                    Http2Constants.CONTINUATION,
+                    endHeaders(block, offset + length),
+                    streamId,
+                    block,
+                    offset,
+                    length);
         }
     }
 
@@ -60,7 +73,13 @@
     }
 
     void data(int streamId, byte[] body, int from, int length, boolean endStream) {
-        frame(Http2Constants.DATA, endStream ? Http2Constants.END_STREAM : 0, streamId, body, from, length);
+        frame(
+                Http2Constants.DATA,
+                endStream ? Http2Constants.END_STREAM : 0,
+                streamId,
+                body,
+                from,
+                length);
     }
 
     void resetStream(int streamId, Http2Constants.ErrorCode code) {
@@ -68,7 +87,11 @@
     }
 
     void ping(long number) {
-        frame(Http2Constants.PING, 0, 0, ByteBuffer.allocate(Long.BYTES).putLong(number).array());
+        frame(
+                Http2Constants.PING,
+                0,
+                0,
+                ByteBuffer.allocate(Long.BYTES).putLong(number).array());
     }
 
     void pingAck(byte[] payload) {
--- a/src/main/java/tinlink/http2/HeaderBlockReader.java
+++ b/src/main/java/tinlink/http2/HeaderBlockReader.java
@@ -39,8 +39,10 @@
 
     /** Fails where a frame of that type and stream may not come now. */
     void checkNext(int type, int frameStreamId) throws Http2Exception {
-        if (pendingBlock != null && (type != Http2Constants.CONTINUATION || frameStreamId != streamId)) {
-            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a frame within a header block");
+        if (pendingBlock != null
+                && (type != Http2Constants.CONTINUATION || frameStreamId != streamId)) {
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "a frame within a header block");
         }
     }
 
@@ -49,7 +51,8 @@
      *
      * @return the block, or null where more of it is to come
      */
-    HeaderCodec.HeaderBlock headers(int flags, int frameStreamId, ByteBuffer payload) throws Http2Exception {
+    HeaderCodec.HeaderBlock headers(int flags, int frameStreamId, ByteBuffer payload)
+            throws Http2Exception {
         pendingBlock = new ByteArrayOutputStream();
         streamId = frameStreamId;
         endsStream = (flags & Http2Constants.END_STREAM) != 0;
@@ -60,10 +63,12 @@
     /** @return the block, or null where more of it is to come */
     HeaderCodec.HeaderBlock continuation(int flags, ByteBuffer payload) throws Http2Exception {
         if (pendingBlock == null) {
-            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a continuation of nothing");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "a continuation of nothing");
         }
         if (++continuations > MAX_CONTINUATIONS) {
-            throw new Http2Exception(Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many continuations");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many continuations");
         }
         return append(flags, payload);
     }
@@ -71,7 +76,8 @@
     private HeaderCodec.HeaderBlock append(int flags, ByteBuffer payload) throws Http2Exception {
         pendingBlock.write(payload.array(), payload.position(), payload.remaining());
         if (pendingBlock.size() > HeaderCodec.MAX_BLOCK_BYTES) {
-            throw new Http2Exception(Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header block that is too large");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header block that is too large");
         }
         if ((flags & Http2Constants.END_HEADERS) == 0) {
             return null;
--- a/src/main/java/tinlink/http2/HeaderCodec.java
+++ b/src/main/java/tinlink/http2/HeaderCodec.java
@@ -116,7 +116,9 @@
         try {
             decoder.decode(input, (name, value, sensitive) -> {
                 String fieldName = new String(name, StandardCharsets.ISO_8859_1);
-                sentinelSeen[0] = input.available() == 0 && fieldName.equals(SENTINEL_NAME) && value.length == 0;
+                sentinelSeen[0] = input.available() == 0
+                        && fieldName.equals(SENTINEL_NAME)
+                        && value.length == 0;
                 if (!sentinelSeen[0]) {
                     decoded.add(fieldName, new String(value, StandardCharsets.UTF_8));
                 }
@@ -125,10 +127,12 @@
                 throw new IOException("cut short");
             }
         } catch (IOException | RuntimeException e) {
-            throw new Http2Exception(Http2Constants.ErrorCode.COMPRESSION_ERROR, "a block that can't be decoded");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.COMPRESSION_ERROR, "a block that can't be decoded");
         }
         if (!sentinelSeen[0] || decoder.endHeaderBlock() || decoded.listBytes > MAX_LIST_BYTES) {
-            throw new Http2Exception(Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header list that is too large");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header list that is too large");
         }
         return decoded;
     }
--- a/src/main/java/tinlink/http2/Http2Connection.java
+++ b/src/main/java/tinlink/http2/Http2Connection.java
@@ -131,8 +131,10 @@
     }
 
     @Override
-    public void onFrame(int type, int flags, int streamId, ByteBuffer payload) throws Http2Exception {
-        if (!settingsReceived && (type != Http2Constants.SETTINGS || (flags & Http2Constants.ACK) != 0)) {
+    public void onFrame(int type, int flags, int streamId, ByteBuffer payload)
+            throws Http2Exception {
+        if (!settingsReceived
+                && (type != Http2Constants.SETTINGS || (flags & Http2Constants.ACK) != 0)) {
             throw protocolError("it does not begin with settings");
         }
         headerBlockReader.checkNext(type, streamId);
@@ -142,11 +144,13 @@
             case Http2Constants.PRIORITY -> onPriority(streamId, payload);
             case Http2Constants.RST_STREAM -> onReset(streamId, payload);
             case Http2Constants.SETTINGS -> onSettings(flags, streamId, payload);
-            case Http2Constants.PUSH_PROMISE -> throw protocolError("a push that we have forbidden");
+            case Http2Constants.PUSH_PROMISE ->
+                throw protocolError("a push that we have forbidden");
             case Http2Constants.PING -> onPing(flags, streamId, payload);
             case Http2Constants.GOAWAY -> onGoAway(streamId, payload);
             case Http2Constants.WINDOW_UPDATE -> onWindowUpdate(streamId, payload);
-            case Http2Constants.CONTINUATION -> onHeaderBlock(headerBlockReader.continuation(flags, payload));
+            case Http2Constants.CONTINUATION ->
+                onHeaderBlock(headerBlockReader.continuation(flags, payload));
             default -> uselessFrameBudget.spend(); // Unknown frames are passed over.
         }
     }
@@ -155,10 +159,12 @@
         return new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, description);
     }
 
-    private static void checkSize(boolean isValid, String frameName, ByteBuffer payload) throws Http2Exception {
+    private static void checkSize(boolean isValid, String frameName, ByteBuffer payload)
+            throws Http2Exception {
         if (!isValid) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.FRAME_SIZE_ERROR, frameName + " of " + payload.remaining() + " bytes");
+                    Http2Constants.ErrorCode.FRAME_SIZE_ERROR,
+                    frameName + " of " + payload.remaining() + " bytes");
         }
     }
 
@@ -174,7 +180,9 @@
             return;
         }
         receiveWindow.received(stream, length);
-        advance(stream, responseReader.data(stream, payload, (flags & Http2Constants.END_STREAM) != 0));
+        advance(
+                stream,
+                responseReader.data(stream, payload, (flags & Http2Constants.END_STREAM) != 0));
     }
 
     private static void removePadding(int flags, ByteBuffer payload) throws Http2Exception {
@@ -193,7 +201,8 @@
         removePadding(flags, payload);
         if ((flags & Http2Constants.WITH_PRIORITY) != 0) {
             if (payload.remaining() < PRIORITY_BYTES) {
-                throw new Http2Exception(Http2Constants.ErrorCode.FRAME_SIZE_ERROR, "a priority cut short");
+                throw new Http2Exception(
+                        Http2Constants.ErrorCode.FRAME_SIZE_ERROR, "a priority cut short");
             }
             payload.position(payload.position() + PRIORITY_BYTES);
         }
@@ -256,7 +265,10 @@
         if (stream != null) {
             streamTable.remove(stream);
             streamTable.rememberReset(streamId); // Another reset of it says nothing more.
-            listener.onStreamReset(stream, payload.getInt() == Http2Constants.ErrorCode.REFUSED_STREAM.ordinal(), false);
+            listener.onStreamReset(
+                    stream,
+                    payload.getInt() == Http2Constants.ErrorCode.REFUSED_STREAM.ordinal(),
+                    false);
         }
     }
 
@@ -306,7 +318,8 @@
             case Http2Constants.INITIAL_WINDOW_SIZE ->
                 sendWindow.initialStreamWindow(value, streamTable.openStreams());
             case Http2Constants.MAX_FRAME_SIZE -> {
-                if (value < Http2Constants.DEFAULT_MAX_FRAME_SIZE || value > Http2Constants.LARGEST_MAX_FRAME_SIZE) {
+                if (value < Http2Constants.DEFAULT_MAX_FRAME_SIZE
+                        || value > Http2Constants.LARGEST_MAX_FRAME_SIZE) {
                     throw protocolError("frames of " + value + " bytes");
                 }
                 writer.maxFrameSize((int) Math.min(value, MAX_WRITTEN_FRAME_BYTES));
@@ -361,7 +374,11 @@
         }
         stream.sendWindow += increment;
         if (increment == 0 || stream.sendWindow > Http2Constants.MAX_WINDOW) {
-            rejectMalformed(stream, increment == 0 ? Http2Constants.ErrorCode.PROTOCOL_ERROR : Http2Constants.ErrorCode.FLOW_CONTROL_ERROR);
+            rejectMalformed(
+                    stream,
+                    increment == 0
+                            ? Http2Constants.ErrorCode.PROTOCOL_ERROR
+                            : Http2Constants.ErrorCode.FLOW_CONTROL_ERROR);
             return;
         }
         uselessFrameBudget.spendUnless(sendWindow.flush(stream));
--- a/src/main/java/tinlink/http2/Http2NodeClient.java
+++ b/src/main/java/tinlink/http2/Http2NodeClient.java
@@ -1,12 +1,12 @@
 package tinlink.http2;
 
 import tinlink.decision.Outcome;
-import tinlink.http2.pool.PooledConnection;
 import tinlink.http2.pool.CallResult;
 import tinlink.http2.pool.ConnectionPool;
 import tinlink.http2.pool.PendingCall;
-import tinlink.net.Counters;
+import tinlink.http2.pool.PooledConnection;
 import tinlink.net.CloseReason;
+import tinlink.net.Counters;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
@@ -52,7 +52,11 @@
     private InetSocketAddress address;
 
     public Http2NodeClient(
-            EventLoop loop, Network network, CallHandler callHandler, Counters counters, ConnectionPool.Settings settings) {
+            EventLoop loop,
+            Network network,
+            CallHandler callHandler,
+            Counters counters,
+            ConnectionPool.Settings settings) {
         this.loop = loop;
         this.network = network;
         this.callHandler = callHandler;
@@ -146,10 +150,15 @@
             pool.onConnectionEnded(pooled, false, CallResult.NEVER_LEFT);
             return;
         }
-        Http2NodeConnection nodeConnection = new Http2NodeConnection(this, pooled, settings.maxPending());
+        Http2NodeConnection nodeConnection =
+                new Http2NodeConnection(this, pooled, settings.maxPending());
         try {
             tinlink.net.Connection link = network.connect(address, nodeConnection);
-            nodeConnection.attach(link, loop.schedule(loop.nowUs() + settings.connectTimeoutUs(), () -> link.close(CloseReason.NOT_UP)));
+            nodeConnection.attach(
+                    link,
+                    loop.schedule(
+                            loop.nowUs() + settings.connectTimeoutUs(),
+                            () -> link.close(CloseReason.NOT_UP)));
             connections.put(pooled, nodeConnection);
             counters.increment("http2_connections");
             callHandler.connectionOpened();
@@ -255,11 +264,17 @@
         callHandler.callEnded(request, outcome, null);
     }
 
-    void onConnectionEnded(Http2NodeConnection nodeConnection, boolean wasUp, CloseReason closeReason) {
+    void onConnectionEnded(
+            Http2NodeConnection nodeConnection, boolean wasUp, CloseReason closeReason) {
         touch();
         if (connections.remove(nodeConnection.pooled, nodeConnection)) {
             callHandler.connectionClosed();
         }
-        pool.onConnectionEnded(nodeConnection.pooled, wasUp, closeReason == CloseReason.NO_SOCKET ? CallResult.NEVER_LEFT : CallResult.NO_CONNECTION);
+        pool.onConnectionEnded(
+                nodeConnection.pooled,
+                wasUp,
+                closeReason == CloseReason.NO_SOCKET
+                        ? CallResult.NEVER_LEFT
+                        : CallResult.NO_CONNECTION);
     }
 }
--- a/src/main/java/tinlink/http2/Http2NodeConnection.java
+++ b/src/main/java/tinlink/http2/Http2NodeConnection.java
@@ -1,7 +1,7 @@
 package tinlink.http2;
 
-import tinlink.http2.pool.PooledConnection;
 import tinlink.http2.pool.CallResult;
+import tinlink.http2.pool.PooledConnection;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
@@ -52,7 +52,8 @@
         request.nodeConnection = this;
         request.headerPosition = link.scheduleWrite();
         request.sentAt = now;
-        request.stream = http2.sendRequest(request, request.headerFields(nodeClient.authority(), now), request.body());
+        request.stream = http2.sendRequest(
+                request, request.headerFields(nodeClient.authority(), now), request.body());
         link.scheduleWrite();
         if (http2.isExhausted()) {
             nodeClient.retire(this);
@@ -107,9 +108,13 @@
             nodeClient.retire(this);
             nodeClient.runSoon(() -> link.close(CloseReason.BAD_INPUT));
         }
-        if (!protocolFailed && !link.isClosed() && http2.isAtFrameBoundary() != (stallTimer == null)) {
+        if (!protocolFailed
+                && !link.isClosed()
+                && http2.isAtFrameBoundary() != (stallTimer == null)) {
             nodeClient.cancelTimer(stallTimer);
-            stallTimer = http2.isAtFrameBoundary() ? null : nodeClient.startStallTimer(() -> link.close(CloseReason.BAD_INPUT));
+            stallTimer = http2.isAtFrameBoundary()
+                    ? null
+                    : nodeClient.startStallTimer(() -> link.close(CloseReason.BAD_INPUT));
         }
     }
 
@@ -128,7 +133,11 @@
 
     @Override
     public void onStreamReset(Http2Stream stream, boolean notProcessed, boolean malformed) {
-        finish(stream, malformed ? CallResult.MALFORMED : notProcessed ? CallResult.REFUSED_STREAM : CallResult.RESET);
+        finish(
+                stream,
+                malformed
+                        ? CallResult.MALFORMED
+                        : notProcessed ? CallResult.REFUSED_STREAM : CallResult.RESET);
     }
 
     private void finish(Http2Stream stream, CallResult result) {
@@ -137,7 +146,10 @@
         if (stream.abandoned) {
             return;
         }
-        nodeClient.finish(request, result, result == CallResult.SATISFIED ? Http2Connection.bodyText(stream) : null);
+        nodeClient.finish(
+                request,
+                result,
+                result == CallResult.SATISFIED ? Http2Connection.bodyText(stream) : null);
     }
 
     @Override
@@ -166,8 +178,11 @@
         });
         nodeClient.onConnectionEnded(this, wasUp, closeReason);
         for (PartRequest request : interrupted) {
-            boolean isConcerned = closeReason == CloseReason.PEER_CLOSED ? !anyResponse : request == interrupted.get(0);
-            nodeClient.onInterrupted(request, closeReason.toOutcome(mayHaveLeft(request), isConcerned));
+            boolean isConcerned = closeReason == CloseReason.PEER_CLOSED
+                    ? !anyResponse
+                    : request == interrupted.get(0);
+            nodeClient.onInterrupted(
+                    request, closeReason.toOutcome(mayHaveLeft(request), isConcerned));
         }
     }
 }
--- a/src/main/java/tinlink/http2/PartRequest.java
+++ b/src/main/java/tinlink/http2/PartRequest.java
@@ -30,7 +30,13 @@
      * @param sendDeadline it must not wait for longer
      */
     public PartRequest(
-            Object attachment, int shard, String id, String idempotencyKey, byte[] text, long deadline, long sendDeadline) {
+            Object attachment,
+            int shard,
+            String id,
+            String idempotencyKey,
+            byte[] text,
+            long deadline,
+            long sendDeadline) {
         super(Math.min(deadline, sendDeadline));
         this.attachment = attachment;
         this.shard = shard;
@@ -78,7 +84,9 @@
             case "", "ok" ->
                 response.status == 200
                         ? CallResult.SATISFIED
-                        : response.status == 429 || response.status == 503 ? CallResult.TURNED_AWAY : CallResult.FAILED;
+                        : response.status == 429 || response.status == 503
+                                ? CallResult.TURNED_AWAY
+                                : CallResult.FAILED;
             default -> CallResult.MALFORMED;
         };
     }
--- a/src/main/java/tinlink/http2/ReceiveWindow.java
+++ b/src/main/java/tinlink/http2/ReceiveWindow.java
@@ -28,7 +28,8 @@
     void received(int length) throws Http2Exception {
         connectionWindow -= length;
         if (connectionWindow < 0) {
-            throw new Http2Exception(Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over the connection's window");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over the connection's window");
         }
         if (connectionWindow < CONNECTION_WINDOW / 2) {
             writer.connectionWindowUpdate((int) (CONNECTION_WINDOW - connectionWindow));
@@ -40,7 +41,8 @@
     void received(Http2Stream stream, int length) throws Http2Exception {
         stream.receiveWindow -= length;
         if (stream.receiveWindow < 0) {
-            throw new Http2Exception(Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over a stream's window");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over a stream's window");
         }
     }
 }
--- a/src/main/java/tinlink/http2/ResponseReader.java
+++ b/src/main/java/tinlink/http2/ResponseReader.java
@@ -23,10 +23,13 @@
     }
 
     /** A header block: an interim answer, the answer's head, or its trailers. */
-    Progress headers(Http2Stream stream, HeaderCodec.HeaderBlock block, boolean endsStream) throws Http2Exception {
+    Progress headers(Http2Stream stream, HeaderCodec.HeaderBlock block, boolean endsStream)
+            throws Http2Exception {
         String statusText = block.pseudoFields.get(":status");
         boolean isTrailers = stream.status != 0;
-        if (block.malformedReason != null || isTrailers != (statusText == null) || isTrailers && !endsStream) {
+        if (block.malformedReason != null
+                || isTrailers != (statusText == null)
+                || isTrailers && !endsStream) {
             return Progress.MALFORMED;
         }
         if (isTrailers) {
@@ -38,13 +41,17 @@
         }
         int statusCode = Integer.parseInt(statusText);
         if (statusCode < OK) {
-            uselessFrameBudget.spend(); // An interim answer says nothing; what it announces is still to come.
-            return endsStream || statusCode == SWITCHING_PROTOCOLS ? Progress.MALFORMED : Progress.INCOMPLETE;
+            uselessFrameBudget
+                    .spend(); // An interim answer says nothing; what it announces is still to come.
+            return endsStream || statusCode == SWITCHING_PROTOCOLS
+                    ? Progress.MALFORMED
+                    : Progress.INCOMPLETE;
         }
         return responseHead(stream, statusCode, block, endsStream);
     }
 
-    private static Progress responseHead(Http2Stream stream, int statusCode, HeaderCodec.HeaderBlock block, boolean endsStream) {
+    private static Progress responseHead(
+            Http2Stream stream, int statusCode, HeaderCodec.HeaderBlock block, boolean endsStream) {
         stream.status = statusCode;
         stream.responseFields.putAll(block.fields);
         String length = block.fields.get("content-length");
@@ -56,13 +63,15 @@
     }
 
     /** A piece of the answer's body, without its padding. */
-    Progress data(Http2Stream stream, ByteBuffer payload, boolean endsStream) throws Http2Exception {
+    Progress data(Http2Stream stream, ByteBuffer payload, boolean endsStream)
+            throws Http2Exception {
         if (stream.status == 0) {
             return Progress.MALFORMED;
         }
         uselessFrameBudget.spendUnless(payload.hasRemaining() || endsStream);
         int bodyBytes = stream.responseBody.size() + payload.remaining();
-        if (bodyBytes > ProtocolLimits.MAX_BODY_BYTES || stream.contentLength >= 0 && bodyBytes > stream.contentLength) {
+        if (bodyBytes > ProtocolLimits.MAX_BODY_BYTES
+                || stream.contentLength >= 0 && bodyBytes > stream.contentLength) {
             return Progress.MALFORMED;
         }
         stream.responseBody.write(payload.array(), payload.position(), payload.remaining());
@@ -71,7 +80,8 @@
 
     /** It is over in order if it is as long as it said. */
     private static Progress finish(Http2Stream stream) {
-        boolean isDeclaredLength = stream.contentLength < 0 || stream.responseBody.size() == stream.contentLength;
+        boolean isDeclaredLength =
+                stream.contentLength < 0 || stream.responseBody.size() == stream.contentLength;
         return isDeclaredLength ? Progress.COMPLETE : Progress.MALFORMED;
     }
 }
--- a/src/main/java/tinlink/http2/SendWindow.java
+++ b/src/main/java/tinlink/http2/SendWindow.java
@@ -57,7 +57,8 @@
     }
 
     /** The other side's settings change the window of all streams, open ones too; it may fall below 0. */
-    void initialStreamWindow(long value, Collection<Http2Stream> openStreams) throws Http2Exception {
+    void initialStreamWindow(long value, Collection<Http2Stream> openStreams)
+            throws Http2Exception {
         checkWindow(value);
         for (Http2Stream stream : openStreams) {
             stream.sendWindow += value - initialStreamWindow;
@@ -69,7 +70,8 @@
     /** The connection's window grows by so many bytes. */
     void growConnection(int bytes) throws Http2Exception {
         if (bytes == 0) {
-            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a window that does not grow");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "a window that does not grow");
         }
         connectionWindow += bytes;
         checkWindow(connectionWindow);
@@ -77,7 +79,8 @@
 
     private static void checkWindow(long window) throws Http2Exception {
         if (window > Http2Constants.MAX_WINDOW) {
-            throw new Http2Exception(Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "a window of " + window);
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "a window of " + window);
         }
     }
 }
--- a/src/main/java/tinlink/http2/StreamTable.java
+++ b/src/main/java/tinlink/http2/StreamTable.java
@@ -49,13 +49,15 @@
             return stream;
         }
         checkOpened(id);
-        throw new Http2Exception(Http2Constants.ErrorCode.STREAM_CLOSED, "stream " + id + " is over");
+        throw new Http2Exception(
+                Http2Constants.ErrorCode.STREAM_CLOSED, "stream " + id + " is over");
     }
 
     /** Fails where the id can't be of a stream that this side has opened at any time. */
     void checkOpened(int id) throws Http2Exception {
         if (id % 2 == 0 || nextStreamId > 0 && id >= nextStreamId) {
-            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "stream " + id + " was never opened");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "stream " + id + " was never opened");
         }
     }
 
@@ -80,7 +82,9 @@
     /** Danger: a GOAWAY whose last id rises again would let what was said never to have run, run. */
     void checkGoAway(int goAwayId) throws Http2Exception {
         if (goAwayId > lastProcessedId) {
-            throw new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, "a goodbye that takes back the one before");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.PROTOCOL_ERROR,
+                    "a goodbye that takes back the one before");
         }
     }
 
--- a/src/main/java/tinlink/http2/UselessFrameBudget.java
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -12,7 +12,8 @@
     /** A frame of no use has come. */
     void spend() throws Http2Exception {
         if (--remaining < 0) {
-            throw new Http2Exception(Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many frames of no use");
+            throw new Http2Exception(
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many frames of no use");
         }
     }
 
--- a/src/main/java/tinlink/http2/pool/ConnectionPool.java
+++ b/src/main/java/tinlink/http2/pool/ConnectionPool.java
@@ -228,17 +228,24 @@
     }
 
     private boolean maintainConnection(PooledConnection pooled, PoolHandler handler) {
-        boolean handshakeTimedOut =
-                pooled.state == PooledConnection.State.UP && !pooled.settingsReceived && now >= pooled.stateSince + settings.connectTimeoutUs();
-        boolean isDead = pooled.pendingPing > 0 && now >= pooled.pingSentAt + settings.pingIntervalUs();
+        boolean handshakeTimedOut = pooled.state == PooledConnection.State.UP
+                && !pooled.settingsReceived
+                && now >= pooled.stateSince + settings.connectTimeoutUs();
+        boolean isDead =
+                pooled.pendingPing > 0 && now >= pooled.pingSentAt + settings.pingIntervalUs();
         boolean isUnused = pooled.openStreams == 0
                 && (pooled.state == PooledConnection.State.RETIRING
-                        || (pooled.state == PooledConnection.State.UP && now >= pooled.lastUsedAt + settings.idleTimeoutUs()));
+                        || (pooled.state == PooledConnection.State.UP
+                                && now >= pooled.lastUsedAt + settings.idleTimeoutUs()));
         if (handshakeTimedOut || isDead || isUnused) {
             handler.closeConnection(pooled, !isUnused);
             return true;
         }
-        if (pooled.openStreams > 0 && pooled.pendingPing == 0 && now >= Math.max(pooled.lastBytesAt, pooled.pingSentAt) + settings.pingIntervalUs()) {
+        if (pooled.openStreams > 0
+                && pooled.pendingPing == 0
+                && now
+                        >= Math.max(pooled.lastBytesAt, pooled.pingSentAt)
+                                + settings.pingIntervalUs()) {
             pooled.pendingPing = ++lastPing;
             pooled.pingSentAt = now;
             handler.sendPing(pooled, pooled.pendingPing);
@@ -251,7 +258,9 @@
     private boolean startNextCall(PoolHandler handler) {
         PooledConnection best = null;
         for (PooledConnection pooled : connections) {
-            if (pooled.hasCapacity() && pooled.pendingPing == 0 && (best == null || pooled.openStreams > best.openStreams)) {
+            if (pooled.hasCapacity()
+                    && pooled.pendingPing == 0
+                    && (best == null || pooled.openStreams > best.openStreams)) {
                 best = pooled;
             }
         }
@@ -271,18 +280,23 @@
         long expectedCapacity = 0;
         int activeConnections = 0;
         for (PooledConnection pooled : connections) {
-            boolean isComingUp =
-                    pooled.state == PooledConnection.State.CONNECTING || (pooled.state == PooledConnection.State.UP && !pooled.settingsReceived);
-            expectedCapacity += isComingUp ? Math.min(expectedStreams, settings.initialStreams()) : 0;
+            boolean isComingUp = pooled.state == PooledConnection.State.CONNECTING
+                    || (pooled.state == PooledConnection.State.UP && !pooled.settingsReceived);
+            expectedCapacity +=
+                    isComingUp ? Math.min(expectedStreams, settings.initialStreams()) : 0;
             activeConnections += pooled.state == PooledConnection.State.RETIRING ? 0 : 1;
         }
-        if (nodeRemoved || expectedCapacity >= pending.size() || activeConnections >= settings.maxConnections()) {
+        if (nodeRemoved
+                || expectedCapacity >= pending.size()
+                || activeConnections >= settings.maxConnections()) {
             return false;
         }
         // Danger: a node that allows no streams at all would be met with connection after
         // connection.
-        boolean allowsNoStreams =
-                connections.stream().anyMatch(pooled -> pooled.settingsReceived && pooled.maxStreams == 0 && pooled.state == PooledConnection.State.UP);
+        boolean allowsNoStreams = connections.stream()
+                .anyMatch(pooled -> pooled.settingsReceived
+                        && pooled.maxStreams == 0
+                        && pooled.state == PooledConnection.State.UP);
         if (allowsNoStreams) {
             return false;
         }
@@ -295,7 +309,9 @@
     }
 
     private boolean expireOrWake(PoolHandler handler) {
-        boolean hasConnection = connections.stream().anyMatch(pooled -> pooled.settingsReceived && pooled.state == PooledConnection.State.UP);
+        boolean hasConnection = connections.stream()
+                .anyMatch(pooled ->
+                        pooled.settingsReceived && pooled.state == PooledConnection.State.UP);
         for (PendingCall call : pending) {
             if (now >= call.deadline || (hasConnection && now >= call.streamDeadline)) {
                 pending.remove(call);
@@ -314,7 +330,10 @@
             if (pooled.pendingPing > 0) {
                 nextDueAt = Math.min(nextDueAt, pooled.pingSentAt + settings.pingIntervalUs());
             } else if (pooled.openStreams > 0) {
-                nextDueAt = Math.min(nextDueAt, Math.max(pooled.lastBytesAt, pooled.pingSentAt) + settings.pingIntervalUs());
+                nextDueAt = Math.min(
+                        nextDueAt,
+                        Math.max(pooled.lastBytesAt, pooled.pingSentAt)
+                                + settings.pingIntervalUs());
             } else if (pooled.state == PooledConnection.State.UP) {
                 nextDueAt = Math.min(nextDueAt, pooled.lastUsedAt + settings.idleTimeoutUs());
             }
--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import tinlink.net.MessageRejectedException;
+import tinlink.config.ConfigFile;
+import tinlink.config.InvalidInputException;
 import tinlink.net.CloseReason;
-import tinlink.net.HttpReader;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.HttpReader;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.RingBuffer;
-import tinlink.config.InvalidInputException;
-import tinlink.config.ConfigFile;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -45,7 +45,8 @@
     /** It is up, and has to be over within that time. */
     void opened(Connection up, long timeoutUs) {
         link = up;
-        timeout = control.loop.schedule(control.loop.nowUs() + timeoutUs, () -> link.close(CloseReason.IDLE));
+        timeout = control.loop.schedule(
+                control.loop.nowUs() + timeoutUs, () -> link.close(CloseReason.IDLE));
     }
 
     void end(CloseReason closeReason) {
@@ -64,7 +65,8 @@
     }
 
     @Override
-    public void startLine(String method, String path, String version) throws MessageRejectedException {
+    public void startLine(String method, String path, String version)
+            throws MessageRejectedException {
         if (!method.equals("POST") || !path.equals("/work")) {
             throw new MessageRejectedException(NOT_FOUND, "POST /work is all there is");
         }
--- a/src/main/java/tinlink/maintenance/ControlViews.java
+++ b/src/main/java/tinlink/maintenance/ControlViews.java
@@ -1,9 +1,9 @@
 package tinlink.maintenance;
 
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
-import tinlink.maintenance.scheduling.MaintenanceRequest;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -62,7 +62,9 @@
         view.put("why", task.reason());
         view.put("fence", task.fencingToken());
         view.put("away", task.isActive());
-        view.put("since_ms", (stateMachine().agreedTimeUs() - task.stateSinceUs()) / MICROS_PER_MILLI);
+        view.put(
+                "since_ms",
+                (stateMachine().agreedTimeUs() - task.stateSinceUs()) / MICROS_PER_MILLI);
         return view;
     }
 
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -1,7 +1,7 @@
 package tinlink.maintenance;
 
-import tinlink.net.EventLoop;
 import tinlink.cluster.membership.LineCodec;
+import tinlink.net.EventLoop;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
@@ -1,11 +1,11 @@
 package tinlink.maintenance;
 
-import tinlink.policy.PolicyRolloutService;
 import tinlink.config.ConfigFile;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
-import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.policy.PolicyRolloutService;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -34,7 +34,8 @@
         this.maintenance = maintenance;
         this.policyRollout = policyRollout;
         views = new ControlViews(maintenance);
-        policyCommands = policyRollout == null ? null : new PolicyControlCommands(policyRollout, views);
+        policyCommands =
+                policyRollout == null ? null : new PolicyControlCommands(policyRollout, views);
     }
 
     /**
@@ -66,7 +67,8 @@
                         connection);
             case "call-off" ->
                 propose(
-                        MaintenanceStateMachine.cancelLine(request.text("id"), request.text("why", "called off")),
+                        MaintenanceStateMachine.cancelLine(
+                                request.text("id"), request.text("why", "called off")),
                         request,
                         connection);
             case "ended" -> removeRouter(request, connection);
@@ -138,7 +140,10 @@
         if (incarnation == null) {
             connection.respond(ControlConnection.OK, Map.of("said", ""));
         } else {
-            propose(MaintenanceStateMachine.routerEndedLine(router, incarnation), request, connection);
+            propose(
+                    MaintenanceStateMachine.routerEndedLine(router, incarnation),
+                    request,
+                    connection);
         }
     }
 
@@ -149,7 +154,8 @@
         request.rejectUnknownKeys();
         maintenance.peers().replaceVoter(voter, replacement);
         // Whoever leads does it as soon as that is safe; it is heard by asking who votes.
-        String said = maintenance.peers().leader().isEmpty() ? "nobody is known to lead: ask again" : "";
+        String said =
+                maintenance.peers().leader().isEmpty() ? "nobody is known to lead: ask again" : "";
         connection.respond(ControlConnection.OK, views.withLeader(Map.of("said", said)));
     }
 
@@ -158,8 +164,9 @@
         String id = json.text("id");
         List<String> selectors = json.texts("machines");
         long durationUs = json.micros("for_ms", 0, 1, MAX_DURATION_MS);
-        long startWithinUs =
-                json.has("within_ms") ? json.micros("within_ms", 0, 1, MAX_DURATION_MS) : Long.MAX_VALUE;
+        long startWithinUs = json.has("within_ms")
+                ? json.micros("within_ms", 0, 1, MAX_DURATION_MS)
+                : Long.MAX_VALUE;
         int urgency = json.integer("urgency", 5, 0, MaintenanceRequest.MAX_URGENCY);
         String author = json.text("author", "unknown");
         String reason = json.text("why", "work");
@@ -174,7 +181,8 @@
         if (!known.isEmpty()) {
             // Asked before: what was named then may mean other machines by now, and is not found
             // anew.
-            connection.respond(ControlConnection.OK, Map.of("said", "", "request", views.request(known)));
+            connection.respond(
+                    ControlConnection.OK, Map.of("said", "", "request", views.request(known)));
             return;
         }
         Set<String> machines = new TreeSet<>();
@@ -190,7 +198,13 @@
         }
         propose(
                 MaintenanceStateMachine.requestLine(new MaintenanceRequest(
-                        id, List.copyOf(machines), durationUs, startWithinUs, urgency, author, reason)),
+                        id,
+                        List.copyOf(machines),
+                        durationUs,
+                        startWithinUs,
+                        urgency,
+                        author,
+                        reason)),
                 json,
                 connection);
     }
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -1,21 +1,21 @@
 package tinlink.maintenance;
 
-import tinlink.net.Counters;
-import tinlink.net.CloseReason;
-import tinlink.net.Connection;
-import tinlink.net.EventLoop;
-import tinlink.net.Network;
-import tinlink.net.RingBuffer;
 import tinlink.cluster.ClusterNode;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.MemberState;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.DrainController;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
-import tinlink.maintenance.scheduling.NodeListDifference;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MachineFailureDetector;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.NodeListDifference;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.Counters;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -35,11 +35,15 @@
  * MachineFailureDetector} and {@link MaintenanceCoordinator} decide. All of it belongs to the loop's thread.
  * What serves waits for none of it but once, at the start, for a bounded time.
  */
-public final class MaintenanceService implements DrainController.DrainHandler, MachineFailureDetector.Prober, EventLoop.EventLoopParticipant {
+public final class MaintenanceService
+        implements DrainController.DrainHandler,
+                MachineFailureDetector.Prober,
+                EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
 
     /** A data node as this router has it on its list. */
-    public record ListedNode(String id, int cell, String zone, String model, InetSocketAddress address) {}
+    public record ListedNode(
+            String id, int cell, String zone, String model, InetSocketAddress address) {}
 
     /** What serves, as far as it is led by work on machines. */
     public interface DataPlane extends DrainController.InFlightCounts {
@@ -108,7 +112,14 @@
             Settings settings,
             Path folder)
             throws IOException {
-        this(loop, network, clusterNode, replicatedState, dataPlane, settings, new CordonStore(loop, folder));
+        this(
+                loop,
+                network,
+                clusterNode,
+                replicatedState,
+                dataPlane,
+                settings,
+                new CordonStore(loop, folder));
     }
 
     private MaintenanceService(
@@ -127,8 +138,16 @@
         this.settings = settings;
         String name = clusterNode.incarnation().router();
         this.cordonStore = cordonStore;
-        drainController = new DrainController(name, clusterNode.incarnation().toString(), settings.reportIntervalUs(), cordonStore.restored());
-        failureDetector = new MachineFailureDetector(name, settings.watchersPerMachine(), settings.probeIntervalUs(), settings.probeFailureThreshold());
+        drainController = new DrainController(
+                name,
+                clusterNode.incarnation().toString(),
+                settings.reportIntervalUs(),
+                cordonStore.restored());
+        failureDetector = new MachineFailureDetector(
+                name,
+                settings.watchersPerMachine(),
+                settings.probeIntervalUs(),
+                settings.probeFailureThreshold());
         coordinator = new MaintenanceCoordinator(
                 settings.initialLimits(),
                 settings.reportIntervalUs() / 2,
@@ -237,7 +256,8 @@
         if (stopped) {
             return;
         }
-        List<String> aliveRouters = new ArrayList<>(List.of(clusterNode.incarnation().router()));
+        List<String> aliveRouters =
+                new ArrayList<>(List.of(clusterNode.incarnation().router()));
         for (Member member : clusterNode.membership().members()) {
             if (member.state() == MemberState.ALIVE) {
                 aliveRouters.add(member.router());
@@ -262,7 +282,9 @@
         Map<String, Boolean> observations = failureDetector.observations();
         for (Member member : clusterNode.membership().members()) {
             if (failureDetector.watches(member.router())) {
-                observations.put(member.router(), member.state() == MemberState.ALIVE && member.duplicate() == null);
+                observations.put(
+                        member.router(),
+                        member.state() == MemberState.ALIVE && member.duplicate() == null);
             }
         }
         String site = settings.site(settings.zone());
@@ -351,7 +373,9 @@
         Probe probe = new Probe(machine);
         try {
             probe.link = network.connect(address, probe);
-            probe.timeout = loop.schedule(loop.nowUs() + settings.probeIntervalUs() / 2, () -> probe.link.close(CloseReason.NOT_UP));
+            probe.timeout = loop.schedule(
+                    loop.nowUs() + settings.probeIntervalUs() / 2,
+                    () -> probe.link.close(CloseReason.NOT_UP));
         } catch (IOException | RuntimeException e) {
             probe.finish(false);
         }
@@ -399,7 +423,8 @@
 
     /** Its last client has gone: nobody need wait for a word of it any more. */
     public void leave() {
-        clusterNode.reportToLeader(MaintenanceCoordinator.departureLine(clusterNode.incarnation().toString()));
+        clusterNode.reportToLeader(
+                MaintenanceCoordinator.departureLine(clusterNode.incarnation().toString()));
         clusterNode.leave();
         stopped = true;
     }
@@ -424,7 +449,8 @@
         status.put("old_disk", clusterNode.hasStaleDisk());
         status.put("voters", List.copyOf(clusterNode.voters()));
         Map<String, String> memberStates = new TreeMap<>();
-        clusterNode.membership()
+        clusterNode
+                .membership()
                 .members()
                 .forEach(member -> memberStates.put(
                         member.router(), member.state().name().toLowerCase(java.util.Locale.ROOT)));
--- a/src/main/java/tinlink/maintenance/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -1,8 +1,8 @@
 package tinlink.maintenance;
 
+import tinlink.config.ConfigFile;
 import tinlink.policy.PolicyRolloutService;
 import tinlink.policy.ProposalTerms;
-import tinlink.config.ConfigFile;
 
 import java.util.Map;
 
@@ -70,6 +70,13 @@
         request.rejectUnknownKeys();
         ProposalTerms terms = ProposalTerms.parse(text);
         policyRollout.propose(
-                id, againstEpoch, terms.digest(), text, author, reason, terms.absencePolicy(), connection::answerProposal);
+                id,
+                againstEpoch,
+                terms.digest(),
+                text,
+                author,
+                reason,
+                terms.absencePolicy(),
+                connection::answerProposal);
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
@@ -16,7 +16,8 @@
     /** As many as there are blocks, zones and sites. */
     private final Map<FailureDomain, Count> counts = new LinkedHashMap<>();
 
-    DisruptionBudget(DisruptionLimits limits, Collection<Machine> machines, Predicate<Machine> isAvailable) {
+    DisruptionBudget(
+            DisruptionLimits limits, Collection<Machine> machines, Predicate<Machine> isAvailable) {
         this.limits = limits;
         for (Machine machine : machines) {
             boolean available = isAvailable.test(machine);
@@ -32,7 +33,8 @@
     String violation() {
         for (Map.Entry<FailureDomain, Count> entry : counts.entrySet()) {
             // Voters with none to spare are no reason to stop work elsewhere.
-            if (entry.getKey().kind() != FailureDomain.Kind.VOTERS && entry.getValue().available < minimum(entry.getKey())) {
+            if (entry.getKey().kind() != FailureDomain.Kind.VOTERS
+                    && entry.getValue().available < minimum(entry.getKey())) {
                 return describe(entry.getKey());
             }
         }
@@ -60,7 +62,7 @@
 
     private String describe(FailureDomain domain) {
         Count count = counts.get(domain);
-        return domain + ": " + count.available + " of " + count.total + " are sound and here, " + minimum(domain)
-                + " have to be";
+        return domain + ": " + count.available + " of " + count.total + " are sound and here, "
+                + minimum(domain) + " have to be";
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/DisruptionLimits.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DisruptionLimits.java
@@ -29,7 +29,15 @@
 
     String encode() {
         return LineCodec.encode(
-                "bounds", minReplicas, minZoneShare, minSiteShare, warmUpUs, grantTimeoutUs, agingStepUs, maxTasks, maxEntries);
+                "bounds",
+                minReplicas,
+                minZoneShare,
+                minSiteShare,
+                warmUpUs,
+                grantTimeoutUs,
+                agingStepUs,
+                maxTasks,
+                maxEntries);
     }
 
     static DisruptionLimits decode(List<String> fields) {
--- a/src/main/java/tinlink/maintenance/scheduling/DrainController.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DrainController.java
@@ -61,7 +61,8 @@
      * @param restoredCordons what the incarnation before this one left out: so does this one until it knows
      * better
      */
-    public DrainController(String router, String incarnation, long retryIntervalUs, Set<String> restoredCordons) {
+    public DrainController(
+            String router, String incarnation, long retryIntervalUs, Set<String> restoredCordons) {
         this.restoredCordons = Set.copyOf(restoredCordons);
         this.router = router;
         this.incarnation = incarnation;
@@ -88,7 +89,8 @@
     }
 
     /** One decision; false when there is none. */
-    public boolean decide(MaintenanceStateMachine stateMachine, InFlightCounts inFlight, DrainHandler handler) {
+    public boolean decide(
+            MaintenanceStateMachine stateMachine, InFlightCounts inFlight, DrainHandler handler) {
         Set<String> toCordon = new TreeSet<>();
         List<String> lines = new ArrayList<>();
         boolean shouldDrain = false;
@@ -105,31 +107,40 @@
             if (!machine.isRouter() && task.isCordoned()) {
                 toCordon.add(machine.id());
             }
-            boolean awaitsOwnConfirmation = task.state() == TaskState.DRAINING && !task.isDrainedBy(router, incarnation);
+            boolean awaitsOwnConfirmation =
+                    task.state() == TaskState.DRAINING && !task.isDrainedBy(router, incarnation);
             if (isOwnMachine) {
                 boolean isStartedHere = task.isStartedBy(incarnation);
                 // Danger: started again while it is out, it would serve, and its operator, who has
                 // been told
                 // that it is out, would take it from under its clients.
                 // Only by an order that knows of this start: one from before it is history.
-                boolean isOut =
-                        isRegistered(stateMachine) && (task.state() == TaskState.OUT || task.state() == TaskState.OVERDUE);
+                boolean isOut = isRegistered(stateMachine)
+                        && (task.state() == TaskState.OUT || task.state() == TaskState.OVERDUE);
                 shouldDrain |= isOut || (isStartedHere && task.state() != TaskState.RETURNING);
-                if (task.state() == TaskState.GRANTED || (task.state() == TaskState.DRAINING && !isStartedHere)) {
-                    lines.add(MaintenanceStateMachine.beginLine(router, task.fencingToken(), incarnation));
-                } else if (task.state() == TaskState.RETURNING && !draining && !task.servingAgain()) {
+                if (task.state() == TaskState.GRANTED
+                        || (task.state() == TaskState.DRAINING && !isStartedHere)) {
+                    lines.add(MaintenanceStateMachine.beginLine(
+                            router, task.fencingToken(), incarnation));
+                } else if (task.state() == TaskState.RETURNING
+                        && !draining
+                        && !task.servingAgain()) {
                     lines.add(MaintenanceStateMachine.servingLine(router, incarnation));
                 } else if (awaitsOwnConfirmation && draining && inFlight.clientsInFlight() == 0) {
-                    lines.add(MaintenanceStateMachine.drainedLine(router, task.fencingToken(), router, incarnation));
+                    lines.add(MaintenanceStateMachine.drainedLine(
+                            router, task.fencingToken(), router, incarnation));
                 }
             } else if (!machine.isRouter()
                     && awaitsOwnConfirmation
                     && cordoned.contains(machine.id())
                     && inFlight.partsInFlight(machine.id()) == 0) {
-                lines.add(MaintenanceStateMachine.drainedLine(machine.id(), task.fencingToken(), router, incarnation));
+                lines.add(MaintenanceStateMachine.drainedLine(
+                        machine.id(), task.fencingToken(), router, incarnation));
             }
         }
-        return updateCordons(toCordon, handler) || updateDraining(shouldDrain, handler) || propose(lines, handler);
+        return updateCordons(toCordon, handler)
+                || updateDraining(shouldDrain, handler)
+                || propose(lines, handler);
     }
 
     private boolean updateCordons(Set<String> toCordon, DrainHandler handler) {
--- a/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
+++ b/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
@@ -24,7 +24,9 @@
         }
         FailureDomain zoneRouters = new FailureDomain(Kind.ZONE_ROUTERS, machine.zone());
         FailureDomain siteRouters = new FailureDomain(Kind.SITE_ROUTERS, machine.site());
-        return machine.voter() ? List.of(zoneRouters, siteRouters, new FailureDomain(Kind.VOTERS, "")) : List.of(zoneRouters, siteRouters);
+        return machine.voter()
+                ? List.of(zoneRouters, siteRouters, new FailureDomain(Kind.VOTERS, ""))
+                : List.of(zoneRouters, siteRouters);
     }
 
     @Override
--- a/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
@@ -66,7 +66,8 @@
      * @param probeIntervalUs between two probes of it
      * @param probeFailureThreshold failed probes in a row make it unsound; one good one, sound again
      */
-    public MachineFailureDetector(String router, int watchers, long probeIntervalUs, int probeFailureThreshold) {
+    public MachineFailureDetector(
+            String router, int watchers, long probeIntervalUs, int probeFailureThreshold) {
         this.router = router;
         assignment = new WatcherAssignment(router, watchers);
         this.probeIntervalUs = probeIntervalUs;
@@ -181,7 +182,8 @@
         if (answered) {
             history.failedCalls = 0;
         } else {
-            history.firstFailedCallUs = history.failedCalls++ == 0 ? nowUs : history.firstFailedCallUs;
+            history.firstFailedCallUs =
+                    history.failedCalls++ == 0 ? nowUs : history.firstFailedCallUs;
             history.lastFailedCallUs = nowUs;
         }
         updateHealth(history, answered);
@@ -193,7 +195,8 @@
      * row have failed for longer than a round.
      */
     private void updateHealth(ProbeHistory history, boolean answered) {
-        boolean callsFail = history.failedCalls >= CALL_FAILURE_THRESHOLD && history.lastFailedCallUs - history.firstFailedCallUs > probeIntervalUs;
+        boolean callsFail = history.failedCalls >= CALL_FAILURE_THRESHOLD
+                && history.lastFailedCallUs - history.firstFailedCallUs > probeIntervalUs;
         if (history.failedProbes >= probeFailureThreshold || callsFail) {
             history.healthy = false;
         } else if (answered && history.failedProbes <= 0 && history.failedCalls == 0) {
@@ -205,7 +208,9 @@
     public boolean decide(Prober prober) {
         for (Map.Entry<String, ProbeHistory> entry : histories.entrySet()) {
             ProbeHistory history = entry.getValue();
-            if (history.failedCalls > 0 && nowUs - history.lastFailedCallUs > CALL_FAILURE_EXPIRY_ROUNDS * probeIntervalUs) {
+            if (history.failedCalls > 0
+                    && nowUs - history.lastFailedCallUs
+                            > CALL_FAILURE_EXPIRY_ROUNDS * probeIntervalUs) {
                 history.failedCalls = 0;
             }
             if (nowUs >= history.nextProbeUs) {
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
@@ -46,7 +46,8 @@
     private Set<String> voters = Set.of();
 
     /** @param limits as the leader's file has them; the first ones agreed on hold, whoever leads */
-    public MaintenanceCoordinator(DisruptionLimits limits, long roundIntervalUs, long reportExpiryUs, int maxEntries) {
+    public MaintenanceCoordinator(
+            DisruptionLimits limits, long roundIntervalUs, long reportExpiryUs, int maxEntries) {
         this.limits = limits;
         this.roundIntervalUs = roundIntervalUs;
         this.maxEntries = maxEntries;
@@ -115,7 +116,11 @@
             switch (fields.get(0)) {
                 case "saw" -> {
                     for (int i = 1; i + 1 < fields.size(); i += 2) {
-                        observations.onObservation(from, fields.get(i), Boolean.parseBoolean(fields.get(i + 1)), nowUs);
+                        observations.onObservation(
+                                from,
+                                fields.get(i),
+                                Boolean.parseBoolean(fields.get(i + 1)),
+                                nowUs);
                     }
                 }
                 case "list" -> {
@@ -125,7 +130,8 @@
                     }
                     observations.onNodeList(from, fields.get(1), all, nowUs);
                 }
-                case NodeListDifference.KIND -> observations.onDifference(from, NodeListDifference.decode(fields), nowUs);
+                case NodeListDifference.KIND ->
+                    observations.onDifference(from, NodeListDifference.decode(fields), nowUs);
                 case "self" -> {
                     Machine machine = Machine.decode(LineCodec.decode(fields.get(1)));
                     if (machine.isRouter()
@@ -155,7 +161,8 @@
     public boolean decide(MaintenanceStateMachine stateMachine, Proposer proposer) {
         if (!leader
                 || nowUs < nextRoundUs
-                || (pendingProposals > 0 && nowUs - pendingSinceUs < PROPOSAL_TIMEOUT_ROUNDS * roundIntervalUs)) {
+                || (pendingProposals > 0
+                        && nowUs - pendingSinceUs < PROPOSAL_TIMEOUT_ROUNDS * roundIntervalUs)) {
             return false;
         }
         nextRoundUs = nowUs + roundIntervalUs;
@@ -173,8 +180,12 @@
             return lines; // Machines are counted against them: all else comes after.
         }
         observations.setAgreedNodes(stateMachine.agreedNodes());
-        departures.values().removeIf(incarnation -> stateMachine.incarnations().noneMatch(incarnation::equals));
-        departures.forEach((router, incarnation) -> lines.add(MaintenanceStateMachine.routerEndedLine(router, incarnation)));
+        departures
+                .values()
+                .removeIf(
+                        incarnation -> stateMachine.incarnations().noneMatch(incarnation::equals));
+        departures.forEach((router, incarnation) ->
+                lines.add(MaintenanceStateMachine.routerEndedLine(router, incarnation)));
         for (Machine self : routers.values()) {
             Machine router = self.withVoter(voters.contains(self.id()));
             if (!router.equals(stateMachine.machine(router.id()))) {
@@ -189,6 +200,8 @@
         } else if (stateMachine.openTasks().isEmpty()) {
             lastTickUs = nowUs; // Nothing waits by it.
         }
-        return lines.size() > MAX_PROPOSALS_PER_ROUND ? lines.subList(0, MAX_PROPOSALS_PER_ROUND) : lines;
+        return lines.size() > MAX_PROPOSALS_PER_ROUND
+                ? lines.subList(0, MAX_PROPOSALS_PER_ROUND)
+                : lines;
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceRequest.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceRequest.java
@@ -33,7 +33,14 @@
 
     String encode() {
         return LineCodec.encode(
-                "request", id, String.join(",", machines), durationUs, startWithinUs, urgency, author, reason);
+                "request",
+                id,
+                String.join(",", machines),
+                durationUs,
+                startWithinUs,
+                urgency,
+                author,
+                reason);
     }
 
     static MaintenanceRequest decode(List<String> fields) {
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
@@ -198,7 +198,12 @@
                 case "request" -> submit(MaintenanceRequest.decode(fields));
                 case "call-off" -> cancel(fields.get(1), fields.get(2));
                 case "begin" -> begin(fields.get(1), Long.parseLong(fields.get(2)), fields.get(3));
-                case "clear" -> confirmDrained(fields.get(1), Long.parseLong(fields.get(2)), fields.get(3), fields.get(4));
+                case "clear" ->
+                    confirmDrained(
+                            fields.get(1),
+                            Long.parseLong(fields.get(2)),
+                            fields.get(3),
+                            fields.get(4));
                 case "serves" -> confirmServing(fields.get(1), fields.get(2));
                 case "done" -> done(fields.get(1), fields.get(2), fields.get(3));
                 default -> "not understood: " + fields.get(0);
@@ -253,7 +258,8 @@
         return LineCodec.encode("begin", router, fencingToken, incarnation);
     }
 
-    public static String drainedLine(String machine, long fencingToken, String router, String incarnation) {
+    public static String drainedLine(
+            String machine, long fencingToken, String router, String incarnation) {
         return LineCodec.encode("clear", machine, fencingToken, router, incarnation);
     }
 
@@ -367,7 +373,8 @@
         for (String id : request.machines().isEmpty()
                 ? List.of("")
                 : new ArrayList<>(new TreeSet<>(request.machines()))) {
-            MaintenanceTask task = new MaintenanceTask(request, id, agreedTimeUs, nextSequenceNumber++);
+            MaintenanceTask task =
+                    new MaintenanceTask(request, id, agreedTimeUs, nextSequenceNumber++);
             tasks.add(task);
             openTasks.add(task);
             String impossible = impossibleBecause(id);
@@ -391,7 +398,8 @@
         if (machine == null) {
             return "no machine has that name";
         }
-        String violation = new DisruptionBudget(limits, machines.values(), x -> true).violationWithout(machine);
+        String violation = new DisruptionBudget(limits, machines.values(), x -> true)
+                .violationWithout(machine);
         return violation == null ? null : "it can never be granted: without it " + violation;
     }
 
@@ -419,7 +427,8 @@
                 }
                 case OUT, OVERDUE -> {
                     if (task.isActive()) {
-                        alreadyOut.append(
+                        alreadyOut
+                                .append(
                                         alreadyOut.length() == 0
                                                 ? "out already, say done when it is back: "
                                                 : ", ")
@@ -459,9 +468,13 @@
         task.deadlineUs = NEVER;
     }
 
-    private String confirmDrained(String machine, long fencingToken, String router, String incarnation) {
+    private String confirmDrained(
+            String machine, long fencingToken, String router, String incarnation) {
         MaintenanceTask task = activeTask(machine);
-        if (task == null || task.fencingToken != fencingToken || task.state != TaskState.DRAINING || !incarnations(router, incarnation)) {
+        if (task == null
+                || task.fencingToken != fencingToken
+                || task.state != TaskState.DRAINING
+                || !incarnations(router, incarnation)) {
             return "that grant is over";
         }
         task.drainedBy.add(router + " " + incarnation);
@@ -475,7 +488,9 @@
      */
     private String confirmServing(String router, String incarnation) {
         MaintenanceTask task = activeTask(router);
-        if (task == null || task.state != TaskState.RETURNING || !incarnations(router, incarnation)) {
+        if (task == null
+                || task.state != TaskState.RETURNING
+                || !incarnations(router, incarnation)) {
             return "nothing of it is returning";
         }
         task.servingAgain = true;
@@ -494,10 +509,14 @@
                 continue;
             }
             if (task.isActive() && how.equals("lost")) {
-                finish(task, TaskState.OVERDUE, "given up by its operator: the machine does not come back");
+                finish(
+                        task,
+                        TaskState.OVERDUE,
+                        "given up by its operator: the machine does not come back");
                 removeMachine(task.machine);
                 incarnations.remove(task.machine);
-            } else if (task.state == TaskState.OUT || (task.state == TaskState.OVERDUE && task.isActive())) {
+            } else if (task.state == TaskState.OUT
+                    || (task.state == TaskState.OVERDUE && task.isActive())) {
                 enter(task, TaskState.RETURNING);
             } else if (!task.isFinished() && task.state != TaskState.RETURNING) {
                 notOutYet = "not out yet: " + task.machine;
@@ -564,12 +583,21 @@
                 }
             }
             case DRAINING -> {
-                if (task.grantedWhileFailed && isHealthy(task.machine) && machine != null && violationWithout(machine) != null) {
-                    requeue(task, machine, "it was granted as one that had failed, and is sound again");
+                if (task.grantedWhileFailed
+                        && isHealthy(task.machine)
+                        && machine != null
+                        && violationWithout(machine) != null) {
+                    requeue(
+                            task,
+                            machine,
+                            "it was granted as one that had failed, and is sound again");
                     return;
                 }
                 String undrained = notYetDrained(task);
-                String violation = task.grantedWhileFailed || machine == null || !isHealthy(task.machine) ? null : violationWithout(machine);
+                String violation =
+                        task.grantedWhileFailed || machine == null || !isHealthy(task.machine)
+                                ? null
+                                : violationWithout(machine);
                 if (violation != null) {
                     // Danger: another machine has failed since; taken now, this one is what is
                     // left. Its
@@ -594,14 +622,20 @@
                         && isHealthy(task.machine)
                         && (task.servingAgain || !machine.isRouter())
                         && agreedTimeUs
-                                >= Math.max(task.stateSinceUs, healthySince.getOrDefault(task.machine, agreedTimeUs))
+                                >= Math.max(
+                                                task.stateSinceUs,
+                                                healthySince.getOrDefault(
+                                                        task.machine, agreedTimeUs))
                                         + limits.warmUpUs();
                 if (warm && task.requeueOnReturn) {
                     task.requeueOnReturn = false;
                     task.fencingToken = 0;
                     enter(task, TaskState.WAITING);
                 } else if (warm) {
-                    finish(task, task.cancelOnReturn ? TaskState.CALLED_OFF : TaskState.BACK, task.cancelOnReturn ? task.reason : "");
+                    finish(
+                            task,
+                            task.cancelOnReturn ? TaskState.CALLED_OFF : TaskState.BACK,
+                            task.cancelOnReturn ? task.reason : "");
                 }
             }
             default -> {}
@@ -672,8 +706,10 @@
         if (waiting.isEmpty()) {
             return;
         }
-        DisruptionBudget budget =
-                new DisruptionBudget(limits, machines.values(), machine -> isHealthy(machine.id()) && activeTask(machine.id()) == null);
+        DisruptionBudget budget = new DisruptionBudget(
+                limits,
+                machines.values(),
+                machine -> isHealthy(machine.id()) && activeTask(machine.id()) == null);
         String standingViolation = budget.violation();
         waiting.sort(Comparator.comparingLong((MaintenanceTask task) -> -urgency(task))
                 .thenComparingLong(task -> task.sequenceNumber));
@@ -692,8 +728,11 @@
             String violation = isAvailable ? budget.violationWithout(machine) : null;
             if (violation != null) {
                 task.reason = "without it " + violation;
-                if (agreedTimeUs - task.requestedAtUs >= STARVATION_AGING_STEPS * limits.agingStepUs()) {
-                    budget.remove(machine); // Its place is kept for it: those behind it that would be in its
+                if (agreedTimeUs - task.requestedAtUs
+                        >= STARVATION_AGING_STEPS * limits.agingStepUs()) {
+                    budget.remove(
+                            machine); // Its place is kept for it: those behind it that would be in
+                    // its
                     // way wait.
                 }
                 continue;
@@ -710,7 +749,8 @@
             task.deadlineUs = agreedTimeUs + limits.grantTimeoutUs();
             enter(task, TaskState.GRANTED);
             if (!machine.isRouter()) {
-                begin(task); // Nobody has to be awake for it: all routers leave it out from here on.
+                begin(task); // Nobody has to be awake for it: all routers leave it out from here
+                // on.
             }
         }
     }
@@ -727,7 +767,8 @@
         machines.values().forEach(machine -> lines.add(machine.encode()));
         unhealthySince.forEach((m, at) -> lines.add(LineCodec.encode("unsound", m, at)));
         healthySince.forEach((m, at) -> lines.add(LineCodec.encode("since", m, at)));
-        incarnations.forEach((router, incarnation) -> lines.add(LineCodec.encode("life", router, incarnation)));
+        incarnations.forEach(
+                (router, incarnation) -> lines.add(LineCodec.encode("life", router, incarnation)));
         for (List<MaintenanceTask> tasks : requests.values()) {
             lines.add(tasks.get(0).request.encode());
             tasks.forEach(task -> lines.add(task.encode()));
@@ -759,8 +800,10 @@
                     Machine machine = Machine.decode(fields);
                     stateMachine.machines.put(machine.id(), machine);
                 }
-                case "unsound" -> stateMachine.unhealthySince.put(fields.get(1), Long.parseLong(fields.get(2)));
-                case "since" -> stateMachine.healthySince.put(fields.get(1), Long.parseLong(fields.get(2)));
+                case "unsound" ->
+                    stateMachine.unhealthySince.put(fields.get(1), Long.parseLong(fields.get(2)));
+                case "since" ->
+                    stateMachine.healthySince.put(fields.get(1), Long.parseLong(fields.get(2)));
                 case "life" -> stateMachine.incarnations.put(fields.get(1), fields.get(2));
                 case "request" -> {
                     request = MaintenanceRequest.decode(fields);
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
@@ -38,7 +38,8 @@
     /** Called off while it drained: it ends so once its machine is back. */
     boolean cancelOnReturn;
 
-    MaintenanceTask(MaintenanceRequest request, String machine, long requestedAtUs, long sequenceNumber) {
+    MaintenanceTask(
+            MaintenanceRequest request, String machine, long requestedAtUs, long sequenceNumber) {
         this.request = request;
         this.machine = machine;
         this.requestedAtUs = requestedAtUs;
@@ -142,7 +143,11 @@
     }
 
     static MaintenanceTask decode(List<String> fields, MaintenanceRequest request) {
-        MaintenanceTask task = new MaintenanceTask(request, fields.get(2), Long.parseLong(fields.get(3)), Long.parseLong(fields.get(4)));
+        MaintenanceTask task = new MaintenanceTask(
+                request,
+                fields.get(2),
+                Long.parseLong(fields.get(3)),
+                Long.parseLong(fields.get(4)));
         task.state = TaskState.valueOf(fields.get(5));
         task.reason = fields.get(6);
         task.fencingToken = Long.parseLong(fields.get(7));
--- a/src/main/java/tinlink/maintenance/scheduling/NodeListDifference.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListDifference.java
@@ -24,7 +24,8 @@
  * @param added nodes on the router's list that are not agreed on, or are agreed on otherwise
  * @param missing ids of agreed nodes that are not on the router's list
  */
-public record NodeListDifference(String site, long basisDigest, List<Machine> added, Set<String> missing) {
+public record NodeListDifference(
+        String site, long basisDigest, List<Machine> added, Set<String> missing) {
     /** First word of a report of this kind. */
     static final String KIND = "list-difference";
     /** Nodes that one report holds, of added and of missing ones each: two beats of the leader's. */
--- a/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
@@ -113,7 +113,10 @@
                 Long since = agreedSince.get(id);
                 if (since != null
                         && since <= report.basisNumber()
-                        && agreedNodes.node(id).site().equals(report.difference().site())) {
+                        && agreedNodes
+                                .node(id)
+                                .site()
+                                .equals(report.difference().site())) {
                     missing.merge(id, 1, Integer::sum);
                 }
             }
--- a/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
@@ -58,7 +58,8 @@
 
     public void onObservation(String router, String machine, boolean healthy, long nowUs) {
         if (observations.size() < maxEntries || observations.containsKey(machine)) {
-            Map<String, Observation> byRouter = observations.computeIfAbsent(machine, m -> new TreeMap<>());
+            Map<String, Observation> byRouter =
+                    observations.computeIfAbsent(machine, m -> new TreeMap<>());
             if (byRouter.size() < maxEntries || byRouter.containsKey(router)) {
                 byRouter.put(router, new Observation(healthy, nowUs));
             }
@@ -94,12 +95,14 @@
                 observations.remove(machine.id());
                 continue;
             }
-            long healthyCount = byRouter.values().stream().filter(Observation::healthy).count();
+            long healthyCount =
+                    byRouter.values().stream().filter(Observation::healthy).count();
             long unhealthyCount = byRouter.size() - healthyCount;
             boolean healthy = stateMachine.isHealthy(machine.id());
             // Danger: one router that is cut off would count half the fleet out, or count a dead
             // machine in.
-            if ((healthy && unhealthyCount > healthyCount) || (!healthy && healthyCount > unhealthyCount)) {
+            if ((healthy && unhealthyCount > healthyCount)
+                    || (!healthy && healthyCount > unhealthyCount)) {
                 proposals.add(MaintenanceStateMachine.healthLine(machine.id(), !healthy));
             }
         }
@@ -111,7 +114,8 @@
      * no change. And sites may have lists of their own: of its nodes the routers of a site know,
      * and where none of them is heard nothing is known to have gone.
      */
-    private void addMachineProposals(MaintenanceStateMachine stateMachine, long nowUs, List<String> proposals) {
+    private void addMachineProposals(
+            MaintenanceStateMachine stateMachine, long nowUs, List<String> proposals) {
         nodeLists.values().removeIf(nodeList -> nowUs - nodeList.atUs() > expiryUs);
         differenceVotes.expire(nowUs);
         Map<String, Integer> fullLists = new TreeMap<>();
@@ -133,11 +137,13 @@
         differenceVotes.countMissing(missing);
         Map<String, Machine> changed = new TreeMap<>();
         listed.forEach((machine, votes) -> {
-            if (2 * votes > voters.get(machine.site()) && !machine.equals(stateMachine.machine(machine.id()))) {
+            if (2 * votes > voters.get(machine.site())
+                    && !machine.equals(stateMachine.machine(machine.id()))) {
                 changed.put(machine.id(), machine);
             }
         });
-        changed.values().forEach(machine -> proposals.add(MaintenanceStateMachine.machineLine(machine)));
+        changed.values()
+                .forEach(machine -> proposals.add(MaintenanceStateMachine.machineLine(machine)));
         for (Machine machine : stateMachine.machines()) {
             if (machine.isRouter() || stateMachine.activeTask(machine.id()) != null) {
                 continue;
--- a/src/main/java/tinlink/net/CloseReason.java
+++ b/src/main/java/tinlink/net/CloseReason.java
@@ -49,10 +49,14 @@
         return switch (this) {
             case NO_SOCKET -> Outcome.NOT_SENT;
             case REFUSED, NOT_UP -> Outcome.NO_CONNECTION;
-            case BROKEN, WRITE_FAILED -> mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
+            case BROKEN, WRITE_FAILED ->
+                mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
             case PEER_CLOSED ->
-                !concernsCall ? bystanderOutcome : mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
-            case BAD_INPUT, FRAME_REJECTED -> mayHaveLeft && concernsCall ? Outcome.ERROR : bystanderOutcome;
+                !concernsCall
+                        ? bystanderOutcome
+                        : mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
+            case BAD_INPUT, FRAME_REJECTED ->
+                mayHaveLeft && concernsCall ? Outcome.ERROR : bystanderOutcome;
             case IDLE, RELEASED, SILENT, GONE, DONE, FAULT ->
                 mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NOT_SENT;
         };
--- a/src/main/java/tinlink/net/Connection.java
+++ b/src/main/java/tinlink/net/Connection.java
@@ -101,7 +101,11 @@
     private final PendingOperation pendingRead = new PendingOperation(true);
     private final PendingOperation pendingWrite = new PendingOperation(false);
 
-    private Connection(EventLoop loop, RingBufferPool bufferPool, AsynchronousSocketChannel channel, Listener listener) {
+    private Connection(
+            EventLoop loop,
+            RingBufferPool bufferPool,
+            AsynchronousSocketChannel channel,
+            Listener listener) {
         this.loop = loop;
         this.channel = channel;
         this.listener = listener;
@@ -111,7 +115,11 @@
 
     /** A connection that was accepted; {@link #start} opens it. */
     static Connection accepted(
-            EventLoop loop, RingBufferPool bufferPool, AsynchronousSocketChannel channel, Listener listener, long acceptedAtUs) {
+            EventLoop loop,
+            RingBufferPool bufferPool,
+            AsynchronousSocketChannel channel,
+            Listener listener,
+            long acceptedAtUs) {
         Connection connection = new Connection(loop, bufferPool, channel, listener);
         connection.acceptedAtUs = acceptedAtUs;
         return connection;
@@ -241,7 +249,14 @@
         out.setPinned(true);
         submittedBytes = writtenBytes + out.size();
         ByteBuffer[] unwrittenBytes = out.readableSpans();
-        channel.write(unwrittenBytes, 0, unwrittenBytes.length, 0, TimeUnit.MILLISECONDS, null, pendingWrite);
+        channel.write(
+                unwrittenBytes,
+                0,
+                unwrittenBytes.length,
+                0,
+                TimeUnit.MILLISECONDS,
+                null,
+                pendingWrite);
     }
 
     private void writeCompleted(long count, Throwable failure) {
@@ -278,7 +293,8 @@
         if (in.freeBytes() > 0) {
             reading = true;
             ByteBuffer[] freeSpace = in.writableSpans();
-            channel.read(freeSpace, 0, freeSpace.length, 0, TimeUnit.MILLISECONDS, null, pendingRead);
+            channel.read(
+                    freeSpace, 0, freeSpace.length, 0, TimeUnit.MILLISECONDS, null, pendingRead);
         }
     }
 
@@ -320,7 +336,8 @@
             LOG.log(Level.FINE, "close", e);
         }
         listener.connectionClosed(closeReason);
-        // Danger: a ring buffer that still belongs to a read or write under way must not go back to the
+        // Danger: a ring buffer that still belongs to a read or write under way must not go back to
+        // the
         // pool.
         if (!reading) {
             in.release();
--- a/src/main/java/tinlink/net/EventLoop.java
+++ b/src/main/java/tinlink/net/EventLoop.java
@@ -59,7 +59,9 @@
 
         @Override
         public int compareTo(Timer other) {
-            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs) : Long.compare(sequence, other.sequence);
+            return dueUs != other.dueUs
+                    ? Long.compare(dueUs, other.dueUs)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
--- a/src/main/java/tinlink/net/FrameReader.java
+++ b/src/main/java/tinlink/net/FrameReader.java
@@ -17,7 +17,8 @@
          * The end of one part: OK, ERROR or REJECTED; its load report, null where there is none; its
          * value.
          */
-        void answerReceived(String partId, String status, String loadReport, String value) throws MessageRejectedException;
+        void answerReceived(String partId, String status, String loadReport, String value)
+                throws MessageRejectedException;
 
         /** The frame before could not be used. */
         void frameRejected(String message);
@@ -47,7 +48,11 @@
                 frameLength = frameLength << 8 | (in.take() & 0xff);
                 prefixBytes++;
                 if (prefixBytes == 4) {
-                    if (frameLength < 1 || frameLength > 1 + ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES) {
+                    if (frameLength < 1
+                            || frameLength
+                                    > 1
+                                            + ProtocolLimits.MAX_HEAD_BYTES
+                                            + ProtocolLimits.MAX_BODY_BYTES) {
                         throw new MessageRejectedException("a frame of length " + frameLength);
                     }
                     frame = ByteBuffer.allocate(frameLength);
@@ -78,9 +83,12 @@
         if ("YNGT".indexOf(letter) < 0) {
             throw new MessageRejectedException("a frame of unknown letter " + (letter & 0xff));
         }
-        for (int at = previousPosition; letter == 'Y' && answerLine == null && at < frame.position(); at++) {
+        for (int at = previousPosition;
+                letter == 'Y' && answerLine == null && at < frame.position();
+                at++) {
             if (frame.get(at) == '\n') {
-                // Danger: a load report that can't be read spoils nothing; it may hold anything but the
+                // Danger: a load report that can't be read spoils nothing; it may hold anything but
+                // the
                 // line's end.
                 String[] fields = new String(frame.array(), 1, at - 1, StandardCharsets.ISO_8859_1)
                         .split(" ", 4);
@@ -107,9 +115,11 @@
                 if (body.remaining() > ProtocolLimits.MAX_BODY_BYTES) {
                     throw new MessageRejectedException("a value too long");
                 }
-                listener.answerReceived(fields[0], fields[1], fields[3].equals("-") ? null : fields[3], utf8(body));
+                listener.answerReceived(
+                        fields[0], fields[1], fields[3].equals("-") ? null : fields[3], utf8(body));
             }
-            case 'N' -> listener.frameRejected(StandardCharsets.UTF_8.decode(body).toString());
+            case 'N' ->
+                listener.frameRejected(StandardCharsets.UTF_8.decode(body).toString());
             default -> {
                 // Answers to health checks; the module sends none, so they mean nothing here.
             }
--- a/src/main/java/tinlink/net/HttpReader.java
+++ b/src/main/java/tinlink/net/HttpReader.java
@@ -10,7 +10,8 @@
     /** Receives the pieces of a message, in order; what it does not override is ignored. */
     public interface MessageListener {
         /** The three words of the first line; the last may hold spaces. */
-        default void startLine(String first, String second, String third) throws MessageRejectedException {}
+        default void startLine(String first, String second, String third)
+                throws MessageRejectedException {}
 
         /** The name is in lower case. */
         default void header(String name, String value) throws MessageRejectedException {}
@@ -153,7 +154,9 @@
         String first = firstSpace < 0 ? "" : text.substring(0, firstSpace);
         String third = secondSpace < 0 ? "" : text.substring(secondSpace + 1);
         String version = readsResponses ? first : third;
-        if (first.isEmpty() || (secondSpace < 0 && !readsResponses) || !VERSIONS.contains(version)) {
+        if (first.isEmpty()
+                || (secondSpace < 0 && !readsResponses)
+                || !VERSIONS.contains(version)) {
             throw new MessageRejectedException("the first line is not of HTTP/1.1");
         }
         state = State.HEADERS;
@@ -161,7 +164,12 @@
         lengthGiven = false;
         chunked = false;
         chunkedBytes = 0;
-        listener.startLine(first, secondSpace < 0 ? text.substring(firstSpace + 1) : text.substring(firstSpace + 1, secondSpace), third);
+        listener.startLine(
+                first,
+                secondSpace < 0
+                        ? text.substring(firstSpace + 1)
+                        : text.substring(firstSpace + 1, secondSpace),
+                third);
     }
 
     private void readHeader(String text) throws MessageRejectedException {
--- a/src/main/java/tinlink/net/IoThread.java
+++ b/src/main/java/tinlink/net/IoThread.java
@@ -40,7 +40,8 @@
         private final CountDownLatch released = new CountDownLatch(1);
     }
 
-    private record LoopbackPair(AsynchronousSocketChannel writeEnd, AsynchronousSocketChannel readEnd) {}
+    private record LoopbackPair(
+            AsynchronousSocketChannel writeEnd, AsynchronousSocketChannel readEnd) {}
 
     /** Null where none could be opened; the I/O thread is then not stopped. */
     private final LoopbackPair loopback;
--- a/src/main/java/tinlink/net/JsonReader.java
+++ b/src/main/java/tinlink/net/JsonReader.java
@@ -91,12 +91,16 @@
         } else if (state == State.COMMA_OR_END && b == ',') {
             state = isInside(Map.class) ? State.NAME : State.VALUE;
         } else if ((b == '}'
-                        && (state == State.NAME_OR_END || (state == State.COMMA_OR_END && isInside(Map.class))))
+                        && (state == State.NAME_OR_END
+                                || (state == State.COMMA_OR_END && isInside(Map.class))))
                 || (b == ']'
                         && (state == State.VALUE_OR_END
                                 || (state == State.COMMA_OR_END && isInside(List.class))))) {
             completeValue(openContainers.pop());
-        } else if (b == '"' && state != State.COLON && state != State.COMMA_OR_END && state != State.DONE) {
+        } else if (b == '"'
+                && state != State.COLON
+                && state != State.COMMA_OR_END
+                && state != State.DONE) {
             isReadingName = state == State.NAME || state == State.NAME_OR_END;
             state = State.STRING;
         } else if ((state == State.VALUE || state == State.VALUE_OR_END) && ",:]}".indexOf(b) < 0) {
@@ -104,14 +108,16 @@
                 if (openContainers.size() == MAX_DEPTH) {
                     throw new MessageRejectedException("JSON: too deep");
                 }
-                openContainers.push(b == '{' ? new LinkedHashMap<String, Object>() : new ArrayList<Object>());
+                openContainers.push(
+                        b == '{' ? new LinkedHashMap<String, Object>() : new ArrayList<Object>());
                 state = b == '{' ? State.NAME_OR_END : State.VALUE_OR_END;
             } else {
                 text.write(b);
                 state = State.WORD;
             }
         } else {
-            throw new MessageRejectedException("JSON: '" + (char) (b & 0xff) + "' where it may not stand");
+            throw new MessageRejectedException(
+                    "JSON: '" + (char) (b & 0xff) + "' where it may not stand");
         }
     }
 
@@ -172,7 +178,9 @@
         if (Character.isHighSurrogate(c)) {
             highSurrogate = c;
         } else {
-            String s = highSurrogate == 0 ? String.valueOf(c) : new String(new char[] {(char) highSurrogate, c});
+            String s = highSurrogate == 0
+                    ? String.valueOf(c)
+                    : new String(new char[] {(char) highSurrogate, c});
             text.writeBytes(s.getBytes(StandardCharsets.UTF_8));
             highSurrogate = 0;
         }
--- a/src/main/java/tinlink/net/Network.java
+++ b/src/main/java/tinlink/net/Network.java
@@ -91,7 +91,8 @@
     public Network(EventLoop loop, Consumer<Runnable> completionRunner) throws IOException {
         this.loop = loop;
         bufferPool = new RingBufferPool();
-        group = AsynchronousChannelGroup.withThreadPool(new DirectExecutorService(completionRunner));
+        group = AsynchronousChannelGroup.withThreadPool(
+                new DirectExecutorService(completionRunner));
         ioThread = new IoThread(group);
         loop.setCatchUp(ioThread::catchUp);
     }
@@ -120,7 +121,8 @@
         ioThread.whileStopped(task);
     }
 
-    public Connection connect(InetSocketAddress address, Connection.Listener listener) throws IOException {
+    public Connection connect(InetSocketAddress address, Connection.Listener listener)
+            throws IOException {
         return Connection.connect(loop, bufferPool, group, address, listener);
     }
 
@@ -155,7 +157,8 @@
                     loop.execute(() -> {
                         accepting = false;
                         Connection.Listener listener = acceptHandler.newListener();
-                        Connection connection = Connection.accepted(loop, bufferPool, channel, listener, acceptedAtUs);
+                        Connection connection = Connection.accepted(
+                                loop, bufferPool, channel, listener, acceptedAtUs);
                         acceptHandler.accepted(connection, listener);
                         connection.start();
                         accept(acceptHandler);
--- a/src/main/java/tinlink/policy/PolicyRolloutService.java
+++ b/src/main/java/tinlink/policy/PolicyRolloutService.java
@@ -1,12 +1,12 @@
 package tinlink.policy;
 
-import tinlink.net.EventLoop;
 import tinlink.cluster.ClusterNode;
+import tinlink.net.EventLoop;
 import tinlink.policy.rollout.AbsencePolicy;
-import tinlink.policy.rollout.PolicyChange;
-import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.ChangeCoordinator;
 import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyVersion;
 
@@ -81,7 +81,8 @@
     public PolicyVersion effectiveVersion() {
         participant.updateClocks(sharedClockUs.getAsLong(), loop.nowUs());
         ChangeParticipant.EffectivePolicy effective = participant.effectivePolicy(changes());
-        if (effective.epoch() != effectiveEpoch || !effective.unavailableReason().equals(unavailableReason)) {
+        if (effective.epoch() != effectiveEpoch
+                || !effective.unavailableReason().equals(unavailableReason)) {
             LOG.log(
                     effective.isPresent() ? Level.INFO : Level.WARNING,
                     "event=policy_effective epoch={0} reason=\"{1}\"",
@@ -90,7 +91,9 @@
         effectiveEpoch = effective.epoch();
         unavailableReason = effective.unavailableReason();
         PolicyVersion inForce = changes().inForce();
-        return !effective.isPresent() ? null : inForce.epoch() == effective.epoch() ? inForce : changes().previous();
+        return !effective.isPresent()
+                ? null
+                : inForce.epoch() == effective.epoch() ? inForce : changes().previous();
     }
 
     /** Why no lookups are taken; empty where they are, as of the last that came. */
@@ -113,7 +116,9 @@
         long nowUs = loop.nowUs();
         participant.updateClocks(sharedClockUs.getAsLong(), nowUs);
         if (pendingLeaseIndex >= 0 && clusterNode.learnedIndex() >= pendingLeaseIndex) {
-            participant.leaseGranted(pendingLeaseRequestedAtUs, changes().inForce().absencePolicy().leaseUs());
+            participant.leaseGranted(
+                    pendingLeaseRequestedAtUs,
+                    changes().inForce().absencePolicy().leaseUs());
             pendingLeaseIndex = -1;
         }
         participant.decide(changes(), this::propose);
@@ -129,7 +134,8 @@
         AbsencePolicy absencePolicy = changes().inForce().absencePolicy();
         PolicyChange openChange = changes().openChange();
         boolean requiresLease = absencePolicy.rule() == AbsencePolicy.Rule.FENCE
-                || (openChange != null && openChange.absencePolicy().rule() == AbsencePolicy.Rule.FENCE);
+                || (openChange != null
+                        && openChange.absencePolicy().rule() == AbsencePolicy.Rule.FENCE);
         if (requiresLease) {
             long requestedAtUs = loop.nowUs();
             clusterNode.confirmCommitIndex(index -> {
@@ -139,16 +145,20 @@
                 }
             });
         }
-        effectiveVersion(); // So that what it says of itself is not of the last lookup, which may be long ago.
+        effectiveVersion(); // So that what it says of itself is not of the last lookup, which may
+        // be long ago.
         loop.schedule(loop.nowUs() + retryIntervalUs / 2, this::heartbeat);
     }
 
     private void propose(PolicyCommand command) {
         clusterNode.propose(PolicyStateMachine.encode(command), (result, failure) -> {
             if (failure != null || !result.isEmpty()) {
-                LOG.log(Level.FINE, "event=policy_command_not_accepted command={0} reason={1}", new Object[] {
-                    command.getClass().getSimpleName(), failure == null ? result : failure
-                });
+                LOG.log(
+                        Level.FINE,
+                        "event=policy_command_not_accepted command={0} reason={1}",
+                        new Object[] {
+                            command.getClass().getSimpleName(), failure == null ? result : failure
+                        });
             }
         });
     }
@@ -156,14 +166,16 @@
     /** Nothing is taken any more. */
     public void stop() {
         isStopped = true;
-        propose(new PolicyCommand.Leave(clusterNode.incarnation().router(), clusterNode.incarnation().toString()));
+        propose(new PolicyCommand.Leave(
+                clusterNode.incarnation().router(), clusterNode.incarnation().toString()));
     }
 
     // ---- For operators. ----
 
     /** An operator vouches that this router's process is gone: no change waits for it. */
     public void removeRouter(String router) {
-        PolicyChanges.EnrolledRouter enrolledRouter = changes().enrolledRouters().get(router);
+        PolicyChanges.EnrolledRouter enrolledRouter =
+                changes().enrolledRouters().get(router);
         if (enrolledRouter != null) {
             propose(new PolicyCommand.Leave(router, enrolledRouter.incarnation()));
         }
@@ -190,7 +202,8 @@
     }
 
     public void withdraw(String changeId, String reason, BiConsumer<String, String> onResult) {
-        clusterNode.propose(PolicyStateMachine.encode(new PolicyCommand.Abort(changeId, reason)), onResult);
+        clusterNode.propose(
+                PolicyStateMachine.encode(new PolicyCommand.Abort(changeId, reason)), onResult);
     }
 
     /** How this router stands. */
--- a/src/main/java/tinlink/policy/PolicyStateMachine.java
+++ b/src/main/java/tinlink/policy/PolicyStateMachine.java
@@ -20,7 +20,8 @@
     private static final AbsencePolicy INITIAL_ABSENCE_POLICY =
             new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10_000_000, 1_000_000, 0, 50_000);
 
-    private PolicyChanges changes = new PolicyChanges(MAX_SETTLED_CHANGES, MAX_ROUTERS, INITIAL_ABSENCE_POLICY);
+    private PolicyChanges changes =
+            new PolicyChanges(MAX_SETTLED_CHANGES, MAX_ROUTERS, INITIAL_ABSENCE_POLICY);
 
     public PolicyChanges changes() {
         return changes;
@@ -48,6 +49,9 @@
     @Override
     public void restore(List<String> lines) {
         changes = PolicyChanges.fromSnapshot(
-                MAX_SETTLED_CHANGES, MAX_ROUTERS, INITIAL_ABSENCE_POLICY, lines.stream().map(LineCodec::decode).toList());
+                MAX_SETTLED_CHANGES,
+                MAX_ROUTERS,
+                INITIAL_ABSENCE_POLICY,
+                lines.stream().map(LineCodec::decode).toList());
     }
 }
--- a/src/main/java/tinlink/policy/ProposalTerms.java
+++ b/src/main/java/tinlink/policy/ProposalTerms.java
@@ -1,7 +1,7 @@
 package tinlink.policy;
 
-import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.config.ConfigFile;
+import tinlink.policy.rollout.AbsencePolicy;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -31,7 +31,9 @@
                         AbsencePolicy.Rule.valueOf(rule.toUpperCase(Locale.ROOT)),
                         absentObject.micros("wait_ms", 10_000, 100, 3_600_000),
                         absentObject.micros("hold_ms", 1000, 100, 60_000),
-                        rule.equals("fence") ? absentObject.micros("lease_ms", 30_000, 500, 3_600_000) : 0,
+                        rule.equals("fence")
+                                ? absentObject.micros("lease_ms", 30_000, 500, 3_600_000)
+                                : 0,
                         absentObject.micros("clock_error_ms", 50, 0, 10_000)));
     }
 
--- a/src/main/java/tinlink/policy/rollout/AbsencePolicy.java
+++ b/src/main/java/tinlink/policy/rollout/AbsencePolicy.java
@@ -12,7 +12,8 @@
  *     for the others
  * @param maxClockErrorUs by how much two machines' clocks may differ
  */
-public record AbsencePolicy(Rule rule, long settleTimeoutUs, long voteBindingUs, long leaseUs, long maxClockErrorUs) {
+public record AbsencePolicy(
+        Rule rule, long settleTimeoutUs, long voteBindingUs, long leaseUs, long maxClockErrorUs) {
     /** By name as in a policy document. */
     public enum Rule {
         /** It waits for them for ever; an operator may withdraw it. */
@@ -24,7 +25,10 @@
     }
 
     public AbsencePolicy {
-        if (settleTimeoutUs <= 0 || voteBindingUs <= 0 || maxClockErrorUs < 0 || rule == Rule.FENCE == (leaseUs <= 0)) {
+        if (settleTimeoutUs <= 0
+                || voteBindingUs <= 0
+                || maxClockErrorUs < 0
+                || rule == Rule.FENCE == (leaseUs <= 0)) {
             throw new IllegalArgumentException("absent: " + rule + " with times out of range");
         }
     }
--- a/src/main/java/tinlink/policy/rollout/ChangeCoordinator.java
+++ b/src/main/java/tinlink/policy/rollout/ChangeCoordinator.java
@@ -51,7 +51,9 @@
             commitAttempts = 0;
             lastProposedAtUs = Long.MIN_VALUE / 2;
         }
-        PolicyCommand command = localTimeUs - lastProposedAtUs < retryIntervalUs ? null : nextCommand(changes, change);
+        PolicyCommand command = localTimeUs - lastProposedAtUs < retryIntervalUs
+                ? null
+                : nextCommand(changes, change);
         if (command != null) {
             lastProposedAtUs = localTimeUs;
             proposer.propose(command);
@@ -72,12 +74,17 @@
             // reach beyond
             // it:
             // then it is refused, and said again for a later time.
-            long backoffUs = Math.min(commitAttempts++, MAX_BACKOFF_STEPS) * change.absencePolicy().voteBindingUs() / 2;
-            return new PolicyCommand.Commit(change.id(), Math.max(earliestUs, sharedTimeUs) + backoffUs);
+            long backoffUs = Math.min(commitAttempts++, MAX_BACKOFF_STEPS)
+                    * change.absencePolicy().voteBindingUs()
+                    / 2;
+            return new PolicyCommand.Commit(
+                    change.id(), Math.max(earliestUs, sharedTimeUs) + backoffUs);
         }
-        if (localTimeUs - firstSeenAtUs > change.absencePolicy().settleTimeoutUs() && change.absencePolicy().rule() != AbsencePolicy.Rule.WAIT) {
+        if (localTimeUs - firstSeenAtUs > change.absencePolicy().settleTimeoutUs()
+                && change.absencePolicy().rule() != AbsencePolicy.Rule.WAIT) {
             return new PolicyCommand.Abort(
-                    change.id(), "not heard in time: " + String.join(", ", changes.pendingRouters()));
+                    change.id(),
+                    "not heard in time: " + String.join(", ", changes.pendingRouters()));
         }
         return null;
     }
--- a/src/main/java/tinlink/policy/rollout/ChangeParticipant.java
+++ b/src/main/java/tinlink/policy/rollout/ChangeParticipant.java
@@ -64,7 +64,11 @@
      * @param startChecks of a proposed text, by this router's own start checks: why not, or empty
      */
     public ChangeParticipant(
-            String router, String incarnation, long startCount, long retryIntervalUs, Function<PolicyChange, String> startChecks) {
+            String router,
+            String incarnation,
+            long startCount,
+            long retryIntervalUs,
+            Function<PolicyChange, String> startChecks) {
         this.router = router;
         this.incarnation = incarnation;
         this.startCount = startCount;
@@ -120,7 +124,9 @@
                     : null;
         }
         // Said again at half of its time, so that it is never in doubt for want of a word.
-        if (!isDue || change.boundUntilUs(router, incarnation) >= sharedTimeUs + change.absencePolicy().voteBindingUs() / 2) {
+        if (!isDue
+                || change.boundUntilUs(router, incarnation)
+                        >= sharedTimeUs + change.absencePolicy().voteBindingUs() / 2) {
             return null;
         }
         if (!boundChangeId.equals(change.id())) {
@@ -148,15 +154,16 @@
         sentVotes.headMap(knownUntilUs, false).clear();
         long boundUntilUs = knownUntilUs > 0 ? knownUntilUs : sentVotes.firstKey();
         Long boundUntilLocalUs = sentVotes.get(boundUntilUs);
-        return sharedTimeUs >= boundUntilUs || boundUntilLocalUs != null && localTimeUs >= boundUntilLocalUs;
+        return sharedTimeUs >= boundUntilUs
+                || boundUntilLocalUs != null && localTimeUs >= boundUntilLocalUs;
     }
 
     /** By which policy a lookup that comes now is taken. */
     public EffectivePolicy effectivePolicy(PolicyChanges changes) {
         EffectivePolicy candidate = candidatePolicy(changes);
         if (candidate.isPresent() && candidate.epoch() < newestUsedEpoch) {
-            return unavailable(
-                    "epoch " + newestUsedEpoch + " has been in force here, and its clock has gone back since");
+            return unavailable("epoch " + newestUsedEpoch
+                    + " has been in force here, and its clock has gone back since");
         }
         newestUsedEpoch = Math.max(newestUsedEpoch, candidate.epoch());
         return candidate;
@@ -170,9 +177,10 @@
         if (sharedTimeUs < version.effectiveAtUs() && !hasTakenEffect(version)) {
             version = changes.previous();
         }
-        if (version.absencePolicy().rule() == AbsencePolicy.Rule.FENCE && localTimeUs >= leaseExpiresAtUs) {
-            return unavailable(
-                    "it has not heard of a majority for " + version.absencePolicy().leaseUs() / 1000 + " ms");
+        if (version.absencePolicy().rule() == AbsencePolicy.Rule.FENCE
+                && localTimeUs >= leaseExpiresAtUs) {
+            return unavailable("it has not heard of a majority for "
+                    + version.absencePolicy().leaseUs() / 1000 + " ms");
         }
         if (isInDoubt(changes.openChange())) {
             return unavailable("it is not known yet how change " + boundChangeId + " ends");
@@ -196,7 +204,8 @@
      * Danger: it took hold without this router's word; served by it all the same, it would do as it can't.
      */
     private String unusableReason(PolicyVersion version) {
-        boolean isRecheckDue = !checkedDigestReason.isEmpty() && localTimeUs - digestCheckedAtUs >= retryIntervalUs;
+        boolean isRecheckDue = !checkedDigestReason.isEmpty()
+                && localTimeUs - digestCheckedAtUs >= retryIntervalUs;
         if (version.epoch() > 0 && (isRecheckDue || !checkedDigest.equals(version.digest()))) {
             checkedDigest = version.digest();
             digestCheckedAtUs = localTimeUs;
--- a/src/main/java/tinlink/policy/rollout/PolicyChange.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChange.java
@@ -100,7 +100,9 @@
     /** Until when that incarnation of that router has bound itself; 0 where it has not. */
     public long boundUntilUs(String router, String incarnation) {
         Vote vote = votes.get(router);
-        return vote == null || !vote.accepts || !vote.incarnation.equals(incarnation) ? 0 : vote.boundUntilUs;
+        return vote == null || !vote.accepts || !vote.incarnation.equals(incarnation)
+                ? 0
+                : vote.boundUntilUs;
     }
 
     boolean isRejectedBy(String router) {
--- a/src/main/java/tinlink/policy/rollout/PolicyChanges.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChanges.java
@@ -47,10 +47,12 @@
      * @param maxSettledChanges ended changes that are remembered
      * @param maxRouters routers
      */
-    public PolicyChanges(int maxSettledChanges, int maxRouters, AbsencePolicy initialAbsencePolicy) {
+    public PolicyChanges(
+            int maxSettledChanges, int maxRouters, AbsencePolicy initialAbsencePolicy) {
         this.maxSettledChanges = maxSettledChanges;
         this.maxRouters = maxRouters;
-        inForce = new PolicyVersion(0, "", "", "", "", "each router's own file", initialAbsencePolicy, 0);
+        inForce = new PolicyVersion(
+                0, "", "", "", "", "each router's own file", initialAbsencePolicy, 0);
     }
 
     // ---- What stands. ----
@@ -107,7 +109,8 @@
                 : enrolledRouters.keySet().stream()
                         .filter(openChange::isRejectedBy)
                         .findFirst()
-                        .map(router -> router + ": " + openChange.votes.get(router).reason())
+                        .map(router ->
+                                router + ": " + openChange.votes.get(router).reason())
                         .orElse(null);
     }
 
@@ -117,7 +120,9 @@
      * one would leave a router with two to choose from and the one that holds not among them.
      */
     boolean hasVersionInForceTakenEffect() {
-        return openChange == null || openChange.confirmedAtUs >= inForce.effectiveAtUs() + inForce.absencePolicy().maxClockErrorUs();
+        return openChange == null
+                || openChange.confirmedAtUs
+                        >= inForce.effectiveAtUs() + inForce.absencePolicy().maxClockErrorUs();
     }
 
     /** The earliest time at which the open change may take hold; Long.MAX_VALUE while it may not yet. */
@@ -127,7 +132,10 @@
         }
         long earliestUs = 0;
         for (Map.Entry<String, EnrolledRouter> enrolled : enrolledRouters.entrySet()) {
-            earliestUs = Math.max(earliestUs, openChange.boundUntilUs(enrolled.getKey(), enrolled.getValue().incarnation()));
+            earliestUs = Math.max(
+                    earliestUs,
+                    openChange.boundUntilUs(
+                            enrolled.getKey(), enrolled.getValue().incarnation()));
         }
         if (!pendingRouters().isEmpty()) {
             // The lease that counts is the one under the policy in force: that is what the absent
@@ -162,7 +170,8 @@
         } else if (command instanceof PolicyCommand.Leave typed) {
             return leave(typed);
         } else if (command instanceof PolicyCommand.UnknownCommand typed) {
-            return CommandOutcome.rejected(RejectionReason.UNKNOWN_COMMAND, "not understood: " + typed.text());
+            return CommandOutcome.rejected(
+                    RejectionReason.UNKNOWN_COMMAND, "not understood: " + typed.text());
         }
         throw new IllegalStateException("a command of another kind: " + command);
     }
@@ -173,22 +182,25 @@
         if (known != null) {
             return known.digest.equals(command.digest()) && known.baseEpoch == command.baseEpoch()
                     ? CommandOutcome.accepted()
-                    : CommandOutcome.rejected(RejectionReason.ID_TAKEN, "another change has that id");
+                    : CommandOutcome.rejected(
+                            RejectionReason.ID_TAKEN, "another change has that id");
         }
         if (command.changeId().isEmpty() || command.text().length() > MAX_TEXT_LENGTH) {
             return CommandOutcome.rejected(
                     RejectionReason.INVALID_PROPOSAL,
-                    "a change needs an id and a text of at most " + MAX_TEXT_LENGTH + " characters");
+                    "a change needs an id and a text of at most " + MAX_TEXT_LENGTH
+                            + " characters");
         }
         if (openChange != null) {
             return CommandOutcome.rejected(
-                    RejectionReason.ANOTHER_CHANGE_OPEN, "another change is open: " + openChange.id);
+                    RejectionReason.ANOTHER_CHANGE_OPEN,
+                    "another change is open: " + openChange.id);
         }
         if (command.baseEpoch() != inForce.epoch()) {
             return CommandOutcome.rejected(
                     RejectionReason.STALE_EPOCH,
-                    "it is written against epoch " + command.baseEpoch() + ", and " + inForce.epoch()
-                            + " is in force");
+                    "it is written against epoch " + command.baseEpoch() + ", and "
+                            + inForce.epoch() + " is in force");
         }
         openChange = new PolicyChange(
                 command.changeId(),
@@ -234,8 +246,12 @@
             return notEnrolled();
         }
         // Danger: a vote that comes late would take back what a later one has promised.
-        long boundUntilUs = Math.max(command.boundUntilUs(), change.boundUntilUs(command.router(), command.incarnation()));
-        change.votes.put(command.router(), new PolicyChange.Vote(command.incarnation(), true, boundUntilUs, ""));
+        long boundUntilUs = Math.max(
+                command.boundUntilUs(),
+                change.boundUntilUs(command.router(), command.incarnation()));
+        change.votes.put(
+                command.router(),
+                new PolicyChange.Vote(command.incarnation(), true, boundUntilUs, ""));
         return CommandOutcome.accepted();
     }
 
@@ -247,7 +263,9 @@
         if (!isEnrolled(command.router(), command.incarnation())) {
             return notEnrolled();
         }
-        change.votes.put(command.router(), new PolicyChange.Vote(command.incarnation(), false, 0, command.reason()));
+        change.votes.put(
+                command.router(),
+                new PolicyChange.Vote(command.incarnation(), false, 0, command.reason()));
         return CommandOutcome.accepted();
     }
 
@@ -258,14 +276,23 @@
             return changeSettled();
         }
         if (command.effectiveAtUs() < earliestCommitUs()) {
-            return CommandOutcome.rejected(RejectionReason.COMMIT_TOO_EARLY, "it may not take hold then");
+            return CommandOutcome.rejected(
+                    RejectionReason.COMMIT_TOO_EARLY, "it may not take hold then");
         }
         change.state = PolicyChange.State.IN_FORCE;
         change.epoch = inForce.epoch() + 1;
         change.effectiveAtUs = command.effectiveAtUs();
         change.votes.clear();
         previous = inForce;
-        inForce = new PolicyVersion(change.epoch, change.digest, change.text, change.id, change.author, change.reason, change.absencePolicy, change.effectiveAtUs);
+        inForce = new PolicyVersion(
+                change.epoch,
+                change.digest,
+                change.text,
+                change.id,
+                change.author,
+                change.reason,
+                change.absencePolicy,
+                change.effectiveAtUs);
         openChange = null;
         evictSettledChanges();
         return CommandOutcome.accepted();
@@ -292,7 +319,8 @@
         return known.state == PolicyChange.State.WITHDRAWN
                 ? CommandOutcome.accepted()
                 : CommandOutcome.rejected(
-                        RejectionReason.CHANGE_IN_FORCE, "it is in force: undo it by another change");
+                        RejectionReason.CHANGE_IN_FORCE,
+                        "it is in force: undo it by another change");
     }
 
     /**
@@ -303,18 +331,24 @@
         EnrolledRouter known = enrolledRouters.get(command.router());
         if (known != null && known.startCount() > command.startCount()) {
             return CommandOutcome.rejected(
-                    RejectionReason.LATER_INCARNATION_ENROLLED, "a later life of that router is enrolled");
+                    RejectionReason.LATER_INCARNATION_ENROLLED,
+                    "a later life of that router is enrolled");
         }
         if (enrolledRouters.size() >= maxRouters && known == null) {
             return CommandOutcome.rejected(RejectionReason.TOO_MANY_ROUTERS, "too many routers");
         }
-        enrolledRouters.put(command.router(), new EnrolledRouter(command.incarnation(), command.startCount()));
+        enrolledRouters.put(
+                command.router(), new EnrolledRouter(command.incarnation(), command.startCount()));
         return CommandOutcome.accepted();
     }
 
     private CommandOutcome leave(PolicyCommand.Leave command) {
         enrolledRouters.computeIfPresent(
-                command.router(), (router, enrolledRouter) -> enrolledRouter.incarnation().equals(command.incarnation()) ? null : enrolledRouter);
+                command.router(),
+                (router, enrolledRouter) ->
+                        enrolledRouter.incarnation().equals(command.incarnation())
+                                ? null
+                                : enrolledRouter);
         return CommandOutcome.accepted();
     }
 
@@ -339,8 +373,13 @@
      *
      * @throws IllegalArgumentException where these are no lines of changes
      */
-    public static PolicyChanges fromSnapshot(int maxSettledChanges, int maxRouters, AbsencePolicy initialAbsencePolicy, List<List<String>> lines) {
-        PolicyChanges changes = new PolicyChanges(maxSettledChanges, maxRouters, initialAbsencePolicy);
+    public static PolicyChanges fromSnapshot(
+            int maxSettledChanges,
+            int maxRouters,
+            AbsencePolicy initialAbsencePolicy,
+            List<List<String>> lines) {
+        PolicyChanges changes =
+                new PolicyChanges(maxSettledChanges, maxRouters, initialAbsencePolicy);
         PolicySnapshotCodec.restoreInto(changes, lines);
         return changes;
     }
--- a/src/main/java/tinlink/policy/rollout/PolicyCommandCodec.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyCommandCodec.java
@@ -30,9 +30,15 @@
         } else if (command instanceof PolicyCommand.ConfirmProposal typed) {
             return fields("seen", typed.changeId(), typed.coordinatorTimeUs());
         } else if (command instanceof PolicyCommand.VoteYes typed) {
-            return fields("yes", typed.changeId(), typed.router(), typed.incarnation(), typed.boundUntilUs());
+            return fields(
+                    "yes",
+                    typed.changeId(),
+                    typed.router(),
+                    typed.incarnation(),
+                    typed.boundUntilUs());
         } else if (command instanceof PolicyCommand.VoteNo typed) {
-            return fields("no", typed.changeId(), typed.router(), typed.incarnation(), typed.reason());
+            return fields(
+                    "no", typed.changeId(), typed.router(), typed.incarnation(), typed.reason());
         } else if (command instanceof PolicyCommand.Commit typed) {
             return fields("hold", typed.changeId(), typed.effectiveAtUs());
         } else if (command instanceof PolicyCommand.Abort typed) {
@@ -68,11 +74,16 @@
                         reader.nextText(),
                         decodeAbsencePolicy(reader));
             case "seen" -> new PolicyCommand.ConfirmProposal(reader.nextText(), reader.nextLong());
-            case "yes" -> new PolicyCommand.VoteYes(reader.nextText(), reader.nextText(), reader.nextText(), reader.nextLong());
-            case "no" -> new PolicyCommand.VoteNo(reader.nextText(), reader.nextText(), reader.nextText(), reader.nextText());
+            case "yes" ->
+                new PolicyCommand.VoteYes(
+                        reader.nextText(), reader.nextText(), reader.nextText(), reader.nextLong());
+            case "no" ->
+                new PolicyCommand.VoteNo(
+                        reader.nextText(), reader.nextText(), reader.nextText(), reader.nextText());
             case "hold" -> new PolicyCommand.Commit(reader.nextText(), reader.nextLong());
             case "withdraw" -> new PolicyCommand.Abort(reader.nextText(), reader.nextText());
-            case "enrol" -> new PolicyCommand.Enrol(reader.nextText(), reader.nextText(), reader.nextLong());
+            case "enrol" ->
+                new PolicyCommand.Enrol(reader.nextText(), reader.nextText(), reader.nextLong());
             case "left" -> new PolicyCommand.Leave(reader.nextText(), reader.nextText());
             default -> new PolicyCommand.UnknownCommand(kind);
         };
@@ -80,7 +91,11 @@
 
     static AbsencePolicy decodeAbsencePolicy(FieldReader reader) {
         return new AbsencePolicy(
-                AbsencePolicy.Rule.valueOf(reader.nextText()), reader.nextLong(), reader.nextLong(), reader.nextLong(), reader.nextLong());
+                AbsencePolicy.Rule.valueOf(reader.nextText()),
+                reader.nextLong(),
+                reader.nextLong(),
+                reader.nextLong(),
+                reader.nextLong());
     }
 
     static List<String> encode(AbsencePolicy absencePolicy) {
--- a/src/main/java/tinlink/policy/rollout/PolicySnapshotCodec.java
+++ b/src/main/java/tinlink/policy/rollout/PolicySnapshotCodec.java
@@ -18,8 +18,9 @@
             lines.add(version("was", changes.previous()));
         }
         changes.enrolledRouters()
-                .forEach((router, enrolled) -> lines.add(PolicyCommandCodec.encode(
-                        new PolicyCommand.Enrol(router, enrolled.incarnation(), enrolled.startCount()))));
+                .forEach((router, enrolled) ->
+                        lines.add(PolicyCommandCodec.encode(new PolicyCommand.Enrol(
+                                router, enrolled.incarnation(), enrolled.startCount()))));
         for (PolicyChange change : changes.history()) {
             lines.add(change(change));
             change.votes.forEach((router, vote) -> lines.add(PolicyCommandCodec.fields(
@@ -75,7 +76,9 @@
                 case "is" -> changes.restoreInForce(version(reader));
                 case "was" -> changes.restorePrevious(version(reader));
                 case "enrol" ->
-                    changes.restoreEnrolled(reader.nextText(), new PolicyChanges.EnrolledRouter(reader.nextText(), reader.nextLong()));
+                    changes.restoreEnrolled(
+                            reader.nextText(),
+                            new PolicyChanges.EnrolledRouter(reader.nextText(), reader.nextLong()));
                 case "change" -> changes.restore(change(reader));
                 case "vote" -> {
                     PolicyChange change = changes.change(reader.nextText());
@@ -84,7 +87,11 @@
                     }
                     change.votes.put(
                             reader.nextText(),
-                            new PolicyChange.Vote(reader.nextText(), reader.nextBoolean(), reader.nextLong(), reader.nextText()));
+                            new PolicyChange.Vote(
+                                    reader.nextText(),
+                                    reader.nextBoolean(),
+                                    reader.nextLong(),
+                                    reader.nextText()));
                 }
                 default -> throw new IllegalArgumentException("no line of changes: " + line);
             }
@@ -100,7 +107,14 @@
         String reason = reader.nextText();
         long effectiveAtUs = reader.nextLong();
         return new PolicyVersion(
-                epoch, digest, text, change, author, reason, PolicyCommandCodec.decodeAbsencePolicy(reader), effectiveAtUs);
+                epoch,
+                digest,
+                text,
+                change,
+                author,
+                reason,
+                PolicyCommandCodec.decodeAbsencePolicy(reader),
+                effectiveAtUs);
     }
 
     private static PolicyChange change(FieldReader reader) {
@@ -116,7 +130,13 @@
         long effectiveAtUs = reader.nextLong();
         long confirmedAtUs = reader.nextLong();
         PolicyChange change = new PolicyChange(
-                id, baseEpoch, digest, text, author, reason, PolicyCommandCodec.decodeAbsencePolicy(reader));
+                id,
+                baseEpoch,
+                digest,
+                text,
+                author,
+                reason,
+                PolicyCommandCodec.decodeAbsencePolicy(reader));
         change.state = state;
         change.withdrawalReason = withdrawalReason;
         change.epoch = epoch;
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -1,13 +1,13 @@
 package tinlink.router;
 
+import tinlink.config.RouterConfig;
+import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
 import tinlink.decision.Outcome;
-import tinlink.decision.Attempt;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -35,7 +35,8 @@
     /** Nodes on the list, and those off it with connections; each leaves when it is neither. */
     private final IdentityHashMap<DataNode, NodeEndpoint> endpoints = new IdentityHashMap<>();
     /** This turn's frames; emptied at its end. */
-    private final IdentityHashMap<Attempt.SharedCall, AttemptBatch> batches = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt.SharedCall, AttemptBatch> batches =
+            new IdentityHashMap<>();
 
     private final List<AttemptBatch> batchesToSend = new ArrayList<>();
 
@@ -53,7 +54,9 @@
         // Danger: what is written after the node's machine has closed ends as a reset. Ours closes
         // first, by
         // as much as a connect may take: no message is under way for longer.
-        idleTimeoutUs = Math.max(settings.idleTimeoutUs() / 2, settings.idleTimeoutUs() - settings.connectTimeoutUs());
+        idleTimeoutUs = Math.max(
+                settings.idleTimeoutUs() / 2,
+                settings.idleTimeoutUs() - settings.connectTimeoutUs());
         http2 = new Http2Dispatcher(loop, network, this, settings, idleTimeoutUs);
     }
 
@@ -167,7 +170,8 @@
     void cancel(Attempt attempt) {
         SentAttempt sent = ((QueryPart) attempt.part).sentAttempts.get(attempt.number);
         if (!sent.isEnded) {
-            recordOutcome(sent, sent.transport.isQueued() ? Outcome.NOT_SENT : Outcome.CANCELLED, true);
+            recordOutcome(
+                    sent, sent.transport.isQueued() ? Outcome.NOT_SENT : Outcome.CANCELLED, true);
         }
     }
 
@@ -200,12 +204,14 @@
         NodeEndpoint endpoint = endpointOf(batch.sentAttempts.get(0).attempt.node);
         NodeConnection bestConnection = null;
         for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
-            if (nodeConnection.slotsInUse() == 0 && nowUs() - nodeConnection.lastUsedUs() >= idleTimeoutUs) {
+            if (nodeConnection.slotsInUse() == 0
+                    && nowUs() - nodeConnection.lastUsedUs() >= idleTimeoutUs) {
                 nodeConnection.close(CloseReason.IDLE);
             } else if (nodeConnection.slotsInUse() < settings.callsPerConnection()
                     && nodeConnection.isUsable()
                     && batch.sentAttempts.stream().noneMatch(nodeConnection::hasIdInUse)
-                    && (bestConnection == null || (nodeConnection.isUp() && !bestConnection.isUp()))) {
+                    && (bestConnection == null
+                            || (nodeConnection.isUp() && !bestConnection.isUp()))) {
                 bestConnection = nodeConnection;
             }
         }
@@ -228,7 +234,11 @@
         NodeConnection nodeConnection = new NodeConnection(this, endpoint, nowUs());
         try {
             Connection connection = network.connect(endpoint.address, nodeConnection);
-            nodeConnection.attach(connection, loop.schedule(nowUs() + settings.connectTimeoutUs(), () -> connection.close(CloseReason.NOT_UP)));
+            nodeConnection.attach(
+                    connection,
+                    loop.schedule(
+                            nowUs() + settings.connectTimeoutUs(),
+                            () -> connection.close(CloseReason.NOT_UP)));
             descriptors.nodeOpened();
             endpoint.connections.add(nodeConnection);
             return nodeConnection;
@@ -241,7 +251,8 @@
     /** Nothing more will be sent. */
     void closeAll() {
         List.copyOf(endpoints.values())
-                .forEach(endpoint -> List.copyOf(endpoint.connections).forEach(nodeConnection -> nodeConnection.close(CloseReason.DONE)));
+                .forEach(endpoint -> List.copyOf(endpoint.connections)
+                        .forEach(nodeConnection -> nodeConnection.close(CloseReason.DONE)));
     }
 
     // ---- Outcomes. ----
@@ -282,7 +293,9 @@
             loop.execute(() -> closeUnused(nodeConnection, closeReason));
             return null;
         }
-        return loop.schedule(nodeConnection.lastUsedUs() + idleTimeoutUs, () -> closeUnused(nodeConnection, CloseReason.IDLE));
+        return loop.schedule(
+                nodeConnection.lastUsedUs() + idleTimeoutUs,
+                () -> closeUnused(nodeConnection, CloseReason.IDLE));
     }
 
     private static void closeUnused(NodeConnection nodeConnection, CloseReason closeReason) {
--- a/src/main/java/tinlink/router/ClientAcceptor.java
+++ b/src/main/java/tinlink/router/ClientAcceptor.java
@@ -1,10 +1,10 @@
 package tinlink.router;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
-import tinlink.net.JsonReader;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.JsonReader;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
 
@@ -98,7 +98,11 @@
      * @param acceptedAtUs when it was accepted; its first request has its time from then on
      * @param hasSentBytes what it asks has waited for us since then, so that much less of its time is left
      */
-    void accepted(Connection connection, Connection.Listener listener, long acceptedAtUs, boolean hasSentBytes) {
+    void accepted(
+            Connection connection,
+            Connection.Listener listener,
+            long acceptedAtUs,
+            boolean hasSentBytes) {
         descriptors.clientOpened();
         ClientConnection client = (ClientConnection) listener;
         client.attach(connection, hasSentBytes ? acceptedAtUs : Long.MAX_VALUE);
@@ -109,11 +113,15 @@
     }
 
     private void freeDescriptor() {
-        if (!descriptors.hasForClient() && !closeIdle() && !sendingClients.isEmpty() && slowClientTimer == null) {
-            slowClientTimer = loop.schedule(sendingClients.values().iterator().next() + lingerUs, () -> {
-                slowClientTimer = null;
-                freeDescriptor();
-            });
+        if (!descriptors.hasForClient()
+                && !closeIdle()
+                && !sendingClients.isEmpty()
+                && slowClientTimer == null) {
+            slowClientTimer =
+                    loop.schedule(sendingClients.values().iterator().next() + lingerUs, () -> {
+                        slowClientTimer = null;
+                        freeDescriptor();
+                    });
         }
     }
 
@@ -146,9 +154,12 @@
     }
 
     private void closeOneIdle() {
-        for (Set<ClientConnection> candidates : List.of(closingClients, silentClients, idleClients)) {
+        for (Set<ClientConnection> candidates :
+                List.of(closingClients, silentClients, idleClients)) {
             for (ClientConnection client : candidates) {
-                if (candidates == closingClients ? client.connection().isIdle() : !client.connection().hasUnprocessedRead()) {
+                if (candidates == closingClients
+                        ? client.connection().isIdle()
+                        : !client.connection().hasUnprocessedRead()) {
                     client.connection().close(CloseReason.IDLE);
                     return;
                 }
@@ -213,7 +224,12 @@
      * is closed.
      */
     EventLoop.Timer scheduleRequestTimeout(long sinceUs, Runnable task) {
-        return loop.schedule(sinceUs + (3 * ProtocolLimits.MIN_CLIENT_IDLE_US + ProtocolLimits.MAX_CLIENT_WAIT_US) / 4, task);
+        return loop.schedule(
+                sinceUs
+                        + (3 * ProtocolLimits.MIN_CLIENT_IDLE_US
+                                        + ProtocolLimits.MAX_CLIENT_WAIT_US)
+                                / 4,
+                task);
     }
 
     /** What has been read, and waits for the loop, has been taken by then. */
@@ -280,7 +296,11 @@
     }
 
     /** @param requestedAtUs when its client has asked, as far as that is known */
-    Query parse(Map<String, String> headers, JsonReader body, ClientConnection client, long requestedAtUs)
+    Query parse(
+            Map<String, String> headers,
+            JsonReader body,
+            ClientConnection client,
+            long requestedAtUs)
             throws MessageRejectedException {
         Query query = queryParser.parse(
                 headers,
--- a/src/main/java/tinlink/router/ClientConnection.java
+++ b/src/main/java/tinlink/router/ClientConnection.java
@@ -1,11 +1,11 @@
 package tinlink.router;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
-import tinlink.net.HttpReader;
-import tinlink.net.JsonReader;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.HttpReader;
+import tinlink.net.JsonReader;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.ProtocolLimits;
 import tinlink.net.RingBuffer;
 
@@ -20,10 +20,12 @@
  * A client's connection: one request at a time, the next one is read when its answer has been
  * given.
  */
-final class ClientConnection implements Connection.Listener, HttpReader.MessageListener, Query.ResponseListener {
+final class ClientConnection
+        implements Connection.Listener, HttpReader.MessageListener, Query.ResponseListener {
     private static final Logger LOG = Logger.getLogger("tinlink.intake");
     private static final Pattern CLOSE_OPTION = Pattern.compile("(?i)(.*,)?\\s*close\\s*(,.*)?");
-    private static final Pattern SINGLE_FIELDS = Pattern.compile("x-.*|idempotency-key|content-length|host");
+    private static final Pattern SINGLE_FIELDS =
+            Pattern.compile("x-.*|idempotency-key|content-length|host");
     private final ClientAcceptor acceptor;
     private final HttpReader reader = HttpReader.forRequests(this);
     private final Map<String, String> headers = new HashMap<>();
@@ -235,7 +237,10 @@
     @Override
     public void messageEnded() throws MessageRejectedException {
         if (body == null) {
-            respond(acceptor.isReady() ? ClientResponse.plainText(200, "ready") : ClientResponse.plainText(503, "not ready"));
+            respond(
+                    acceptor.isReady()
+                            ? ClientResponse.plainText(200, "ready")
+                            : ClientResponse.plainText(503, "not ready"));
             return;
         }
         Query parsed = acceptor.parse(headers, body, this, requestedAtUs);
--- a/src/main/java/tinlink/router/ClientResponse.java
+++ b/src/main/java/tinlink/router/ClientResponse.java
@@ -37,7 +37,10 @@
         for (Part part : query.parts) {
             String value = ((QueryPart) part).value;
             if (part.isSatisfied && value != null) {
-                json.append(separator).append("{\"segment\":").append(part.shard).append(",\"payload\":");
+                json.append(separator)
+                        .append("{\"segment\":")
+                        .append(part.shard)
+                        .append(",\"payload\":");
                 JsonReader.appendQuoted(json, value);
                 json.append('}');
                 separator = ",";
@@ -45,7 +48,9 @@
         }
         ClientResponse response = new ClientResponse(
                 200, "Content-Type: application/json\r\n", json.append("]}").toString());
-        return response.body.length <= ProtocolLimits.MAX_BODY_BYTES ? response : plainText(500, "the answer is too long");
+        return response.body.length <= ProtocolLimits.MAX_BODY_BYTES
+                ? response
+                : plainText(500, "the answer is too long");
     }
 
     static ClientResponse rejection(long retryAfterUs) {
@@ -53,7 +58,8 @@
                 ? ""
                 : "Retry-After: " + BigDecimal.valueOf(retryAfterUs / 1000, 3).toPlainString()
                         + "\r\n";
-        return new ClientResponse(503, "Content-Type: text/plain\r\n" + retryAfterHeader, "not now\n");
+        return new ClientResponse(
+                503, "Content-Type: text/plain\r\n" + retryAfterHeader, "not now\n");
     }
 
     static ClientResponse abort() {
--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -1,12 +1,12 @@
 package tinlink.router;
 
-import tinlink.decision.QueryCoordinator;
+import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
 import tinlink.decision.Lookup;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.Attempt;
+import tinlink.decision.QueryCoordinator;
 import tinlink.net.EventLoop;
 
 import java.util.ArrayList;
@@ -55,7 +55,8 @@
     private EventLoop.EventLoopParticipant also;
 
     /** @param maxRetryAfterUs the longest Retry-After that clients are given */
-    DecisionDriver(EventLoop loop, QueryCoordinator module, long callIdRetentionUs, long maxRetryAfterUs) {
+    DecisionDriver(
+            EventLoop loop, QueryCoordinator module, long callIdRetentionUs, long maxRetryAfterUs) {
         this.loop = loop;
         this.callIdRetentionUs = callIdRetentionUs;
         this.maxRetryAfterUs = maxRetryAfterUs;
@@ -94,7 +95,8 @@
      */
     boolean isKnownCallId(String callId) {
         long expiredUs = loop.nowUs() - callIdRetentionUs;
-        for (Iterator<Long> at = recentCallIds.values().iterator(); at.hasNext() && at.next() <= expiredUs; ) {
+        for (Iterator<Long> at = recentCallIds.values().iterator();
+                at.hasNext() && at.next() <= expiredUs; ) {
             at.remove();
         }
         return queries.containsKey(callId) || recentCallIds.containsKey(callId);
@@ -258,7 +260,9 @@
                         query,
                         retryAfterUs <= 0
                                 ? retryAfterUs
-                                : Math.max(retryAfterUs, Math.min(query.remoteRetryAfterUs, maxRetryAfterUs))));
+                                : Math.max(
+                                        retryAfterUs,
+                                        Math.min(query.remoteRetryAfterUs, maxRetryAfterUs))));
     }
 
     @Override
--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -1,11 +1,11 @@
 package tinlink.router;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
-import tinlink.net.HttpReader;
-import tinlink.net.JsonReader;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.HttpReader;
+import tinlink.net.JsonReader;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.ProtocolLimits;
 import tinlink.net.RingBuffer;
 
@@ -92,7 +92,8 @@
 
     private void sendRequest() {
         isWatching = handler.isRevisionCurrent();
-        connection.out()
+        connection
+                .out()
                 .put("GET /api/targets" + (isWatching ? "?watch=1&after=" + handler.revision() : "")
                         + " HTTP/1.1\r\nHost: " + handler.host() + "\r\n\r\n");
         connection.scheduleWrite();
@@ -104,7 +105,8 @@
             return; // The whole list says nothing of what comes after it.
         }
         loop.cancel(silenceTimer);
-        silenceTimer = loop.schedule(loop.nowUs() + SILENCE_TIMEOUT_US, () -> close(CloseReason.SILENT));
+        silenceTimer =
+                loop.schedule(loop.nowUs() + SILENCE_TIMEOUT_US, () -> close(CloseReason.SILENT));
         handler.watchAlive(this);
     }
 
@@ -121,7 +123,8 @@
     }
 
     @Override
-    public void startLine(String version, String status, String reasonPhrase) throws MessageRejectedException {
+    public void startLine(String version, String status, String reasonPhrase)
+            throws MessageRejectedException {
         if (!status.equals("200")) {
             throw new MessageRejectedException(502, "the watch was answered with " + status);
         }
@@ -132,7 +135,8 @@
         while (piece.hasRemaining() && handler.isInUse(this)) {
             byte b = piece.get();
             if (++objectBytes > maxObjectBytes) {
-                throw new MessageRejectedException(502, "a list of over " + maxObjectBytes + " bytes");
+                throw new MessageRejectedException(
+                        502, "a list of over " + maxObjectBytes + " bytes");
             }
             if (b == '\n') {
                 lineEnded();
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -84,7 +84,9 @@
      * or on none for a while, hears of a drain long after it was told. The oldest gives way.
      */
     private void openWatch() {
-        nextOpenTimer = loop.schedule(loop.nowUs() + openIntervalUs - random.nextLong(openIntervalUs / 4), this::openWatch);
+        nextOpenTimer = loop.schedule(
+                loop.nowUs() + openIntervalUs - random.nextLong(openIntervalUs / 4),
+                this::openWatch);
         if (pendingWatches.size() == MAX_PENDING) {
             pendingWatches.get(0).close(CloseReason.SILENT);
         }
@@ -146,7 +148,8 @@
             activeWatch = null;
             watchLost(closeReason);
             // Danger: routers whose watches end at one moment, and who all come back at once.
-            nextOpenTimer = loop.schedule(loop.nowUs() + random.nextLong(openIntervalUs / 2), this::openWatch);
+            nextOpenTimer = loop.schedule(
+                    loop.nowUs() + random.nextLong(openIntervalUs / 2), this::openWatch);
         } else if (pendingWatches.remove(connection)) {
             watchLost(closeReason);
         }
--- a/src/main/java/tinlink/router/EndpointList.java
+++ b/src/main/java/tinlink/router/EndpointList.java
@@ -1,10 +1,10 @@
 package tinlink.router;
 
-import tinlink.decision.QueryCoordinator;
-import tinlink.decision.DataNode;
 import tinlink.config.FlatSettings;
 import tinlink.config.Http2Config;
 import tinlink.config.RouterConfig;
+import tinlink.decision.DataNode;
+import tinlink.decision.QueryCoordinator;
 import tinlink.maintenance.MaintenanceService;
 
 import java.net.InetSocketAddress;
@@ -58,7 +58,8 @@
         }
     }
 
-    EndpointList(DecisionDriver driver, AttemptDispatcher dispatcher, RouterConfig.EndpointNames names) {
+    EndpointList(
+            DecisionDriver driver, AttemptDispatcher dispatcher, RouterConfig.EndpointNames names) {
         this.driver = driver;
         this.dispatcher = dispatcher;
         zones = new NameTable(names.zones());
@@ -85,7 +86,8 @@
         if (node != null) {
             node.state = state(uid);
             notifyChanged(node, false, false);
-            driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
+            driver.applyInput(
+                    m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
             notifyCells();
         }
     }
@@ -101,7 +103,10 @@
         DataNode node = nodes.get(uid);
         NodeEndpoint cordonedEndpoint = cordoned.get(uid);
         NodeEndpoint listedEndpoint = node == null ? cordonedEndpoint : dispatcher.endpointOf(node);
-        return (listedEndpoint == null ? 0 : listedEndpoint.attemptsInFlight) + (cordonedEndpoint == null || cordonedEndpoint == listedEndpoint ? 0 : cordonedEndpoint.attemptsInFlight);
+        return (listedEndpoint == null ? 0 : listedEndpoint.attemptsInFlight)
+                + (cordonedEndpoint == null || cordonedEndpoint == listedEndpoint
+                        ? 0
+                        : cordonedEndpoint.attemptsInFlight);
     }
 
     /** The list as it is held, by names. */
@@ -170,7 +175,8 @@
             LOG.warning("discovery: 'targets' is no list");
             return false;
         }
-        boolean isFullList = updateKind == QueryCoordinator.EndpointListUpdate.CACHED || Boolean.TRUE.equals(map.get("all"));
+        boolean isFullList = updateKind == QueryCoordinator.EndpointListUpdate.CACHED
+                || Boolean.TRUE.equals(map.get("all"));
         if (map.get("rev") instanceof Double rev) {
             revision = rev.longValue();
         }
@@ -193,7 +199,8 @@
             }
         }
         entries.forEach(Runnable::run);
-        driver.applyInput(m -> m.onEndpointListUpdate(isFullList ? updateKind : QueryCoordinator.EndpointListUpdate.CHANGES));
+        driver.applyInput(m -> m.onEndpointListUpdate(
+                isFullList ? updateKind : QueryCoordinator.EndpointListUpdate.CHANGES));
         notifyCells();
         LOG.log(Level.INFO, "list {0}: {1} told, {2} nodes", new Object[] {
             String.valueOf(revision), targets.size(), nodes.size()
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -1,21 +1,21 @@
 package tinlink.router;
 
-import tinlink.decision.QueryCoordinator;
+import tinlink.config.GatewayConfig;
+import tinlink.config.RouterConfig;
 import tinlink.decision.DataNode;
 import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.gateway.IncomingPart;
+import tinlink.decision.QueryCoordinator;
 import tinlink.gateway.Gateway;
 import tinlink.gateway.GatewayKeys;
+import tinlink.gateway.IncomingPart;
 import tinlink.gateway.OutgoingPart;
-import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.gateway.forwarding.PartStatus;
-import tinlink.net.MessageRejectedException;
+import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
-import tinlink.config.GatewayConfig;
-import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -46,22 +46,38 @@
 
     private long forwardedQueries;
 
-    GatewayIntegration(EventLoop loop, Network network, RouterConfig config, RequestPipeline pipeline) {
+    GatewayIntegration(
+            EventLoop loop, Network network, RouterConfig config, RequestPipeline pipeline) {
         this.loop = loop;
         this.pipeline = pipeline;
         cells = config.cells;
-        config.lookups.lookupClasses().forEach((name, lookupClass) -> classNames.put(lookupClass, name));
+        config.lookups
+                .lookupClasses()
+                .forEach((name, lookupClass) -> classNames.put(lookupClass, name));
         GatewayConfig gatewayConfig = config.gateway;
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Identity(gatewayConfig.site, gatewayConfig.router, loop.nowUs(), gatewayConfig.acceptedSites),
+                new Gateway.Identity(
+                        gatewayConfig.site,
+                        gatewayConfig.router,
+                        loop.nowUs(),
+                        gatewayConfig.acceptedSites),
                 keys(gatewayConfig),
-                new Gateway.Timing(gatewayConfig.heartbeatUs, gatewayConfig.handshakeUs, gatewayConfig.recoveryRampUs, config.maxDeadlineUs),
+                new Gateway.Timing(
+                        gatewayConfig.heartbeatUs,
+                        gatewayConfig.handshakeUs,
+                        gatewayConfig.recoveryRampUs,
+                        config.maxDeadlineUs),
                 new Gateway.Limits(
-                        gatewayConfig.maxInboundParts, gatewayConfig.maxCachedOutcomes, gatewayConfig.maxCachedOutcomeBytes, gatewayConfig.maxInboundConnections, gatewayConfig.maxQueuedParts),
+                        gatewayConfig.maxInboundParts,
+                        gatewayConfig.maxCachedOutcomes,
+                        gatewayConfig.maxCachedOutcomeBytes,
+                        gatewayConfig.maxInboundConnections,
+                        gatewayConfig.maxQueuedParts),
                 gatewayConfig.remoteRouters.stream()
-                        .map(remote -> new Gateway.RemoteEndpoint(remote.site(), remote.router(), remote.addresses()))
+                        .map(remote -> new Gateway.RemoteEndpoint(
+                                remote.site(), remote.router(), remote.addresses()))
                         .toList(),
                 config.seed,
                 this);
@@ -83,7 +99,10 @@
                 Level.INFO,
                 "event=gateway_on site={0} router={1} far={2} listen={3}",
                 new Object[] {
-                    gatewayConfig.site, gatewayConfig.router, gatewayConfig.remoteRouters.size(), gatewayConfig.listen == null ? "-" : gateway.address()
+                    gatewayConfig.site,
+                    gatewayConfig.router,
+                    gatewayConfig.remoteRouters.size(),
+                    gatewayConfig.listen == null ? "-" : gateway.address()
                 });
     }
 
@@ -116,8 +135,10 @@
         DataNode[] nodesByCell = nodes.computeIfAbsent(router, r -> new DataNode[cells]);
         for (int cell = 0; cell < cells; cell++) {
             if (nodesByCell[cell] == null && servedCells.get(cell)) {
-                nodesByCell[cell] = pipeline.endpointList.newRemoteNode(gateway.siteOf(router), cell);
-                pipeline.dispatcher.endpointOf(nodesByCell[cell]).remoteSender = sent -> forward(router, sent);
+                nodesByCell[cell] =
+                        pipeline.endpointList.newRemoteNode(gateway.siteOf(router), cell);
+                pipeline.dispatcher.endpointOf(nodesByCell[cell]).remoteSender =
+                        sent -> forward(router, sent);
             }
             DataNode node = nodesByCell[cell];
             if (node != null) {
@@ -131,7 +152,8 @@
                 }
             }
         }
-        pipeline.driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
+        pipeline.driver.applyInput(
+                m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
     }
 
     private void forward(RemoteRouter remoteRouter, SentAttempt sent) {
@@ -173,7 +195,9 @@
         LookupClass lookupClass = sent.part().lookup.lookupClass;
         return lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED
                 ? Long.MAX_VALUE
-                : Math.min(sent.effectDeadlineUs(), lookupClass.deduplicationWindowUs + sent.attempt.sentAtUs);
+                : Math.min(
+                        sent.effectDeadlineUs(),
+                        lookupClass.deduplicationWindowUs + sent.attempt.sentAtUs);
     }
 
     @Override
@@ -220,7 +244,11 @@
     @Override
     public void onAnswer(Query query, boolean isComplete) {
         String value = ((QueryPart) query.parts.get(0)).value;
-        gateway.partEnded((IncomingPart) query.remoteOrigin, PartStatus.DONE, value.getBytes(StandardCharsets.UTF_8), 0);
+        gateway.partEnded(
+                (IncomingPart) query.remoteOrigin,
+                PartStatus.DONE,
+                value.getBytes(StandardCharsets.UTF_8),
+                0);
     }
 
     @Override
@@ -244,8 +272,13 @@
     private void endUnserved(Query query, long retryAfterUs) {
         boolean neverRan = true;
         for (Part part : query.parts) {
-            neverRan &= part.attempts.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
+            neverRan &=
+                    part.attempts.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
         }
-        gateway.partEnded((IncomingPart) query.remoteOrigin, neverRan ? PartStatus.REFUSED : PartStatus.FAILED, null, retryAfterUs);
+        gateway.partEnded(
+                (IncomingPart) query.remoteOrigin,
+                neverRan ? PartStatus.REFUSED : PartStatus.FAILED,
+                null,
+                retryAfterUs);
     }
 }
--- a/src/main/java/tinlink/router/Http2Dispatcher.java
+++ b/src/main/java/tinlink/router/Http2Dispatcher.java
@@ -1,5 +1,7 @@
 package tinlink.router;
 
+import tinlink.config.Http2Config;
+import tinlink.config.RouterConfig;
 import tinlink.decision.DataNode;
 import tinlink.decision.Outcome;
 import tinlink.http2.Http2NodeClient;
@@ -8,8 +10,6 @@
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.config.Http2Config;
-import tinlink.config.RouterConfig;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -30,7 +30,12 @@
     /** Nodes with decisions to pull; emptied each turn. */
     private Set<Http2NodeClient> nodesToDecide = new LinkedHashSet<>();
 
-    Http2Dispatcher(EventLoop loop, Network network, AttemptDispatcher dispatcher, RouterConfig.NodeConnectionSettings linkSettings, long idleTimeoutUs) {
+    Http2Dispatcher(
+            EventLoop loop,
+            Network network,
+            AttemptDispatcher dispatcher,
+            RouterConfig.NodeConnectionSettings linkSettings,
+            long idleTimeoutUs) {
         this.loop = loop;
         this.network = network;
         this.dispatcher = dispatcher;
@@ -59,7 +64,8 @@
 
     boolean isOffered(NodeEndpoint endpoint) {
         if (endpoint.http2 == null && offersHttp2.test(endpoint.node)) {
-            endpoint.http2 = new Http2NodeClient(loop, network, new EndpointHandler(endpoint), counters, settings);
+            endpoint.http2 = new Http2NodeClient(
+                    loop, network, new EndpointHandler(endpoint), counters, settings);
         }
         return endpoint.http2 != null && endpoint.http2.supportsHttp2();
     }
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -1,20 +1,20 @@
 package tinlink.router;
 
-import tinlink.decision.Outcome;
-import tinlink.net.EventLoop;
-import tinlink.net.Network;
-import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.ClusterNode;
 import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.PeerKeys;
-import tinlink.cluster.ClusterNode;
-import tinlink.policy.PolicyStateMachine;
+import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.config.ClusterConfig;
-import tinlink.config.RouterConfig;
 import tinlink.config.MaintenanceConfig;
+import tinlink.config.RouterConfig;
+import tinlink.decision.Outcome;
 import tinlink.maintenance.ControlServer;
 import tinlink.maintenance.MaintenanceService;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
+import tinlink.policy.PolicyStateMachine;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -48,7 +48,9 @@
     private boolean isAcceptingStopped;
 
     /** @throws IOException where the folder or the address can't be used */
-    MaintenanceIntegration(EventLoop loop, Network network, RouterConfig routerConfig, RequestPipeline pipeline) throws IOException {
+    MaintenanceIntegration(
+            EventLoop loop, Network network, RouterConfig routerConfig, RequestPipeline pipeline)
+            throws IOException {
         LIBRARY.setLevel(Level.SEVERE); // It tells of each message that could not be sent.
         this.loop = loop;
         this.network = network;
@@ -70,11 +72,24 @@
         ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network.withoutServer(),
-                new ClusterNode.LocalRouter(clusterConfig.cluster, clusterConfig.router, clusterConfig.listen, clusterConfig.advertisedAddress),
+                new ClusterNode.LocalRouter(
+                        clusterConfig.cluster,
+                        clusterConfig.router,
+                        clusterConfig.listen,
+                        clusterConfig.advertisedAddress),
                 new ClusterNode.KnownRouters(clusterConfig.peers, clusterConfig.voters),
                 new PeerKeys(clusterConfig.keys, clusterConfig.activeKeyId),
-                new ClusterNode.Timing(clusterConfig.probeIntervalUs, clusterConfig.indirectProbeCount, clusterConfig.heartbeatUs, clusterConfig.handshakeUs, clusterConfig.idleUs),
-                new ClusterNode.Limits(clusterConfig.maxMembers, clusterConfig.maxUnauthenticatedConnections, clusterConfig.maxDiskBytes, clusterConfig.snapshotInterval),
+                new ClusterNode.Timing(
+                        clusterConfig.probeIntervalUs,
+                        clusterConfig.indirectProbeCount,
+                        clusterConfig.heartbeatUs,
+                        clusterConfig.handshakeUs,
+                        clusterConfig.idleUs),
+                new ClusterNode.Limits(
+                        clusterConfig.maxMembers,
+                        clusterConfig.maxUnauthenticatedConnections,
+                        clusterConfig.maxDiskBytes,
+                        clusterConfig.snapshotInterval),
                 clusterConfig.dataDirectory,
                 routerConfig.seed,
                 stateMachines(replicatedState, policyStateMachine),
@@ -95,11 +110,15 @@
                         config.observationExpiryUs,
                         config.reportIntervalUs),
                 clusterConfig.dataDirectory);
-        policy = config.followsAgreedPolicy ? new PolicyIntegration(loop, clusterNode, policyStateMachine, routerConfig) : null;
+        policy = config.followsAgreedPolicy
+                ? new PolicyIntegration(loop, clusterNode, policyStateMachine, routerConfig)
+                : null;
     }
 
-    private static ReplicatedStateMachine stateMachines(ReplicatedMaintenance maintenance, PolicyStateMachine policyStateMachine) {
-        return new CompositeStateMachine(maintenance, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine));
+    private static ReplicatedStateMachine stateMachines(
+            ReplicatedMaintenance maintenance, PolicyStateMachine policyStateMachine) {
+        return new CompositeStateMachine(
+                maintenance, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine));
     }
 
     /**
@@ -108,10 +127,12 @@
      * long enough: serving never depends on agreement.
      */
     void start(Runnable whenReady) throws IOException {
-        pipeline.driver.also(policy == null ? maintenance : new ParticipantPair(maintenance, policy.policy()));
+        pipeline.driver.also(
+                policy == null ? maintenance : new ParticipantPair(maintenance, policy.policy()));
         pipeline.dispatcher.setOutcomeListener((machine, outcome) -> {
             if (outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED) {
-                maintenance.onCallResult(machine, outcome == Outcome.SATISFIED || outcome == Outcome.TURNED_AWAY);
+                maintenance.onCallResult(
+                        machine, outcome == Outcome.SATISFIED || outcome == Outcome.TURNED_AWAY);
             }
         });
         maintenance.start(whenReady);
@@ -158,7 +179,9 @@
     }
 
     /** Two that decide in each turn. */
-    private record ParticipantPair(EventLoop.EventLoopParticipant first, EventLoop.EventLoopParticipant second) implements EventLoop.EventLoopParticipant {
+    private record ParticipantPair(
+            EventLoop.EventLoopParticipant first, EventLoop.EventLoopParticipant second)
+            implements EventLoop.EventLoopParticipant {
         @Override
         public void turnStarted(long nowUs) {
             first.turnStarted(nowUs);
@@ -179,7 +202,9 @@
 
     @Override
     public int clientsInFlight() {
-        return (isAcceptingStopped ? 0 : 1) + pipeline.acceptor.clients() + pipeline.driver.inFlight();
+        return (isAcceptingStopped ? 0 : 1)
+                + pipeline.acceptor.clients()
+                + pipeline.driver.inFlight();
     }
 
     @Override
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -2,11 +2,11 @@
 
 import tinlink.decision.DataNode;
 import tinlink.decision.Outcome;
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
-import tinlink.net.FrameReader;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.FrameReader;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.RingBuffer;
 
 import java.nio.charset.StandardCharsets;
@@ -112,7 +112,8 @@
 
     /** Danger: an answer to an earlier part call of that id would pass for one to the new. */
     boolean hasIdInUse(SentAttempt sent) {
-        return unansweredAttempts.containsKey(sent.part().id) || abandonedIds.contains(sent.part().id);
+        return unansweredAttempts.containsKey(sent.part().id)
+                || abandonedIds.contains(sent.part().id);
     }
 
     void close(CloseReason closeReason) {
@@ -205,7 +206,8 @@
                     && (sent.attempt.part.lookup.isEnded
                             || sent.attempt.part.isSatisfied
                             || endpoint.node.state != DataNode.State.READY
-                            || dispatcher.nowUs() + dispatcher.maxTransitUs() > sent.effectDeadlineUs())) {
+                            || dispatcher.nowUs() + dispatcher.maxTransitUs()
+                                    > sent.effectDeadlineUs())) {
                 dispatcher.recordOutcome(sent, Outcome.NOT_SENT, false);
             }
         }
@@ -223,7 +225,8 @@
                 Query query = sent.part().query();
                 long timeoutMs = Math.max(1, (sent.deadlineUs - dispatcher.nowUs() + 999) / 1000);
                 byte[] line = (sent.part().id + " " + sent.attempt.part.shard + " d=" + timeoutMs
-                                + (query.idempotencyKey == null ? "" : ",k=" + query.idempotencyKey) + " " + query.text.length + "\n")
+                                + (query.idempotencyKey == null ? "" : ",k=" + query.idempotencyKey)
+                                + " " + query.text.length + "\n")
                         .getBytes(StandardCharsets.UTF_8);
                 lines.add(line);
                 lines.add(query.text);
@@ -260,7 +263,8 @@
             // time is over.
             frameTimer = reader.isAtBoundary() || connection.isClosed()
                     ? null
-                    : dispatcher.scheduleFrameTimeout(() -> connection.close(CloseReason.BAD_INPUT));
+                    : dispatcher.scheduleFrameTimeout(
+                            () -> connection.close(CloseReason.BAD_INPUT));
         }
     }
 
@@ -270,7 +274,9 @@
      */
     @Override
     public void answerStarted(String partId) throws MessageRejectedException {
-        if (!unansweredAttempts.containsKey(partId) && !abandonedIds.contains(partId) && !partId.equals(lastAnsweredId)) {
+        if (!unansweredAttempts.containsKey(partId)
+                && !abandonedIds.contains(partId)
+                && !partId.equals(lastAnsweredId)) {
             throw new MessageRejectedException(502, "an answer to a call that was not sent");
         }
     }
@@ -326,8 +332,11 @@
         dispatcher.connectionClosed(this);
         for (SentAttempt sent : lost) {
             if (!sent.isEnded) {
-                boolean concernsCall = closeReason == CloseReason.PEER_CLOSED ? lastAnswerUs == 0 : sent == oldestLost;
-                dispatcher.recordOutcome(sent, closeReason.toOutcome(mayHaveLeft(sent), concernsCall), false);
+                boolean concernsCall = closeReason == CloseReason.PEER_CLOSED
+                        ? lastAnswerUs == 0
+                        : sent == oldestLost;
+                dispatcher.recordOutcome(
+                        sent, closeReason.toOutcome(mayHaveLeft(sent), concernsCall), false);
             }
         }
     }
--- a/src/main/java/tinlink/router/PolicyIntegration.java
+++ b/src/main/java/tinlink/router/PolicyIntegration.java
@@ -1,15 +1,15 @@
 package tinlink.router;
 
+import tinlink.cluster.ClusterNode;
+import tinlink.config.InvalidInputException;
+import tinlink.config.PolicyDocument;
+import tinlink.config.RouterConfig;
 import tinlink.decision.LookupClass;
-import tinlink.net.MessageRejectedException;
 import tinlink.net.EventLoop;
-import tinlink.cluster.ClusterNode;
+import tinlink.net.MessageRejectedException;
 import tinlink.policy.PolicyRolloutService;
 import tinlink.policy.PolicyStateMachine;
 import tinlink.policy.rollout.PolicyVersion;
-import tinlink.config.InvalidInputException;
-import tinlink.config.PolicyDocument;
-import tinlink.config.RouterConfig;
 
 import java.util.Map;
 
@@ -23,7 +23,11 @@
     /** As the newest versions have them: two at a time, the one in force and the one before it. */
     private final Map<Long, PolicyDocument> documents = new java.util.TreeMap<>();
 
-    PolicyIntegration(EventLoop loop, ClusterNode clusterNode, PolicyStateMachine policyStateMachine, RouterConfig config) {
+    PolicyIntegration(
+            EventLoop loop,
+            ClusterNode clusterNode,
+            PolicyStateMachine policyStateMachine,
+            RouterConfig config) {
         this.config = config;
         // The one clock that all machines read; nothing else in the router asks it.
         policyRollout = new PolicyRolloutService(
@@ -70,7 +74,8 @@
     Map<String, LookupClass> lookupClasses() throws MessageRejectedException {
         PolicyDocument document = currentDocument();
         if (document == null && !policyRollout.unavailableReason().isEmpty()) {
-            throw new MessageRejectedException(503, "no lookups are taken: " + policyRollout.unavailableReason());
+            throw new MessageRejectedException(
+                    503, "no lookups are taken: " + policyRollout.unavailableReason());
         }
         return document == null ? config.lookups.lookupClasses() : document.lookupClasses;
     }
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -1,11 +1,11 @@
 package tinlink.router;
 
+import tinlink.config.RouterConfig;
 import tinlink.decision.LookupClass;
 import tinlink.decision.Part;
 import tinlink.gateway.IncomingPart;
-import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
-import tinlink.config.RouterConfig;
+import tinlink.net.MessageRejectedException;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
@@ -40,8 +40,10 @@
             Map<String, LookupClass> currentClasses)
             throws MessageRejectedException {
         String callId = requireMatch(headers, "x-call-id", CALL_ID);
-        LookupClass lookupClass =
-                (currentClasses == null ? settings.lookupClasses() : currentClasses).get(headers.getOrDefault("x-call-class", ""));
+        LookupClass lookupClass = (currentClasses == null
+                        ? settings.lookupClasses()
+                        : currentClasses)
+                .get(headers.getOrDefault("x-call-class", ""));
         if (lookupClass == null) {
             throw new MessageRejectedException(400, "X-Call-Class: no such class");
         }
@@ -55,7 +57,8 @@
         if (!(map.get("text") instanceof String text)) {
             throw new MessageRejectedException(400, "text: no string");
         }
-        Query query = new Query(callId, text.getBytes(StandardCharsets.UTF_8), idempotencyKey, client);
+        Query query =
+                new Query(callId, text.getBytes(StandardCharsets.UTF_8), idempotencyKey, client);
         query.lookupClass = lookupClass;
         query.isClientRetry = "1".equals(headers.get("x-again"));
         query.clientDeadlineUs = requestedAtUs + budgetUs;
@@ -68,14 +71,17 @@
      *
      * @param id of its own among all in hand
      */
-    Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener) throws MessageRejectedException {
+    Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener)
+            throws MessageRejectedException {
         LookupClass lookupClass = settings.lookupClasses().get(part.index);
         if (lookupClass == null || part.shard < 0 || part.shard >= settings.shardCount()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
         boolean needsKey = lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED;
         if (!PART_ID.matcher(part.id).matches()
-                || (needsKey && (part.idempotencyKey == null || !KEY.matcher(part.idempotencyKey).matches()))) {
+                || (needsKey
+                        && (part.idempotencyKey == null
+                                || !KEY.matcher(part.idempotencyKey).matches()))) {
             throw new MessageRejectedException(400, "id or key: not of its form");
         }
         Query query = new Query(id, part.text, needsKey ? part.idempotencyKey : null, listener);
@@ -92,7 +98,8 @@
             throws MessageRejectedException {
         String value = headers.get(name);
         if (value == null || !pattern.matcher(value).matches()) {
-            throw new MessageRejectedException(400, name + (value == null ? ": missing" : ": not of its form"));
+            throw new MessageRejectedException(
+                    400, name + (value == null ? ": missing" : ": not of its form"));
         }
         return value;
     }
--- a/src/main/java/tinlink/router/RequestPipeline.java
+++ b/src/main/java/tinlink/router/RequestPipeline.java
@@ -1,9 +1,9 @@
 package tinlink.router;
 
+import tinlink.config.RouterConfig;
 import tinlink.decision.QueryCoordinator;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.config.RouterConfig;
 
 /** The stages of a request and the list beside them, put together for one loop and one module. */
 final class RequestPipeline {
@@ -18,7 +18,8 @@
     RequestPipeline(EventLoop loop, Network network, RouterConfig config, QueryCoordinator module) {
         driver = new DecisionDriver(loop, module, config.maxDeadlineUs, config.maxRetryAfterUs);
         descriptors = new DescriptorBudget(config.maxDescriptors);
-        dispatcher = new AttemptDispatcher(loop, network, descriptors, driver, config.nodeConnections);
+        dispatcher =
+                new AttemptDispatcher(loop, network, descriptors, driver, config.nodeConnections);
         queryParser = new QueryParser(config.lookups);
         acceptor = new ClientAcceptor(
                 loop,
@@ -32,8 +33,14 @@
                 config.maxDeadlineUs);
         endpointList = new EndpointList(driver, dispatcher, config.endpointNames);
         discoveryWatcher = new DiscoveryWatcher(
-                loop, network, driver, endpointList, config.discovery, config.isDiscoveryPushed, config.seed, (int)
-                        Math.min(Integer.MAX_VALUE, config.maxBodyBytesInFlight));
+                loop,
+                network,
+                driver,
+                endpointList,
+                config.discovery,
+                config.isDiscoveryPushed,
+                config.seed,
+                (int) Math.min(Integer.MAX_VALUE, config.maxBodyBytesInFlight));
         dispatcher.setAcceptor(acceptor);
     }
 }
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -1,11 +1,11 @@
 package tinlink.router;
 
+import tinlink.config.InvalidInputException;
+import tinlink.config.RouterConfig;
 import tinlink.decision.QueryCoordinator;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
-import tinlink.config.InvalidInputException;
-import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -77,10 +77,16 @@
         discoveryWatcher = pipeline.discoveryWatcher;
         driver.connect(pipeline.dispatcher, discoveryWatcher::follow);
         if (config.http2 != null) {
-            pipeline.dispatcher.http2().enable(config.http2, node -> endpointList.matches(node, config.http2.offers));
+            pipeline.dispatcher
+                    .http2()
+                    .enable(config.http2, node -> endpointList.matches(node, config.http2.offers));
         }
-        gateway = config.gateway == null ? null : new GatewayIntegration(loop, network, config, pipeline);
-        maintenance = config.maintenance == null ? null : new MaintenanceIntegration(loop, network, config, pipeline);
+        gateway = config.gateway == null
+                ? null
+                : new GatewayIntegration(loop, network, config, pipeline);
+        maintenance = config.maintenance == null
+                ? null
+                : new MaintenanceIntegration(loop, network, config, pipeline);
     }
 
     /**
@@ -107,7 +113,9 @@
         try {
             warmup = new Warmup(config.reload(), loop, network, pipeline, () -> {
                 LOG.log(Level.INFO, "{0} has warmed up: {1} lookups in {2} ms", new Object[] {
-                    config.name, warmup.lookupsAnswered(), (System.nanoTime() - startNanos) / 1_000_000
+                    config.name,
+                    warmup.lookupsAnswered(),
+                    (System.nanoTime() - startNanos) / 1_000_000
                 });
                 next.run();
             });
@@ -141,7 +149,8 @@
             } else {
                 awaitEndpointList();
             }
-            loop.execute(() -> {}); // The first turn is now: the module may want to ask for the list.
+            loop.execute(
+                    () -> {}); // The first turn is now: the module may want to ask for the list.
             loop.run(driver);
             if (serveFailure != null) {
                 throw serveFailure;
@@ -171,7 +180,9 @@
             loop.schedule(
                     loop.nowUs()
                             + config.nodeConnections.connectTimeoutUs()
-                            + (config.isDiscoveryPushed ? 0 : ProtocolLimits.WATCH_KEEPALIVE_US / 2),
+                            + (config.isDiscoveryPushed
+                                    ? 0
+                                    : ProtocolLimits.WATCH_KEEPALIVE_US / 2),
                     this::listReceived);
         }
         serveWhenReady();
@@ -292,15 +303,21 @@
         // is back. Clients go on using the connections that they have, so these are served for as
         // long as
         // what comes can be answered before the process may be killed.
-        long killDelayUs = Math.min(config.maxDeadlineUs, ProtocolLimits.MAX_KILL_GRACE_US) + ProtocolLimits.KILL_MARGIN_US;
+        long killDelayUs = Math.min(config.maxDeadlineUs, ProtocolLimits.MAX_KILL_GRACE_US)
+                + ProtocolLimits.KILL_MARGIN_US;
         long lastUs = loop.nowUs() + LAST_REQUEST_US + config.maxDeadlineUs;
-        long stopAcceptingUs = loop.nowUs() + Math.max(DRAIN_NOTICE_US, killDelayUs - 2 * config.maxDeadlineUs / 3);
+        long stopAcceptingUs = loop.nowUs()
+                + Math.max(DRAIN_NOTICE_US, killDelayUs - 2 * config.maxDeadlineUs / 3);
         // Danger: what comes late after the SIGTERM and is still unanswered as the process is
         // killed is lost.
-        long admitUntilUs = Math.min(lastUs, loop.nowUs() + killDelayUs - (ProtocolLimits.KILL_MARGIN_US - LAST_REQUEST_US));
+        long admitUntilUs = Math.min(
+                lastUs,
+                loop.nowUs() + killDelayUs - (ProtocolLimits.KILL_MARGIN_US - LAST_REQUEST_US));
         loop.schedule(loop.nowUs() + DRAIN_NOTICE_US, () -> acceptor.admitUntilUs(admitUntilUs));
         loop.schedule(stopAcceptingUs, acceptor::stopAccepting);
-        loop.schedule(Math.max(stopAcceptingUs, loop.nowUs() + LAST_REQUEST_US), () -> stopWhenEmpty(lastUs));
+        loop.schedule(
+                Math.max(stopAcceptingUs, loop.nowUs() + LAST_REQUEST_US),
+                () -> stopWhenEmpty(lastUs));
         acceptor.markNotReady();
         maintenanceReady = true;
         if (maintenance != null) {
@@ -327,7 +344,9 @@
                         loop::stop); // Its last words leave first.
             }
         } else {
-            loop.schedule(loop.nowUs() + config.nodeConnections.connectTimeoutUs() / 8, () -> stopWhenEmpty(lastUs));
+            loop.schedule(
+                    loop.nowUs() + config.nodeConnections.connectTimeoutUs() / 8,
+                    () -> stopWhenEmpty(lastUs));
         }
     }
 }
--- a/src/main/java/tinlink/router/SentAttempt.java
+++ b/src/main/java/tinlink/router/SentAttempt.java
@@ -1,7 +1,7 @@
 package tinlink.router;
 
-import tinlink.decision.LookupClass;
 import tinlink.decision.Attempt;
+import tinlink.decision.LookupClass;
 import tinlink.net.EventLoop;
 
 import java.util.OptionalLong;
@@ -42,7 +42,8 @@
             return Long.MAX_VALUE;
         }
         OptionalLong first = attempt.part.attempts.stream()
-                .filter(other -> other != attempt && (other.outcome == null || !other.outcome.neverRan))
+                .filter(other ->
+                        other != attempt && (other.outcome == null || !other.outcome.neverRan))
                 .mapToLong(other -> other.sentAtUs)
                 .min();
         return first.isEmpty()
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -1,14 +1,14 @@
 package tinlink.router;
 
+import tinlink.config.RouterConfig;
 import tinlink.decision.LookupClass;
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
-import tinlink.net.HttpReader;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.HttpReader;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
 import tinlink.net.RingBuffer;
-import tinlink.config.RouterConfig;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -78,20 +78,28 @@
      * @param servingPipeline those who will serve, to whom clients that come meanwhile are handed
      * @param whenDone run once, when all has been played
      */
-    Warmup(RouterConfig config, EventLoop loop, Network network, RequestPipeline servingPipeline, Runnable whenDone)
+    Warmup(
+            RouterConfig config,
+            EventLoop loop,
+            Network network,
+            RequestPipeline servingPipeline,
+            Runnable whenDone)
             throws IOException {
         this.config = config;
         this.loop = loop;
         this.network = network;
         this.servingPipeline = servingPipeline;
         this.whenDone = whenDone;
-        idPrefix = String.format("%016x", new SplittableRandom(config.seed).split().nextLong());
+        idPrefix =
+                String.format("%016x", new SplittableRandom(config.seed).split().nextLong());
         clientToken = OWN_CLIENT_MARK + idPrefix;
         lookupClasses = List.copyOf(config.lookups.lookupClasses().entrySet());
-        pipeline = new RequestPipeline(loop, network.withoutServer(), config, config.decision.module);
+        pipeline =
+                new RequestPipeline(loop, network.withoutServer(), config, config.decision.module);
         acceptor = pipeline.acceptor;
         acceptor.markNotReady();
-        pipeline.driver.connect(pipeline.dispatcher, () -> {}); // Its list is its own; discovery is not asked.
+        pipeline.driver.connect(
+                pipeline.dispatcher, () -> {}); // Its list is its own; discovery is not asked.
         pipeline.driver.turnStarted(loop.nowUs());
         pipeline.endpointList.applyCached(endpoints(network.address()));
         for (int i = 0; i < CLIENTS; i++) {
@@ -129,7 +137,11 @@
             waiting.delegate = servingPipeline.acceptor.newListener();
             // Danger: its client's time runs while it waits here; answered by ours, it would come
             // too late.
-            servingPipeline.acceptor.accepted(waiting.connection, waiting.delegate, waiting.connection.acceptedAtUs(), waiting.hasSentBytes);
+            servingPipeline.acceptor.accepted(
+                    waiting.connection,
+                    waiting.delegate,
+                    waiting.connection.acceptedAtUs(),
+                    waiting.hasSentBytes);
             waiting.connection.resumeReading();
         }
     }
@@ -273,7 +285,8 @@
             while (in.size() > 0) {
                 if (lengthBytes < length.length) {
                     length[lengthBytes++] = in.take();
-                    if (lengthBytes == length.length && !startFrame(ByteBuffer.wrap(length).getInt())) {
+                    if (lengthBytes == length.length
+                            && !startFrame(ByteBuffer.wrap(length).getInt())) {
                         return;
                     }
                 } else {
@@ -297,10 +310,13 @@
         }
 
         private void answer(String frameText) {
-            for (int position = 1; frameText.charAt(0) == 'R' && position < frameText.length(); parts++) {
+            for (int position = 1;
+                    frameText.charAt(0) == 'R' && position < frameText.length();
+                    parts++) {
                 int lineEnd = frameText.indexOf('\n', position);
-                String[] fields =
-                        lineEnd < 0 ? new String[0] : frameText.substring(position, lineEnd).split(" ");
+                String[] fields = lineEnd < 0
+                        ? new String[0]
+                        : frameText.substring(position, lineEnd).split(" ");
                 if (fields.length != 4 || !fields[0].startsWith(idPrefix)) {
                     connection.close(CloseReason.BAD_INPUT);
                     return;
@@ -309,7 +325,10 @@
                 String status = parts % 32 == 30 ? "ERROR" : parts % 32 == 14 ? "REJECTED" : "OK";
                 byte[] answer = ("Y" + fields[0] + " " + status + " 1 -\n" + fields[0])
                         .getBytes(StandardCharsets.UTF_8);
-                connection.out().put(ByteBuffer.allocate(4).putInt(answer.length).array()).put(answer);
+                connection
+                        .out()
+                        .put(ByteBuffer.allocate(4).putInt(answer.length).array())
+                        .put(answer);
             }
             connection.scheduleWrite();
         }
@@ -338,17 +357,21 @@
             if (lookupsSent == LOOKUPS) {
                 return;
             }
-            Map.Entry<String, LookupClass> lookupClass = lookupClasses.get(lookupsSent % lookupClasses.size());
+            Map.Entry<String, LookupClass> lookupClass =
+                    lookupClasses.get(lookupsSent % lookupClasses.size());
             int parts = Math.min(MAX_PARTS, config.lookups.shardCount());
             List<String> segments = new ArrayList<>();
             for (int i = 0; i < parts; i++) {
                 segments.add("{\"segment\":" + i + ",\"boost\":" + 1.0 / parts + "}");
             }
             String body = "{\"segments\":[" + String.join(",", segments) + "],\"text\":\"warm\"}";
-            connection.out()
-                    .put("POST /api HTTP/1.1\r\nHost: warm\r\nX-Call-Id: " + idPrefix + lookupsSent++
+            connection
+                    .out()
+                    .put("POST /api HTTP/1.1\r\nHost: warm\r\nX-Call-Id: " + idPrefix
+                            + lookupsSent++
                             + "\r\nX-Call-Class: "
-                            + lookupClass.getKey() + "\r\nX-Budget-Ms: " + lookupClass.getValue().deadlineUs / 1000
+                            + lookupClass.getKey() + "\r\nX-Budget-Ms: "
+                            + lookupClass.getValue().deadlineUs / 1000
                             + "\r\nIdempotency-Key: warm\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body);
             connection.scheduleWrite();
--- a/src/main/java/tinlink/securechannel/MessageCodec.java
+++ b/src/main/java/tinlink/securechannel/MessageCodec.java
@@ -1,7 +1,7 @@
 package tinlink.securechannel;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.net.JsonReader;
+import tinlink.net.MessageRejectedException;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -22,7 +22,8 @@
     }
 
     /** A text with a length of four bytes, up to that many. */
-    public static String readLongText(ByteBuffer buffer, int maxLength) throws MessageRejectedException {
+    public static String readLongText(ByteBuffer buffer, int maxLength)
+            throws MessageRejectedException {
         int length = buffer.getInt();
         if (length < 0 || length > maxLength) {
             throw malformed("a text of " + length + " bytes");
@@ -66,7 +67,8 @@
 
         private ByteBuffer ensureCapacity(int additionalBytes) {
             if (buffer.remaining() < additionalBytes) {
-                buffer = ByteBuffer.allocate(2 * (buffer.position() + additionalBytes)).put(buffer.flip());
+                buffer = ByteBuffer.allocate(2 * (buffer.position() + additionalBytes))
+                        .put(buffer.flip());
             }
             return buffer;
         }
