--- a/src/main/java/tinlink/securechannel/SecureSession.java
+++ b/src/main/java/tinlink/securechannel/SecureSession.java
@@ -1,9 +1,9 @@
 package tinlink.securechannel;
 
-import tinlink.net.MessageRejectedException;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.RingBuffer;
 
 import java.nio.BufferUnderflowException;
@@ -36,7 +36,11 @@
      * @param maxHandshakeLength how long a message may be until both have proved themselves; after that
      *     {@code most}
      */
-    protected SecureSession(EventLoop loop, long messageTimeoutUs, int maxHandshakeLength, int maxAuthenticatedLength) {
+    protected SecureSession(
+            EventLoop loop,
+            long messageTimeoutUs,
+            int maxHandshakeLength,
+            int maxAuthenticatedLength) {
         this.loop = loop;
         this.messageTimeoutUs = messageTimeoutUs;
         frameReader = new FrameReader(this, maxHandshakeLength, maxAuthenticatedLength);
@@ -50,15 +54,18 @@
     /** The next message of the handshake has to come within that time. */
     protected void restartHandshakeDeadline(long handshakeTimeoutUs) {
         loop.cancel(deadline);
-        deadline = loop.schedule(loop.nowUs() + handshakeTimeoutUs, () -> connection.close(CloseReason.NOT_UP));
+        deadline = loop.schedule(
+                loop.nowUs() + handshakeTimeoutUs, () -> connection.close(CloseReason.NOT_UP));
     }
 
     /** From here on each message is sealed; the two directions have keys of their own. */
     protected void enableAuthentication(byte[] secret, boolean isInitiator) {
         byte[] initiatorToResponderKey = KeyRing.mac(secret, "to the far side");
         byte[] responderToInitiatorKey = KeyRing.mac(secret, "to the near side");
-        outboundAuthenticator = new KeyRing.FrameAuthenticator(isInitiator ? initiatorToResponderKey : responderToInitiatorKey);
-        inboundAuthenticator = new KeyRing.FrameAuthenticator(isInitiator ? responderToInitiatorKey : initiatorToResponderKey);
+        outboundAuthenticator = new KeyRing.FrameAuthenticator(
+                isInitiator ? initiatorToResponderKey : responderToInitiatorKey);
+        inboundAuthenticator = new KeyRing.FrameAuthenticator(
+                isInitiator ? responderToInitiatorKey : initiatorToResponderKey);
         authenticated = true;
         frameReader.peerAuthenticated();
         loop.cancel(deadline);
@@ -88,7 +95,9 @@
 
     /** The place in the stream where the message ends. */
     public long send(byte type, byte[] body) {
-        byte[] tag = outboundAuthenticator == null ? new byte[0] : outboundAuthenticator.nextTag(type, body, 0, body.length);
+        byte[] tag = outboundAuthenticator == null
+                ? new byte[0]
+                : outboundAuthenticator.nextTag(type, body, 0, body.length);
         int length = 1 + body.length + tag.length;
         RingBuffer out = connection.out();
         out.put(new byte[] {
@@ -103,19 +112,24 @@
         try {
             frameReader.read(in);
         } catch (MessageRejectedException | BufferUnderflowException e) {
-            logger().log(Level.FINE, "event=malformed_message peer={0} reason=\"{1}\"", new Object[] {
-                peerName(), e.getMessage()
-            });
+            logger().log(
+                            Level.FINE,
+                            "event=malformed_message peer={0} reason=\"{1}\"",
+                            new Object[] {peerName(), e.getMessage()});
             incrementCounter("spoilt");
             connection.close(CloseReason.BAD_INPUT);
         }
-        if (authenticated && !connection.isClosed() && frameReader.isAtFrameBoundary() != (deadline == null)) {
+        if (authenticated
+                && !connection.isClosed()
+                && frameReader.isAtFrameBoundary() != (deadline == null)) {
             loop.cancel(deadline);
             // Danger: a message that stops in its middle, or whose length was spoilt, holds up all
             // behind it.
             deadline = frameReader.isAtFrameBoundary()
                     ? null
-                    : loop.schedule(loop.nowUs() + messageTimeoutUs, () -> connection.close(CloseReason.BAD_INPUT));
+                    : loop.schedule(
+                            loop.nowUs() + messageTimeoutUs,
+                            () -> connection.close(CloseReason.BAD_INPUT));
         }
     }
 
@@ -147,7 +161,8 @@
      *
      * @param frame type and body, as they came
      */
-    protected abstract void onMessage(byte type, ByteBuffer body, byte[] frame) throws MessageRejectedException;
+    protected abstract void onMessage(byte type, ByteBuffer body, byte[] frame)
+            throws MessageRejectedException;
 
     protected abstract void onClosed(CloseReason closeReason);
 
--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -1,16 +1,16 @@
 package tinlink.simadapter;
 
-import tinlink.decision.QueryCoordinator;
+import tinlink.config.DecisionConfig;
+import tinlink.config.FlatSettings;
+import tinlink.config.InvalidInputException;
+import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
-import tinlink.decision.LookupClass;
 import tinlink.decision.Lookup;
+import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.Attempt;
-import tinlink.config.InvalidInputException;
-import tinlink.config.FlatSettings;
-import tinlink.config.DecisionConfig;
+import tinlink.decision.QueryCoordinator;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -107,11 +107,16 @@
         if (part == null) {
             return;
         }
-        if (attemptNumber < 0 || attemptNumber >= part.attempts.size() || part.attempts.get(attemptNumber).outcome != null) {
-            throw new InvalidInputException("verdict: no part call " + attemptNumber + " is out for " + wireId);
+        if (attemptNumber < 0
+                || attemptNumber >= part.attempts.size()
+                || part.attempts.get(attemptNumber).outcome != null) {
+            throw new InvalidInputException(
+                    "verdict: no part call " + attemptNumber + " is out for " + wireId);
         }
-        module.onOutcome(part.attempts.get(attemptNumber), outcome, tookUs, reportedServiceTimeUs(feedback));
-        if (part.attemptsInFlight == 0 && (part.lookup.isEnded || !part.lookup.parts.contains(part))) {
+        module.onOutcome(
+                part.attempts.get(attemptNumber), outcome, tookUs, reportedServiceTimeUs(feedback));
+        if (part.attemptsInFlight == 0
+                && (part.lookup.isEnded || !part.lookup.parts.contains(part))) {
             parts.remove(wireId);
         }
     }
@@ -135,7 +140,8 @@
     private static long reportedServiceTimeUs(String feedback) {
         for (String pair : feedback.isEmpty() ? new String[0] : feedback.split(",")) {
             if (pair.startsWith("latency_ms:")) {
-                return WireLine.micros("verdict", "feedback", pair.substring("latency_ms:".length()));
+                return WireLine.micros(
+                        "verdict", "feedback", pair.substring("latency_ms:".length()));
             }
         }
         return -1;
@@ -174,8 +180,9 @@
             }
             node = new DataNode(entry.id());
         }
-        boolean restarted =
-                known && node.startedAtUs != entry.startedAt() && entry.state() != DataNode.State.GONE;
+        boolean restarted = known
+                && node.startedAtUs != entry.startedAt()
+                && entry.state() != DataNode.State.GONE;
         node.state = entry.state();
         if (node.state == DataNode.State.GONE) {
             nodes.remove(entry.id());
@@ -218,14 +225,22 @@
     @Override
     public void send(Attempt attempt, long limitUs) {
         String wireId = ((WirePart) attempt.part).wireId;
-        out.append("transmit ").append(wireId).append(' ').append(attempt.node.id).append(' ');
+        out.append("transmit ")
+                .append(wireId)
+                .append(' ')
+                .append(attempt.node.id)
+                .append(' ');
         appendMillis(limitUs);
     }
 
     @Override
     public void cancel(Attempt attempt) {
         String wireId = ((WirePart) attempt.part).wireId;
-        out.append("call_off ").append(wireId).append(' ').append(attempt.number).append('\n');
+        out.append("call_off ")
+                .append(wireId)
+                .append(' ')
+                .append(attempt.number)
+                .append('\n');
     }
 
     @Override
@@ -235,7 +250,9 @@
 
     @Override
     public void answer(Lookup lookup, boolean isComplete) {
-        out.append("respond ").append(((WireLookup) lookup).wireId).append(isComplete ? " 1\n" : " 0\n");
+        out.append("respond ")
+                .append(((WireLookup) lookup).wireId)
+                .append(isComplete ? " 1\n" : " 0\n");
         forgetEnded((WireLookup) lookup);
     }
 
--- a/src/main/java/tinlink/simadapter/SimulatorAdapter.java
+++ b/src/main/java/tinlink/simadapter/SimulatorAdapter.java
@@ -1,8 +1,8 @@
 package tinlink.simadapter;
 
-import tinlink.decision.QueryCoordinator;
-import tinlink.config.InvalidInputException;
 import tinlink.config.FlatSettings;
+import tinlink.config.InvalidInputException;
+import tinlink.decision.QueryCoordinator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -119,7 +119,8 @@
         long count = line.wholeNumber("members", 0);
         line.expectEnd();
         if (number < 0 || number >= endpointLists.length || count < 0) {
-            throw new InvalidInputException("sheet: no such list or count: " + number + " " + count);
+            throw new InvalidInputException(
+                    "sheet: no such list or count: " + number + " " + count);
         }
         List<WireEndpointList.Entry> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
@@ -134,12 +135,15 @@
         }
         if (line.name().equals("start")) {
             long seed = line.wholeNumber("prng");
-            instances.put(instanceId, new SimulatedRouter(seed, FlatSettings.ofPairs("start", line.rest())));
+            instances.put(
+                    instanceId,
+                    new SimulatedRouter(seed, FlatSettings.ofPairs("start", line.rest())));
             return;
         }
         SimulatedRouter instance = instances.get(instanceId);
         if (instance == null) {
-            throw new InvalidInputException(line.name() + ": instance " + instanceId + " is not started");
+            throw new InvalidInputException(
+                    line.name() + ": instance " + instanceId + " is not started");
         }
         instance.clock(nowUs);
         switch (line.name()) {
@@ -177,7 +181,8 @@
                     case 2 -> QueryCoordinator.EndpointListUpdate.CACHED;
                     case 3 -> QueryCoordinator.EndpointListUpdate.FAILED;
                     case 4 -> QueryCoordinator.EndpointListUpdate.FULL;
-                    default -> throw new InvalidInputException("endpoints: no such scope: " + scope);
+                    default ->
+                        throw new InvalidInputException("endpoints: no such scope: " + scope);
                 };
         if (watchEvent != QueryCoordinator.EndpointListUpdate.FAILED) {
             if (list < 0 || list >= endpointLists.length || endpointLists[(int) list] == null) {
--- a/src/main/java/tinlink/simadapter/WireEndpointList.java
+++ b/src/main/java/tinlink/simadapter/WireEndpointList.java
@@ -1,7 +1,7 @@
 package tinlink.simadapter;
 
-import tinlink.decision.DataNode;
 import tinlink.config.InvalidInputException;
+import tinlink.decision.DataNode;
 
 import java.util.HashSet;
 import java.util.List;
@@ -49,7 +49,8 @@
                     case 0 -> DataNode.State.GONE;
                     case 1 -> DataNode.State.READY;
                     case 2 -> DataNode.State.DRAINING;
-                    default -> throw new InvalidInputException("node: no such health: " + stateCode);
+                    default ->
+                        throw new InvalidInputException("node: no such health: " + stateCode);
                 };
         double size = line.number("capacityHint", 1);
         long startedAt = line.micros("readyAtMs", 0);
--- a/src/main/java/tinlink/simadapter/WireLine.java
+++ b/src/main/java/tinlink/simadapter/WireLine.java
@@ -1,7 +1,7 @@
 package tinlink.simadapter;
 
-import tinlink.config.InvalidInputException;
 import tinlink.config.FlatSettings;
+import tinlink.config.InvalidInputException;
 
 /** One line of the wire, read field by field. */
 final class WireLine {
@@ -69,7 +69,8 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new InvalidInputException(name + ": field '" + fieldName + "' is no whole number: " + value);
+            throw new InvalidInputException(
+                    name + ": field '" + fieldName + "' is no whole number: " + value);
         }
     }
 
@@ -86,7 +87,8 @@
         } catch (NumberFormatException e) {
             // Reported below, like one that is not finite.
         }
-        throw new InvalidInputException(name + ": field '" + fieldName + "' is no number: " + value);
+        throw new InvalidInputException(
+                name + ": field '" + fieldName + "' is no number: " + value);
     }
 
     /** Milliseconds with fractions, as whole microseconds. */
--- a/src/main/java/tinlink/storage/DurableLog.java
+++ b/src/main/java/tinlink/storage/DurableLog.java
@@ -122,7 +122,8 @@
                 String name = path.getFileName().toString();
                 if (name.endsWith(".new")) {
                     Files.delete(
-                            path); // It was being written when the process ended; nothing rests on it.
+                            path); // It was being written when the process ended; nothing rests on
+                    // it.
                 } else if (name.matches("log-\\d{1,18}")) {
                     logs.put(Long.parseLong(name.substring(4)), path);
                 } else if (name.matches("snap-\\d{1,18}")) {
@@ -148,18 +149,22 @@
                 throw new CorruptLogException(
                         liveLogs.get(firstNumber).toString(),
                         0,
-                        "records " + nextRecordNumber + " to " + (firstNumber - 1) + " are missing");
+                        "records " + nextRecordNumber + " to " + (firstNumber - 1)
+                                + " are missing");
             }
             readLog(liveLogs.get(firstNumber), firstNumber, firstNumber == liveLogs.lastKey());
         }
         if (liveLogs.isEmpty()) {
             if (snapshot == null && !logs.isEmpty()) {
-                throw new CorruptLogException(directory.toString(), 0, "the first records are missing");
+                throw new CorruptLogException(
+                        directory.toString(), 0, "the first records are missing");
             }
             startLogFile();
         } else {
             logChannel = FileChannel.open(
-                    liveLogs.get(liveLogs.lastKey()), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
+                    liveLogs.get(liveLogs.lastKey()),
+                    StandardOpenOption.WRITE,
+                    StandardOpenOption.APPEND);
         }
         for (Path path : obsolete) {
             Files.deleteIfExists(path);
@@ -169,7 +174,8 @@
     private static byte[] readSnapshot(Path file, long number) throws IOException {
         byte[] content = Files.readAllBytes(file);
         int magicLength = RecordFraming.lengthAt(content, 0, number);
-        int stateLength = magicLength < 0 ? -1 : RecordFraming.lengthAt(content, magicLength, number);
+        int stateLength =
+                magicLength < 0 ? -1 : RecordFraming.lengthAt(content, magicLength, number);
         if (magicLength != RecordFraming.HEADER_BYTES + SNAPSHOT_MAGIC.length
                 || stateLength < 0
                 || magicLength + stateLength != content.length
@@ -179,19 +185,29 @@
                     Math.max(0, magicLength),
                     "it is no whole snapshot of version " + VERSION);
         }
-        return java.util.Arrays.copyOfRange(content, magicLength + RecordFraming.HEADER_BYTES, content.length);
+        return java.util.Arrays.copyOfRange(
+                content, magicLength + RecordFraming.HEADER_BYTES, content.length);
     }
 
     private static boolean hasMagic(byte[] content, byte[] magic) {
         return java.util.Arrays.equals(
-                content, RecordFraming.HEADER_BYTES, RecordFraming.HEADER_BYTES + magic.length, magic, 0, magic.length);
+                content,
+                RecordFraming.HEADER_BYTES,
+                RecordFraming.HEADER_BYTES + magic.length,
+                magic,
+                0,
+                magic.length);
     }
 
     private void readLog(Path file, long firstNumber, boolean isNewest) throws IOException {
         byte[] content = Files.readAllBytes(file);
         int offset = RecordFraming.lengthAt(content, 0, firstNumber);
-        boolean hasHeader = offset == RecordFraming.HEADER_BYTES + LOG_MAGIC.length && hasMagic(content, LOG_MAGIC);
-        if (!hasHeader && (!isNewest || offset >= 0 || RecordFraming.hasRecordAfter(content, 0, firstNumber))) {
+        boolean hasHeader = offset == RecordFraming.HEADER_BYTES + LOG_MAGIC.length
+                && hasMagic(content, LOG_MAGIC);
+        if (!hasHeader
+                && (!isNewest
+                        || offset >= 0
+                        || RecordFraming.hasRecordAfter(content, 0, firstNumber))) {
             throw new CorruptLogException(file.toString(), 0, "it is no log of version " + VERSION);
         }
         offset = hasHeader ? offset : 0;
@@ -200,7 +216,8 @@
             if (length < 0) {
                 break;
             }
-            records.add(java.util.Arrays.copyOfRange(content, offset + RecordFraming.HEADER_BYTES, offset + length));
+            records.add(java.util.Arrays.copyOfRange(
+                    content, offset + RecordFraming.HEADER_BYTES, offset + length));
             offset += length;
             nextRecordNumber++;
         }
@@ -278,14 +295,19 @@
                     StandardOpenOption.CREATE,
                     StandardOpenOption.TRUNCATE_EXISTING,
                     StandardOpenOption.WRITE)) {
-                writeFully(channel, List.of(RecordFraming.encode(nextRecordNumber, SNAPSHOT_MAGIC), RecordFraming.encode(nextRecordNumber, state)));
+                writeFully(
+                        channel,
+                        List.of(
+                                RecordFraming.encode(nextRecordNumber, SNAPSHOT_MAGIC),
+                                RecordFraming.encode(nextRecordNumber, state)));
                 channel.force(true);
             }
             Files.move(temporaryFile, snapshotFile, StandardCopyOption.ATOMIC_MOVE);
             syncDirectory();
             logChannel.close();
             startLogFile();
-            try (DirectoryStream<Path> entries = Files.newDirectoryStream(directory, "{log,snap}-*")) {
+            try (DirectoryStream<Path> entries =
+                    Files.newDirectoryStream(directory, "{log,snap}-*")) {
                 for (Path path : entries) {
                     if (!path.getFileName().toString().endsWith("-" + nextRecordNumber)) {
                         Files.delete(path);
@@ -305,8 +327,8 @@
     private void write(List<byte[]> frames) throws IOException {
         long addedBytes = frames.stream().mapToLong(frame -> frame.length).sum();
         if (bytesSinceSnapshot + addedBytes > maxBytes) {
-            throw new IOException(
-                    directory + ": the log is full with " + bytesSinceSnapshot + " of " + maxBytes + " bytes");
+            throw new IOException(directory + ": the log is full with " + bytesSinceSnapshot
+                    + " of " + maxBytes + " bytes");
         }
         writeFully(logChannel, frames);
         bytesSinceSnapshot += addedBytes;
@@ -330,7 +352,8 @@
     private void ensureUsable() throws IOException {
         if (failure != null) {
             throw new IOException(
-                    directory + ": nothing is kept after an earlier failure: " + failure.getMessage(),
+                    directory + ": nothing is kept after an earlier failure: "
+                            + failure.getMessage(),
                     failure);
         }
     }
--- a/src/main/java/tinlink/storage/RecordFraming.java
+++ b/src/main/java/tinlink/storage/RecordFraming.java
@@ -18,9 +18,12 @@
         if (record.length > MAX_RECORD_BYTES) {
             throw new IllegalArgumentException("a record of " + record.length + " bytes");
         }
-        ByteBuffer buffer =
-                ByteBuffer.allocate(HEADER_BYTES + record.length).putInt(record.length).putLong(number);
-        return buffer.putInt(checksum(record.length, number, record, 0)).put(record).array();
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + record.length)
+                .putInt(record.length)
+                .putLong(number);
+        return buffer.putInt(checksum(record.length, number, record, 0))
+                .put(record)
+                .array();
     }
 
     private static int checksum(int length, long number, byte[] bytes, int offset) {
@@ -43,7 +46,9 @@
                 || buffer.getLong() != number) {
             return -1;
         }
-        return buffer.getInt() == checksum(length, number, file, offset + HEADER_BYTES) ? HEADER_BYTES + length : -1;
+        return buffer.getInt() == checksum(length, number, file, offset + HEADER_BYTES)
+                ? HEADER_BYTES + length
+                : -1;
     }
 
     /**
@@ -53,7 +58,9 @@
     static boolean hasRecordAfter(byte[] file, int offset, long number) {
         for (int candidate = offset + 1; candidate + HEADER_BYTES <= file.length; candidate++) {
             long candidateNumber = ByteBuffer.wrap(file, candidate + 4, 8).getLong();
-            if (candidateNumber >= number && candidateNumber - number <= file.length && lengthAt(file, candidate, candidateNumber) >= 0) {
+            if (candidateNumber >= number
+                    && candidateNumber - number <= file.length
+                    && lengthAt(file, candidate, candidateNumber) >= 0) {
                 return true;
             }
         }
--- a/src/test/java/tinlink/ArchitectureTest.java
+++ b/src/test/java/tinlink/ArchitectureTest.java
@@ -97,7 +97,12 @@
                 .mayOnlyBeAccessedByLayers("maintenance", "policy", "router", "simulation")
                 .whereLayer("cluster membership")
                 .mayOnlyBeAccessedByLayers(
-                        "cluster", "maintenance", "maintenance scheduling", "policy", "router", "simulation")
+                        "cluster",
+                        "maintenance",
+                        "maintenance scheduling",
+                        "policy",
+                        "router",
+                        "simulation")
                 .whereLayer("maintenance")
                 .mayOnlyBeAccessedByLayers("router", "simulation")
                 .whereLayer("maintenance scheduling")
@@ -136,7 +141,8 @@
     void replicatedStateReadsNoClockThatCanStep() {
         noClasses()
                 .that()
-                .resideInAnyPackage("tinlink.cluster..", "tinlink.maintenance..", "tinlink.policy..")
+                .resideInAnyPackage(
+                        "tinlink.cluster..", "tinlink.maintenance..", "tinlink.policy..")
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
                 .check(ALL);
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -1,14 +1,14 @@
 package tinlink;
 
-import tinlink.decision.QueryCoordinator;
+import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
-import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.DecisionHandler;
-import tinlink.decision.LookupClass;
+import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.Lookup;
+import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.Attempt;
+import tinlink.decision.QueryCoordinator;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -87,7 +87,9 @@
                 }
                 module().onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FULL);
             }
-            case "list" -> module().onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.valueOf(words[1].toUpperCase(Locale.ROOT)));
+            case "list" ->
+                module().onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.valueOf(
+                        words[1].toUpperCase(Locale.ROOT)));
             case "lookup" -> {
                 Lookup lookup = new Lookup();
                 lookup.lookupClass = indexes.get(words[2]);
@@ -102,7 +104,8 @@
             }
             case "more" -> takeParts(lookups.get(words[1]), words);
             case "gone" -> module().onClientGone(lookups.get(words[1]));
-            default -> end(Outcome.valueOf(words[0].toUpperCase(Locale.ROOT).replace('-', '_')), words[1]);
+            default ->
+                end(Outcome.valueOf(words[0].toUpperCase(Locale.ROOT).replace('-', '_')), words[1]);
         }
     }
 
@@ -128,7 +131,8 @@
             Part part = new Part();
             part.lookup = lookup;
             part.shard = shards.get(i);
-            part.weight = weights.isEmpty() ? 1.0 / shards.size() : Double.parseDouble(weights.get(i));
+            part.weight =
+                    weights.isEmpty() ? 1.0 / shards.size() : Double.parseDouble(weights.get(i));
             String name = names.get(lookup) + (lookup.isSecondStep ? ".b" : ".") + i;
             names.put(part, name);
             parts.put(name, part);
@@ -164,7 +168,9 @@
      */
     private void end(Outcome outcome, String name) {
         if (lookups.containsKey(name)) {
-            lookups.get(name).parts.stream().toList().forEach(part -> end(outcome, names.get(part)));
+            lookups.get(name).parts.stream()
+                    .toList()
+                    .forEach(part -> end(outcome, names.get(part)));
             return;
         }
         Part part = parts.get(name.replaceAll("#.*", ""));
@@ -189,7 +195,8 @@
         after(words, "second").forEach(n -> lookupClass.secondStepParts = Integer.parseInt(n));
         lookupClass.lateAnswerWeight = Arrays.asList(words).contains("late") ? 0.3 : 0;
         for (LookupClass.Idempotency e : LookupClass.Idempotency.values()) {
-            if (Arrays.asList(words).contains(e.name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
+            if (Arrays.asList(words)
+                    .contains(e.name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
                 lookupClass.idempotency = e;
             }
         }
@@ -213,12 +220,18 @@
 
     private QueryCoordinator module() {
         if (module == null) {
-            long longestSoft =
-                    indexes.values().stream().mapToLong(lookupClass -> lookupClass.latencyObjectiveUs).max().orElse(1);
-            FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(longestSoft);
+            long longestSoft = indexes.values().stream()
+                    .mapToLong(lookupClass -> lookupClass.latencyObjectiveUs)
+                    .max()
+                    .orElse(1);
+            FastestValidCoordinator.OutlierDetector health =
+                    new FastestValidCoordinator.OutlierDetector(longestSoft);
             module = new FastestValidCoordinator(
                     new FastestValidCoordinator.AttemptTiming(
-                            microsSetting("step"), intSetting("tries"), booleanSetting("copies"), booleanSetting("cancel")),
+                            microsSetting("step"),
+                            intSetting("tries"),
+                            booleanSetting("copies"),
+                            booleanSetting("cancel")),
                     new FastestValidCoordinator.ReplicaSelector(
                             intSetting("cells"),
                             intSetting("reach"),
@@ -230,9 +243,14 @@
                     health,
                     new FastestValidCoordinator.SlowStart(
                             7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
-                    new FastestValidCoordinator.RetryBudget(microsSetting("lookback"), intSetting("free"), doubleSetting("ratio"), 100),
+                    new FastestValidCoordinator.RetryBudget(
+                            microsSetting("lookback"),
+                            intSetting("free"),
+                            doubleSetting("ratio"),
+                            100),
                     new FastestValidCoordinator.AdmissionController(7, microsSetting("comeback")),
-                    new FastestValidCoordinator.EndpointListPoller(7, booleanSetting("asks"), microsSetting("mustask")));
+                    new FastestValidCoordinator.EndpointListPoller(
+                            7, booleanSetting("asks"), microsSetting("mustask")));
             module.advanceClock(now);
         }
         return module;
@@ -259,7 +277,8 @@
     private void expectNoDecisionLeft() {
         pullDecisions();
         if (!unexpectedDecisions.isEmpty()) {
-            throw new AssertionError("decisions that the scenario does not expect: " + unexpectedDecisions);
+            throw new AssertionError(
+                    "decisions that the scenario does not expect: " + unexpectedDecisions);
         }
     }
 
@@ -305,7 +324,8 @@
 
     @Override
     public void reject(Lookup lookup, long comeBackUs) {
-        unexpectedDecisions.add("nack " + names.get(lookup) + (comeBackUs > 0 ? " " + comeBackUs / 1000 : ""));
+        unexpectedDecisions.add(
+                "nack " + names.get(lookup) + (comeBackUs > 0 ? " " + comeBackUs / 1000 : ""));
     }
 
     @Override
--- a/src/test/java/tinlink/RouterScenarioPlayer.java
+++ b/src/test/java/tinlink/RouterScenarioPlayer.java
@@ -2,18 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import tinlink.decision.QueryCoordinator;
+import tinlink.config.HangupSignal;
+import tinlink.config.RouterConfig;
+import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
 import tinlink.decision.Lookup;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
-import tinlink.decision.Attempt;
+import tinlink.decision.QueryCoordinator;
 import tinlink.experiment.processes.RouterProcess;
 import tinlink.net.ParserPlayer;
 import tinlink.router.Router;
-import tinlink.config.HangupSignal;
-import tinlink.config.RouterConfig;
 
 import java.io.BufferedReader;
 import java.io.DataInputStream;
@@ -191,10 +191,13 @@
             case "faulty" -> faulty = true;
             case "hold" -> {
                 completions.set(0);
-                (line.endsWith(" timers") ? timerGate : line.endsWith(" reads") ? readGate : turnGate)
+                (line.endsWith(" timers")
+                                ? timerGate
+                                : line.endsWith(" reads") ? readGate : turnGate)
                         .set(new CountDownLatch(1));
             }
-            case "held" -> awaitCount(gateArrivals, words.length > 1 ? Integer.parseInt(words[1]) : 1);
+            case "held" ->
+                awaitCount(gateArrivals, words.length > 1 ? Integer.parseInt(words[1]) : 1);
             case "blocked" -> awaitLoop(".IoThread", "the loop does not wait for the I/O thread");
             case "rests" -> awaitLoop(".EventLoop", "the loop does not wait for events");
             case "completions" -> awaitCount(completions, Integer.parseInt(words[1]));
@@ -288,7 +291,12 @@
                         Files.readString(configFile())
                                 .replace(
                                         ":" + from.port() + "\"",
-                                        ":" + (from == secondDiscovery ? discovery : secondDiscovery).port() + "\""));
+                                        ":"
+                                                + (from == secondDiscovery
+                                                                ? discovery
+                                                                : secondDiscovery)
+                                                        .port()
+                                                + "\""));
             }
             case "hangup" ->
                 new ProcessBuilder("kill", "-HUP", "" + ProcessHandle.current().pid()).start();
@@ -333,7 +341,8 @@
                 "OFF",
                 "NODE_DISCOVERY",
                 "127.0.0.1:" + discovery.port()));
-        QueryCoordinator module = faulty ? new FaultyCoordinator(from.decision.module) : from.decision.module;
+        QueryCoordinator module =
+                faulty ? new FaultyCoordinator(from.decision.module) : from.decision.module;
         router = new Router(from, new GatedCoordinator(module), this::handler);
         earlyClients.forEach(Thread::start);
         if (warm) {
@@ -496,7 +505,8 @@
         }
 
         @Override
-        public void onOutcome(Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs) {
+        public void onOutcome(
+                Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs) {
             module.onOutcome(attempt, outcome, tookUs, reportedLatencyUs);
         }
 
@@ -511,7 +521,8 @@
         }
 
         @Override
-        public void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
+        public void onHealthCheck(
+                DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
             module.onHealthCheck(node, outcome, tookUs, reportedLatencyUs);
         }
 
@@ -700,7 +711,8 @@
                 try {
                     while (true) {
                         Socket s = server.accept();
-                        if (backlogFillers.stream().anyMatch(f -> f.getLocalPort() == s.getPort())) {
+                        if (backlogFillers.stream()
+                                .anyMatch(f -> f.getLocalPort() == s.getPort())) {
                             continue;
                         }
                         connections.add(s);
@@ -739,8 +751,8 @@
                     watchConnection = s;
                     while (!path.contains("watch=") && !hangs) {
                         s.getOutputStream()
-                                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + fullList().length()
-                                                + "\r\n\r\n" + fullList())
+                                .write(("HTTP/1.1 200 OK\r\nContent-Length: "
+                                                + fullList().length() + "\r\n\r\n" + fullList())
                                         .getBytes(StandardCharsets.UTF_8));
                         received.add(path);
                         path = head(in).split(" ", 0)[1];
@@ -748,7 +760,8 @@
                     if (!hangs) {
                         serveWatch(s);
                     }
-                    received.add(path); // Only now: the script may say a line as soon as it sees this.
+                    received.add(
+                            path); // Only now: the script may say a line as soon as it sees this.
                     in.read();
                 } else {
                     while (stopsReading) {
@@ -883,7 +896,8 @@
                         firstUpdateDelayMs = LATE_MS;
                     }
                 }
-                case "links" -> assertEquals(Integer.parseInt(rest), connections.size(), "links in all");
+                case "links" ->
+                    assertEquals(Integer.parseInt(rest), connections.size(), "links in all");
                 case "refuses" -> refuse();
                 case "returns" -> {
                     server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
@@ -904,7 +918,8 @@
                 next = received.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             assertEquals(words[1], next);
-            assertEquals(true, calls <= Integer.parseInt(words[0]), calls + " part calls came before");
+            assertEquals(
+                    true, calls <= Integer.parseInt(words[0]), calls + " part calls came before");
         }
 
         /** Until the thread that accepts has let go of it, the kernel still takes connections. */
@@ -924,7 +939,9 @@
         /** NODE STATE [BOOT]: one change of the list. */
         private String change(String rest) {
             String[] words = rest.split(" ", 0);
-            String entry = dataNodes.get(words[0]).entry(words[1], words.length > 2 ? Long.parseLong(words[2]) : 0);
+            String entry = dataNodes
+                    .get(words[0])
+                    .entry(words[1], words.length > 2 ? Long.parseLong(words[2]) : 0);
             return "{\"rev\":50,\"all\":false,\"targets\":[" + entry + "]}";
         }
 
@@ -938,13 +955,17 @@
         }
 
         private Socket newestConnection() {
-            return watchConnection == null ? connections.get(connections.size() - 1) : watchConnection;
+            return watchConnection == null
+                    ? connections.get(connections.size() - 1)
+                    : watchConnection;
         }
 
         private void send(String[] words) throws IOException {
             switch (words[0]) {
-                case "OK", "ERROR", "REJECTED" -> frame(connectionByPart.get(words[1]), answer(words));
-                case "N" -> frame(newestConnection(), "N" + String.join(" ", words).substring(1));
+                case "OK", "ERROR", "REJECTED" ->
+                    frame(connectionByPart.get(words[1]), answer(words));
+                case "N" ->
+                    frame(newestConnection(), "N" + String.join(" ", words).substring(1));
                 case "frame" ->
                     frame(
                             newestConnection(),
@@ -952,7 +973,8 @@
                                     ParserPlayer.bytes(String.join(" ", words).substring(6)),
                                     StandardCharsets.UTF_8));
                 case "raw" ->
-                    newestConnection().getOutputStream()
+                    newestConnection()
+                            .getOutputStream()
                             .write(ParserPlayer.bytes(String.join(" ", words).substring(4)));
                 case "end" -> newestConnection().close();
                 case "reset" -> {
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-import tinlink.simadapter.SimulatorAdapter;
+import tinlink.config.InvalidInputException;
+import tinlink.config.RouterConfig;
 import tinlink.gateway.forwarding.ForwardingPlayer;
 import tinlink.http2.Http2ConnectionPlayer;
 import tinlink.http2.pool.ConnectionPoolPlayer;
+import tinlink.maintenance.scheduling.MaintenanceScenarioPlayer;
 import tinlink.net.CloseReason;
 import tinlink.net.ParserPlayer;
-import tinlink.config.InvalidInputException;
-import tinlink.config.RouterConfig;
-import tinlink.maintenance.scheduling.MaintenanceScenarioPlayer;
+import tinlink.simadapter.SimulatorAdapter;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -141,7 +141,8 @@
     void config(String title, List<String> script, @TempDir Path dir) throws IOException {
         Path file = Files.writeString(dir.resolve("c"), pick(script, "> "));
         InvalidInputException e = assertThrows(
-                InvalidInputException.class, () -> new RouterConfig(Map.of("NODE_CONFIG", file.toString())));
+                InvalidInputException.class,
+                () -> new RouterConfig(Map.of("NODE_CONFIG", file.toString())));
         assertEquals(pick(script, "! "), e.getMessage() + "\n");
     }
 
@@ -156,7 +157,8 @@
             assertEquals(1, new RouterConfig(env).gateway.remoteRouters.size());
             return;
         }
-        InvalidInputException e = assertThrows(InvalidInputException.class, () -> new RouterConfig(env));
+        InvalidInputException e =
+                assertThrows(InvalidInputException.class, () -> new RouterConfig(env));
         assertEquals(pick(script, "! "), e.getMessage().replace(file.toString(), "FILE") + "\n");
     }
 
@@ -173,8 +175,8 @@
     @ParameterizedTest
     @EnumSource(CloseReason.class)
     void eachCloseReasonTellsWhetherACallMayHaveRun(CloseReason closeReason) {
-        boolean neverUp =
-                EnumSet.of(CloseReason.REFUSED, CloseReason.NOT_UP, CloseReason.NO_SOCKET).contains(closeReason);
+        boolean neverUp = EnumSet.of(CloseReason.REFUSED, CloseReason.NOT_UP, CloseReason.NO_SOCKET)
+                .contains(closeReason);
         for (boolean meant : new boolean[] {true, false}) {
             assertEquals(neverUp, closeReason.toOutcome(true, meant).neverRan);
             assertTrue(closeReason.toOutcome(false, meant).neverRan);
--- a/src/test/java/tinlink/cluster/ClusterNodeTest.java
+++ b/src/test/java/tinlink/cluster/ClusterNodeTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-import tinlink.net.EventLoop;
-import tinlink.net.Network;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.MemberState;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
 import tinlink.securechannel.KeyRing;
 
 import java.io.IOException;
@@ -78,7 +78,8 @@
 
         TestNode(String name, KeyRing keys, int voters, Path where) throws IOException {
             network = new Network(loop);
-            int port = Integer.parseInt(addresses.get(name).substring(addresses.get(name).indexOf(':') + 1));
+            int port = Integer.parseInt(
+                    addresses.get(name).substring(addresses.get(name).indexOf(':') + 1));
             clusterNode = new ClusterNode(
                     loop,
                     network,
@@ -88,7 +89,9 @@
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                             addresses.get(name)),
                     new ClusterNode.KnownRouters(
-                            addresses, new TreeSet<>(addresses.keySet().stream().limit(voters).toList())),
+                            addresses,
+                            new TreeSet<>(
+                                    addresses.keySet().stream().limit(voters).toList())),
                     keys,
                     new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
                     new ClusterNode.Limits(64, 8 << 20, 20),
@@ -145,7 +148,8 @@
         nodes.values().forEach(TestNode::close);
     }
 
-    private static void waitUntil(String description, Supplier<Boolean> condition) throws InterruptedException {
+    private static void waitUntil(String description, Supplier<Boolean> condition)
+            throws InterruptedException {
         for (int i = 0; i < 1000; i++) {
             if (Boolean.TRUE.equals(condition.get())) {
                 return;
@@ -159,7 +163,8 @@
     private void proposeUntilAgreed(TestNode node, String line) throws Exception {
         for (int i = 0; i < 100; i++) {
             CompletableFuture<String> reply = new CompletableFuture<>();
-            node.loop.execute(() -> node.clusterNode.propose(line, (text, e) -> reply.complete(text)));
+            node.loop.execute(
+                    () -> node.clusterNode.propose(line, (text, e) -> reply.complete(text)));
             String text = reply.completeOnTimeout(null, 2, TimeUnit.SECONDS).get();
             if (text != null) {
                 assertTrue(text.startsWith("no. "), text);
@@ -174,10 +179,21 @@
         List<TestNode> running = new ArrayList<>(nodes.values());
         waitUntil(
                 description,
-                () -> running.stream().map(node -> node.callOnLoop(node.stateMachine::snapshot)).distinct().count() == 1
+                () -> distinctSnapshots(running) == 1
                         && !running.get(0).stateMachine.snapshot().isEmpty());
     }
 
+    private static long distinctSnapshots(List<TestNode> running) {
+        return running.stream()
+                .map(node -> node.callOnLoop(node.stateMachine::snapshot))
+                .distinct()
+                .count();
+    }
+
+    private static long wrongProofs(TestNode node) {
+        return node.callOnLoop(() -> node.clusterNode.counters().get("peers_wrong_proof"));
+    }
+
     private MemberState stateOf(TestNode node, String router) {
         return node.callOnLoop(() -> {
             Member member = node.clusterNode.membership().member(router);
@@ -208,7 +224,8 @@
             proposeUntilAgreed(nodes.get("r" + i % 5), "line " + i);
         }
         waitUntilAllEqual("all hear the same, also who does not vote");
-        String leader = nodes.get("r4").callOnLoop(() -> nodes.get("r4").clusterNode.leader());
+        String leader =
+                nodes.get("r4").callOnLoop(() -> nodes.get("r4").clusterNode.leader());
         nodes.remove(leader).close();
         proposeUntilAgreed(nodes.get("r4"), "without " + leader);
         TestNode restarted = start(leader, 3);
@@ -234,11 +251,15 @@
         nodes.remove("r1").close();
         TestNode stale = new TestNode("r1", KEYS, 3, folder.resolve("copy"));
         nodes.put("r1", stale);
-        waitUntil("the old copy is found out", () -> stale.callOnLoop(stale.clusterNode::hasStaleDisk));
+        waitUntil(
+                "the old copy is found out",
+                () -> stale.callOnLoop(stale.clusterNode::hasStaleDisk));
         nodes.remove("r1").close();
         TestNode lost = new TestNode("r1", KEYS, 3, folder.resolve("nothing"));
         nodes.put("r1", lost);
-        waitUntil("the lost disk is found out", () -> lost.callOnLoop(lost.clusterNode::hasStaleDisk));
+        waitUntil(
+                "the lost disk is found out",
+                () -> lost.callOnLoop(lost.clusterNode::hasStaleDisk));
         proposeUntilAgreed(nodes.get("r0"), "the two others go on");
     }
 
@@ -261,13 +282,7 @@
                         folder.resolve("r2")));
         waitUntil(
                 "it was refused",
-                () -> nodes.get("r0").callOnLoop(() -> nodes.get("r0").clusterNode.counters().get("peers_wrong_proof"))
-                                + nodes.get("r2")
-                                        .callOnLoop(() -> nodes.get("r2")
-                                                .clusterNode
-                                                .counters()
-                                                .get("peers_wrong_proof"))
-                        > 0);
+                () -> wrongProofs(nodes.get("r0")) + wrongProofs(nodes.get("r2")) > 0);
         assertNull(stateOf(nodes.get("r0"), "r2"));
         assertEquals(List.of(), nodes.get("r2").stateMachine.snapshot());
         nodes.remove("r2").close();
--- a/src/test/java/tinlink/cluster/membership/RecoveryFloorTest.java
+++ b/src/test/java/tinlink/cluster/membership/RecoveryFloorTest.java
@@ -11,12 +11,18 @@
 /** What a voter that was started again holds to. */
 class RecoveryFloorTest {
     private static final List<RecoveryFloor> ANSWERS = List.of(
-            new RecoveryFloor(2, 1, 107), new RecoveryFloor(3, 2, 90), new RecoveryFloor(2, 1, 95), new RecoveryFloor(1, 1, 80));
+            new RecoveryFloor(2, 1, 107),
+            new RecoveryFloor(3, 2, 90),
+            new RecoveryFloor(2, 1, 95),
+            new RecoveryFloor(1, 1, 80));
 
     @Test
     void floorIsTheLeastPositionOfAQuorumAndTheLatestTerm() {
         assertEquals(new RecoveryFloor(3, 1, 107), RecoveryFloor.fromAnswers(ANSWERS, 3));
-        assertEquals(RecoveryFloor.NONE, RecoveryFloor.fromAnswers(ANSWERS.subList(0, 2), 3), "too few have answered");
+        assertEquals(
+                RecoveryFloor.NONE,
+                RecoveryFloor.fromAnswers(ANSWERS.subList(0, 2), 3),
+                "too few have answered");
     }
 
     /** Fails without the floor: a vote that was given and forgotten is given a second time. */
--- a/src/test/java/tinlink/cluster/membership/VoterReplacementTest.java
+++ b/src/test/java/tinlink/cluster/membership/VoterReplacementTest.java
@@ -19,14 +19,21 @@
             new TreeMap<>(Map.of("r1", "0", "r2", "0", "r3", "0"));
 
     private static VoterReplacement.Change nextChange(
-            Map<String, String> voters, Map<String, String> present, Map<String, String> operatorReplacements) {
-        return VoterReplacement.nextChange(new TreeMap<>(voters), new TreeMap<>(present), new TreeMap<>(operatorReplacements), 3);
+            Map<String, String> voters,
+            Map<String, String> present,
+            Map<String, String> operatorReplacements) {
+        return VoterReplacement.nextChange(
+                new TreeMap<>(voters),
+                new TreeMap<>(present),
+                new TreeMap<>(operatorReplacements),
+                3);
     }
 
     @Test
     void aLostDiskIsReplacedByTheNewOneInTwoSteps() {
         Map<String, String> present = Map.of("r1", "0", "r2", "7", "r3", "0");
-        assertEquals(new VoterReplacement.Change("r2/0", null), nextChange(VOTERS, present, Map.of()));
+        assertEquals(
+                new VoterReplacement.Change("r2/0", null), nextChange(VOTERS, present, Map.of()));
         assertEquals(
                 new VoterReplacement.Change(null, "r2/7"),
                 nextChange(Map.of("r1", "0", "r3", "0"), present, Map.of()));
@@ -43,9 +50,13 @@
     void anotherRouterBecomesVoterOnlyByAnOperatorsCommand() {
         Map<String, String> present = Map.of("r1", "0", "r3", "0", "r4", "5");
         assertNull(nextChange(VOTERS, present, Map.of()), "r2 may only be away for a while");
-        assertEquals(new VoterReplacement.Change("r2/0", null), nextChange(VOTERS, present, Map.of("r2", "r4")));
+        assertEquals(
+                new VoterReplacement.Change("r2/0", null),
+                nextChange(VOTERS, present, Map.of("r2", "r4")));
         Map<String, String> twoPresent = Map.of("r1", "0", "r3", "0");
-        assertEquals(new VoterReplacement.Change(null, "r4/5"), nextChange(twoPresent, present, Map.of("r2", "r4")));
+        assertEquals(
+                new VoterReplacement.Change(null, "r4/5"),
+                nextChange(twoPresent, present, Map.of("r2", "r4")));
         Map<String, String> originalPresent = Map.of("r1", "0", "r2", "0", "r3", "0", "r4", "5");
         assertEquals(
                 new VoterReplacement.Change(null, "r4/5"),
@@ -63,11 +74,14 @@
     @Test
     void aDiskIsAdmittedOnceAMajorityKnowsNothingLater() {
         VoterAdmission admission = admission();
-        admission.answered("r2", new Incarnation("r1", 3, 1), new LogPosition(3, 50), RecoveryFloor.NONE, 0);
+        admission.answered(
+                "r2", new Incarnation("r1", 3, 1), new LogPosition(3, 50), RecoveryFloor.NONE, 0);
         assertEquals(Decision.UNDECIDED, admission.decide(10_000, 100));
         admission.answered("r3", null, null, RecoveryFloor.NONE, 10_000);
         assertEquals(
-                Decision.UNDECIDED, admission.decide(10_099, 100), "each of the others may be the one that knows");
+                Decision.UNDECIDED,
+                admission.decide(10_099, 100),
+                "each of the others may be the one that knows");
         assertEquals(Set.of("r4", "r5"), admission.votersToAsk());
         assertEquals(
                 Decision.UNDECIDED,
@@ -83,7 +97,9 @@
         withLaterPositions.answered("r3", null, null, new RecoveryFloor(4, 3, 60), 0);
         withLaterPositions.answered("r4", null, null, new RecoveryFloor(3, 3, 50), 0);
         assertEquals(
-                Decision.UNDECIDED, withLaterPositions.decide(99, 100), "each of the others may be the one that knows");
+                Decision.UNDECIDED,
+                withLaterPositions.decide(99, 100),
+                "each of the others may be the one that knows");
         assertEquals(Decision.ADMITTED, withLaterPositions.decide(100, 100));
         assertEquals(new RecoveryFloor(4, 3, 60), withLaterPositions.floor());
     }
@@ -108,15 +124,18 @@
 
     @Test
     void anEmptyDiskOfAKnownRouterReplacesTheLostOne() {
-        for (Incarnation knownIncarnation :
-                new Incarnation[] {new Incarnation("r1", 3, 1), new Incarnation("r1", 4, 8), new Incarnation("r1", 7, 2)}) {
-            VoterAdmission admission = new VoterAdmission(SELF, new LogPosition(0, 0), Set.of("r2", "r3"), true);
+        for (Incarnation knownIncarnation : new Incarnation[] {
+            new Incarnation("r1", 3, 1), new Incarnation("r1", 4, 8), new Incarnation("r1", 7, 2)
+        }) {
+            VoterAdmission admission =
+                    new VoterAdmission(SELF, new LogPosition(0, 0), Set.of("r2", "r3"), true);
             admission.answered("r2", knownIncarnation, null, RecoveryFloor.NONE, 0);
             assertEquals(Decision.STALE_DISK, admission.decision(), knownIncarnation.toString());
             assertTrue(admission.isLostDisk());
             assertEquals(knownIncarnation.startCount(), admission.knownStartCount());
         }
-        VoterAdmission first = new VoterAdmission(SELF, new LogPosition(0, 0), Set.of("r2", "r3"), true);
+        VoterAdmission first =
+                new VoterAdmission(SELF, new LogPosition(0, 0), Set.of("r2", "r3"), true);
         first.answered("r2", SELF, null, RecoveryFloor.NONE, 0);
         first.answered("r3", null, null, RecoveryFloor.NONE, 0);
         assertEquals(Decision.ADMITTED, first.decide(0, 100), "the first start of all");
--- a/src/test/java/tinlink/config/ClusterConfigTest.java
+++ b/src/test/java/tinlink/config/ClusterConfigTest.java
@@ -28,7 +28,8 @@
                 "the shipped file has changed");
         Path peersFile =
                 Files.writeString(folder.resolve("peers.json5"), peers.replace(peersFrom, peersTo));
-        Path workFile = Files.writeString(folder.resolve("work.json5"), work.replace(workFrom, workTo));
+        Path workFile =
+                Files.writeString(folder.resolve("work.json5"), work.replace(workFrom, workTo));
         return new RouterConfig(Map.of(
                 "NODE_CONFIG",
                 "deploy/example.json",
@@ -64,8 +65,10 @@
                 "helpers: 3 | helpers: 3, strangers: 0 | 'strangers' is no number from 1 to 4096",
                 "round_ms: 500 | rounds_ms: 500 | 'rounds_ms' is not known here"
             })
-    void invalidClusterKeyIsNamed(String from, String to, String expectedMessage) throws IOException {
-        InvalidInputException e = assertThrows(InvalidInputException.class, () -> read(from, to, "z1", "z1"));
+    void invalidClusterKeyIsNamed(String from, String to, String expectedMessage)
+            throws IOException {
+        InvalidInputException e =
+                assertThrows(InvalidInputException.class, () -> read(from, to, "z1", "z1"));
         assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
@@ -80,8 +83,10 @@
                 "127.0.0.1:7401 | 0.0.0.0:7401 | 'control.listen' is not on loopback",
                 "change-me-to-a-token | short | 'control.token' is missing or under 16"
             })
-    void invalidMaintenanceKeyIsNamed(String from, String to, String expectedMessage) throws IOException {
-        InvalidInputException e = assertThrows(InvalidInputException.class, () -> read("r1", "r1", from, to));
+    void invalidMaintenanceKeyIsNamed(String from, String to, String expectedMessage)
+            throws IOException {
+        InvalidInputException e =
+                assertThrows(InvalidInputException.class, () -> read("r1", "r1", from, to));
         assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
--- a/src/test/java/tinlink/config/CorruptedConfigTest.java
+++ b/src/test/java/tinlink/config/CorruptedConfigTest.java
@@ -82,7 +82,9 @@
     void aFileCutAnywhereIsRejected(@TempDir Path directory) throws IOException {
         String valid = VALID.strip();
         for (int length = 0; length < valid.length(); length++) {
-            assertNotNull(rejection(directory, valid.substring(0, length)), "read though cut at " + length);
+            assertNotNull(
+                    rejection(directory, valid.substring(0, length)),
+                    "read though cut at " + length);
         }
     }
 
@@ -131,7 +133,9 @@
     private static void put(JsonNode root, String[] path, JsonNode value) {
         JsonNode node = root;
         for (int i = 0; i < path.length - 1; i++) {
-            node = node instanceof ArrayNode a ? a.get(Integer.parseInt(path[i])) : node.get(path[i]);
+            node = node instanceof ArrayNode a
+                    ? a.get(Integer.parseInt(path[i]))
+                    : node.get(path[i]);
         }
         String last = path[path.length - 1];
         if (node instanceof ArrayNode a) {
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -101,7 +101,8 @@
          */
         One(long coldUs) {
             LookupClass lookupClass = index();
-            FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(lookupClass.latencyObjectiveUs);
+            FastestValidCoordinator.OutlierDetector health =
+                    new FastestValidCoordinator.OutlierDetector(lookupClass.latencyObjectiveUs);
             module = new FastestValidCoordinator(
                     new FastestValidCoordinator.AttemptTiming(5000, 3, true, true),
                     new FastestValidCoordinator.ReplicaSelector(CELLS, 1, 1, 0, 0, 0, health),
@@ -110,7 +111,8 @@
                             random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health),
                     new FastestValidCoordinator.RetryBudget(0, 0, 0, 1000),
                     new FastestValidCoordinator.AdmissionController(random.nextLong(), 0),
-                    new FastestValidCoordinator.EndpointListPoller(random.nextLong(), false, 10_000_000));
+                    new FastestValidCoordinator.EndpointListPoller(
+                            random.nextLong(), false, 10_000_000));
         }
 
         void turn(Runnable inputs) {
@@ -245,7 +247,9 @@
 
     @Test
     void withoutTheGuardTheSumIsFarOverTheBudget() {
-        assertTrue(new SlowStartFleetTest().worst(1, 30, 0, 4, 0.9, 300, false) > 10, "the check bites");
+        assertTrue(
+                new SlowStartFleetTest().worst(1, 30, 0, 4, 0.9, 300, false) > 10,
+                "the check bites");
     }
 
     /** By how many the worst fall time is over its budget and chance. */
--- a/src/test/java/tinlink/experiment/LookupRulesTest.java
+++ b/src/test/java/tinlink/experiment/LookupRulesTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-import tinlink.emulator.EmulatedClient.LookupResponse;
 import tinlink.emulator.EmulatedClient.LookupRequest;
+import tinlink.emulator.EmulatedClient.LookupResponse;
 import tinlink.emulator.RunLog;
 
 import java.util.List;
@@ -64,8 +64,8 @@
                 kind.equals("once"),
                 500_000,
                 kind.equals("find") ? 0.3 : 1);
-        LoadGenerator.LookupRecord a =
-                new LoadGenerator.LookupRecord(new LookupRequest("q", kind, 1000, List.of(0, 1), "t", null), k, null, true);
+        LoadGenerator.LookupRecord a = new LoadGenerator.LookupRecord(
+                new LookupRequest("q", kind, 1000, List.of(0, 1), "t", null), k, null, true);
         a.answer = new LookupResponse(
                 status,
                 switch (told) {
--- a/src/test/java/tinlink/experiment/TwoSitesPlayer.java
+++ b/src/test/java/tinlink/experiment/TwoSitesPlayer.java
@@ -150,9 +150,12 @@
                         "other connections");
             case "ran" ->
                 until(
-                        () -> world.emulatorLoop.call(() -> world.runLog.runsOf(w[1]).size())
+                        () -> world.emulatorLoop.call(
+                                        () -> world.runLog.runsOf(w[1]).size())
                                 == Integer.parseInt(w[2]),
-                        "ran " + world.emulatorLoop.call(() -> world.runLog.runsOf(w[1]).size()) + " times");
+                        "ran "
+                                + world.emulatorLoop.call(
+                                        () -> world.runLog.runsOf(w[1]).size()) + " times");
             case "count" ->
                 until(
                         () -> world.routers.get(w[1]).count(w[2]) >= Long.parseLong(w[3]),
@@ -178,8 +181,8 @@
 
     private void start() throws Exception {
         long delay = 1000 * Long.parseLong(figures.get("delay"));
-        EmulatedLink.LinkConditions way =
-                new EmulatedLink.LinkConditions(delay, 1000 * Long.parseLong(figures.get("jitter")), 0);
+        EmulatedLink.LinkConditions way = new EmulatedLink.LinkConditions(
+                delay, 1000 * Long.parseLong(figures.get("jitter")), 0);
         Map<String, List<Integer>> cells = new LinkedHashMap<>();
         cells.put("east", List.of(0, 1, 2));
         cells.put("west", List.of(2, 3, 4, 4));
--- a/src/test/java/tinlink/experiment/processes/MaintenanceChecksTest.java
+++ b/src/test/java/tinlink/experiment/processes/MaintenanceChecksTest.java
@@ -20,14 +20,16 @@
         List<MaintenanceChecks.MachinePlacement> spots = new ArrayList<>();
         for (int b = 0; b < 3; b++) {
             for (int h = 0; h < 3; h++) {
-                spots.add(new MaintenanceChecks.MachinePlacement("n" + b + h, b, "z" + h, h < 2 ? "s0" : "s1", false));
+                spots.add(new MaintenanceChecks.MachinePlacement(
+                        "n" + b + h, b, "z" + h, h < 2 ? "s0" : "s1", false));
             }
         }
         for (int r = 0; r < 6; r++) {
-            spots.add(
-                    new MaintenanceChecks.MachinePlacement("r" + r, -1, "z" + r % 3, r % 3 < 2 ? "s0" : "s1", r < 5));
+            spots.add(new MaintenanceChecks.MachinePlacement(
+                    "r" + r, -1, "z" + r % 3, r % 3 < 2 ? "s0" : "s1", r < 5));
         }
-        MaintenanceChecks c = new MaintenanceChecks(spots, new MaintenanceChecks.Limits(2, 0.5, 3_000_000));
+        MaintenanceChecks c =
+                new MaintenanceChecks(spots, new MaintenanceChecks.Limits(2, 0.5, 3_000_000));
         c.check(events);
         return c;
     }
@@ -68,7 +70,10 @@
         at += 3_000_000;
         then(MachineHistory.EventKind.TAKEN, "n02", "b");
         assertEquals("1 0 0", counts(checked()));
-        then(MachineHistory.EventKind.TAKEN, "n01", "c"); // It was lost already; its work takes nothing more.
+        then(
+                MachineHistory.EventKind.TAKEN,
+                "n01",
+                "c"); // It was lost already; its work takes nothing more.
         assertEquals("1 0 0", counts(checked()));
     }
 
--- a/src/test/java/tinlink/experiment/processes/MaintenanceProcessesTest.java
+++ b/src/test/java/tinlink/experiment/processes/MaintenanceProcessesTest.java
@@ -73,7 +73,8 @@
         fleet.awaitAgreed(PATIENCE_MS);
         for (var r : Fleet.send(router(0), Map.of("do", "list")).body().path("requests")) {
             if (!r.path("over").asBoolean()) { // Left by a case that failed.
-                Fleet.send(router(0), Map.of("do", "call-off", "id", r.path("id").asText()));
+                Fleet.send(
+                        router(0), Map.of("do", "call-off", "id", r.path("id").asText()));
                 Fleet.send(router(0), Map.of("do", "done", "id", r.path("id").asText()));
             }
         }
@@ -99,11 +100,13 @@
         return fleet.routers.get("r" + n);
     }
 
-    private static Fleet.ControlResponse ask(RouterProcess at, String id, List<String> machines, long forMs)
+    private static Fleet.ControlResponse ask(
+            RouterProcess at, String id, List<String> machines, long forMs)
             throws InterruptedException {
         Fleet.ControlResponse t = new Fleet.ControlResponse(0, null);
         for (int i = 0; i < 50 && t.status() != 200; i++) {
-            t = Fleet.send(at, Map.of("do", "ask", "id", id, "machines", machines, "for_ms", forMs));
+            t = Fleet.send(
+                    at, Map.of("do", "ask", "id", id, "machines", machines, "for_ms", forMs));
             Thread.sleep(t.status() == 200 ? 0 : 200);
         }
         assertEquals(200, t.status(), id);
@@ -139,7 +142,8 @@
                 .asText();
     }
 
-    private static void whySays(RouterProcess at, String id, String words) throws InterruptedException {
+    private static void whySays(RouterProcess at, String id, String words)
+            throws InterruptedException {
         Fleet.await(
                 PATIENCE_MS, words + ", not: " + why(at, id), () -> why(at, id).contains(words));
     }
@@ -193,7 +197,8 @@
         assertEquals(List.of(), rules.lost);
         assertEquals(List.of(), rules.repeated);
         assertEquals(List.of(), rules.dishonest);
-        assertTrue(all.stream().filter(LoadGenerator.LookupRecord::isSatisfied).count() > all.size() / 2);
+        assertTrue(all.stream().filter(LoadGenerator.LookupRecord::isSatisfied).count()
+                > all.size() / 2);
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // What the routers hold is asserted below.
@@ -237,7 +242,8 @@
         String id = ask("no-such-machine");
         is(router(0), id, "no-such-machine", "refused");
         assertEquals("no machine has that name", why(router(0), id));
-        Fleet.ControlResponse t = Fleet.send(router(0), "wrong-token-of-somebody", Map.of("do", "list"));
+        Fleet.ControlResponse t =
+                Fleet.send(router(0), "wrong-token-of-somebody", Map.of("do", "list"));
         assertEquals(401, t.status());
         assertTrue(t.body().path("requests").isMissingNode());
         assertEquals(400, Fleet.send(router(0), Map.of("do", "dance")).status());
@@ -246,7 +252,8 @@
     @Test
     void theLeaderIsKilledAsItGrantsAndTheGrantStands() throws Exception {
         RouterProcess leader = fleet.leader();
-        RouterProcess other = fleet.running().stream().filter(c -> c != leader).findFirst().orElseThrow();
+        RouterProcess other =
+                fleet.running().stream().filter(c -> c != leader).findFirst().orElseThrow();
         String id = ask("n0-1");
         fleet.clientGroups.get(leader.name).routerLost();
         leader.kill();
@@ -423,7 +430,9 @@
                 Map.of("do", "ask", "id", "none", "machines", List.of("n1-0"), "for_ms", 1000));
         assertEquals(503, t.status());
         assertTrue(t.message().contains("not known to be agreed"), t.message());
-        LoadGenerator load = new LoadGenerator(fleet.emulatorLoop, List.of(fleet.clientGroups.get("r4"), fleet.clientGroups.get("r5")));
+        LoadGenerator load = new LoadGenerator(
+                fleet.emulatorLoop,
+                List.of(fleet.clientGroups.get("r4"), fleet.clientGroups.get("r5")));
         load.run(
                 new SplittableRandom(3),
                 "alone",
@@ -434,7 +443,9 @@
                 ClientGroup.BUDGET_MS);
         load.await(PATIENCE_MS);
         List<LoadGenerator.LookupRecord> all = load.records(a -> true);
-        assertTrue(all.stream().allMatch(LoadGenerator.LookupRecord::isSatisfied), "served while nobody agrees");
+        assertTrue(
+                all.stream().allMatch(LoadGenerator.LookupRecord::isSatisfied),
+                "served while nobody agrees");
         fleet.emulatorLoop.run(() -> all.forEach(a -> a.ask.shards()
                 .forEach(s -> fleet.runLog
                         .runsOf(a.ask.id() + "." + s)
--- a/src/test/java/tinlink/experiment/processes/PolicyProcessesTest.java
+++ b/src/test/java/tinlink/experiment/processes/PolicyProcessesTest.java
@@ -88,7 +88,8 @@
         return show(c).path("epoch").asInt(-1);
     }
 
-    private static Fleet.ControlResponse propose(RouterProcess at, String id, String text, int against) {
+    private static Fleet.ControlResponse propose(
+            RouterProcess at, String id, String text, int against) {
         return Fleet.send(
                 at, Map.of("do", "policy-propose", "id", id, "text", text, "against", against));
     }
@@ -123,7 +124,8 @@
         });
     }
 
-    private static CompletableFuture<EmulatedClient.LookupResponse> ask(RouterProcess c, String id) {
+    private static CompletableFuture<EmulatedClient.LookupResponse> ask(
+            RouterProcess c, String id) {
         CompletableFuture<EmulatedClient.LookupResponse> f = new CompletableFuture<>();
         fleet.clientGroups
                 .get(c.name)
--- a/src/test/java/tinlink/experiment/simulation/ControlSimulationTest.java
+++ b/src/test/java/tinlink/experiment/simulation/ControlSimulationTest.java
@@ -31,7 +31,8 @@
     }
 
     private static Outcome play(int routers) {
-        return ControlSimulation.play(1, new ControlSimulation.Size(routers, 7, 6 * routers, 0.02, 1));
+        return ControlSimulation.play(
+                1, new ControlSimulation.Size(routers, 7, 6 * routers, 0.02, 1));
     }
 
     @Test
--- a/src/test/java/tinlink/experiment/simulation/PolicySimulationTest.java
+++ b/src/test/java/tinlink/experiment/simulation/PolicySimulationTest.java
@@ -44,7 +44,8 @@
     void theSameSeedIsTheSamePlayAndAPlantedFaultIsFoundAndMadeSmall() {
         PolicySimulation.Size size = new PolicySimulation.Size(5, AbsencePolicy.Rule.FENCE, false);
         assertEquals(play(4, size), play(4, size));
-        PolicySimulation.Size planted = new PolicySimulation.Size(5, AbsencePolicy.Rule.FENCE, true);
+        PolicySimulation.Size planted =
+                new PolicySimulation.Size(5, AbsencePolicy.Rule.FENCE, true);
         List<PolicyEvent> s = PolicySchedule.of(4, planted, 8, 6, OVER);
         assertFalse(PolicySimulation.play(4, planted, s).violations().isEmpty());
         assertEquals(1, PolicySimulation.shrink(4, planted, s).size(), "one change is enough");
--- a/src/test/java/tinlink/experiment/simulation/SharedReplicasTest.java
+++ b/src/test/java/tinlink/experiment/simulation/SharedReplicasTest.java
@@ -9,9 +9,9 @@
 
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
-import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MachineFailureDetector;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -32,8 +32,11 @@
     private static List<String> lines(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> lines = new ArrayList<>();
-        IntStream.range(0, 12).forEach(i -> lines.add(MaintenanceStateMachine.machineLine(node(i))));
-        IntStream.range(0, 4).forEach(i -> lines.add(MaintenanceStateMachine.routerLine("r" + i, "r" + i + "/1")));
+        IntStream.range(0, 12)
+                .forEach(i -> lines.add(MaintenanceStateMachine.machineLine(node(i))));
+        IntStream.range(0, 4)
+                .forEach(i ->
+                        lines.add(MaintenanceStateMachine.routerLine("r" + i, "r" + i + "/1")));
         for (int i = 0; i < 200; i++) {
             String machine = "n" + random.nextInt(12);
             String router = "r" + random.nextInt(4);
@@ -64,7 +67,8 @@
     @Test
     void eachReplicaStandsWhereItWouldStandAlone() {
         List<String> lines = lines(1);
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared =
+                new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         List<SharedReplicas<MaintenanceStateMachine>.Replica> replicas = new ArrayList<>();
         List<MaintenanceStateMachine> alone = new ArrayList<>();
         int[] heard = new int[20];
@@ -81,12 +85,15 @@
             }
             assertEquals(alone.get(one).snapshot(), replicas.get(one).state().snapshot());
         }
-        assertTrue(shared.linesApplied() < 10L * lines.size(), "lines played " + shared.linesApplied());
+        assertTrue(
+                shared.linesApplied() < 10L * lines.size(),
+                "lines played " + shared.linesApplied());
     }
 
     @Test
     void replicasThatHeardTheSameHaveOneStateAndOthersHaveTheirOwn() {
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared =
+                new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         SharedReplicas<MaintenanceStateMachine>.Replica one = shared.replica();
         SharedReplicas<MaintenanceStateMachine>.Replica same = shared.replica();
         SharedReplicas<MaintenanceStateMachine>.Replica other = shared.replica();
@@ -106,7 +113,8 @@
 
     @Test
     void aReplicaThatStartsFromLinesJoinsThoseThatStandThere() {
-        SharedReplicas<MaintenanceStateMachine> shared = new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
+        SharedReplicas<MaintenanceStateMachine> shared =
+                new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         SharedReplicas<MaintenanceStateMachine>.Replica one = shared.replica();
         lines(3).forEach(one::apply);
         SharedReplicas<MaintenanceStateMachine>.Replica late = shared.replica();
--- a/src/test/java/tinlink/experiment/simulation/SimulationsTest.java
+++ b/src/test/java/tinlink/experiment/simulation/SimulationsTest.java
@@ -15,7 +15,8 @@
 
 /** Many routers in simulated time, with faults from a seed. */
 class SimulationsTest {
-    private static final MaintenanceSimulation.Size SIZE = new MaintenanceSimulation.Size(9, 5, 4, 3, false);
+    private static final MaintenanceSimulation.Size SIZE =
+            new MaintenanceSimulation.Size(9, 5, 4, 3, false);
     private static final long OVER = 30_000_000;
     /** Each broke a rule or got stuck once; docs/design/work.md says by what. */
     private static final List<Long> FOUND =
@@ -37,9 +38,11 @@
 
     @Test
     void theSameSeedIsTheSamePlay() {
-        assertEquals(MembershipSimulation.play(5, 9, 6, true), MembershipSimulation.play(5, 9, 6, true));
+        assertEquals(
+                MembershipSimulation.play(5, 9, 6, true), MembershipSimulation.play(5, 9, 6, true));
         List<MaintenanceEvent> s = MaintenanceSchedule.of(5, SIZE, 10, 6, OVER);
-        assertEquals(MaintenanceSimulation.play(5, SIZE, s), MaintenanceSimulation.play(5, SIZE, s));
+        assertEquals(
+                MaintenanceSimulation.play(5, SIZE, s), MaintenanceSimulation.play(5, SIZE, s));
     }
 
     @Test
@@ -75,13 +78,16 @@
     void sharedStatesPlayAsOwnOnes(long seed) {
         List<MaintenanceEvent> schedule = MaintenanceSchedule.of(seed, SIZE, 10, 6, OVER);
         assertEquals(
-                MaintenanceSimulation.play(seed, SIZE, schedule, false), MaintenanceSimulation.play(seed, SIZE, schedule));
+                MaintenanceSimulation.play(seed, SIZE, schedule, false),
+                MaintenanceSimulation.play(seed, SIZE, schedule));
     }
 
     @Test
     void sharedStatesPlayAsOwnOnesInALargerFleet() {
         MaintenanceSimulation.Size size = new MaintenanceSimulation.Size(20, 7, 5, 3, false);
         List<MaintenanceEvent> schedule = MaintenanceSchedule.of(2, size, 10, 6, OVER);
-        assertEquals(MaintenanceSimulation.play(2, size, schedule, false), MaintenanceSimulation.play(2, size, schedule));
+        assertEquals(
+                MaintenanceSimulation.play(2, size, schedule, false),
+                MaintenanceSimulation.play(2, size, schedule));
     }
 }
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 
 import tinlink.decision.Outcome;
-import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.gateway.forwarding.PartStatus;
+import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.securechannel.MessageCodec;
@@ -75,7 +75,10 @@
                     public void startPart(IncomingPart part) {
                         startedParts.incrementAndGet();
                         gateway.partEnded(
-                                part, PartStatus.DONE, ("v" + part.shard).getBytes(StandardCharsets.UTF_8), 0);
+                                part,
+                                PartStatus.DONE,
+                                ("v" + part.shard).getBytes(StandardCharsets.UTF_8),
+                                0);
                     }
 
                     @Override
@@ -137,7 +140,9 @@
         }
 
         byte[] frame(byte type, byte[] body) {
-            byte[] seal = outboundSeal == null ? new byte[0] : outboundSeal.nextTag(type, body, 0, body.length);
+            byte[] seal = outboundSeal == null
+                    ? new byte[0]
+                    : outboundSeal.nextTag(type, body, 0, body.length);
             return ByteBuffer.allocate(5 + body.length + seal.length)
                     .putInt(1 + body.length + seal.length)
                     .put(type)
@@ -172,11 +177,13 @@
             challenge = Arrays.copyOfRange(whole, 1, whole.length - GatewayProtocol.PROOF_BYTES);
             assertArrayEquals(
                     KEYS.proof(keyId, "far proof", hello, challenge),
-                    Arrays.copyOfRange(whole, whole.length - GatewayProtocol.PROOF_BYTES, whole.length));
+                    Arrays.copyOfRange(
+                            whole, whole.length - GatewayProtocol.PROOF_BYTES, whole.length));
         }
 
         byte[] proof() {
-            byte[] next = new MessageCodec.Builder().putLong(connectCount).putLong(1).build();
+            byte[] next =
+                    new MessageCodec.Builder().putLong(connectCount).putLong(1).build();
             return new MessageCodec.Builder()
                     .putBytes(next)
                     .putBytes(keys.proof(keyId, "near proof", hello, challenge, next))
@@ -187,8 +194,10 @@
             exchangeHello();
             send(GatewayProtocol.PROOF, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(GatewayKeys.mac(secret, "to the far side"));
-            inboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(GatewayKeys.mac(secret, "to the near side"));
+            outboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(
+                    GatewayKeys.mac(secret, "to the far side"));
+            inboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(
+                    GatewayKeys.mac(secret, "to the near side"));
             awaitMessage(GatewayProtocol.CREDIT_WINDOW);
         }
 
@@ -206,7 +215,9 @@
         }
 
         void exchangeHeartbeat(long number) throws IOException {
-            send(GatewayProtocol.HEARTBEAT, new MessageCodec.Builder().putLong(number).putLong(1).build());
+            send(
+                    GatewayProtocol.HEARTBEAT,
+                    new MessageCodec.Builder().putLong(number).putLong(1).build());
             assertEquals(number, awaitMessage(GatewayProtocol.HEARTBEAT_ACK).getLong());
         }
 
@@ -225,8 +236,11 @@
                     .build();
         }
 
-        void sendPart(long number, int shard, long remainingUs, long ackedHeartbeat) throws IOException {
-            send(GatewayProtocol.FORWARD_PART, partBody(number, shard, remainingUs, ackedHeartbeat));
+        void sendPart(long number, int shard, long remainingUs, long ackedHeartbeat)
+                throws IOException {
+            send(
+                    GatewayProtocol.FORWARD_PART,
+                    partBody(number, shard, remainingUs, ackedHeartbeat));
         }
 
         /** The fate that comes next, which must be of that number, and its value. */
@@ -238,7 +252,9 @@
             PartStatus status = PartStatus.values()[b.get()];
             b.getLong();
             b.getLong();
-            return status == PartStatus.DONE ? StandardCharsets.UTF_8.decode(b).toString() : status.name();
+            return status == PartStatus.DONE
+                    ? StandardCharsets.UTF_8.decode(b).toString()
+                    : status.name();
         }
 
         /** Ended by the far side within a second, without a further message. */
@@ -308,7 +324,9 @@
         Peer again = new Peer(KEYS, "k1", "east");
         again.incarnation = 6;
         again.exchangeHello();
-        again.send(GatewayProtocol.PROOF, recorded); // Of the connection before: its challenge was another.
+        again.send(
+                GatewayProtocol.PROOF,
+                recorded); // Of the connection before: its challenge was another.
         again.assertDisconnected();
         first.socket.close();
     }
@@ -359,7 +377,8 @@
             peer.connectCount = 3;
             peer.completeHandshake();
             peer.exchangeHeartbeat(1);
-            byte[] frame = peer.frame(GatewayProtocol.FORWARD_PART, peer.partBody(7, 3, 1_000_000, 1));
+            byte[] frame =
+                    peer.frame(GatewayProtocol.FORWARD_PART, peer.partBody(7, 3, 1_000_000, 1));
             if (changed) {
                 frame[frame.length - GatewayProtocol.TAG_BYTES - 2] ^= 1;
                 peer.socket.getOutputStream().write(frame);
@@ -402,9 +421,16 @@
     @Test
     void malformedMessagesEndTheConnection() throws Exception {
         ByteArrayOutputStream many = new ByteArrayOutputStream();
-        many.writeBytes(new MessageCodec.Builder().putShort(0).putLong(1).putLong(1).putShort(60_000).build());
+        many.writeBytes(new MessageCodec.Builder()
+                .putShort(0)
+                .putLong(1)
+                .putLong(1)
+                .putShort(60_000)
+                .build());
         byte[][] bodies = {
-            many.toByteArray(), new byte[3], new MessageCodec.Builder().putLong(-1).build()
+            many.toByteArray(),
+            new byte[3],
+            new MessageCodec.Builder().putLong(-1).build()
         };
         byte[] types = {GatewayProtocol.STATUS_QUERY, GatewayProtocol.FORWARD_PART, (byte) 99};
         for (int i = 0; i < bodies.length; i++) {
--- a/src/test/java/tinlink/gateway/forwarding/ForwardingPlayer.java
+++ b/src/test/java/tinlink/gateway/forwarding/ForwardingPlayer.java
@@ -23,7 +23,8 @@
  * Plays a scenario of the gateway's choices; docs/scenarios.md has the notation. Time is the
  * script's.
  */
-public final class ForwardingPlayer implements RemoteRouter.ForwardingHandler, ForwardedPartReceiver.ExecutionHandler {
+public final class ForwardingPlayer
+        implements RemoteRouter.ForwardingHandler, ForwardedPartReceiver.ExecutionHandler {
     private static final class TestForwardedPart extends ForwardedPart {
         private final String name;
 
@@ -140,7 +141,8 @@
     }
 
     private void runAllDecisions() {
-        while ((remoteRouter != null && remoteRouter.decide(this)) || (receiver != null && receiver.decide(this))) {
+        while ((remoteRouter != null && remoteRouter.decide(this))
+                || (receiver != null && receiver.decide(this))) {
             // Each has been noted.
         }
     }
@@ -148,11 +150,15 @@
     private void input(String what, String[] words) {
         switch (what) {
             case "up" ->
-                remoteRouter.onConnected(remoteRouter.channels.get(Integer.parseInt(words[0])), Long.parseLong(words[1]), us("trip"));
+                remoteRouter.onConnected(
+                        remoteRouter.channels.get(Integer.parseInt(words[0])),
+                        Long.parseLong(words[1]),
+                        us("trip"));
             case "fails", "lost" -> {
                 Set<String> not = new HashSet<>(Arrays.asList(words).subList(1, words.length));
                 remoteRouter.onDisconnected(
-                        remoteRouter.channels.get(Integer.parseInt(words[0])), part -> !not.contains(((TestForwardedPart) part).name));
+                        remoteRouter.channels.get(Integer.parseInt(words[0])),
+                        part -> !not.contains(((TestForwardedPart) part).name));
             }
             case "serves" -> {
                 BitSet cells = new BitSet();
@@ -164,16 +170,23 @@
             case "speaks" -> silent.remove(Integer.parseInt(words[0]));
             case "elsewhere" -> hasAlternative = true;
             case "part" -> {
-                TestForwardedPart testPart = new TestForwardedPart(words[0], now + ms(words[2]), Integer.parseInt(words[1]), words.length < 4);
+                TestForwardedPart testPart = new TestForwardedPart(
+                        words[0], now + ms(words[2]), Integer.parseInt(words[1]), words.length < 4);
                 parts.put(words[0], testPart);
                 remoteRouter.forward(testPart);
             }
             case "gives-up" -> remoteRouter.cancel(parts.get(words[0]));
             case "fate" -> {
                 TestForwardedPart testPart = parts.get(words[0]);
-                remoteRouter.onPartStatus(testPart.channel, testPart.number, PartStatus.valueOf(words[1].toUpperCase(Locale.ROOT)));
+                remoteRouter.onPartStatus(
+                        testPart.channel,
+                        testPart.number,
+                        PartStatus.valueOf(words[1].toUpperCase(Locale.ROOT)));
             }
-            case "bye" -> remoteRouter.onGoAway(remoteRouter.channels.get(Integer.parseInt(words[0])), Long.parseLong(words[1]));
+            case "bye" ->
+                remoteRouter.onGoAway(
+                        remoteRouter.channels.get(Integer.parseInt(words[0])),
+                        Long.parseLong(words[1]));
             // The far side.
             case "opens" -> {
                 InboundChannel inbound = receiver.onConnected(
@@ -200,7 +213,8 @@
                         sessions.get(words[0]).parts.get(Long.parseLong(words[1])),
                         PartStatus.valueOf(words[2].toUpperCase(Locale.ROOT)),
                         words.length > 3 ? Integer.parseInt(words[3]) : 1);
-            case "given-up" -> receiver.onCancelPart(sessions.get(words[0]), Long.parseLong(words[1]));
+            case "given-up" ->
+                receiver.onCancelPart(sessions.get(words[0]), Long.parseLong(words[1]));
             case "lowest" -> receiver.forgetBelow(sessions.get(words[0]), Long.parseLong(words[1]));
             case "asks" ->
                 receiver.onStatusQuery(
@@ -209,7 +223,10 @@
                         Integer.parseInt(words[1]),
                         connectCount,
                         Long.parseLong(words[2]),
-                        Arrays.stream(words).skip(3).map(Long::parseLong).collect(Collectors.toSet()));
+                        Arrays.stream(words)
+                                .skip(3)
+                                .map(Long::parseLong)
+                                .collect(Collectors.toSet()));
             case "leaves" -> receiver.startDraining();
             default -> throw new IllegalArgumentException(what);
         }
@@ -250,8 +267,9 @@
 
     @Override
     public void sendStatusQuery(GatewayChannel via, GatewayChannel about) {
-        List<String> open = new ArrayList<>(
-                about.openParts.values().stream().map(part -> ((TestForwardedPart) part).name).toList());
+        List<String> open = new ArrayList<>(about.openParts.values().stream()
+                .map(part -> ((TestForwardedPart) part).name)
+                .toList());
         if (!open.isEmpty()) {
             decided.add("ask " + via.index + " " + about.index + " " + String.join(" ", open));
         }
@@ -259,7 +277,8 @@
 
     @Override
     public void partEnded(ForwardedPart part, PartStatus status) {
-        decided.add("end " + ((TestForwardedPart) part).name + " " + status.name().toLowerCase(Locale.ROOT));
+        decided.add("end " + ((TestForwardedPart) part).name + " "
+                + status.name().toLowerCase(Locale.ROOT));
     }
 
     @Override
@@ -296,7 +315,8 @@
     }
 
     @Override
-    public void sendPartStatus(Object session, int line, long number, PartStatus status, ReceivedPart part) {
+    public void sendPartStatus(
+            Object session, int line, long number, PartStatus status, ReceivedPart part) {
         decided.add("say " + session + " " + line + " " + number + " "
                 + status.name().toLowerCase(Locale.ROOT));
     }
--- a/src/test/java/tinlink/gateway/forwarding/LossyChannelsTest.java
+++ b/src/test/java/tinlink/gateway/forwarding/LossyChannelsTest.java
@@ -127,7 +127,8 @@
 
     private long delay() {
         return 20_000
-                + random.nextLong(faultsStopped ? 10_000 : random.nextInt(300) == 0 ? 900_000 : 30_000);
+                + random.nextLong(
+                        faultsStopped ? 10_000 : random.nextInt(300) == 0 ? 900_000 : 30_000);
     }
 
     private final RemoteRouter.ForwardingHandler sender = new RemoteRouter.ForwardingHandler() {
@@ -135,7 +136,8 @@
         public void connect(GatewayChannel channel) {
             TestConnection connection = new TestConnection(channel);
             event(now + 2 * delay(), () -> {
-                if (connection.receiverAtOpen != receiver || (!faultsStopped && random.nextInt(4) == 0)) {
+                if (connection.receiverAtOpen != receiver
+                        || (!faultsStopped && random.nextInt(4) == 0)) {
                     remoteRouter.onDisconnected(channel, part -> true);
                     return;
                 }
@@ -144,7 +146,8 @@
                 long next = channel.nextPartNumber();
                 long ups = channel.connectCount();
                 connection.deliverToReceiver(() -> {
-                    connection.inbound = receiver.onConnected("e1", channel.index, 1, ups, next, connection);
+                    connection.inbound =
+                            receiver.onConnected("e1", channel.index, 1, ups, next, connection);
                     connection.deliverToSender(() -> {
                         BitSet cells = new BitSet();
                         cells.set(0);
@@ -172,14 +175,17 @@
         public void sendPart(ForwardedPart part) {
             TestConnection connection = connections.get(part.channel);
             long number = part.number;
-            assertTrue(remoteRouter.openPartCount() <= WINDOW + WAITING, "more is held than may be");
+            assertTrue(
+                    remoteRouter.openPartCount() <= WINDOW + WAITING, "more is held than may be");
             if (!faultsStopped && random.nextInt(200) == 0) {
                 unsent.add(part); // The line stands: it is cut before this leaves.
                 event(now, connection::closeAtSender);
                 return;
             }
-            Runnable arrives =
-                    () -> receiver.onForwardPart(connection.inbound, new TestReceivedPart(connection.inbound, number, (TestForwardedPart) part), true);
+            Runnable arrives = () -> receiver.onForwardPart(
+                    connection.inbound,
+                    new TestReceivedPart(connection.inbound, number, (TestForwardedPart) part),
+                    true);
             connection.deliverToReceiver(arrives);
             if (random.nextInt(10) == 0) {
                 connection.deliverToReceiver(arrives); // The same again.
@@ -199,7 +205,8 @@
             Set<Long> numbers = new HashSet<>(about.openParts.keySet());
             long fence = about.nextPartNumber();
             long ups = about.connectCount();
-            connection.deliverToReceiver(() -> receiver.onStatusQuery(connection.inbound, connection, about.index, ups, fence, numbers));
+            connection.deliverToReceiver(() -> receiver.onStatusQuery(
+                    connection.inbound, connection, about.index, ups, fence, numbers));
         }
 
         @Override
@@ -225,59 +232,71 @@
         assertTrue(now <= testPart.deadline, "an end after its time");
     }
 
-    private final ForwardedPartReceiver.ExecutionHandler executor = new ForwardedPartReceiver.ExecutionHandler() {
-        @Override
-        public void startPart(ReceivedPart part) {
-            TestForwardedPart testPart = ((TestReceivedPart) part).part;
-            ForwardedPartReceiver at = receiver;
-            assertTrue(receiver.running() <= 2 * WINDOW, "more runs than may");
-            if (random.nextInt(6) == 0) {
-                event(now + 1000, () -> ended(at, part, PartStatus.REFUSED));
-                return;
-            }
-            testPart.effects++;
-            event(
-                    now + 1000 + random.nextLong(200_000),
-                    () -> ended(at, part, random.nextInt(5) == 0 ? PartStatus.FAILED : PartStatus.DONE));
-        }
+    private final ForwardedPartReceiver.ExecutionHandler executor =
+            new ForwardedPartReceiver.ExecutionHandler() {
+                @Override
+                public void startPart(ReceivedPart part) {
+                    TestForwardedPart testPart = ((TestReceivedPart) part).part;
+                    ForwardedPartReceiver at = receiver;
+                    assertTrue(receiver.running() <= 2 * WINDOW, "more runs than may");
+                    if (random.nextInt(6) == 0) {
+                        event(now + 1000, () -> ended(at, part, PartStatus.REFUSED));
+                        return;
+                    }
+                    testPart.effects++;
+                    event(
+                            now + 1000 + random.nextLong(200_000),
+                            () -> ended(
+                                    at,
+                                    part,
+                                    random.nextInt(5) == 0 ? PartStatus.FAILED : PartStatus.DONE));
+                }
 
-        private void ended(ForwardedPartReceiver at, ReceivedPart part, PartStatus status) {
-            if (at == receiver) {
-                receiver.onPartEnded(part, status, 10);
-            }
-        }
+                private void ended(ForwardedPartReceiver at, ReceivedPart part, PartStatus status) {
+                    if (at == receiver) {
+                        receiver.onPartEnded(part, status, 10);
+                    }
+                }
 
-        @Override
-        public void cancelPart(ReceivedPart part) {
-            // What has run has run.
-        }
+                @Override
+                public void cancelPart(ReceivedPart part) {
+                    // What has run has run.
+                }
 
-        @Override
-        public void sendPartStatus(Object session, int line, long number, PartStatus status, ReceivedPart part) {
-            TestConnection connection = (TestConnection) session;
-            connection.deliverToSender(() -> remoteRouter.onPartStatus(remoteRouter.channels.get(line), number, status));
-        }
+                @Override
+                public void sendPartStatus(
+                        Object session,
+                        int line,
+                        long number,
+                        PartStatus status,
+                        ReceivedPart part) {
+                    TestConnection connection = (TestConnection) session;
+                    connection.deliverToSender(() -> remoteRouter.onPartStatus(
+                            remoteRouter.channels.get(line), number, status));
+                }
 
-        @Override
-        public void sendCreditWindow(Object session, int parts) {
-            ((TestConnection) session).deliverToSender(() -> remoteRouter.creditWindow(parts));
-        }
+                @Override
+                public void sendCreditWindow(Object session, int parts) {
+                    ((TestConnection) session)
+                            .deliverToSender(() -> remoteRouter.creditWindow(parts));
+                }
 
-        @Override
-        public void closeSession(Object session) {
-            TestConnection connection = (TestConnection) session;
-            connection.closeAtReceiver();
-            event(now + delay(), connection::closeAtSender);
-        }
+                @Override
+                public void closeSession(Object session) {
+                    TestConnection connection = (TestConnection) session;
+                    connection.closeAtReceiver();
+                    event(now + delay(), connection::closeAtSender);
+                }
 
-        @Override
-        public void wakeAt(long at) {
-            event(Math.max(at, now), () -> {});
-        }
-    };
+                @Override
+                public void wakeAt(long at) {
+                    event(Math.max(at, now), () -> {});
+                }
+            };
 
     private void startReceiver() {
-        receiver = new ForwardedPartReceiver(new ForwardedPartReceiver.Limits(WINDOW, 40, 1000, 4, 10_000_000, 250_000));
+        receiver = new ForwardedPartReceiver(
+                new ForwardedPartReceiver.Limits(WINDOW, 40, 1000, 4, 10_000_000, 250_000));
         receiver.advanceClock(now);
     }
 
@@ -295,7 +314,9 @@
         switch (random.nextInt(4)) {
             case 0 -> {
                 connection.closeAtSender();
-                event(now + random.nextLong(3_000_000), connection::closeAtReceiver); // Half-open for a while.
+                event(
+                        now + random.nextLong(3_000_000),
+                        connection::closeAtReceiver); // Half-open for a while.
             }
             case 1 -> {
                 connection.closeAtReceiver();
@@ -334,7 +355,8 @@
         event(500_000, this::injectFault);
         for (long at = 400_000; at < 40_000_000; at += 5000 + random.nextLong(120_000)) {
             event(at, () -> {
-                TestForwardedPart testPart = new TestForwardedPart(now + 300_000 + random.nextLong(2_500_000), false);
+                TestForwardedPart testPart =
+                        new TestForwardedPart(now + 300_000 + random.nextLong(2_500_000), false);
                 parts.add(testPart);
                 remoteRouter.forward(testPart);
                 if (random.nextInt(8) == 0) {
@@ -367,10 +389,15 @@
                 assertTrue(
                         !testPart.status.outcome.neverRan || testPart.effects == 0,
                         "it ran, and was told as " + testPart.status);
-                assertEquals(testPart.status == PartStatus.DONE ? 1 : testPart.effects, testPart.effects, "done without a run");
+                assertEquals(
+                        testPart.status == PartStatus.DONE ? 1 : testPart.effects,
+                        testPart.effects,
+                        "done without a run");
             }
         }
-        assertTrue(seen.getOrDefault(PartStatus.DONE, 0) > parts.size() / 3, "so few were done: " + seen);
+        assertTrue(
+                seen.getOrDefault(PartStatus.DONE, 0) > parts.size() / 3,
+                "so few were done: " + seen);
         assertEquals(0, remoteRouter.openPartCount(), "still held");
         assertEquals(0, receiver.running(), "still running");
     }
--- a/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
+++ b/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
@@ -51,12 +51,15 @@
             case "request" -> {
                 Map<String, String> f = new LinkedHashMap<>(Map.of(":method", "POST"));
                 f.put("x-part-id", words[1]);
-                calls.put(words[1], connection.sendRequest(words[1], f, new byte[Integer.parseInt(words[2])]));
+                calls.put(
+                        words[1],
+                        connection.sendRequest(words[1], f, new byte[Integer.parseInt(words[2])]));
             }
             case "cancel" -> connection.cancel(calls.get(words[1]));
             case "ping" -> connection.sendPing(Long.parseLong(words[1]));
             case ">" -> {
-                int times = words[1].matches("x[0-9]+") ? Integer.parseInt(words[1].substring(1)) : 1;
+                int times =
+                        words[1].matches("x[0-9]+") ? Integer.parseInt(words[1].substring(1)) : 1;
                 for (int i = 0; i < times; i++) {
                     receive(serverBytes(
                             times > 1 || words[1].equals("x1")
@@ -84,7 +87,9 @@
     // ---- What the server says: TYPE STREAM [FLAGS ...] [...] ----
 
     private byte[] serverBytes(List<String> words) throws IOException {
-        int stream = words.size() > 1 && words.get(1).matches("[0-9]+") ? Integer.parseInt(words.get(1)) : 0;
+        int stream = words.size() > 1 && words.get(1).matches("[0-9]+")
+                ? Integer.parseInt(words.get(1))
+                : 0;
         List<String> rest = words.subList(Math.min(words.size(), 2), words.size());
         int flags = (words.contains("end") ? 1 : 0)
                 | (words.contains("ack") ? 1 : 0)
@@ -127,7 +132,11 @@
                                 one.startsWith("big"));
                     }
                 }
-                return frame(words.get(0).equals("headers") ? 1 : 9, flags, stream, payload.toByteArray());
+                return frame(
+                        words.get(0).equals("headers") ? 1 : 9,
+                        flags,
+                        stream,
+                        payload.toByteArray());
             }
             case "reset", "update" -> {
                 return frame(
@@ -140,7 +149,9 @@
                 for (String one : words.subList(1, words.size())) {
                     int eq = one.indexOf('=');
                     if (eq > 0) {
-                        payload.write(new byte[] {0, (byte) (int) SETTING_IDS.get(one.substring(0, eq))});
+                        payload.write(new byte[] {
+                            0, (byte) (int) SETTING_IDS.get(one.substring(0, eq))
+                        });
                         payload.write(four(Long.parseLong(one.substring(eq + 1))));
                     }
                 }
@@ -210,13 +221,18 @@
                     case 1, 9 -> "headers " + stream + " " + headerNames(payload, flags) + end;
                     case 3 ->
                         "reset " + stream + " "
-                                + Http2Constants.ErrorCode.numbered(ByteBuffer.wrap(payload).getInt());
+                                + Http2Constants.ErrorCode.numbered(
+                                        ByteBuffer.wrap(payload).getInt());
                     case 4 -> (flags & 1) != 0 ? "ack" : "settings";
                     case 6 ->
-                        "ping " + ByteBuffer.wrap(payload).getLong() + ((flags & 1) != 0 ? " ack" : "");
+                        "ping " + ByteBuffer.wrap(payload).getLong()
+                                + ((flags & 1) != 0 ? " ack" : "");
                     case 7 ->
-                        "goaway " + Http2Constants.ErrorCode.numbered(ByteBuffer.wrap(payload, 4, 4).getInt());
-                    case 8 -> "update " + stream + " " + ByteBuffer.wrap(payload).getInt();
+                        "goaway "
+                                + Http2Constants.ErrorCode.numbered(
+                                        ByteBuffer.wrap(payload, 4, 4).getInt());
+                    case 8 ->
+                        "update " + stream + " " + ByteBuffer.wrap(payload).getInt();
                     default -> "frame " + type;
                 });
     }
@@ -248,13 +264,15 @@
 
     @Override
     public void onResponse(Http2Stream stream) {
-        events.add("answered " + stream.call + " " + stream.status + " " + stream.responseBody.size()
-                + (stream.trailers.isEmpty() ? "" : " " + stream.trailers));
+        events.add(
+                "answered " + stream.call + " " + stream.status + " " + stream.responseBody.size()
+                        + (stream.trailers.isEmpty() ? "" : " " + stream.trailers));
     }
 
     @Override
     public void onStreamReset(Http2Stream stream, boolean notProcessed, boolean malformed) {
-        events.add("reset " + stream.call + (notProcessed ? " never" : "") + (malformed ? " ours" : ""));
+        events.add("reset " + stream.call + (notProcessed ? " never" : "")
+                + (malformed ? " ours" : ""));
     }
 
     @Override
--- a/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
+++ b/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
@@ -127,7 +127,9 @@
                 pool.onStreamClosed(connections.get(placed.get(words[1])));
             }
             case "retire" -> pool.retire(connection(words[1]));
-            case "ended" -> pool.onConnectionEnded(connection(words[1]), words.length < 3, CallResult.NO_CONNECTION);
+            case "ended" ->
+                pool.onConnectionEnded(
+                        connection(words[1]), words.length < 3, CallResult.NO_CONNECTION);
             case "draining" -> pool.dropPending();
             case "gone" -> pool.nodeRemoved();
             default -> throw new IllegalArgumentException(words[0]);
@@ -148,7 +150,8 @@
 
     @Override
     public void endCall(PendingCall call, CallResult result) {
-        decided.add("over " + ((TestCall) call).name + " " + result.name().toLowerCase(Locale.ROOT));
+        decided.add(
+                "over " + ((TestCall) call).name + " " + result.name().toLowerCase(Locale.ROOT));
     }
 
     @Override
@@ -165,7 +168,10 @@
     public void closeConnection(PooledConnection pooled, boolean silent) {
         decided.add("close " + connections.indexOf(pooled) + (silent ? " silent" : ""));
         pool.onConnectionEnded(
-                pooled, pooled.state == PooledConnection.State.UP || pooled.state == PooledConnection.State.RETIRING, CallResult.NO_CONNECTION);
+                pooled,
+                pooled.state == PooledConnection.State.UP
+                        || pooled.state == PooledConnection.State.RETIRING,
+                CallResult.NO_CONNECTION);
     }
 
     @Override
--- a/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
@@ -30,15 +30,19 @@
                     .toList();
             assertEquals(3, watchers.size());
             watchers.forEach(router -> load.merge(router, 1, Integer::sum));
-            List<String> watchersAfterwards =
-                    fewer.stream().filter(router -> MachineFailureDetector.watches(router, fewer, machine, 3)).toList();
+            List<String> watchersAfterwards = fewer.stream()
+                    .filter(router -> MachineFailureDetector.watches(router, fewer, machine, 3))
+                    .toList();
             assertEquals(3, watchersAfterwards.size());
             assertTrue(
-                    watchersAfterwards.containsAll(watchers.stream().filter(fewer::contains).toList()),
+                    watchersAfterwards.containsAll(
+                            watchers.stream().filter(fewer::contains).toList()),
                     "moved without need");
         }
         assertTrue(load.values().stream().allMatch(n -> n > 10 && n < 60), load.toString());
-        assertFalse(MachineFailureDetector.watches("r1", ROUTERS, "r1", 3), "nobody looks after itself");
+        assertFalse(
+                MachineFailureDetector.watches("r1", ROUTERS, "r1", 3),
+                "nobody looks after itself");
     }
 
     private final List<String> probes = new ArrayList<>();
@@ -53,7 +57,10 @@
     @Test
     void twoFailedProbesMakeAMachineUnhealthyAndOneThatSucceedsHealthyAgain() {
         MachineFailureDetector failureDetector = onlyWatcher();
-        assertEquals(Map.of(), failureDetector.observations(), "nothing is said before a probe has ended");
+        assertEquals(
+                Map.of(),
+                failureDetector.observations(),
+                "nothing is said before a probe has ended");
         failureDetector.onProbeResult("a", true);
         failureDetector.onProbeResult("a", false);
         assertEquals(Map.of("a", true), failureDetector.observations());
@@ -111,8 +118,8 @@
     void limitsAreProposedFirstAndNoRequestIsAcceptedBefore() {
         MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
         MaintenanceStateMachine stateMachine = new MaintenanceStateMachine();
-        String request =
-                MaintenanceStateMachine.requestLine(new MaintenanceRequest("q", List.of("a"), 1, Long.MAX_VALUE, 5, "op", "why"));
+        String request = MaintenanceStateMachine.requestLine(
+                new MaintenanceRequest("q", List.of("a"), 1, Long.MAX_VALUE, 5, "op", "why"));
         assertEquals("no bounds are agreed on yet: ask again", stateMachine.apply(request));
         coordinator.setTime(1000);
         decide(coordinator, stateMachine);
@@ -122,8 +129,11 @@
         assertEquals(List.of(MaintenanceStateMachine.limitsLine(BOUNDS)), proposed);
         assertEquals("", stateMachine.apply(request));
         DisruptionLimits other = new DisruptionLimits(1, 0.5, 0.5, 1, 1, 1, 100, 100);
-        assertEquals("other bounds are agreed on", stateMachine.apply(MaintenanceStateMachine.limitsLine(other)));
-        assertEquals(BOUNDS, MaintenanceStateMachine.restore(stateMachine.snapshot()).limits());
+        assertEquals(
+                "other bounds are agreed on",
+                stateMachine.apply(MaintenanceStateMachine.limitsLine(other)));
+        assertEquals(
+                BOUNDS, MaintenanceStateMachine.restore(stateMachine.snapshot()).limits());
     }
 
     @Test
@@ -132,16 +142,22 @@
         MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
         coordinator.setTime(1000);
         coordinator.setLeader(true);
-        coordinator.onReport("r1", MaintenanceCoordinator.nodeListLine("s0", List.of(node("a", "s0"))));
-        coordinator.onReport("r2", MaintenanceCoordinator.nodeListLine("s1", List.of(node("b", "s1"))));
-        coordinator.onReport("r3", MaintenanceCoordinator.nodeListLine("s1", List.of(node("b", "s1"), node("c", "s1"))));
+        coordinator.onReport(
+                "r1", MaintenanceCoordinator.nodeListLine("s0", List.of(node("a", "s0"))));
+        coordinator.onReport(
+                "r2", MaintenanceCoordinator.nodeListLine("s1", List.of(node("b", "s1"))));
+        coordinator.onReport(
+                "r3",
+                MaintenanceCoordinator.nodeListLine(
+                        "s1", List.of(node("b", "s1"), node("c", "s1"))));
         decide(coordinator, stateMachine);
         assertEquals(2, stateMachine.machines().size(), "c is on one list of two: " + proposed);
         // Site s1 is not heard any more, and its machines stay known.
         coordinator.setTime(20_000);
         coordinator.onReport("r1", MaintenanceCoordinator.nodeListLine("s0", List.of()));
         decide(coordinator, stateMachine);
-        assertEquals(List.of("b"), stateMachine.machines().stream().map(Machine::id).toList());
+        assertEquals(
+                List.of("b"), stateMachine.machines().stream().map(Machine::id).toList());
     }
 
     @Test
--- a/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
+++ b/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
@@ -15,7 +15,8 @@
  * and read again.
  */
 public final class MaintenanceScenarioPlayer {
-    private DisruptionLimits limits = new DisruptionLimits(2, 0, 0.5, 1_000_000, 4_000_000, 20_000_000, 100, 100);
+    private DisruptionLimits limits =
+            new DisruptionLimits(2, 0, 0.5, 1_000_000, 4_000_000, 20_000_000, 100, 100);
     private MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(limits);
     private String response = "";
 
@@ -48,7 +49,14 @@
                                 false)
                         .encode());
             case "router" -> {
-                apply(new Machine(words[1], Machine.Kind.ROUTER, -1, words[2], "s", "r", words.length > 3)
+                apply(new Machine(
+                                words[1],
+                                Machine.Kind.ROUTER,
+                                -1,
+                                words[2],
+                                "s",
+                                "r",
+                                words.length > 3)
                         .encode());
                 apply(MaintenanceStateMachine.routerLine(words[1], "1"));
             }
@@ -63,22 +71,30 @@
                                 "why")
                         .encode());
             case "tick" -> {
-                for (long left = words.length < 2 ? 0 : us(words[1]); left > 0; left -= MaintenanceStateMachine.MAX_TICK_US) {
-                    apply(MaintenanceStateMachine.tickLine(Math.min(left, MaintenanceStateMachine.MAX_TICK_US)));
+                for (long left = words.length < 2 ? 0 : us(words[1]);
+                        left > 0;
+                        left -= MaintenanceStateMachine.MAX_TICK_US) {
+                    apply(MaintenanceStateMachine.tickLine(
+                            Math.min(left, MaintenanceStateMachine.MAX_TICK_US)));
                 }
                 if (words.length < 2) {
                     apply("tick");
                 }
             }
             case "is" ->
-                assertEquals(words[2], state(words[1]), () -> words[1] + ": " + task(words[1]).reason());
+                assertEquals(
+                        words[2],
+                        state(words[1]),
+                        () -> words[1] + ": " + task(words[1]).reason());
             case "why" ->
                 assertTrue(
                         task(words[1]).reason().contains(rest(words, 2)),
                         () -> task(words[1]).reason());
             case "said" ->
                 assertTrue(
-                        response.contains(rest(words, 1)) && response.isEmpty() == (words.length == 1), () -> response);
+                        response.contains(rest(words, 1))
+                                && response.isEmpty() == (words.length == 1),
+                        () -> response);
             case "fence" -> assertEquals(words[2], Long.toString(task(words[1]).fencingToken()));
             default -> apply(LineCodec.encode((Object[]) words));
         }
--- a/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
@@ -35,7 +35,8 @@
 
     /** A leader, and the order as it is agreed on at once. */
     private static final class Fixture {
-        final MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, OLD_US, 10_000);
+        final MaintenanceCoordinator coordinator =
+                new MaintenanceCoordinator(BOUNDS, 100, OLD_US, 10_000);
         final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
         final List<String> proposed = new ArrayList<>();
         long now = 1000;
@@ -128,7 +129,8 @@
             }
             fixture.runRound();
             assertTrue(
-                    fixture.proposed.stream().noneMatch(line -> line.contains("gone")), "" + fixture.proposed);
+                    fixture.proposed.stream().noneMatch(line -> line.contains("gone")),
+                    "" + fixture.proposed);
         }
         assertEquals(all.size(), fixture.agreedIds().size());
     }
@@ -187,7 +189,8 @@
         fixture.runRound();
         fixture.now += 2 * OLD_US;
         fixture.runRound();
-        NodeListDifference unknownBasis = new NodeListDifference("s0", 77, List.of(), Set.of("n0", "n1"));
+        NodeListDifference unknownBasis =
+                new NodeListDifference("s0", 77, List.of(), Set.of("n0", "n1"));
         fixture.deliverFromAll(unknownBasis);
         fixture.runRound();
         assertEquals(Set.of("n0", "n1"), fixture.agreedIds());
@@ -202,7 +205,8 @@
         fixture.runRound();
         assertEquals(2, fixture.agreedIds().size());
         fixture.runRound();
-        fixture.coordinator.onReport("old", MaintenanceCoordinator.nodeListLine("s0", all.subList(0, 1)));
+        fixture.coordinator.onReport(
+                "old", MaintenanceCoordinator.nodeListLine("s0", all.subList(0, 1)));
         fixture.deliver("new", fixture.difference("s0", all));
         fixture.runRound();
         assertEquals(2, fixture.agreedIds().size(), "one of two");
--- a/src/test/java/tinlink/net/ParserPlayer.java
+++ b/src/test/java/tinlink/net/ParserPlayer.java
@@ -86,8 +86,9 @@
     private static List<String> run(String kind, byte[] input, int cut, int step) {
         ParserPlayer player = new ParserPlayer();
         RingBuffer ring = new RingBuffer(new RingBufferPool());
-        HttpReader http =
-                kind.equals("answer") ? HttpReader.forResponses(player) : HttpReader.forRequests(player);
+        HttpReader http = kind.equals("answer")
+                ? HttpReader.forResponses(player)
+                : HttpReader.forRequests(player);
         FrameReader frames = new FrameReader(player);
         JsonReader json = new JsonReader();
         try {
@@ -152,7 +153,8 @@
 
     @Override
     public void answerReceived(String partId, String status, String loadReport, String value) {
-        events.add(("< " + partId + " " + status + " " + loadReport + " " + value).replace('\n', '␊'));
+        events.add(
+                ("< " + partId + " " + status + " " + loadReport + " " + value).replace('\n', '␊'));
     }
 
     @Override
--- a/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-import tinlink.net.EventLoop;
-import tinlink.net.Network;
-import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.ClusterNode;
+import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.membership.LineCodec;
+import tinlink.maintenance.ReplicatedMaintenance;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyCommandCodec;
 import tinlink.securechannel.KeyRing;
-import tinlink.maintenance.ReplicatedMaintenance;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -76,7 +76,8 @@
     void version1VoterDirectoryIsRestoredAndTheVoterContinues() throws Exception {
         try (Stream<Path> files = Files.walk(RESOURCES.resolve("voter"))) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
-                Path target = directory.resolve(RESOURCES.resolve("voter").relativize(file).toString());
+                Path target = directory.resolve(
+                        RESOURCES.resolve("voter").relativize(file).toString());
                 Files.createDirectories(target.getParent());
                 Files.copy(file, target);
             }
@@ -93,7 +94,8 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ""),
                 new ClusterNode.KnownRouters(Map.of(), Set.of("r0")),
-                new KeyRing(Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
+                new KeyRing(
+                        Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
                 new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
                 new ClusterNode.Limits(64, 8 << 20, 20),
                 directory,
@@ -134,7 +136,9 @@
     }
 
     private static CompositeStateMachine books() {
-        return new CompositeStateMachine(new ReplicatedMaintenance(), Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine()));
+        return new CompositeStateMachine(
+                new ReplicatedMaintenance(),
+                Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine()));
     }
 
     private static void proposeUntilAccepted(EventLoop loop, ClusterNode clusterNode) {
--- a/src/test/java/tinlink/policy/rollout/PolicyChangesTest.java
+++ b/src/test/java/tinlink/policy/rollout/PolicyChangesTest.java
@@ -15,8 +15,10 @@
  * us.
  */
 class PolicyChangesTest {
-    private static final AbsencePolicy WAIT = new AbsencePolicy(AbsencePolicy.Rule.WAIT, 3000, 600, 0, 20);
-    private static final AbsencePolicy FENCE = new AbsencePolicy(AbsencePolicy.Rule.FENCE, 3000, 600, 1500, 20);
+    private static final AbsencePolicy WAIT =
+            new AbsencePolicy(AbsencePolicy.Rule.WAIT, 3000, 600, 0, 20);
+    private static final AbsencePolicy FENCE =
+            new AbsencePolicy(AbsencePolicy.Rule.FENCE, 3000, 600, 1500, 20);
     private PolicyChanges changes = new PolicyChanges(3, 10, WAIT);
 
     /** Plays it, writes all of it and reads it again. */
@@ -87,8 +89,7 @@
     }
 
     @Test
-    void
-            restartedRouterIsUnboundAndLateVotesOfItsEarlierIncarnationAreRejected() {
+    void restartedRouterIsUnboundAndLateVotesOfItsEarlierIncarnationAreRejected() {
         enrol("a");
         propose("c1", 0, WAIT);
         voteYes("c1", "a", 5000);
@@ -122,7 +123,8 @@
 
     private final List<PolicyCommand> sentCommands = new ArrayList<>();
 
-    private ChangeParticipant.EffectivePolicy effectivePolicy(ChangeParticipant participant, long sharedTimeUs, long localTimeUs) {
+    private ChangeParticipant.EffectivePolicy effectivePolicy(
+            ChangeParticipant participant, long sharedTimeUs, long localTimeUs) {
         participant.updateClocks(sharedTimeUs, localTimeUs);
         participant.decide(changes, sentCommands::add);
         return participant.effectivePolicy(changes);
@@ -137,15 +139,24 @@
         propose("c1", 0, WAIT);
         assertEquals(0, effectivePolicy(participant, 1000, 1000).epoch());
         assertEquals(0, effectivePolicy(participant, 1500, 1500).epoch());
-        assertFalse(effectivePolicy(participant, 1600, 1600).isPresent(), "what it said at 1000 may have been agreed on");
+        assertFalse(
+                effectivePolicy(participant, 1600, 1600).isPresent(),
+                "what it said at 1000 may have been agreed on");
         apply(sentCommands.get(sentCommands.size() - 1));
-        assertTrue(effectivePolicy(participant, 1650, 1650).isPresent(), "a later word of it is known to be agreed");
-        assertFalse(effectivePolicy(participant, 900, 2300).isPresent(), "the shared clock has gone back, its own has not");
+        assertTrue(
+                effectivePolicy(participant, 1650, 1650).isPresent(),
+                "a later word of it is known to be agreed");
+        assertFalse(
+                effectivePolicy(participant, 900, 2300).isPresent(),
+                "the shared clock has gone back, its own has not");
         apply(new PolicyCommand.ConfirmProposal("c1", 3000));
         assertEquals("", apply(new PolicyCommand.Commit("c1", 4000)));
         assertEquals(0, effectivePolicy(participant, 3990, 3990).epoch());
         assertEquals(1, effectivePolicy(participant, 4000, 4000).epoch());
-        assertEquals(1, effectivePolicy(participant, 3000, 4010).epoch(), "it has come, wherever the clock is set to");
+        assertEquals(
+                1,
+                effectivePolicy(participant, 3000, 4010).epoch(),
+                "it has come, wherever the clock is set to");
     }
 
     @Test
@@ -153,7 +164,11 @@
         changes = new PolicyChanges(3, 10, FENCE);
         enrol("a");
         ChangeParticipant participant = new ChangeParticipant(
-                "a", "a.1", 1, 100, change -> change.id().equals("big") ? "too large for this machine" : "");
+                "a",
+                "a.1",
+                1,
+                100,
+                change -> change.id().equals("big") ? "too large for this machine" : "");
         assertFalse(effectivePolicy(participant, 0, 0).isPresent());
         participant.leaseGranted(0, 1500);
         assertTrue(effectivePolicy(participant, 1499, 1499).isPresent());
--- a/src/test/java/tinlink/storage/DurableLogTest.java
+++ b/src/test/java/tinlink/storage/DurableLogTest.java
@@ -107,19 +107,25 @@
         writeRecords(0, 4);
         Path logFile = directory.resolve("log-0");
         byte[] original = Files.readAllBytes(logFile);
-        int secondRecordOffset = RecordFraming.HEADER_BYTES + 4 + RecordFraming.HEADER_BYTES + record(0).length;
-        for (int offset = 0; offset < original.length - RecordFraming.HEADER_BYTES - record(3).length; offset++) {
+        int secondRecordOffset =
+                RecordFraming.HEADER_BYTES + 4 + RecordFraming.HEADER_BYTES + record(0).length;
+        for (int offset = 0;
+                offset < original.length - RecordFraming.HEADER_BYTES - record(3).length;
+                offset++) {
             byte[] corrupted = original.clone();
             corrupted[offset] ^= 0x10;
             Files.write(logFile, corrupted);
-            CorruptLogException exception = assertThrows(CorruptLogException.class, this::open, "byte " + offset);
+            CorruptLogException exception =
+                    assertThrows(CorruptLogException.class, this::open, "byte " + offset);
             assertTrue(exception.getMessage().contains("log-0 at byte "), exception.getMessage());
             assertArrayEquals(corrupted, Files.readAllBytes(logFile), "left as it is");
         }
         byte[] corrupted = original.clone();
         corrupted[secondRecordOffset + 5] ^= 1;
         Files.write(logFile, corrupted);
-        assertTrue(assertThrows(CorruptLogException.class, this::open).getMessage().contains("byte " + secondRecordOffset));
+        assertTrue(assertThrows(CorruptLogException.class, this::open)
+                .getMessage()
+                .contains("byte " + secondRecordOffset));
     }
 
     @Test
@@ -139,7 +145,8 @@
         Files.write(snapshotFile, original);
         Files.delete(directory.resolve("log-4"));
         try (DurableLog durableLog = open()) {
-            assertArrayEquals(record(50), durableLog.snapshot()); // Stopped before its log was begun.
+            assertArrayEquals(
+                    record(50), durableLog.snapshot()); // Stopped before its log was begun.
         }
     }
 
@@ -163,7 +170,10 @@
         }
         assertTrue(Files.notExists(directory.resolve("log-0")));
         Files.delete(directory.resolve("snap-4"));
-        assertThrows(CorruptLogException.class, this::open, "a log that does not begin at the beginning");
+        assertThrows(
+                CorruptLogException.class,
+                this::open,
+                "a log that does not begin at the beginning");
     }
 
     @Test
