--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -10,6 +10,7 @@
 import tinlink.cluster.membership.VoterAdmission;
 import tinlink.cluster.membership.VoterReplacement;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -33,7 +34,6 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongConsumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * The routers that this one knows, and what it agrees on with them: carries out the decisions of
@@ -45,7 +45,7 @@
                 PeerConnections.MessageHandler,
                 RaftReplica.Listener,
                 EventLoop.EventLoopParticipant {
-    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+    private static final EventLog LOG = new EventLog("tinlink.cluster");
 
     /**
      * Which cluster, and who we are in it.
@@ -302,9 +302,15 @@
             raft.setFloor(grantedAdmission.floor());
         }
         raft.start();
-        LOG.log(Level.INFO, "event=voter_started router={0} incarnation={1} as={2}", new Object[] {
-            localRouter.router(), identity.incarnation, localVoter
-        });
+        LOG.log(
+                Level.INFO,
+                "voter_started",
+                "router",
+                localRouter.router(),
+                "incarnation",
+                identity.incarnation,
+                "voter",
+                localVoter);
     }
 
     // ---- What stands. ----
@@ -402,9 +408,13 @@
             leader = raft.leader() == null ? "" : raft.leader().router();
         }
         if (raft != null && raft.isTerminated()) {
-            LOG.log(Level.WARNING, "event=voter_removed router={0} as={1}", new Object[] {
-                localRouter.router(), localVoter
-            });
+            LOG.log(
+                    Level.WARNING,
+                    "voter_removed",
+                    "router",
+                    localRouter.router(),
+                    "voter",
+                    localVoter);
             raft = null;
             removedFromGroup = true;
         }
@@ -467,9 +477,13 @@
                         .equals(localVoter)) {
             changeInProgress = true;
             Voter voter = Voter.parse(next.removed() == null ? next.added() : next.removed());
-            LOG.log(Level.WARNING, "event=voter_change {0}={1}", new Object[] {
-                next.removed() == null ? "comes" : "goes", voter
-            });
+            LOG.log(
+                    Level.WARNING,
+                    "voter_change",
+                    "change",
+                    next.removed() == null ? "add" : "remove",
+                    "voter",
+                    voter);
             raft.changeMembership(
                     voter,
                     next.removed() == null,
@@ -525,9 +539,12 @@
                 } else {
                     LOG.log(
                             Level.SEVERE,
-                            "event=voter_not_admitted router={0} why=\"its folder is an old copy, or another "
-                                    + "process runs with it: start it with an empty one\"",
-                            localRouter.router());
+                            "voter_not_admitted",
+                            "router",
+                            localRouter.router(),
+                            "reason",
+                            "its folder is an old copy, or another process runs with it: "
+                                    + "start it with an empty one");
                 }
                 hasStaleDisk = true;
                 voterAdmission = null;
@@ -542,11 +559,14 @@
             identity.replaceLostDisk(voterAdmission.knownStartCount());
             LOG.log(
                     Level.SEVERE,
-                    "event=voter_not_admitted router={0} why=\"its folder is empty, and the "
-                            + "router was known before: start it once more, and it gets its seat back\"",
-                    localRouter.router());
+                    "voter_not_admitted",
+                    "router",
+                    localRouter.router(),
+                    "reason",
+                    "its folder is empty, and the router was known before: "
+                            + "start it once more, and it gets its voter slot back");
         } catch (IOException e) {
-            LOG.log(Level.SEVERE, "event=identity_not_written", e);
+            LOG.logFailure(Level.SEVERE, "identity_not_written", e);
         }
     }
 
@@ -685,13 +705,15 @@
     public void onMemberChanged(Member m) {
         LOG.log(
                 Level.INFO,
-                "event=member_changed router={0} incarnation={1} state={2}{3}",
-                new Object[] {
-                    m.router(),
-                    m.incarnation(),
-                    m.state(),
-                    m.duplicate() == null ? "" : " twin=" + m.duplicate()
-                });
+                "member_changed",
+                "router",
+                m.router(),
+                "incarnation",
+                m.incarnation(),
+                "state",
+                m.state(),
+                "duplicate",
+                m.duplicate());
         counters.increment("peers_" + m.state().name().toLowerCase(java.util.Locale.ROOT));
     }
 
@@ -700,8 +722,13 @@
         counters.increment("peers_self_" + relation.name().toLowerCase(java.util.Locale.ROOT));
         LOG.log(
                 Level.SEVERE,
-                "event=duplicate_router relation={0} other={1} own={2}",
-                new Object[] {relation, other, identity.incarnation});
+                "duplicate_router",
+                "relation",
+                relation,
+                "other",
+                other,
+                "own",
+                identity.incarnation);
         hasStaleDisk = true;
     }
 
--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/PeerConnections.java
@@ -4,6 +4,7 @@
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -20,7 +21,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Sealed links with other routers of a cluster, opened when there is something to say and closed
@@ -28,7 +28,7 @@
  * much waits; whoever speaks here says again what matters. Runs on the loop's thread.
  */
 public final class PeerConnections implements Network.AcceptHandler {
-    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+    private static final EventLog LOG = new EventLog("tinlink.cluster");
     /** Connections that have not proved themselves, where nothing else is stated. */
     static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
     /** What may wait for one link to come up. */
@@ -193,7 +193,7 @@
         try {
             session.attach(network.connect(address(address), session), timeouts.handshakeUs());
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.FINE, "event=peer_connect_failed address=" + address, e);
+            LOG.logFailure(Level.FINE, "peer_connect_failed", e, "address", address);
             connectionFailed(destination);
         }
     }
@@ -311,7 +311,7 @@
 
     @Override
     public void acceptFailed(Throwable failure) {
-        LOG.log(Level.WARNING, "event=accept_failed", failure);
+        LOG.logFailure(Level.WARNING, "accept_failed", failure);
         loop.schedule(loop.nowUs() + timeouts.retryDelayUs(), () -> listening.accept(this));
     }
 
--- a/src/main/java/tinlink/emulator/EmulatorLoop.java
+++ b/src/main/java/tinlink/emulator/EmulatorLoop.java
@@ -1,6 +1,7 @@
 package tinlink.emulator;
 
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
@@ -10,14 +11,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * The loop on which all stand-ins of an emulation run, on a thread of its own. Its state belongs to
  * that thread; {@link #call} reaches it from others.
  */
 public final class EmulatorLoop implements AutoCloseable {
-    private static final Logger LOG = Logger.getLogger("tinlink.emulator");
+    private static final EventLog LOG = new EventLog("tinlink.emulator");
     final EventLoop loop = new EventLoop();
     final Network network;
     private final Thread thread;
@@ -100,7 +100,7 @@
 
             @Override
             public void acceptFailed(Throwable why) {
-                LOG.log(Level.WARNING, "event=accept_failed", why);
+                LOG.logFailure(Level.WARNING, "accept_failed", why);
             }
         });
         return listening;
--- a/src/main/java/tinlink/experiment/processes/RouterProcess.java
+++ b/src/main/java/tinlink/experiment/processes/RouterProcess.java
@@ -41,9 +41,10 @@
      */
     static final String MAIN_CLASS = "tinlink.Main";
 
-    private static final Pattern SERVES = Pattern.compile(" serves at [^/]*/([0-9.]+:[0-9]+) ");
+    private static final Pattern SERVES =
+            Pattern.compile("event=serving router=[^ ]+ address=([0-9.]+:[0-9]+) ");
     private static final Pattern LISTENS = Pattern.compile(
-            "event=work_listens peers=[^/]*/([0-9.]+:[0-9]+) " + "control=(?:[^/]*/)?([0-9.:-]+)");
+            "event=maintenance_listening cluster=([0-9.]+:[0-9]+) control=([0-9.:-]+)");
     /** All that were started by this process and may still run; each leaves with its end. */
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
--- a/src/main/java/tinlink/experiment/scale/ServingNodes.java
+++ b/src/main/java/tinlink/experiment/scale/ServingNodes.java
@@ -4,6 +4,8 @@
 import org.HdrHistogram.Recorder;
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 
+import tinlink.net.EventLog;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,7 +24,6 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.concurrent.locks.LockSupport;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Data nodes of the serving measurement: thousands in this process, each listening at a port of its
@@ -56,7 +57,7 @@
         }
     }
 
-    private static final Logger LOG = Logger.getLogger("tinlink.experiment");
+    private static final EventLog LOG = new EventLog("tinlink.experiment");
     private static final int LONGEST_FRAME = 1 << 20;
     private static final int READ_BYTES = 1 << 16;
     /** How long a thread rests while an answer is due within a millisecond. */
@@ -181,7 +182,7 @@
                     writeAll();
                 }
             } catch (IOException e) {
-                LOG.log(Level.SEVERE, "emulated data nodes stop", e);
+                LOG.logFailure(Level.SEVERE, "emulated_nodes_stopped", e);
             } finally {
                 closeAll();
             }
@@ -214,7 +215,7 @@
                     ((Connection) key.attachment()).write();
                 }
             } catch (IOException e) {
-                LOG.log(Level.FINE, "an emulated data node loses a connection", e);
+                LOG.logFailure(Level.FINE, "emulated_connection_lost", e);
                 if (key.attachment() instanceof Connection c) {
                     c.close();
                 }
@@ -251,7 +252,7 @@
                 try {
                     c.write();
                 } catch (IOException e) {
-                    LOG.log(Level.FINE, "an emulated data node loses a connection", e);
+                    LOG.logFailure(Level.FINE, "emulated_connection_lost", e);
                     c.close();
                 }
             }
@@ -280,7 +281,7 @@
             try {
                 selector.close();
             } catch (IOException e) {
-                LOG.log(Level.FINE, "a selector did not close", e);
+                LOG.logFailure(Level.FINE, "selector_close_failed", e);
             }
         }
 
@@ -288,7 +289,7 @@
             try {
                 key.channel().close();
             } catch (IOException e) {
-                LOG.log(Level.FINE, "a channel did not close", e);
+                LOG.logFailure(Level.FINE, "channel_close_failed", e);
             }
         }
     }
@@ -419,7 +420,7 @@
                 try {
                     channel.close();
                 } catch (IOException e) {
-                    LOG.log(Level.FINE, "a channel did not close", e);
+                    LOG.logFailure(Level.FINE, "channel_close_failed", e);
                 }
             }
         }
--- a/src/main/java/tinlink/experiment/scale/ServingRouter.java
+++ b/src/main/java/tinlink/experiment/scale/ServingRouter.java
@@ -51,9 +51,10 @@
     /** The one index of lookups: all parts are needed, and running a part twice does no harm. */
     static final String INDEX = "find";
 
-    private static final Pattern SERVES = Pattern.compile(" serves at [^/]*/([0-9.]+):([0-9]+) ");
+    private static final Pattern SERVES =
+            Pattern.compile("event=serving router=[^ ]+ address=([0-9.]+):([0-9]+) ");
     /** Begins what the router logs of each object of discovery's. */
-    private static final String LIST_TOLD = " told, ";
+    private static final String LIST_TOLD = "event=endpoint_list_updated ";
 
     private static final long START_S = 30;
     private static final long STOP_S = 10;
--- a/src/main/java/tinlink/maintenance/ControlServer.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -2,6 +2,7 @@
 
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.policy.PolicyRolloutService;
@@ -13,7 +14,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * What operators say to a router and what they are told, over HTTP/1.1 on loopback: one POST of a JSON object
@@ -21,7 +21,7 @@
  * that it is not known, and then the same may be said again, here or elsewhere. Runs on the loop's thread.
  */
 public final class ControlServer implements Network.AcceptHandler {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
     private static final int MAX_CONNECTIONS = 32;
 
     final EventLoop loop;
@@ -89,7 +89,7 @@
 
     @Override
     public void acceptFailed(Throwable why) {
-        LOG.log(Level.WARNING, "event=control_accept_failed", why);
+        LOG.logFailure(Level.WARNING, "control_accept_failed", why);
         loop.schedule(loop.nowUs() + answerTimeoutUs, () -> listening.accept(this));
     }
 }
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -1,6 +1,7 @@
 package tinlink.maintenance;
 
 import tinlink.cluster.membership.LineCodec;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 
 import java.io.IOException;
@@ -16,7 +17,6 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Which data nodes this router leaves out, on its disk. Danger: started again, and with nobody to
@@ -25,7 +25,7 @@
  * better. The disk has a thread of its own.
  */
 final class CordonStore {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
     private final EventLoop loop;
     private final Path file;
     private final ExecutorService diskExecutor;
@@ -87,7 +87,7 @@
             } catch (IOException e) {
                 // It goes on saying that it is not done there: nobody is told "out" on the strength
                 // of it.
-                LOG.log(Level.SEVERE, "event=cordons_not_persisted", e);
+                LOG.logFailure(Level.SEVERE, "cordons_not_persisted", e);
             }
         });
     }
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -13,6 +13,7 @@
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.RingBuffer;
@@ -28,7 +29,6 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Work on machines in a router that serves: carries out what {@link DrainController}, {@link
@@ -39,7 +39,7 @@
         implements DrainController.DrainHandler,
                 MachineFailureDetector.Prober,
                 EventLoop.EventLoopParticipant {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
 
     /** A data node as this router has it on its list. */
     public record ListedNode(
@@ -179,9 +179,13 @@
         this.onRegistered = onRegistered;
         clusterNode.start();
         reportObservations();
-        LOG.log(Level.INFO, "event=maintenance_started router={0} incarnation={1}", new Object[] {
-            clusterNode.incarnation().router(), clusterNode.incarnation()
-        });
+        LOG.log(
+                Level.INFO,
+                "maintenance_started",
+                "router",
+                clusterNode.incarnation().router(),
+                "incarnation",
+                clusterNode.incarnation());
     }
 
     public MaintenanceStateMachine stateMachine() {
@@ -318,9 +322,13 @@
     public void propose(String line) {
         clusterNode.propose(line, (said, why) -> {
             if (why != null || !said.isEmpty()) {
-                LOG.log(Level.FINE, "event=proposal_rejected command={0} reason={1}", new Object[] {
-                    line, why == null ? said : why
-                });
+                LOG.log(
+                        Level.FINE,
+                        "proposal_rejected",
+                        "command",
+                        line,
+                        "reason",
+                        why == null ? said : why);
             }
         });
     }
@@ -336,9 +344,7 @@
 
     @Override
     public void setCordoned(String machine, boolean cordoned) {
-        LOG.log(Level.INFO, "event={0} machine={1}", new Object[] {
-            cordoned ? "node_cordoned" : "node_uncordoned", machine
-        });
+        LOG.log(Level.INFO, cordoned ? "node_cordoned" : "node_uncordoned", "machine", machine);
         counters.increment(cordoned ? "work_left_out" : "work_taken_again");
         dataPlane.setCordoned(machine, cordoned);
         cordonStore.setCordoned(machine, cordoned);
@@ -346,7 +352,7 @@
 
     @Override
     public void setDraining(boolean draining) {
-        LOG.log(Level.INFO, "event={0}", draining ? "drain_started" : "drain_ended");
+        LOG.log(Level.INFO, draining ? "drain_started" : "drain_ended");
         dataPlane.setDraining(draining);
     }
 
@@ -435,7 +441,7 @@
         try {
             clusterNode.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "event=folder_not_closed", e);
+            LOG.logFailure(Level.WARNING, "data_directory_close_failed", e);
         }
     }
 
--- a/src/main/java/tinlink/net/Connection.java
+++ b/src/main/java/tinlink/net/Connection.java
@@ -9,14 +9,13 @@
 import java.nio.channels.CompletionHandler;
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * One connection: a ring buffer a direction, at most one read and one write under way. Completion handlers
  * only note what came and queue it; all else happens on the event loop's thread.
  */
 public final class Connection {
-    private static final Logger LOG = Logger.getLogger("tinlink.net");
+    private static final EventLog LOG = new EventLog("tinlink.net");
 
     /** What happens to a connection, told on the event loop's thread. */
     public interface Listener {
@@ -163,7 +162,7 @@
             // Danger: Nagle's delay holds back small frames until the one before is acknowledged.
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) {
-            LOG.log(Level.FINE, "no TCP_NODELAY", e);
+            LOG.logFailure(Level.FINE, "no_delay_not_set", e);
         }
         connected = true;
         listener.connected();
@@ -318,7 +317,7 @@
         try {
             listener.bytesReceived(in);
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a connection ends by a fault of ours", e);
+            LOG.logFailure(Level.SEVERE, "connection_failed", e);
             close(CloseReason.FAULT);
         }
         read();
@@ -333,7 +332,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "close", e);
+            LOG.logFailure(Level.FINE, "connection_close_failed", e);
         }
         listener.connectionClosed(closeReason);
         // Danger: a ring buffer that still belongs to a read or write under way must not go back to
--- a/src/main/java/tinlink/net/EventLoop.java
+++ b/src/main/java/tinlink/net/EventLoop.java
@@ -8,7 +8,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * The one thread that all state belongs to. Completion handlers only queue tasks; a turn
@@ -19,7 +18,7 @@
  * handle what has come meanwhile, and sets the clock again if it has itself taken long.
  */
 public final class EventLoop {
-    private static final Logger LOG = Logger.getLogger("tinlink.loop");
+    private static final EventLog LOG = new EventLog("tinlink.eventloop");
 
     /** Logged, no more; the decision module judges its own stalls. */
     private static final long LATE_US = 100_000;
@@ -164,7 +163,7 @@
     private boolean mayBeLate(long waitedUs) {
         long lateUs = timers.isEmpty() ? 0 : nowUs - timers.first().dueUs;
         if (lateUs > LATE_US) {
-            LOG.log(Level.WARNING, "the loop ran {0} ms late", lateUs / 1000);
+            LOG.log(Level.WARNING, "event_loop_late", "late_ms", lateUs / 1000);
         }
         return lateUs > STALL_US || waitedUs > LONG_WAIT_US;
     }
@@ -217,7 +216,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a turn goes on without one step that failed", e);
+            LOG.logFailure(Level.SEVERE, "task_failed", e);
         }
     }
 }
--- a/src/main/java/tinlink/net/IoThread.java
+++ b/src/main/java/tinlink/net/IoThread.java
@@ -16,7 +16,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * A handle on the one thread on which a channel group completes reads. The group has no way to stop that
@@ -24,7 +23,7 @@
  * thread at the other, and the handler of that read stops there.
  */
 final class IoThread {
-    private static final Logger LOG = Logger.getLogger("tinlink.net");
+    private static final EventLog LOG = new EventLog("tinlink.net");
 
     /** Danger: a thread that gets no processor time must not hold up the loop for ever. */
     private static final int MAX_WAITS = 40;
@@ -68,7 +67,7 @@
 
         @Override
         public void failed(Throwable e, Void unused) {
-            LOG.log(Level.FINE, "the I/O thread is not signalled any more", e);
+            LOG.logFailure(Level.FINE, "io_thread_signal_ended", e);
         }
     };
 
@@ -80,7 +79,7 @@
 
         @Override
         public void failed(Throwable e, Stop stop) {
-            LOG.log(Level.FINE, "the I/O thread can't be signalled", e);
+            LOG.logFailure(Level.FINE, "io_thread_signal_failed", e);
             stops.remove(stop);
             stop.arrived.countDown();
         }
@@ -108,10 +107,7 @@
             }
             return new LoopbackPair(writeEnd, readEnd);
         } catch (IOException e) {
-            LOG.log(
-                    Level.WARNING,
-                    "the I/O thread can't be stopped; a request that crosses a close is lost",
-                    e);
+            LOG.logFailure(Level.WARNING, "io_thread_control_unavailable", e);
             return null;
         }
     }
@@ -159,10 +155,7 @@
         try {
             signal(stop);
             if (!awaitArrival(stop)) {
-                LOG.log(
-                        Level.WARNING,
-                        "the I/O thread has not come within {0} ms",
-                        MAX_WAITS * WAIT_MS);
+                LOG.log(Level.WARNING, "io_thread_pause_timeout", "waited_ms", MAX_WAITS * WAIT_MS);
             }
             task.run();
         } finally {
--- a/src/main/java/tinlink/net/Network.java
+++ b/src/main/java/tinlink/net/Network.java
@@ -11,7 +11,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /** Opens connections on the event loop: the channel group, the pooled buffers, and the socket for clients. */
 public final class Network {
@@ -76,7 +75,7 @@
         void acceptFailed(Throwable why);
     }
 
-    private static final Logger LOG = Logger.getLogger("tinlink.net");
+    private static final EventLog LOG = new EventLog("tinlink.net");
     private final EventLoop loop;
     private final RingBufferPool bufferPool;
     private final AsynchronousChannelGroup group;
@@ -181,7 +180,7 @@
             try {
                 server.close();
             } catch (IOException e) {
-                LOG.log(Level.WARNING, "the listening socket did not close", e);
+                LOG.logFailure(Level.WARNING, "listener_close_failed", e);
             }
         }
     }
@@ -216,7 +215,7 @@
         try {
             group.shutdownNow();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "a connection did not close", e);
+            LOG.logFailure(Level.WARNING, "channel_group_close_failed", e);
         }
     }
 }
--- a/src/main/java/tinlink/policy/PolicyRolloutService.java
+++ b/src/main/java/tinlink/policy/PolicyRolloutService.java
@@ -1,6 +1,7 @@
 package tinlink.policy;
 
 import tinlink.cluster.ClusterNode;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.ChangeCoordinator;
@@ -18,14 +19,13 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Changes of policy in a router that serves: carries out what {@link ChangeParticipant} and {@link
  * ChangeCoordinator} decide. All of it belongs to the loop's thread.
  */
 public final class PolicyRolloutService implements EventLoop.EventLoopParticipant {
-    private static final Logger LOG = Logger.getLogger("tinlink.policy");
+    private static final EventLog LOG = new EventLog("tinlink.policy");
     private final EventLoop loop;
     private final ClusterNode clusterNode;
     private final PolicyStateMachine policyStateMachine;
@@ -85,8 +85,11 @@
                 || !effective.unavailableReason().equals(unavailableReason)) {
             LOG.log(
                     effective.isPresent() ? Level.INFO : Level.WARNING,
-                    "event=policy_effective epoch={0} reason=\"{1}\"",
-                    new Object[] {Long.toString(effective.epoch()), effective.unavailableReason()});
+                    "policy_effective",
+                    "epoch",
+                    effective.epoch(),
+                    "reason",
+                    effective.unavailableReason());
         }
         effectiveEpoch = effective.epoch();
         unavailableReason = effective.unavailableReason();
@@ -155,10 +158,11 @@
             if (failure != null || !result.isEmpty()) {
                 LOG.log(
                         Level.FINE,
-                        "event=policy_command_not_accepted command={0} reason={1}",
-                        new Object[] {
-                            command.getClass().getSimpleName(), failure == null ? result : failure
-                        });
+                        "policy_command_not_accepted",
+                        "command",
+                        command.getClass().getSimpleName(),
+                        "reason",
+                        failure == null ? result : failure);
             }
         });
     }
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -6,6 +6,7 @@
 import tinlink.decision.Outcome;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
@@ -15,13 +16,12 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Sends attempts to data nodes: frames, connections, timeouts, and each attempt's one outcome.
  */
 final class AttemptDispatcher {
-    private static final Logger LOG = Logger.getLogger("tinlink.nodes");
+    private static final EventLog LOG = new EventLog("tinlink.nodes");
     private final EventLoop loop;
     private final Network network;
     private final DescriptorBudget descriptors;
@@ -243,7 +243,7 @@
             endpoint.connections.add(nodeConnection);
             return nodeConnection;
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "no connection to " + endpoint.address, e);
+            LOG.logFailure(Level.WARNING, "node_connect_failed", e, "node", endpoint.address);
             return null;
         }
     }
--- a/src/main/java/tinlink/router/ClientAcceptor.java
+++ b/src/main/java/tinlink/router/ClientAcceptor.java
@@ -2,6 +2,7 @@
 
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.JsonReader;
 import tinlink.net.MessageRejectedException;
@@ -16,11 +17,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /** Accepts client connections and admits their queries to the decision driver. */
 final class ClientAcceptor implements Network.AcceptHandler {
-    private static final Logger LOG = Logger.getLogger("tinlink.intake");
+    private static final EventLog LOG = new EventLog("tinlink.clients");
     private final EventLoop loop;
     private final Network network;
     private final DescriptorBudget descriptors;
@@ -133,7 +133,7 @@
 
     @Override
     public void acceptFailed(Throwable cause) {
-        LOG.log(Level.WARNING, "accept failed", cause);
+        LOG.logFailure(Level.WARNING, "accept_failed", cause);
         loop.schedule(loop.nowUs() + lingerUs, () -> network.accept(this));
     }
 
--- a/src/main/java/tinlink/router/ClientConnection.java
+++ b/src/main/java/tinlink/router/ClientConnection.java
@@ -2,6 +2,7 @@
 
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
@@ -13,7 +14,6 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 import java.util.regex.Pattern;
 
 /**
@@ -22,7 +22,7 @@
  */
 final class ClientConnection
         implements Connection.Listener, HttpReader.MessageListener, Query.ResponseListener {
-    private static final Logger LOG = Logger.getLogger("tinlink.intake");
+    private static final EventLog LOG = new EventLog("tinlink.clients");
     private static final Pattern CLOSE_OPTION = Pattern.compile("(?i)(.*,)?\\s*close\\s*(,.*)?");
     private static final Pattern SINGLE_FIELDS =
             Pattern.compile("x-.*|idempotency-key|content-length|host");
@@ -104,12 +104,12 @@
                 reader.read(in);
             }
         } catch (MessageRejectedException e) {
-            LOG.log(Level.FINE, "a request is not used: {0}", e.getMessage());
+            LOG.log(Level.FINE, "request_rejected", "reason", e.getMessage());
             respondAndClose(ClientResponse.plainText(e.status, e.getMessage()));
         } catch (RuntimeException e) {
             // Danger: a fault of ours must not leave the client without an answer, nor word a
             // refusal.
-            LOG.log(Level.SEVERE, "a request failed by a fault of ours", e);
+            LOG.logFailure(Level.SEVERE, "request_failed", e);
             Query failed = query;
             query = null;
             if (failed != null) {
@@ -311,7 +311,7 @@
 
     @Override
     public void connectionClosed(CloseReason closeReason) {
-        LOG.log(Level.FINE, "client: {0}", closeReason);
+        LOG.log(Level.FINE, "client_connection_closed", "reason", closeReason);
         acceptor.clientClosed(this);
         acceptor.cancel(requestTimer);
         releaseBody();
--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -7,6 +7,7 @@
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.decision.QueryCoordinator;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 
 import java.util.ArrayList;
@@ -20,14 +21,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Drives the decision module in each turn: its clock, its inputs, its decisions, and then the actions that
  * these ask for.
  */
 final class DecisionDriver implements DecisionHandler, EventLoop.EventLoopParticipant {
-    private static final Logger LOG = Logger.getLogger("tinlink.turn");
+    private static final EventLog LOG = new EventLog("tinlink.decisions");
     private final EventLoop loop;
     private final QueryCoordinator module;
     /** Queries in flight; each leaves with its response or its client. */
@@ -124,7 +124,7 @@
                 module.onClientGone(query);
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault in the module as a client left", e);
+            LOG.logFailure(Level.SEVERE, "decision_failed", e, "step", "client_gone");
         }
     }
 
@@ -171,7 +171,7 @@
             try {
                 pendingActions.get(i).run();
             } catch (RuntimeException e) {
-                LOG.log(Level.SEVERE, "a decision could not be carried out", e);
+                LOG.logFailure(Level.SEVERE, "action_failed", e);
             }
         }
         pendingActions.clear();
@@ -188,7 +188,7 @@
                 beside.turnEnding();
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault beside the module", e);
+            LOG.logFailure(Level.SEVERE, "participant_failed", e);
         }
     }
 
@@ -199,7 +199,7 @@
                 also.turnEnding();
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault in work on machines", e);
+            LOG.logFailure(Level.SEVERE, "participant_failed", e);
         }
     }
 
@@ -214,7 +214,14 @@
             }
             return true;
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault in the module ends " + affected.size() + " lookups", e);
+            LOG.logFailure(
+                    Level.SEVERE,
+                    "decision_failed",
+                    e,
+                    "step",
+                    "decide",
+                    "lookups",
+                    affected.size());
             for (Query query : List.copyOf(affected)) {
                 clientGone(query);
                 query.listener.onFailure(query);
--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -2,6 +2,7 @@
 
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
@@ -10,7 +11,7 @@
 import tinlink.net.RingBuffer;
 
 import java.nio.ByteBuffer;
-import java.util.logging.Logger;
+import java.util.logging.Level;
 
 /**
  * One connection to discovery. It carries a watch: a chunked answer, in it a JSON object a line. Where the
@@ -47,7 +48,7 @@
         void watchClosed(DiscoveryConnection connection, CloseReason closeReason);
     }
 
-    private static final Logger LOG = Logger.getLogger("tinlink.roster");
+    private static final EventLog LOG = new EventLog("tinlink.discovery");
 
     /**
      * Danger: what a silent watch misses counts as told after three lines' time. Half of it is left for
@@ -117,7 +118,7 @@
                 reader.read(in);
             }
         } catch (MessageRejectedException e) {
-            LOG.warning("discovery: " + e.getMessage());
+            LOG.log(Level.WARNING, "discovery_protocol_error", "reason", e.getMessage());
             close(CloseReason.BAD_INPUT);
         }
     }
@@ -163,7 +164,7 @@
     }
 
     private void discardObject(String reason) {
-        LOG.warning("discovery: a line is left out: " + reason);
+        LOG.log(Level.WARNING, "discovery_line_discarded", "reason", reason);
         resetObject();
     }
 
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -2,6 +2,7 @@
 
 import tinlink.decision.QueryCoordinator;
 import tinlink.net.CloseReason;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
@@ -12,11 +13,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /** Keeps the endpoint list up to date: opens watches at discovery, and follows it where it moves to. */
 final class DiscoveryWatcher implements DiscoveryConnection.Handler {
-    private static final Logger LOG = Logger.getLogger("tinlink.roster");
+    private static final EventLog LOG = new EventLog("tinlink.discovery");
 
     /** Asked for at the same time, the newest for at least half as long as each. */
     private static final int MAX_PENDING = 2;
@@ -95,7 +95,7 @@
             connection.attach(network.connect(discoveryAddress, connection));
             pendingWatches.add(connection);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.FINE, "discovery: no connection", e);
+            LOG.logFailure(Level.FINE, "discovery_connect_failed", e);
             watchLost(null);
         }
     }
@@ -105,10 +105,7 @@
         if (address.equals(discoveryAddress)) {
             return;
         }
-        LOG.log(
-                Level.INFO,
-                "discovery: it moves to {0}, the list of {1} nodes is kept",
-                new Object[] {address, endpointList.size()});
+        LOG.log(Level.INFO, "discovery_moved", "address", address, "nodes", endpointList.size());
         discoveryAddress = address;
         // Danger: the new place may number its lists otherwise. Changes since a number of the old
         // one's are
@@ -159,8 +156,11 @@
         // Said once, until a line shows that discovery serves again.
         LOG.log(
                 isDown ? Level.FINE : Level.WARNING,
-                "discovery: the watch ended ({0}), the list of {1} nodes is kept",
-                new Object[] {closeReason, endpointList.size()});
+                "discovery_watch_ended",
+                "reason",
+                closeReason,
+                "nodes",
+                endpointList.size());
         isDown = true;
         driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FAILED));
     }
--- a/src/main/java/tinlink/router/EndpointList.java
+++ b/src/main/java/tinlink/router/EndpointList.java
@@ -6,6 +6,7 @@
 import tinlink.decision.DataNode;
 import tinlink.decision.QueryCoordinator;
 import tinlink.maintenance.MaintenanceService;
+import tinlink.net.EventLog;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -18,11 +19,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /** The endpoint list: the data nodes known at the start, and what discovery has sent since. */
 final class EndpointList {
-    private static final Logger LOG = Logger.getLogger("tinlink.roster");
+    private static final EventLog LOG = new EventLog("tinlink.discovery");
     private final DecisionDriver driver;
     private final AttemptDispatcher dispatcher;
     private final NameTable zones;
@@ -172,7 +172,7 @@
     boolean apply(Object object, QueryCoordinator.EndpointListUpdate updateKind) {
         if (!(object instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)) {
-            LOG.warning("discovery: 'targets' is no list");
+            LOG.log(Level.WARNING, "endpoint_list_invalid", "reason", "'targets' is no list");
             return false;
         }
         boolean isFullList = updateKind == QueryCoordinator.EndpointListUpdate.CACHED
@@ -187,7 +187,7 @@
                 namedUids.add(uid);
                 entries.add(() -> applyEntry(uid, fields));
             } else {
-                LOG.warning("discovery: 'uid' is missing in an entry");
+                LOG.log(Level.WARNING, "endpoint_invalid", "field", "uid", "reason", "missing");
             }
         }
         if (isFullList) {
@@ -202,9 +202,15 @@
         driver.applyInput(m -> m.onEndpointListUpdate(
                 isFullList ? updateKind : QueryCoordinator.EndpointListUpdate.CHANGES));
         notifyCells();
-        LOG.log(Level.INFO, "list {0}: {1} told, {2} nodes", new Object[] {
-            String.valueOf(revision), targets.size(), nodes.size()
-        });
+        LOG.log(
+                Level.INFO,
+                "endpoint_list_updated",
+                "revision",
+                revision,
+                "entries",
+                targets.size(),
+                "nodes",
+                nodes.size());
         return true;
     }
 
@@ -230,8 +236,15 @@
         }
         boolean ready = state.equals("in_service");
         if (!ready && !state.equals("terminating")) {
-            LOG.warning("discovery: 'state' of " + uid + " is not known, nothing new goes there: "
-                    + state);
+            LOG.log(
+                    Level.WARNING,
+                    "endpoint_invalid",
+                    "field",
+                    "state",
+                    "uid",
+                    uid,
+                    "value",
+                    state);
         }
         DataNode knownNode = nodes.get(uid);
         InetSocketAddress address = address(uid, String.valueOf(fields.get("endpoint")));
@@ -274,7 +287,15 @@
         try {
             return RouterConfig.parseAddress(endpoint);
         } catch (IllegalArgumentException e) {
-            LOG.warning("discovery: 'endpoint' of " + uid + " is no address: " + endpoint);
+            LOG.log(
+                    Level.WARNING,
+                    "endpoint_invalid",
+                    "field",
+                    "endpoint",
+                    "uid",
+                    uid,
+                    "value",
+                    endpoint);
             return null;
         }
     }
@@ -283,7 +304,7 @@
         if (group instanceof Double cell) {
             return cell;
         }
-        LOG.warning("discovery: 'pod_group' of " + uid + " is no number");
+        LOG.log(Level.WARNING, "endpoint_invalid", "field", "pod_group", "uid", uid);
         return null;
     }
 }
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -13,6 +13,7 @@
 import tinlink.gateway.OutgoingPart;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.RemoteRouter;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -24,7 +25,6 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * What a request's stages and the links with other sites have to do with each other. Far routers
@@ -32,7 +32,7 @@
  * of one part.
  */
 final class GatewayIntegration implements Gateway.PartHandler, Query.ResponseListener {
-    private static final Logger LOG = Logger.getLogger("tinlink.gateway");
+    private static final EventLog LOG = new EventLog("tinlink.gateway");
     private final EventLoop loop;
     private final RequestPipeline pipeline;
     private final Gateway gateway;
@@ -97,13 +97,15 @@
         gateway.logCounters();
         LOG.log(
                 Level.INFO,
-                "event=gateway_on site={0} router={1} far={2} listen={3}",
-                new Object[] {
-                    gatewayConfig.site,
-                    gatewayConfig.router,
-                    gatewayConfig.remoteRouters.size(),
-                    gatewayConfig.listen == null ? "-" : gateway.address()
-                });
+                "gateway_started",
+                "site",
+                gatewayConfig.site,
+                "router",
+                gatewayConfig.router,
+                "remote_routers",
+                gatewayConfig.remoteRouters.size(),
+                "address",
+                gatewayConfig.listen == null ? "-" : gateway.address());
     }
 
     /** The keys alone are taken over in service. */
@@ -229,7 +231,7 @@
                 return;
             }
         } catch (MessageRejectedException e) {
-            LOG.log(Level.FINE, "event=part_not_used why=\"{0}\"", e.getMessage());
+            LOG.log(Level.FINE, "forwarded_part_rejected", "reason", e.getMessage());
         }
         gateway.partEnded(part, PartStatus.REFUSED, null, 0);
     }
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -12,6 +12,7 @@
 import tinlink.maintenance.MaintenanceService;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.policy.PolicyStateMachine;
@@ -28,7 +29,7 @@
  * clients that are let go, and what is open here.
  */
 final class MaintenanceIntegration implements MaintenanceService.DataPlane {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
     /** Held here, or its level is forgotten. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
@@ -151,9 +152,13 @@
                     config.controlToken,
                     config.controlTimeoutUs);
         }
-        LOG.log(Level.INFO, "event=work_listens peers={0} control={1}", new Object[] {
-            maintenance.peers().address(), control == null ? "-" : control.address()
-        });
+        LOG.log(
+                Level.INFO,
+                "maintenance_listening",
+                "cluster",
+                maintenance.peers().address(),
+                "control",
+                control == null ? "-" : control.address());
     }
 
     /**
@@ -249,7 +254,7 @@
             }
             pipeline.acceptor.setReady(true);
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "event=door_not_open", e);
+            LOG.logFailure(Level.WARNING, "accept_resume_failed", e);
             loop.schedule(loop.nowUs() + config.reportIntervalUs, this::resumeAccepting);
         }
     }
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -4,6 +4,7 @@
 import tinlink.decision.Outcome;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.FrameReader;
 import tinlink.net.MessageRejectedException;
@@ -19,11 +20,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /** One connection to a data node, and the attempts that are in flight on it. */
 final class NodeConnection implements Connection.Listener, FrameReader.FrameListener {
-    private static final Logger LOG = Logger.getLogger("tinlink.nodes");
+    private static final EventLog LOG = new EventLog("tinlink.nodes");
 
     /**
      * Danger: of frames that are written together none can be recalled once one is stuck. A frame is
@@ -253,8 +253,13 @@
         try {
             reader.read(in);
         } catch (MessageRejectedException e) {
-            LOG.log(Level.FINE, "data node {0}: {1}", new Object[] {endpoint.address, e.getMessage()
-            });
+            LOG.log(
+                    Level.FINE,
+                    "node_protocol_error",
+                    "node",
+                    endpoint.address,
+                    "reason",
+                    e.getMessage());
             connection.close(CloseReason.BAD_INPUT);
         }
         if (reader.isAtBoundary() != (frameTimer == null)) {
@@ -308,9 +313,7 @@
 
     @Override
     public void frameRejected(String message) {
-        LOG.log(Level.FINE, "data node {0} could not use a frame: {1}", new Object[] {
-            endpoint.address, message
-        });
+        LOG.log(Level.FINE, "frame_rejected", "node", endpoint.address, "reason", message);
         connection.close(CloseReason.FRAME_REJECTED);
     }
 
@@ -319,9 +322,15 @@
         dispatcher.cancelTimer(connectTimer);
         dispatcher.cancelTimer(idleTimer);
         dispatcher.cancelTimer(frameTimer);
-        LOG.log(Level.FINE, "data node {0}: {1}, {2} calls out", new Object[] {
-            endpoint.address, closeReason, slotsInUse
-        });
+        LOG.log(
+                Level.FINE,
+                "node_connection_closed",
+                "node",
+                endpoint.address,
+                "reason",
+                closeReason,
+                "in_flight",
+                slotsInUse);
         // One answer was spoilt: it is held to be that of the call that has waited longest. A
         // connection that
         // has carried answers and closes in order was closed between two, and speaks of no call.
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -3,6 +3,7 @@
 import tinlink.config.InvalidInputException;
 import tinlink.config.RouterConfig;
 import tinlink.decision.QueryCoordinator;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
@@ -12,11 +13,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /** One query router: built from its configuration, then run until it is told to stop. */
 public final class Router {
-    private static final Logger LOG = Logger.getLogger("tinlink.router");
+    private static final EventLog LOG = new EventLog("tinlink.router");
     /** After a SIGTERM new connections go on coming for up to 0.4 s. */
     static final long DRAIN_NOTICE_US = 500_000;
     /** What comes later than this after a SIGTERM must not be left unanswered. */
@@ -112,17 +112,21 @@
         long startNanos = System.nanoTime();
         try {
             warmup = new Warmup(config.reload(), loop, network, pipeline, () -> {
-                LOG.log(Level.INFO, "{0} has warmed up: {1} lookups in {2} ms", new Object[] {
-                    config.name,
-                    warmup.lookupsAnswered(),
-                    (System.nanoTime() - startNanos) / 1_000_000
-                });
+                LOG.log(
+                        Level.INFO,
+                        "warmed_up",
+                        "router",
+                        config.name,
+                        "lookups",
+                        warmup.lookupsAnswered(),
+                        "took_ms",
+                        (System.nanoTime() - startNanos) / 1_000_000);
                 next.run();
             });
             driver.beside(warmup);
             network.accept(warmup);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "the router starts cold", e);
+            LOG.logFailure(Level.WARNING, "warm_up_failed", e);
             warmup = null;
             next.run();
         }
@@ -158,9 +162,7 @@
             if (maintenance != null) {
                 maintenance.close();
             }
-            LOG.log(Level.INFO, "{0} has stopped, {1} lookups and parts in hand", new Object[] {
-                config.name, driver.inFlight()
-            });
+            LOG.log(Level.INFO, "stopped", "router", config.name, "in_flight", driver.inFlight());
         } finally {
             network.close();
             stoppedLatch.countDown();
@@ -219,14 +221,17 @@
             servingLatch.countDown();
             LOG.log(
                     Level.INFO,
-                    "{0} serves at {1} with {2} data nodes, {3} descriptors and {4} MB",
-                    new Object[] {
-                        config.name,
-                        String.valueOf(network.address()),
-                        endpointList.size(),
-                        config.maxDescriptors,
-                        config.memoryMb
-                    });
+                    "serving",
+                    "router",
+                    config.name,
+                    "address",
+                    network.address(),
+                    "nodes",
+                    endpointList.size(),
+                    "descriptors",
+                    config.maxDescriptors,
+                    "memory_mb",
+                    config.memoryMb);
         } catch (IOException e) {
             serveFailure = e;
             loop.stop();
@@ -281,9 +286,9 @@
                 if (gateway != null && config.gateway != null) {
                     gateway.updateKeys(config.gateway);
                 }
-                LOG.log(Level.INFO, "{0} has read its configuration again", config.name);
+                LOG.log(Level.INFO, "config_reloaded", "router", config.name);
             } catch (InvalidInputException e) {
-                LOG.log(Level.WARNING, "reload: {0}; all stays as it was", e.getMessage());
+                LOG.log(Level.WARNING, "config_reload_rejected", "reason", e.getMessage());
             }
         });
     }
@@ -295,9 +300,7 @@
     }
 
     private void stop() {
-        LOG.log(Level.INFO, "{0} stops, {1} lookups and parts in hand", new Object[] {
-            config.name, driver.inFlight()
-        });
+        LOG.log(Level.INFO, "stopping", "router", config.name, "in_flight", driver.inFlight());
         // Danger: while routers restart one after the other, the next one may stop before the one
         // before it
         // is back. Clients go on using the connections that they have, so these are served for as
