--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -12,6 +12,7 @@
 import tinlink.net.Counters;
 import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
 import tinlink.securechannel.KeyRing;
@@ -44,7 +45,7 @@
         implements Membership.Handler,
                 PeerConnections.MessageHandler,
                 RaftReplica.Listener,
-                EventLoop.EventLoopParticipant {
+                EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
 
     /**
--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/PeerConnections.java
@@ -164,7 +164,7 @@
             // held here.
             if (destination.session.outboundBacklogBytes() > MAX_QUEUED_BYTES) {
                 counters.increment("peers_not_sent");
-                destination.session.close(CloseReason.SILENT);
+                destination.session.close(CloseReason.UNRESPONSIVE);
                 return;
             }
             destination.session.lastUsedUs = loop.nowUs();
@@ -225,7 +225,7 @@
             Destination destination = iterator.next();
             iterator.remove();
             if (destination.session != null) {
-                destination.session.close(CloseReason.IDLE);
+                destination.session.close(CloseReason.IDLE_TIMEOUT);
             }
         }
     }
@@ -234,7 +234,7 @@
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.isUp
                     && loop.nowUs() - destination.session.lastUsedUs > timeouts.idleUs()) {
-                destination.session.close(CloseReason.IDLE);
+                destination.session.close(CloseReason.IDLE_TIMEOUT);
             }
         }
         loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
@@ -243,7 +243,7 @@
     void opened(PeerSession session) {
         Destination destination = destinations.get(session.dialedAddress);
         if (destination == null || destination.session != session) {
-            session.close(CloseReason.DONE);
+            session.close(CloseReason.COMPLETED);
             return;
         }
         destination.isUp = true;
@@ -278,7 +278,7 @@
         unauthenticatedConnections.remove(session);
         inboundSessions.add(session);
         if (inboundSessions.size() > limits.connections()) {
-            inboundSessions.iterator().next().close(CloseReason.IDLE);
+            inboundSessions.iterator().next().close(CloseReason.IDLE_TIMEOUT);
         }
     }
 
@@ -300,7 +300,7 @@
         session.attach(link, timeouts.handshakeUs());
         unauthenticatedConnections.add(session);
         if (unauthenticatedConnections.size() > limits.unauthenticated()) {
-            unauthenticatedConnections.iterator().next().close(CloseReason.DONE);
+            unauthenticatedConnections.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -318,11 +318,12 @@
     /** Ends all links. */
     public void close() {
         listening.close();
-        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.DONE));
-        Set.copyOf(unauthenticatedConnections).forEach(session -> session.close(CloseReason.DONE));
+        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.COMPLETED));
+        Set.copyOf(unauthenticatedConnections)
+                .forEach(session -> session.close(CloseReason.COMPLETED));
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.session != null) {
-                destination.session.close(CloseReason.DONE);
+                destination.session.close(CloseReason.COMPLETED);
             }
         }
     }
--- a/src/main/java/tinlink/emulator/EmulatedClient.java
+++ b/src/main/java/tinlink/emulator/EmulatedClient.java
@@ -80,7 +80,7 @@
     public void connectTo(InetSocketAddress where) {
         emulatorLoop.run(() -> {
             router = where;
-            List.copyOf(idle).forEach(c -> c.link.close(CloseReason.DONE));
+            List.copyOf(idle).forEach(c -> c.link.close(CloseReason.COMPLETED));
         });
     }
 
@@ -114,7 +114,7 @@
             return () -> emulatorLoop.run(() -> {
                 if (at.listener == listener) {
                     at.listener = null;
-                    at.link.close(CloseReason.DONE);
+                    at.link.close(CloseReason.COMPLETED);
                 }
             });
         });
@@ -160,7 +160,7 @@
                     reader.read(in);
                 }
             } catch (MessageRejectedException e) {
-                link.close(CloseReason.BAD_INPUT);
+                link.close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
@@ -190,7 +190,7 @@
             deliver(new LookupResponse(
                     status, body.toString().strip(), emulatorLoop.now(), retryAfterUs));
             if (closes) {
-                link.close(CloseReason.DONE);
+                link.close(CloseReason.COMPLETED);
             } else if (!link.isClosed()) {
                 idle.add(this);
             }
--- a/src/main/java/tinlink/emulator/EmulatedDiscovery.java
+++ b/src/main/java/tinlink/emulator/EmulatedDiscovery.java
@@ -127,7 +127,7 @@
                     reader.read(in);
                 }
             } catch (MessageRejectedException e) {
-                link.close(CloseReason.BAD_INPUT);
+                link.close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
--- a/src/main/java/tinlink/emulator/EmulatedLink.java
+++ b/src/main/java/tinlink/emulator/EmulatedLink.java
@@ -279,9 +279,9 @@
         void closeBoth() {
             closed = true;
             pairs.remove(this);
-            near.close(CloseReason.DONE);
+            near.close(CloseReason.COMPLETED);
             if (far.link != null) {
-                far.link.close(CloseReason.DONE);
+                far.link.close(CloseReason.COMPLETED);
             }
         }
     }
--- a/src/main/java/tinlink/emulator/EmulatedNode.java
+++ b/src/main/java/tinlink/emulator/EmulatedNode.java
@@ -136,7 +136,7 @@
             queue.clear();
             stalled.clear();
             busy = 0;
-            List.copyOf(connections).forEach(d -> d.link.close(CloseReason.DONE));
+            List.copyOf(connections).forEach(d -> d.link.close(CloseReason.COMPLETED));
         });
     }
 
@@ -383,7 +383,7 @@
         private void unusable(String why) {
             frame('N', why);
             emulatorLoop.schedule(
-                    emulatorLoop.now() + 1000, () -> link.close(CloseReason.BAD_INPUT));
+                    emulatorLoop.now() + 1000, () -> link.close(CloseReason.PROTOCOL_ERROR));
         }
 
         private void frame(char letter, String rest) {
--- a/src/main/java/tinlink/emulator/EmulatorLoop.java
+++ b/src/main/java/tinlink/emulator/EmulatorLoop.java
@@ -3,6 +3,7 @@
 import tinlink.net.Connection;
 import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 
 import java.io.IOException;
@@ -25,7 +26,7 @@
     public EmulatorLoop() throws IOException {
         network = new Network(loop);
         thread = new Thread(
-                () -> loop.run(new EventLoop.EventLoopParticipant() {
+                () -> loop.run(new EventLoopParticipant() {
                     @Override
                     public void turnStarted(long nowUs) {
                         // Stand-ins read the loop's clock themselves.
--- a/src/main/java/tinlink/emulator/Http2Caller.java
+++ b/src/main/java/tinlink/emulator/Http2Caller.java
@@ -134,7 +134,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            link.close(CloseReason.BAD_INPUT);
+            link.close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
--- a/src/main/java/tinlink/experiment/processes/ClientGroup.java
+++ b/src/main/java/tinlink/experiment/processes/ClientGroup.java
@@ -140,8 +140,8 @@
             // What a
             // reset says is not known, so only what may be repeated is asked again.
             boolean untaken = answer.body().equals("PEER_CLOSED")
-                    || answer.body().equals("REFUSED")
-                    || answer.body().equals("NOT_UP");
+                    || answer.body().equals("CONNECT_REFUSED")
+                    || answer.body().equals("CONNECT_TIMEOUT");
             if (took) {
                 a.excused = true;
                 hears.accept(answer);
--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -13,6 +13,7 @@
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 import tinlink.policy.PolicyRolloutService;
 import tinlink.policy.PolicyStateMachine;
@@ -42,7 +43,7 @@
  * from that of the others.
  */
 final class HollowRouter
-        implements EventLoop.EventLoopParticipant, MaintenanceService.DataPlane, AutoCloseable {
+        implements EventLoopParticipant, MaintenanceService.DataPlane, AutoCloseable {
     private static final long ANSWER_SECONDS = 20;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int MOST_THREADS = 64;
--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -5,6 +5,7 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 
 import java.io.IOException;
@@ -71,7 +72,7 @@
     private final SecureRandom secureRandom = new SecureRandom();
     private final GatewayClient client;
     private final GatewayServer server;
-    private final EventLoop.EventLoopParticipant turn = new EventLoop.EventLoopParticipant() {
+    private final EventLoopParticipant turn = new EventLoopParticipant() {
         @Override
         public void turnStarted(long nowUs) {
             client.advanceClock(nowUs);
@@ -107,7 +108,7 @@
     }
 
     /** Its part of a turn. */
-    public EventLoop.EventLoopParticipant turn() {
+    public EventLoopParticipant turn() {
         return turn;
     }
 
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -103,7 +103,7 @@
     public void disconnect(GatewayChannel channel) {
         GatewayClientSession session = sessions.get(channel);
         if (session != null) {
-            session.close(CloseReason.SILENT);
+            session.close(CloseReason.UNRESPONSIVE);
         }
     }
 
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -112,7 +112,7 @@
         session.attach(link, gateway.timing.handshakeUs());
         unauthenticated.add(session);
         if (unauthenticated.size() > MAX_UNAUTHENTICATED) {
-            unauthenticated.iterator().next().close(CloseReason.DONE);
+            unauthenticated.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -150,7 +150,7 @@
             long silenceAt =
                     gateway.loop.nowUs() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
             EventLoop.Timer silenceTimer =
-                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.SILENT));
+                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.UNRESPONSIVE));
             gateway.loop.cancel(authenticated.put(session, silenceTimer));
         }
     }
@@ -209,7 +209,7 @@
 
     @Override
     public void closeSession(Object session) {
-        ((GatewayServerSession) session).close(CloseReason.GONE);
+        ((GatewayServerSession) session).close(CloseReason.ENDPOINT_REMOVED);
     }
 
     @Override
--- a/src/main/java/tinlink/http2/Http2NodeClient.java
+++ b/src/main/java/tinlink/http2/Http2NodeClient.java
@@ -158,7 +158,7 @@
                     link,
                     loop.schedule(
                             loop.nowUs() + settings.connectTimeoutUs(),
-                            () -> link.close(CloseReason.NOT_UP)));
+                            () -> link.close(CloseReason.CONNECT_TIMEOUT)));
             connections.put(pooled, nodeConnection);
             counters.increment("http2_connections");
             callHandler.connectionOpened();
@@ -192,7 +192,7 @@
 
     @Override
     public void closeConnection(PooledConnection pooled, boolean silent) {
-        connections.get(pooled).close(silent ? CloseReason.SILENT : CloseReason.IDLE);
+        connections.get(pooled).close(silent ? CloseReason.UNRESPONSIVE : CloseReason.IDLE_TIMEOUT);
     }
 
     @Override
@@ -273,7 +273,7 @@
         pool.onConnectionEnded(
                 nodeConnection.pooled,
                 wasUp,
-                closeReason == CloseReason.NO_SOCKET
+                closeReason == CloseReason.NO_DESCRIPTOR
                         ? CallResult.NEVER_LEFT
                         : CallResult.NO_CONNECTION);
     }
--- a/src/main/java/tinlink/http2/Http2NodeConnection.java
+++ b/src/main/java/tinlink/http2/Http2NodeConnection.java
@@ -106,7 +106,7 @@
             http2.sendGoAway(e.code);
             link.scheduleWrite();
             nodeClient.retire(this);
-            nodeClient.runSoon(() -> link.close(CloseReason.BAD_INPUT));
+            nodeClient.runSoon(() -> link.close(CloseReason.PROTOCOL_ERROR));
         }
         if (!protocolFailed
                 && !link.isClosed()
@@ -114,7 +114,7 @@
             nodeClient.cancelTimer(stallTimer);
             stallTimer = http2.isAtFrameBoundary()
                     ? null
-                    : nodeClient.startStallTimer(() -> link.close(CloseReason.BAD_INPUT));
+                    : nodeClient.startStallTimer(() -> link.close(CloseReason.PROTOCOL_ERROR));
         }
     }
 
--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -46,7 +46,7 @@
     void opened(Connection up, long timeoutUs) {
         link = up;
         timeout = control.loop.schedule(
-                control.loop.nowUs() + timeoutUs, () -> link.close(CloseReason.IDLE));
+                control.loop.nowUs() + timeoutUs, () -> link.close(CloseReason.IDLE_TIMEOUT));
     }
 
     void end(CloseReason closeReason) {
@@ -132,7 +132,7 @@
                         + json.length + "\r\n\r\n")
                 .put(json);
         link.scheduleWrite();
-        setTimeout(() -> link.close(CloseReason.DONE));
+        setTimeout(() -> link.close(CloseReason.COMPLETED));
     }
 
     /** Answers with what the vote came to. @param failure why that is not known; null where it is */
--- a/src/main/java/tinlink/maintenance/ControlServer.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -59,7 +59,7 @@
 
     public void close() {
         listening.close();
-        List.copyOf(connections).forEach(connection -> connection.end(CloseReason.DONE));
+        List.copyOf(connections).forEach(connection -> connection.end(CloseReason.COMPLETED));
     }
 
     /** The connection has ended. */
@@ -78,7 +78,7 @@
         connections.add(connection);
         connection.opened(link, 2 * answerTimeoutUs);
         if (connections.size() > MAX_CONNECTIONS) {
-            connections.iterator().next().end(CloseReason.IDLE);
+            connections.iterator().next().end(CloseReason.IDLE_TIMEOUT);
         }
     }
 
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -15,6 +15,7 @@
 import tinlink.net.Counters;
 import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 import tinlink.net.RingBuffer;
 
@@ -38,7 +39,7 @@
 public final class MaintenanceService
         implements DrainController.DrainHandler,
                 MachineFailureDetector.Prober,
-                EventLoop.EventLoopParticipant {
+                EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
 
     /** A data node as this router has it on its list. */
@@ -381,7 +382,7 @@
             probe.link = network.connect(address, probe);
             probe.timeout = loop.schedule(
                     loop.nowUs() + settings.probeIntervalUs() / 2,
-                    () -> probe.link.close(CloseReason.NOT_UP));
+                    () -> probe.link.close(CloseReason.CONNECT_TIMEOUT));
         } catch (IOException | RuntimeException e) {
             probe.finish(false);
         }
@@ -402,7 +403,7 @@
             loop.cancel(timeout);
             timeout = loop.schedule(loop.nowUs() + settings.probeIntervalUs() / 4, () -> {
                 finish(true);
-                link.close(CloseReason.DONE);
+                link.close(CloseReason.COMPLETED);
             });
         }
 
--- a/src/main/java/tinlink/net/CloseReason.java
+++ b/src/main/java/tinlink/net/CloseReason.java
@@ -7,33 +7,33 @@
  */
 public enum CloseReason {
     /** The connect was refused or failed. */
-    REFUSED,
+    CONNECT_REFUSED,
     /** The connect did not come up in time. */
-    NOT_UP,
+    CONNECT_TIMEOUT,
     /** No descriptor was left for it. */
-    NO_SOCKET,
+    NO_DESCRIPTOR,
     /** The other side ended it in order. */
     PEER_CLOSED,
     /** The other side or the network broke it; a read failed. */
-    BROKEN,
+    READ_FAILED,
     /** A write failed. */
     WRITE_FAILED,
     /** What came in is not of the protocol. */
-    BAD_INPUT,
+    PROTOCOL_ERROR,
     /** The data node could not use a frame of ours and said so. */
     FRAME_REJECTED,
     /** We closed it: it stood idle. */
-    IDLE,
+    IDLE_TIMEOUT,
     /** We closed it: the module asked for a new one. */
     RELEASED,
     /** We closed it: what was sent on it went unanswered. */
-    SILENT,
+    UNRESPONSIVE,
     /** We closed it: the other side is off the list, or has moved. */
-    GONE,
+    ENDPOINT_REMOVED,
     /** We closed it after the last answer, or as the router stops. */
-    DONE,
+    COMPLETED,
     /** A fault of our own. */
-    FAULT;
+    INTERNAL_ERROR;
 
     /**
      * Danger: a part call taken for one that never ran may have its effect twice. And calls that
@@ -47,18 +47,22 @@
     public Outcome toOutcome(boolean mayHaveLeft, boolean concernsCall) {
         Outcome bystanderOutcome = mayHaveLeft ? Outcome.CANCELLED : Outcome.NOT_SENT;
         return switch (this) {
-            case NO_SOCKET -> Outcome.NOT_SENT;
-            case REFUSED, NOT_UP -> Outcome.NO_CONNECTION;
-            case BROKEN, WRITE_FAILED ->
+            case NO_DESCRIPTOR -> Outcome.NOT_SENT;
+            case CONNECT_REFUSED, CONNECT_TIMEOUT -> Outcome.NO_CONNECTION;
+            case READ_FAILED, WRITE_FAILED ->
                 mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
             case PEER_CLOSED ->
                 !concernsCall
                         ? bystanderOutcome
                         : mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
-            case BAD_INPUT, FRAME_REJECTED ->
+            case PROTOCOL_ERROR, FRAME_REJECTED ->
                 mayHaveLeft && concernsCall ? Outcome.ERROR : bystanderOutcome;
-            case IDLE, RELEASED, SILENT, GONE, DONE, FAULT ->
-                mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NOT_SENT;
+            case IDLE_TIMEOUT,
+                    RELEASED,
+                    UNRESPONSIVE,
+                    ENDPOINT_REMOVED,
+                    COMPLETED,
+                    INTERNAL_ERROR -> mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NOT_SENT;
         };
     }
 }
--- a/src/main/java/tinlink/net/Connection.java
+++ b/src/main/java/tinlink/net/Connection.java
@@ -147,7 +147,7 @@
 
             @Override
             public void failed(Throwable e, Void unused) {
-                loop.execute(() -> connection.close(CloseReason.REFUSED));
+                loop.execute(() -> connection.close(CloseReason.CONNECT_REFUSED));
             }
         });
         return connection;
@@ -230,7 +230,7 @@
             try {
                 channel.shutdownOutput();
             } catch (IOException e) {
-                close(CloseReason.BROKEN);
+                close(CloseReason.READ_FAILED);
             }
         }
     }
@@ -304,7 +304,7 @@
             return;
         }
         if (failure != null || count < 0) {
-            close(failure != null ? CloseReason.BROKEN : CloseReason.PEER_CLOSED);
+            close(failure != null ? CloseReason.READ_FAILED : CloseReason.PEER_CLOSED);
             return;
         }
         lastReadFilledBuffer = in.freeBytes() == count;
@@ -318,7 +318,7 @@
             listener.bytesReceived(in);
         } catch (RuntimeException e) {
             LOG.logFailure(Level.SEVERE, "connection_failed", e);
-            close(CloseReason.FAULT);
+            close(CloseReason.INTERNAL_ERROR);
         }
         read();
     }
--- a/src/main/java/tinlink/net/EventLoop.java
+++ b/src/main/java/tinlink/net/EventLoop.java
@@ -35,15 +35,6 @@
     /** What the I/O thread has handled is held to be all that is there for so long. */
     private static final long MIN_CATCH_UP_GAP_US = 50_000;
 
-    /**
-     * What takes part in each turn, on the loop's thread: before the tasks that are ready, and after them.
-     */
-    public interface EventLoopParticipant {
-        void turnStarted(long nowUs);
-
-        void turnEnding();
-    }
-
     /** A task that is due at a time, unless it is cancelled. */
     public static final class Timer implements Comparable<Timer> {
         private final long dueUs;
--- a/src/main/java/tinlink/policy/PolicyRolloutService.java
+++ b/src/main/java/tinlink/policy/PolicyRolloutService.java
@@ -3,6 +3,7 @@
 import tinlink.cluster.ClusterNode;
 import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.ChangeCoordinator;
 import tinlink.policy.rollout.ChangeParticipant;
@@ -24,7 +25,7 @@
  * Changes of policy in a router that serves: carries out what {@link ChangeParticipant} and {@link
  * ChangeCoordinator} decide. All of it belongs to the loop's thread.
  */
-public final class PolicyRolloutService implements EventLoop.EventLoopParticipant {
+public final class PolicyRolloutService implements EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.policy");
     private final EventLoop loop;
     private final ClusterNode clusterNode;
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -206,7 +206,7 @@
         for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
             if (nodeConnection.slotsInUse() == 0
                     && nowUs() - nodeConnection.lastUsedUs() >= idleTimeoutUs) {
-                nodeConnection.close(CloseReason.IDLE);
+                nodeConnection.close(CloseReason.IDLE_TIMEOUT);
             } else if (nodeConnection.slotsInUse() < settings.callsPerConnection()
                     && nodeConnection.isUsable()
                     && batch.sentAttempts.stream().noneMatch(nodeConnection::hasIdInUse)
@@ -222,7 +222,7 @@
         }
         for (SentAttempt sent : batch.sentAttempts) {
             if (!sent.isEnded) {
-                recordOutcome(sent, CloseReason.NO_SOCKET.toOutcome(false, true), false);
+                recordOutcome(sent, CloseReason.NO_DESCRIPTOR.toOutcome(false, true), false);
             }
         }
     }
@@ -238,7 +238,7 @@
                     connection,
                     loop.schedule(
                             nowUs() + settings.connectTimeoutUs(),
-                            () -> connection.close(CloseReason.NOT_UP)));
+                            () -> connection.close(CloseReason.CONNECT_TIMEOUT)));
             descriptors.nodeOpened();
             endpoint.connections.add(nodeConnection);
             return nodeConnection;
@@ -252,7 +252,7 @@
     void closeAll() {
         List.copyOf(endpoints.values())
                 .forEach(endpoint -> List.copyOf(endpoint.connections)
-                        .forEach(nodeConnection -> nodeConnection.close(CloseReason.DONE)));
+                        .forEach(nodeConnection -> nodeConnection.close(CloseReason.COMPLETED)));
     }
 
     // ---- Outcomes. ----
@@ -295,7 +295,7 @@
         }
         return loop.schedule(
                 nodeConnection.lastUsedUs() + idleTimeoutUs,
-                () -> closeUnused(nodeConnection, CloseReason.IDLE));
+                () -> closeUnused(nodeConnection, CloseReason.IDLE_TIMEOUT));
     }
 
     private static void closeUnused(NodeConnection nodeConnection, CloseReason closeReason) {
--- a/src/main/java/tinlink/router/ClientAcceptor.java
+++ b/src/main/java/tinlink/router/ClientAcceptor.java
@@ -160,7 +160,7 @@
                 if (candidates == closingClients
                         ? client.connection().isIdle()
                         : !client.connection().hasUnprocessedRead()) {
-                    client.connection().close(CloseReason.IDLE);
+                    client.connection().close(CloseReason.IDLE_TIMEOUT);
                     return;
                 }
             }
@@ -174,7 +174,7 @@
                 break;
             }
             if (!client.connection().hasUnprocessedRead()) {
-                client.connection().close(CloseReason.IDLE);
+                client.connection().close(CloseReason.IDLE_TIMEOUT);
                 return;
             }
         }
@@ -256,7 +256,7 @@
     private void closeAfterLinger(ClientConnection client, long deadlineUs) {
         loop.schedule(loop.nowUs() + lingerUs, () -> {
             if (client.connection().isIdle() || loop.nowUs() >= deadlineUs) {
-                client.connection().close(CloseReason.DONE);
+                client.connection().close(CloseReason.COMPLETED);
             } else {
                 closeAfterLinger(client, deadlineUs);
             }
--- a/src/main/java/tinlink/router/ClientConnection.java
+++ b/src/main/java/tinlink/router/ClientConnection.java
@@ -164,7 +164,7 @@
         } else if (hasResponded) {
             drain();
         } else {
-            connection.close(CloseReason.IDLE);
+            connection.close(CloseReason.IDLE_TIMEOUT);
         }
     }
 
--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -9,6 +9,7 @@
 import tinlink.decision.QueryCoordinator;
 import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,7 +27,7 @@
  * Drives the decision module in each turn: its clock, its inputs, its decisions, and then the actions that
  * these ask for.
  */
-final class DecisionDriver implements DecisionHandler, EventLoop.EventLoopParticipant {
+final class DecisionDriver implements DecisionHandler, EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.decisions");
     private final EventLoop loop;
     private final QueryCoordinator module;
@@ -50,9 +51,9 @@
     private AttemptDispatcher dispatcher;
     private Runnable followEndpointList;
     /** What else decides in each turn, beside the module; null where nothing does. */
-    private EventLoop.EventLoopParticipant beside;
+    private EventLoopParticipant beside;
     /** Work on machines; null where it is off. */
-    private EventLoop.EventLoopParticipant also;
+    private EventLoopParticipant also;
 
     /** @param maxRetryAfterUs the longest Retry-After that clients are given */
     DecisionDriver(
@@ -68,11 +69,11 @@
         this.followEndpointList = followEndpointList;
     }
 
-    void beside(EventLoop.EventLoopParticipant participant) {
+    void beside(EventLoopParticipant participant) {
         beside = participant;
     }
 
-    void also(EventLoop.EventLoopParticipant participant) {
+    void also(EventLoopParticipant participant) {
         also = participant;
     }
 
--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -106,8 +106,8 @@
             return; // The whole list says nothing of what comes after it.
         }
         loop.cancel(silenceTimer);
-        silenceTimer =
-                loop.schedule(loop.nowUs() + SILENCE_TIMEOUT_US, () -> close(CloseReason.SILENT));
+        silenceTimer = loop.schedule(
+                loop.nowUs() + SILENCE_TIMEOUT_US, () -> close(CloseReason.UNRESPONSIVE));
         handler.watchAlive(this);
     }
 
@@ -119,7 +119,7 @@
             }
         } catch (MessageRejectedException e) {
             LOG.log(Level.WARNING, "discovery_protocol_error", "reason", e.getMessage());
-            close(CloseReason.BAD_INPUT);
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -88,7 +88,7 @@
                 loop.nowUs() + openIntervalUs - random.nextLong(openIntervalUs / 4),
                 this::openWatch);
         if (pendingWatches.size() == MAX_PENDING) {
-            pendingWatches.get(0).close(CloseReason.SILENT);
+            pendingWatches.get(0).close(CloseReason.UNRESPONSIVE);
         }
         DiscoveryConnection connection = new DiscoveryConnection(loop, this, maxObjectBytes);
         try {
@@ -118,7 +118,7 @@
         // Danger: what the old place still says is old by now, and must not be taken for news.
         activeWatch = null;
         pendingWatches.clear();
-        old.forEach(watch -> watch.close(CloseReason.GONE));
+        old.forEach(watch -> watch.close(CloseReason.ENDPOINT_REMOVED));
         loop.cancel(nextOpenTimer);
         openWatch();
     }
@@ -136,7 +136,7 @@
         isDown = false;
         loop.cancel(nextOpenTimer);
         nextOpenTimer = null;
-        others.forEach(other -> other.close(CloseReason.DONE));
+        others.forEach(other -> other.close(CloseReason.COMPLETED));
     }
 
     @Override
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -14,6 +14,7 @@
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 import tinlink.policy.PolicyStateMachine;
 
@@ -184,9 +185,8 @@
     }
 
     /** Two that decide in each turn. */
-    private record ParticipantPair(
-            EventLoop.EventLoopParticipant first, EventLoop.EventLoopParticipant second)
-            implements EventLoop.EventLoopParticipant {
+    private record ParticipantPair(EventLoopParticipant first, EventLoopParticipant second)
+            implements EventLoopParticipant {
         @Override
         public void turnStarted(long nowUs) {
             first.turnStarted(nowUs);
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -102,7 +102,9 @@
     /** Why it is closed once no call is out on it; null where it stays for the next. */
     CloseReason closeReasonWhenUnused() {
         boolean isRemoved = isRetired || endpoint.node.state == DataNode.State.GONE;
-        return isUnresponsive ? CloseReason.SILENT : isRemoved ? CloseReason.GONE : null;
+        return isUnresponsive
+                ? CloseReason.UNRESPONSIVE
+                : isRemoved ? CloseReason.ENDPOINT_REMOVED : null;
     }
 
     /** Its node has moved, or has started anew. */
@@ -260,7 +262,7 @@
                     endpoint.address,
                     "reason",
                     e.getMessage());
-            connection.close(CloseReason.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
         }
         if (reader.isAtBoundary() != (frameTimer == null)) {
             dispatcher.cancelTimer(frameTimer);
@@ -269,7 +271,7 @@
             frameTimer = reader.isAtBoundary() || connection.isClosed()
                     ? null
                     : dispatcher.scheduleFrameTimeout(
-                            () -> connection.close(CloseReason.BAD_INPUT));
+                            () -> connection.close(CloseReason.PROTOCOL_ERROR));
         }
     }
 
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -5,6 +5,7 @@
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.HttpReader;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -33,7 +34,7 @@
  * nobody else knows; all others wait unread, and are handed to the real door when the warm-up is
  * over.
  */
-final class Warmup implements Network.AcceptHandler, EventLoop.EventLoopParticipant {
+final class Warmup implements Network.AcceptHandler, EventLoopParticipant {
     /**
      * What a first run costs, loading and linking, is over with the first few; each more makes a
      * restart longer.
@@ -122,9 +123,9 @@
         }
         isEnded = true;
         loop.cancel(timeLimit);
-        warmupClients.forEach(client -> client.connection.close(CloseReason.DONE));
+        warmupClients.forEach(client -> client.connection.close(CloseReason.COMPLETED));
         pipeline.dispatcher.closeAll();
-        nodeConnections.forEach(nodeConnection -> nodeConnection.close(CloseReason.DONE));
+        nodeConnections.forEach(nodeConnection -> nodeConnection.close(CloseReason.COMPLETED));
         whenDone.run();
     }
 
@@ -237,7 +238,8 @@
                     delegateTo(client);
                     acceptor.accepted(connection, client);
                 } else {
-                    connection.close(CloseReason.BAD_INPUT); // No request begins so, whoever it is.
+                    connection.close(
+                            CloseReason.PROTOCOL_ERROR); // No request begins so, whoever it is.
                 }
             }
         }
@@ -302,7 +304,7 @@
         /** Danger: anybody may have sent this, not only our own. */
         private boolean startFrame(int size) {
             if (size < 0 || size > MAX_FRAME_BYTES) {
-                connection.close(CloseReason.BAD_INPUT);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return false;
             }
             frame = ByteBuffer.allocate(size);
@@ -318,7 +320,7 @@
                         ? new String[0]
                         : frameText.substring(position, lineEnd).split(" ");
                 if (fields.length != 4 || !fields[0].startsWith(idPrefix)) {
-                    connection.close(CloseReason.BAD_INPUT);
+                    connection.close(CloseReason.PROTOCOL_ERROR);
                     return;
                 }
                 position = lineEnd + 1 + Integer.parseInt(fields[3]);
@@ -384,7 +386,7 @@
                     reader.read(in);
                 }
             } catch (MessageRejectedException e) {
-                connection.close(CloseReason.BAD_INPUT);
+                connection.close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
--- a/src/main/java/tinlink/securechannel/SecureSession.java
+++ b/src/main/java/tinlink/securechannel/SecureSession.java
@@ -55,7 +55,8 @@
     protected void restartHandshakeDeadline(long handshakeTimeoutUs) {
         loop.cancel(deadline);
         deadline = loop.schedule(
-                loop.nowUs() + handshakeTimeoutUs, () -> connection.close(CloseReason.NOT_UP));
+                loop.nowUs() + handshakeTimeoutUs,
+                () -> connection.close(CloseReason.CONNECT_TIMEOUT));
     }
 
     /** From here on each message is sealed; the two directions have keys of their own. */
@@ -117,7 +118,7 @@
                             "event=malformed_message peer={0} reason=\"{1}\"",
                             new Object[] {peerName(), e.getMessage()});
             incrementCounter("spoilt");
-            connection.close(CloseReason.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
         }
         if (authenticated
                 && !connection.isClosed()
@@ -129,7 +130,7 @@
                     ? null
                     : loop.schedule(
                             loop.nowUs() + messageTimeoutUs,
-                            () -> connection.close(CloseReason.BAD_INPUT));
+                            () -> connection.close(CloseReason.PROTOCOL_ERROR));
         }
     }
 
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -175,7 +175,10 @@
     @ParameterizedTest
     @EnumSource(CloseReason.class)
     void eachCloseReasonTellsWhetherACallMayHaveRun(CloseReason closeReason) {
-        boolean neverUp = EnumSet.of(CloseReason.REFUSED, CloseReason.NOT_UP, CloseReason.NO_SOCKET)
+        boolean neverUp = EnumSet.of(
+                        CloseReason.CONNECT_REFUSED,
+                        CloseReason.CONNECT_TIMEOUT,
+                        CloseReason.NO_DESCRIPTOR)
                 .contains(closeReason);
         for (boolean meant : new boolean[] {true, false}) {
             assertEquals(neverUp, closeReason.toOutcome(true, meant).neverRan);
