--- /dev/null
+++ b/src/test/java/tinlink/cluster/GossipGoldenFilesTest.java
@@ -0,0 +1,73 @@
+package tinlink.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+import tinlink.GoldenFile;
+import tinlink.cluster.membership.Incarnation;
+import tinlink.cluster.membership.MemberState;
+import tinlink.cluster.membership.Rumor;
+import tinlink.securechannel.MessageCodec;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** A process of a router, and what is passed on of members, byte for byte as earlier builds wrote them. */
+class GossipGoldenFilesTest {
+    private static byte[] encode(Incarnation incarnation) {
+        MessageCodec.Builder out = new MessageCodec.Builder();
+        PeerProtocol.incarnation(out, incarnation);
+        return out.build();
+    }
+
+    private static Incarnation decodeIncarnation(byte[] bytes) throws Exception {
+        return PeerProtocol.incarnation(ByteBuffer.wrap(bytes));
+    }
+
+    private static byte[] encode(List<Rumor> rumors) {
+        MessageCodec.Builder out = new MessageCodec.Builder();
+        PeerProtocol.rumors(out, rumors);
+        return out.build();
+    }
+
+    private static List<Rumor> decodeRumors(byte[] bytes) throws Exception {
+        return PeerProtocol.rumors(ByteBuffer.wrap(bytes));
+    }
+
+    private static Map<String, List<Rumor>> rumors() {
+        List<Rumor> all = new ArrayList<>();
+        for (MemberState state : MemberState.values()) {
+            int i = state.ordinal();
+            all.add(new Rumor(
+                    new Incarnation("r" + i, 3 + i, 0x8000000000000000L + i),
+                    7L * i,
+                    state,
+                    "r" + i + "@10.0.0." + i + ":7000",
+                    i == 0 ? "" : "r9"));
+        }
+        Map<String, List<Rumor>> lists = new LinkedHashMap<>();
+        lists.put("no-rumours", List.of());
+        lists.put("rumours-of-all-standings", all);
+        return lists;
+    }
+
+    @Test
+    void rumorsAreWrittenAndReadAsTheyWere() throws Exception {
+        Incarnation incarnation = new Incarnation("r1", 0x0102030405060708L, -2);
+        Map<String, String> all = new LinkedHashMap<>();
+        all.put("life", GoldenFile.hex(encode(incarnation)));
+        rumors().forEach((name, some) -> all.put(name, GoldenFile.hex(encode(some))));
+        String file = "member-rumours.txt";
+        GoldenFile.holds(file, "A process of a router, and lists of rumours, in hex.", all);
+        Map<String, String> golden = GoldenFile.read(file);
+        assertEquals(incarnation, decodeIncarnation(GoldenFile.bytes(golden.get("life"))));
+        for (Map.Entry<String, List<Rumor>> some : rumors().entrySet()) {
+            byte[] bytes = GoldenFile.bytes(golden.get(some.getKey()));
+            assertEquals(some.getValue(), decodeRumors(bytes));
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/tinlink/storage/StorageGoldenFilesTest.java
@@ -0,0 +1,108 @@
+package tinlink.storage;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+import tinlink.GoldenFile;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+
+/** Files of the durable log and its snapshot, byte for byte as earlier builds wrote them. */
+class StorageGoldenFilesTest {
+    private static final String FILE = "storage-files.txt";
+    private static final byte[] STATE = "all that came before é".getBytes(StandardCharsets.UTF_8);
+
+    @TempDir
+    Path folder;
+
+    private DurableLog open(String name) throws IOException {
+        return new DurableLog(folder.resolve(name), 1 << 20);
+    }
+
+    private String bytes(String name, String file) throws IOException {
+        return GoldenFile.hex(Files.readAllBytes(folder.resolve(name).resolve(file)));
+    }
+
+    private static byte[] record(int number) {
+        byte[] record = new byte[number * number * 25];
+        for (int i = 0; i < record.length; i++) {
+            record[i] = (byte) (number + i * 5);
+        }
+        return record;
+    }
+
+    private List<String> names(String name) throws IOException {
+        try (Stream<Path> files = Files.list(folder.resolve(name))) {
+            return files.map(p -> p.getFileName().toString()).sorted().toList();
+        }
+    }
+
+    @Test
+    void filesAreWrittenAsTheyWere() throws IOException {
+        Map<String, String> all = new LinkedHashMap<>();
+        try (DurableLog log = open("written")) {
+            all.put("segment-without-records", bytes("written", "log-0"));
+            for (int i = 0; i < 3; i++) {
+                assertEquals(i, log.append(record(i)));
+            }
+            log.sync();
+            all.put("segment-of-three-records", bytes("written", "log-0"));
+            log.snapshot(STATE);
+            all.put("snapshot-after-three-records", bytes("written", "snap-3"));
+            log.append(record(3));
+            log.sync();
+            all.put("segment-after-the-snapshot", bytes("written", "log-3"));
+            assertEquals(List.of("lock", "log-3", "snap-3"), names("written"));
+        }
+        GoldenFile.holds(FILE, "Files of a folder that survives crashes, in hex.", all);
+    }
+
+    private void place(String name, String file, String record) throws IOException {
+        Path at = folder.resolve(name).resolve(file);
+        Files.createDirectories(at.getParent());
+        Files.write(at, GoldenFile.bytes(GoldenFile.read(FILE).get(record)));
+    }
+
+    @Test
+    void filesAreReadAsTheyWere() throws IOException {
+        place("empty", "log-0", "segment-without-records");
+        try (DurableLog log = open("empty")) {
+            assertEquals(List.of(), log.records());
+            assertEquals(0, log.nextRecordNumber());
+            assertEquals(0, log.tornBytes());
+        }
+        place("three", "log-0", "segment-of-three-records");
+        try (DurableLog log = open("three")) {
+            assertNull(log.snapshot());
+            assertEquals(3, log.records().size());
+            for (int i = 0; i < 3; i++) {
+                assertArrayEquals(record(i), log.records().get(i));
+            }
+            assertEquals(0, log.tornBytes());
+            log.snapshot(STATE);
+        }
+        assertEquals(
+                GoldenFile.read(FILE).get("snapshot-after-three-records"),
+                bytes("three", "snap-3"));
+        place("both", "snap-3", "snapshot-after-three-records");
+        place("both", "log-3", "segment-after-the-snapshot");
+        try (DurableLog log = open("both")) {
+            assertArrayEquals(STATE, log.snapshot());
+            assertEquals(1, log.records().size());
+            assertArrayEquals(record(3), log.records().get(0));
+            assertEquals(4, log.nextRecordNumber());
+            assertEquals(0, log.tornBytes());
+        }
+    }
+}
