--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -79,6 +79,8 @@
             long idleTimeoutUs) {}
 
     /**
+     * What a router holds at most of the others and of the log.
+     *
      * @param maxRouters routers that are known
      * @param maxUnauthenticatedConnections connections that have not proved themselves, at a time
      * @param maxDiskBytes of the log
--- a/src/main/java/tinlink/experiment/scale/HollowProcess.java
+++ b/src/main/java/tinlink/experiment/scale/HollowProcess.java
@@ -63,7 +63,7 @@
         builder.environment().keySet().removeIf(k -> k.startsWith("NODE_"));
         process = builder.start();
         RUNNING.add(process);
-        process.onExit().thenAccept(RUNNING::remove);
+        var unused = process.onExit().thenAccept(RUNNING::remove);
         commands = process.outputWriter(StandardCharsets.UTF_8);
         answers = new BufferedReader(
                 new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -178,7 +178,11 @@
         return within(opened);
     }
 
-    /** Joins the others, once. @param voters where each of them is reached */
+    /**
+     * Joins the others, once.
+     *
+     * @param voters where each of them is reached
+     */
     void join(Map<String, String> voters) {
         loop.execute(() -> {
             if (joined) {
--- a/src/main/java/tinlink/experiment/scale/ServingExperiment.java
+++ b/src/main/java/tinlink/experiment/scale/ServingExperiment.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.LocalDate;
+import java.time.ZoneOffset;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -72,7 +73,7 @@
 
     /** Also called between repeats, so that a run that is interrupted leaves what it has. */
     private void save(Path out, List<String> said) throws IOException {
-        String day = LocalDate.now().toString();
+        String day = LocalDate.now(ZoneOffset.UTC).toString();
         int cores = Runtime.getRuntime().availableProcessors();
         new ResultFile(day, seed, cores, said, results.all()).save(out);
     }
--- a/src/main/java/tinlink/experiment/scale/ServingKnee.java
+++ b/src/main/java/tinlink/experiment/scale/ServingKnee.java
@@ -29,6 +29,8 @@
     }
 
     /**
+     * Finds the largest rate that the router bears.
+     *
      * @param expected lookups a second that the router's one loop would bear by its processor time
      * @return the largest rate that held, in lookups a second; empty where none of the steps held
      */
--- a/src/main/java/tinlink/experiment/scale/ServingListRun.java
+++ b/src/main/java/tinlink/experiment/scale/ServingListRun.java
@@ -45,7 +45,7 @@
                     "B",
                     ServingNames.BY_LIST,
                     nodes,
-                    world.discovery.listBytes());
+                    (double) world.discovery.listBytes());
             ServingMemory idle = world.router.memory();
             add("heap", "MB", idle.heapMb());
             add("direct memory", "MB", idle.directMb());
@@ -98,7 +98,8 @@
     }
 
     private void byConnections(String cost, double mb, long open) {
-        results.add(ServingNames.ROUTER, cost, "MB", ServingNames.BY_CONNECTIONS, open, mb);
+        results.add(
+                ServingNames.ROUTER, cost, "MB", ServingNames.BY_CONNECTIONS, (double) open, mb);
     }
 
     /** Lookups that go over the first so many shards again and again. */
@@ -128,7 +129,7 @@
         ServingNodes.Counts counts = world.nodes.counts().minus(countsBefore);
         verdict.load(parts, result, counts, nodes);
         add("processor time a part call", "us", 1000 * used.processorMs() / counts.partCalls());
-        add("connections", "1", counts.connections());
+        add("connections", "1", (double) counts.connections());
         results.add(
                 ServingNames.DISCOVERY,
                 "watches a router",
--- a/src/main/java/tinlink/experiment/scale/ServingPartsRun.java
+++ b/src/main/java/tinlink/experiment/scale/ServingPartsRun.java
@@ -41,7 +41,7 @@
         return us.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    /** @return what came of the load runs, by the number of parts */
+    /** Runs each number of parts; returns the results of the load runs by the number of parts. */
     Map<Integer, ServingLoad.Result> run() throws IOException, InterruptedException {
         int nodes = plan.largestList();
         ServingRouter.Settings settings = new ServingRouter.Settings(
--- a/src/main/java/tinlink/experiment/simulation/ControlSimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlSimulation.java
@@ -26,6 +26,8 @@
  */
 public final class ControlSimulation {
     /**
+     * The size of a simulated fleet and what happens to it.
+     *
      * @param routers of them {@code voters} vote
      * @param nodes data nodes that are listed and watched
      * @param downShare of the ordinary routers that are down in the second part
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceSimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceSimulation.java
@@ -16,7 +16,11 @@
     private static final long MOST_AFTER_LAST_US = 600 * SEC;
     private static final long FIRST_EVENT_US = 8 * SEC;
 
-    /** @param planted routers say that they are done with a machine whether they are or not */
+    /**
+     * The size of a simulated fleet.
+     *
+     * @param planted routers say that they are done with a machine whether they are or not
+     */
     public record Size(int routers, int voters, int blocks, int holders, boolean planted) {
         /** How many data nodes there are. */
         public int nodes() {
--- a/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
@@ -201,7 +201,8 @@
      *
      * @param joinedUs until all of a fleet that was started at once knew each other
      * @param joining messages and bytes of one router until then, the mean
-     * @param idle a second afterwards
+     * @param messages of one router a second afterwards
+     * @param bytes of one router a second afterwards
      */
     public record Idle(long joinedUs, TrafficMeter.Count joining, double messages, double bytes) {}
 
--- a/src/main/java/tinlink/experiment/simulation/PolicyChecks.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicyChecks.java
@@ -78,7 +78,7 @@
         TreeMap<Long, Long> beginsAt = new TreeMap<>(Map.of(0L, 0L));
         Map<Long, Long> settledAt = new HashMap<>(Map.of(0L, 0L));
         outcomes.forEach((id, how) -> {
-            String[] parts = how.split(" ");
+            String[] parts = how.split(" ", 0);
             if (parts[0].equals("IN_FORCE")) {
                 long epoch = Long.parseLong(parts[1]);
                 beginsAt.put(epoch, Long.parseLong(parts[2]));
