--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -67,7 +67,7 @@
         String effect = settings.text(prefix + "effect", "pure");
         lookupClass.idempotency = switch (effect) {
             case "pure" -> LookupClass.Idempotency.IDEMPOTENT;
-            case "token" -> LookupClass.Idempotency.FINGERPRINTED;
+            case "token" -> LookupClass.Idempotency.BY_KEY;
             case "side_effect" -> LookupClass.Idempotency.ONCE_ONLY;
             default -> throw settings.invalid(prefix + "effect", "is not known: " + effect);
         };
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -428,7 +428,7 @@
             // moment.
             if (s == null
                     || replicas.tried(s, part)
-                            && lastCall(part).outcome == Outcome.TURNED_AWAY
+                            && lastCall(part).outcome == Outcome.REJECTED
                             && now < lastCall(part).sentAtUs + part.lookup.roundUs / 4) {
                 continue;
             }
@@ -604,7 +604,7 @@
                     || part.attempts.stream()
                             .allMatch(c -> neverRan(c)
                                     || lookupClass.idempotency
-                                                    == LookupClass.Idempotency.FINGERPRINTED
+                                                    == LookupClass.Idempotency.BY_KEY
                                             && now + stallUs()
                                                     <= c.sentAtUs
                                                             + lookupClass.deduplicationWindowUs);
@@ -857,7 +857,7 @@
                     s.doneAt = now;
                 }
                 // A full node ends calls fast; without this it would look like the fastest one.
-                case TURNED_AWAY -> sample(s, c, Math.max(2 * roundUs, s.smoothedUs), now);
+                case REJECTED -> sample(s, c, Math.max(2 * roundUs, s.smoothedUs), now);
                 case ERROR -> bad(s, now);
                 case CONNECTION_LOST, NO_CONNECTION -> {
                     bad(s, now);
--- a/src/main/java/tinlink/decision/Lookup.java
+++ b/src/main/java/tinlink/decision/Lookup.java
@@ -8,7 +8,6 @@
  */
 public class Lookup {
     public LookupClass lookupClass;
-    public int tenant;
     /** A client's repeat, where clients mark them. */
     public boolean isClientRetry;
     /**
--- a/src/main/java/tinlink/decision/LookupClass.java
+++ b/src/main/java/tinlink/decision/LookupClass.java
@@ -5,7 +5,7 @@
     /** What a repeated part call does. */
     public enum Idempotency {
         IDEMPOTENT,
-        FINGERPRINTED,
+        BY_KEY,
         ONCE_ONLY
     }
 
--- a/src/main/java/tinlink/decision/Outcome.java
+++ b/src/main/java/tinlink/decision/Outcome.java
@@ -4,7 +4,7 @@
 public enum Outcome {
     SATISFIED(false),
     ERROR(false),
-    TURNED_AWAY(true),
+    REJECTED(true),
     NO_ANSWER(false),
     NO_CONNECTION(true),
     CONNECTION_LOST(false),
--- a/src/main/java/tinlink/gateway/forwarding/PartStatus.java
+++ b/src/main/java/tinlink/gateway/forwarding/PartStatus.java
@@ -14,7 +14,7 @@
     /**
      * The far router turned it away, or its own module did before any part call that may have run.
      */
-    REFUSED(Outcome.TURNED_AWAY),
+    REFUSED(Outcome.REJECTED),
     /** It runs there; no end. */
     RUNNING(null),
     /** It has run there, and its value is here. */
--- a/src/main/java/tinlink/http2/pool/CallResult.java
+++ b/src/main/java/tinlink/http2/pool/CallResult.java
@@ -14,18 +14,18 @@
     /** Its stream lies above the last one that a GOAWAY names (RFC 9113, 6.8). */
     ABOVE_GOODBYE(Outcome.NOT_SENT),
     /** RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7). */
-    REFUSED_STREAM(Outcome.TURNED_AWAY),
+    REFUSED_STREAM(Outcome.REJECTED),
     /**
      * No connection took it in the time that it may wait: the node's streams are all in use, or it
      * allows none.
      */
-    FULL(Outcome.TURNED_AWAY),
+    FULL(Outcome.REJECTED),
     /** No connection came up. */
     NO_CONNECTION(Outcome.NO_CONNECTION),
     /** Answered in order with a value. */
     SATISFIED(Outcome.SATISFIED),
     /** Answered in order: turned away, with a status that promises that it did not run. */
-    TURNED_AWAY(Outcome.TURNED_AWAY),
+    TURNED_AWAY(Outcome.REJECTED),
     /** Answered in order with any other status. */
     FAILED(Outcome.ERROR),
     /** Any other RST_STREAM: it may have run. */
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -193,7 +193,7 @@
     /** Danger: what comes later on a line must not be the first of its key to run. */
     private static long effectUntil(SentAttempt sent) {
         LookupClass lookupClass = sent.part().lookup.lookupClass;
-        return lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED
+        return lookupClass.idempotency != LookupClass.Idempotency.BY_KEY
                 ? Long.MAX_VALUE
                 : Math.min(
                         sent.effectDeadlineUs(),
@@ -210,7 +210,7 @@
         Query query = sent.part().query();
         if (outcome == Outcome.SATISFIED) {
             sent.part().value = new String(part.value, StandardCharsets.UTF_8);
-        } else if (outcome == Outcome.TURNED_AWAY) {
+        } else if (outcome == Outcome.REJECTED) {
             query.remoteRetryAfterUs = Math.max(query.remoteRetryAfterUs, part.retryAfterUs);
         }
         pipeline.driver.outcome(sent, outcome, tookUs);
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -132,7 +132,7 @@
         pipeline.dispatcher.setOutcomeListener((machine, outcome) -> {
             if (outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED) {
                 maintenance.onCallResult(
-                        machine, outcome == Outcome.SATISFIED || outcome == Outcome.TURNED_AWAY);
+                        machine, outcome == Outcome.SATISFIED || outcome == Outcome.REJECTED);
             }
         });
         maintenance.start(whenReady);
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -301,7 +301,7 @@
                 switch (status) {
                     case "OK" -> Outcome.SATISFIED;
                     case "ERROR" -> Outcome.ERROR;
-                    default -> Outcome.TURNED_AWAY;
+                    default -> Outcome.REJECTED;
                 },
                 false);
     }
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -48,7 +48,7 @@
             throw new MessageRejectedException(400, "X-Call-Class: no such class");
         }
         long budgetUs = 1000 * Long.parseLong(requireMatch(headers, "x-budget-ms", BUDGET));
-        String idempotencyKey = lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED
+        String idempotencyKey = lookupClass.idempotency == LookupClass.Idempotency.BY_KEY
                 ? requireMatch(headers, "idempotency-key", KEY)
                 : null;
         if (!(body.value() instanceof Map<?, ?> map)) {
@@ -77,7 +77,7 @@
         if (lookupClass == null || part.shard < 0 || part.shard >= settings.shardCount()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
-        boolean needsKey = lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED;
+        boolean needsKey = lookupClass.idempotency == LookupClass.Idempotency.BY_KEY;
         if (!PART_ID.matcher(part.id).matches()
                 || (needsKey
                         && (part.idempotencyKey == null
--- a/src/main/java/tinlink/router/SentAttempt.java
+++ b/src/main/java/tinlink/router/SentAttempt.java
@@ -38,7 +38,7 @@
      */
     long effectDeadlineUs() {
         LookupClass lookupClass = attempt.part.lookup.lookupClass;
-        if (lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED) {
+        if (lookupClass.idempotency != LookupClass.Idempotency.BY_KEY) {
             return Long.MAX_VALUE;
         }
         OptionalLong first = attempt.part.attempts.stream()
--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -59,7 +59,7 @@
         long flags = line.wholeNumber("marks", 0);
         int shard = (int) line.number("rangeNo", -1);
         long queryNo = line.wholeNumber("queryNo");
-        int tenant = (int) line.wholeNumber("party", 0);
+        line.wholeNumber("party", 0); // No decision rests on the tenant.
         double weight = line.number("heft", 1);
         int profile = (int) line.wholeNumber("profile", 0);
         long leftUs = line.micros("leftMs");
@@ -72,7 +72,6 @@
             lookup.wireId = wireId;
             lookup.queryNo = queryNo;
             lookup.lookupClass = lookupClasses[profile];
-            lookup.tenant = tenant;
             lookup.isClientRetry = (flags & 2) != 0;
             lookup.announcedParts = (int) Math.round(weight);
             lookup.clientDeadlineUs = nowUs + leftUs;
@@ -126,7 +125,7 @@
         return switch (code) {
             case "served" -> Outcome.SATISFIED;
             case "server_error" -> Outcome.ERROR;
-            case "turned_away" -> Outcome.TURNED_AWAY;
+            case "turned_away" -> Outcome.REJECTED;
             case "no_answer" -> Outcome.NO_ANSWER;
             case "no_connection" -> Outcome.NO_CONNECTION;
             case "connection_lost" -> Outcome.CONNECTION_LOST;
--- a/src/test/java/tinlink/decision/PlayedClasses.java
+++ b/src/test/java/tinlink/decision/PlayedClasses.java
@@ -18,7 +18,7 @@
                 of(900, 0.66, 0.66, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
                 of(900, 1, 0.5, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
                 of(900, 1, 1, 0, 0, LookupClass.Idempotency.ONCE_ONLY),
-                of(900, 1, 1, 0, 0, LookupClass.Idempotency.FINGERPRINTED)));
+                of(900, 1, 1, 0, 0, LookupClass.Idempotency.BY_KEY)));
         for (int i = 0; i < 4; i++) {
             double need = 0.3 + 0.7 * random.nextDouble();
             LookupClass one = of(
@@ -60,7 +60,7 @@
         LookupClass one = new LookupClass();
         one.latencyObjectiveUs = 1000 * softMs;
         one.deadlineUs = 4 * one.latencyObjectiveUs;
-        one.deduplicationWindowUs = effect == LookupClass.Idempotency.FINGERPRINTED ? 100_000 : 0;
+        one.deduplicationWindowUs = effect == LookupClass.Idempotency.BY_KEY ? 100_000 : 0;
         one.completeShare = need;
         one.minimumShare = floor;
         one.lateAnswerWeight = lateGain;
--- a/src/test/java/tinlink/decision/RecordedPlay.java
+++ b/src/test/java/tinlink/decision/RecordedPlay.java
@@ -328,7 +328,7 @@
         switch (fault(attempt, one)) {
             case HUNG -> {}
             case FAILS -> at(now + wayUs, () -> ended(attempt, Outcome.ERROR));
-            case FULL -> at(now + wayUs, () -> ended(attempt, Outcome.TURNED_AWAY));
+            case FULL -> at(now + wayUs, () -> ended(attempt, Outcome.REJECTED));
             case REFUSES -> at(now + wayUs, () -> ended(attempt, Outcome.NO_CONNECTION));
             case LOSES -> at(now + wayUs + workUs(1), () -> ended(attempt, Outcome.CONNECTION_LOST));
             case NOT_SENT -> at(now + wayUs, () -> ended(attempt, Outcome.NOT_SENT));
