--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -1,5 +1,6 @@
 package tinlink.config;
 
+import tinlink.decision.EndpointListPoller;
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.LookupClass;
 import tinlink.decision.QueryCoordinator;
@@ -55,7 +56,7 @@
                         settings.number("rules.resendRatio", 0),
                         maxInFlight),
                 new FastestValidCoordinator.AdmissionController(seed, maxRetryAfterUs),
-                new FastestValidCoordinator.EndpointListPoller(
+                new EndpointListPoller(
                         seed,
                         settings.text("discovery", "pushed").equals("on_request"),
                         settings.micros("rules.mustAskInMs", 1_000_000)));
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -12,9 +12,9 @@
 /**
  * The decision module: every decision, table and tuned value of a query router.
  *
- * <p>Callers use it through the interface in {@code Aggregator.java}: build one instance for each router from
+ * <p>Callers use it through the interface in {@code QueryCoordinator.java}: build one instance for each router from
  * the parts below, each from its few settings; tell it each input; then pull decisions through {@code decide}
- * until it says false. Decisions leave by the calls in {@code Host.java}. docs/design.md says why.
+ * until it says false. Decisions leave by the calls in {@code DecisionHandler.java}. docs/design.md says why.
  */
 public final class FastestValidCoordinator implements QueryCoordinator {
     private static final long NEVER = Long.MAX_VALUE;
@@ -27,7 +27,7 @@
     private final SlowStart cold;
     private final RetryBudget budget;
     private final AdmissionController admission;
-    private final EndpointListPoller list;
+    private final EndpointListPoller poller;
     /** Lookups in hand; each leaves with its final answer or its client. */
     private final ArrayList<Lookup> open = new ArrayList<>();
     /** Lookups with news, part calls to send, calls that serve nobody: all emptied within the turn. */
@@ -46,14 +46,14 @@
             SlowStart cold,
             RetryBudget budget,
             AdmissionController admission,
-            EndpointListPoller list) {
+            EndpointListPoller poller) {
         this.rounds = rounds;
         this.replicas = replicas;
         this.health = health;
         this.cold = cold;
         this.budget = budget;
         this.admission = admission;
-        this.list = list;
+        this.poller = poller;
     }
 
     // ---- Inputs: they only update what is known. ----
@@ -88,24 +88,24 @@
     }
 
     @Override
-    public void onOutcome(Attempt c, Outcome outcome, long tookUs, long reportedLatencyUs) {
-        c.outcome = outcome;
+    public void onOutcome(Attempt c, Outcome how, long tookUs, long reportedLatencyUs) {
+        c.outcome = how;
         Part part = c.part;
         part.attemptsInFlight--;
         ReplicaStats s = replicas.seen(c.node);
         if (--c.sharedCall.open == 0) {
             s.calls--;
         }
-        health.outcome(s, c, outcome, now == stalledAt ? -1 : tookUs, part.lookup.roundUs, now);
+        health.outcome(s, c, how, now == stalledAt ? -1 : tookUs, part.lookup.roundUs, now);
         replicas.forgetIfGone(s);
         if (part.lookup.isEnded) {
             return;
         }
-        if (outcome == Outcome.CONNECTION_LOST) {
+        if (how == Outcome.CONNECTION_LOST) {
             part.lookup.suspect |= part.lookup.lostAt != null && part.lookup.lostAt != c.node;
             part.lookup.lostAt = c.node;
         }
-        if (outcome == Outcome.SATISFIED && !part.isSatisfied) {
+        if (how == Outcome.SATISFIED && !part.isSatisfied) {
             part.isSatisfied = true;
             cancelOut(part);
         }
@@ -118,13 +118,13 @@
     }
 
     @Override
-    public void onEndpointListUpdate(EndpointListUpdate news) {
-        list.news(news, now);
+    public void onEndpointListUpdate(EndpointListUpdate update) {
+        poller.onUpdate(update, now);
         open.forEach(this::touch);
     }
 
     @Override
-    public void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
+    public void onHealthCheck(DataNode node, Outcome how, long tookUs, long reportedLatencyUs) {
         // A probe proves that a process runs, not that it answers: nothing here rests on one.
     }
 
@@ -148,9 +148,7 @@
     }
 
     private void cancelOut(Part part) {
-        part.attempts.stream()
-                .filter(c -> c.outcome == null && !c.isCancelled)
-                .forEach(surplus::add);
+        part.attempts.stream().filter(c -> c.outcome == null && !c.isCancelled).forEach(surplus::add);
     }
 
     private void end(Lookup lookup) {
@@ -184,7 +182,7 @@
                 return true;
             }
         }
-        if (list.due(now)) {
+        if (poller.takeDuePoll(now)) {
             h.subscribeToEndpointList();
             return true;
         }
@@ -196,9 +194,7 @@
             lookup.isQueued = false;
             touched.poll();
         }
-        long next = open.stream()
-                .mapToLong(lookup -> lookup.nextCheckAtUs)
-                .reduce(list.nextAt, Math::min);
+        long next = open.stream().mapToLong(lookup -> lookup.nextCheckAtUs).reduce(poller.nextPollAtUs(), Math::min);
         if (next < armed) {
             armed = next;
             h.wakeAt(next);
@@ -219,8 +215,7 @@
         // lost two
         // nodes and satisfied no part is not sent again; may hurt where well nodes lose many
         // connections.
-        if (now >= lookup.endsAtUs
-                || (allThere && (lookup.suspect && in == 0 || hopeless(lookup, in)))) {
+        if (now >= lookup.endsAtUs || (allThere && (lookup.suspect && in == 0 || hopeless(lookup, in)))) {
             return giveUp(lookup, h, in);
         }
         lookup.nextCheckAtUs = lookup.endsAtUs;
@@ -237,19 +232,15 @@
             lookup.roundStartedAtUs = now;
             // All k parts leave together; while nodes die around us one goes first, to see whether
             // it kills.
-            lookup.awaitsCanary =
-                    lookup.parts.size() > 1 && health.nodesDie(lookup.isClientRetry, now);
+            lookup.awaitsCanary = lookup.parts.size() > 1 && health.nodesDie(lookup.isClientRetry, now);
             if (lookup.awaitsCanary) {
-                lookup.awaitsCanary =
-                        lookup.parts.stream().anyMatch(part -> place(List.of(part), false));
+                lookup.awaitsCanary = lookup.parts.stream().anyMatch(part -> place(List.of(part), false));
             } else {
                 place(lookup.parts, false);
             }
             // Silence means nothing before the line to another site could have brought an answer.
-            lookup.roundStartedAtUs +=
-                    outbox.stream().mapToLong(c -> c.node.linkRoundTripUs).max().orElse(0);
-            lookup.nextCheckAtUs =
-                    Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
+            lookup.roundStartedAtUs += outbox.stream().mapToLong(c -> c.node.linkRoundTripUs).max().orElse(0);
+            lookup.nextCheckAtUs = Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
             return !outbox.isEmpty() || step(lookup, h);
         }
         if (lookup.awaitsCanary && (in > 0 || now >= lookup.roundStartedAtUs + lookup.roundUs)) {
@@ -264,17 +255,13 @@
         }
         sendAgain(lookup, in);
         if (!lookup.isFirstRoundOver) {
-            lookup.nextCheckAtUs =
-                    Math.min(lookup.nextCheckAtUs, lookup.roundStartedAtUs + lookup.roundUs);
+            lookup.nextCheckAtUs = Math.min(lookup.nextCheckAtUs, lookup.roundStartedAtUs + lookup.roundUs);
         }
         return !outbox.isEmpty() || !surplus.isEmpty();
     }
 
     private static double weight(Lookup lookup, Predicate<Part> which) {
-        return lookup.parts.stream()
-                .filter(which)
-                .mapToDouble(part -> part.weight)
-                .sum();
+        return lookup.parts.stream().filter(which).mapToDouble(part -> part.weight).sum();
     }
 
     private static boolean awaited(Part part) {
@@ -290,21 +277,17 @@
         double may = in;
         boolean out = false;
         for (Part part : lookup.parts) {
-            if (!part.isSatisfied
-                    && (part.attemptsInFlight > 0
-                            || rounds.mayCall(part, now) && replicas.held(part, now))) {
+            if (!part.isSatisfied && (part.attemptsInFlight > 0 || rounds.mayCall(part, now) && replicas.held(part, now))) {
                 may += part.weight;
                 out |= part.attemptsInFlight > 0;
             }
         }
-        return may < needed(lookup) - SLACK
-                && !(out && lookup.lookupClass.minimumShare < lookup.lookupClass.completeShare);
+        return may < needed(lookup) - SLACK && !(out && lookup.lookupClass.minimumShare < lookup.lookupClass.completeShare);
     }
 
     private boolean answer(Lookup lookup, DecisionHandler h, boolean whole) {
         if (lookup.lookupClass.secondStepParts > 0 && !lookup.isSecondStep) {
-            int satisfied =
-                    (int) lookup.parts.stream().filter(part -> part.isSatisfied).count();
+            int satisfied = (int) lookup.parts.stream().filter(part -> part.isSatisfied).count();
             lookup.parts.forEach(this::cancelOut);
             lookup.isSecondStep = true;
             lookup.isFirstStepComplete = whole;
@@ -321,10 +304,7 @@
 
     /** Short of n: a partial answer above the floor, a nack where nothing forbids it, else an abort. */
     private boolean giveUp(Lookup lookup, DecisionHandler h, double in) {
-        double floor = lookup.isSecondStep
-                        && lookup.lookupClass.minimumShare >= lookup.lookupClass.completeShare
-                ? 1
-                : lookup.lookupClass.minimumShare;
+        double floor = lookup.isSecondStep && lookup.lookupClass.minimumShare >= lookup.lookupClass.completeShare ? 1 : lookup.lookupClass.minimumShare;
         if (lookup.parts.size() >= lookup.announcedParts && in > 0 && in >= floor - SLACK) {
             return answer(lookup, h, false);
         }
@@ -344,16 +324,15 @@
             lookup.parts.forEach(part -> part.attempts.stream()
                     .filter(c -> c.outcome == null)
                     .forEach(c -> health.silent(replicas.seen(c.node), c, now)));
-            health.round(lookup.parts.size(), (int) lookup.parts.stream()
-                    .filter(FastestValidCoordinator::awaited)
-                    .count());
+            health.round(lookup.parts.size(), (int)
+                    lookup.parts.stream().filter(FastestValidCoordinator::awaited).count());
         }
     }
 
     /** After the silent first round: missing parts still short of n go once more, to another replica. */
     private void replay(Lookup lookup, double in) {
-        List<Part> silent = new ArrayList<>(
-                lookup.parts.stream().filter(FastestValidCoordinator::awaited).toList());
+        List<Part> silent =
+                new ArrayList<>(lookup.parts.stream().filter(FastestValidCoordinator::awaited).toList());
         // When most nodes look bad the cause is shared, and a second copy only adds to it; but a
         // part that
         // later ones have overtaken at its node is stuck, not slow.
@@ -446,10 +425,8 @@
             int age = s.calls == 0 ? health.age(now - s.usedAt) : 0;
             // Lookups that can spare a part try one old connection, so that the suspicion is
             // renewed or ends.
-            boolean tries =
-                    part.lookup.lookupClass.completeShare < 1 && part == part.lookup.parts.get(0);
-            c.reconnectFirst = health.dropped(age, replay ? 0 : OutlierDetector.SURE, now)
-                    && (replay || !tries);
+            boolean tries = part.lookup.lookupClass.completeShare < 1 && part == part.lookup.parts.get(0);
+            c.reconnectFirst = health.dropped(age, replay ? 0 : OutlierDetector.SURE, now) && (replay || !tries);
             c.idleStep = c.reconnectFirst ? 0 : age;
             s.usedAt = now;
             c.sharedCall = replicas.share(s, now);
@@ -527,11 +504,8 @@
             long last = Math.max(now, lookup.clientDeadlineUs - 2 * stepUs);
             // Danger: one tenant's clients that give short times would make well nodes look silent
             // to all.
-            lookup.isSilenceConclusive =
-                    last - now >= patience(lookup.lookupClass.latencyObjectiveUs);
-            lookup.roundUs = Math.max(
-                    stepUs,
-                    Math.min(patience(lookup.lookupClass.latencyObjectiveUs), last - now) / 3);
+            lookup.isSilenceConclusive = last - now >= patience(lookup.lookupClass.latencyObjectiveUs);
+            lookup.roundUs = Math.max(stepUs, Math.min(patience(lookup.lookupClass.latencyObjectiveUs), last - now) / 3);
             lookup.endsAtUs = endsAt(lookup, last, now);
             lookup.nextCheckAtUs = now;
             lookup.isStarted = false;
@@ -540,25 +514,19 @@
 
         /** The last moment for a final answer to this step. */
         private long endsAt(Lookup lookup, long last, long now) {
-            LookupClass lookupClass = lookup.lookupClass;
+            LookupClass index = lookup.lookupClass;
             // Danger: a partial answer that leaves at the aim reaches its client after it, and
             // earns nothing.
-            long inTime = lookup.arrivedAtUs + lookupClass.latencyObjectiveUs - 2 * stepUs;
-            if (lookupClass.minimumShare < lookupClass.completeShare
-                    && lookupClass.lateAnswerWeight <= lookupClass.partialAnswerWeight
-                    && inTime > now) {
+            long inTime = lookup.arrivedAtUs + index.latencyObjectiveUs - 2 * stepUs;
+            if (index.minimumShare < index.completeShare && index.lateAnswerWeight <= index.partialAnswerWeight && inTime > now) {
                 return Math.min(last, inTime);
             }
             // Departure: where all parts are needed and a late answer still has gain, an abort at
             // the aim would only make the client ask for all of it again.
-            if (lookupClass.completeShare >= 1 && lookupClass.lateAnswerWeight > 0) {
+            if (index.completeShare >= 1 && index.lateAnswerWeight > 0) {
                 return last;
             }
-            return Math.min(
-                    last,
-                    Math.max(
-                            lookup.arrivedAtUs + lookupClass.latencyObjectiveUs,
-                            now + 3 * lookup.roundUs));
+            return Math.min(last, Math.max(lookup.arrivedAtUs + index.latencyObjectiveUs, now + 3 * lookup.roundUs));
         }
 
         /**
@@ -573,16 +541,11 @@
         void left(Lookup lookup, boolean client, long now) {
             // Danger: who is gone at once, or before a late router has read it, did not wait: no
             // patience.
-            boolean early =
-                    client && !lookup.isForwarded && now < lookup.clientDeadlineUs - lookup.roundUs;
-            double step =
-                    early && now - lookup.arrivedAtUs < lookup.lookupClass.latencyObjectiveUs / 16
-                            ? 0
-                            : LEAVE_STEP;
+            boolean early = client && !lookup.isForwarded && now < lookup.clientDeadlineUs - lookup.roundUs;
+            double step = early && now - lookup.arrivedAtUs < lookup.lookupClass.latencyObjectiveUs / 16 ? 0 : LEAVE_STEP;
             leaving += step * ((early ? 1 : 0) - leaving);
             if (early && step > 0) {
-                leaveUs +=
-                        (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lookup.arrivedAtUs - leaveUs);
+                leaveUs += (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lookup.arrivedAtUs - leaveUs);
             }
         }
 
@@ -599,15 +562,12 @@
             // Danger: a window that passes while it is on its way. What it may wait for in a turn
             // of ours has
             // to fit in.
-            LookupClass lookupClass = part.lookup.lookupClass;
-            return lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
+            LookupClass x = part.lookup.lookupClass;
+            return x.idempotency == LookupClass.Idempotency.IDEMPOTENT
                     || part.attempts.stream()
                             .allMatch(c -> neverRan(c)
-                                    || lookupClass.idempotency
-                                                    == LookupClass.Idempotency.BY_KEY
-                                            && now + stallUs()
-                                                    <= c.sentAtUs
-                                                            + lookupClass.deduplicationWindowUs);
+                                    || x.idempotency == LookupClass.Idempotency.BY_KEY
+                                            && now + stallUs() <= c.sentAtUs + x.deduplicationWindowUs);
         }
 
         boolean mayGiveUpSilent(Part part) {
@@ -622,8 +582,7 @@
             return !lookup.isSecondStep
                     && (lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
                             || lookup.parts.stream()
-                                    .allMatch(part -> part.attempts.stream()
-                                            .allMatch(AttemptTiming::neverRan)));
+                                    .allMatch(part -> part.attempts.stream().allMatch(AttemptTiming::neverRan)));
         }
 
         private static boolean neverRan(Attempt c) {
@@ -707,8 +666,7 @@
             return !holders(part, now).isEmpty();
         }
 
-        boolean heldWithRoom(
-                Part part, AdmissionController admission, double luck, SlowStart cold, long now) {
+        boolean heldWithRoom(Part part, AdmissionController admission, double luck, SlowStart cold, long now) {
             return holders(part, now).stream()
                     .anyMatch(s -> cold.admits(s, known.values(), now)
                             && admission.room(
@@ -728,8 +686,7 @@
                     if (s.node.state == DataNode.State.READY
                             && (s.node.linkRoundTripUs == 0
                                     || !part.lookup.isForwarded
-                                            && part.lookup.endsAtUs - now
-                                                    > s.node.linkRoundTripUs)) {
+                                            && part.lookup.endsAtUs - now > s.node.linkRoundTripUs)) {
                         ready.add(s);
                     }
                 }
@@ -771,8 +728,7 @@
                 // A call that goes bad costs its lookup the rounds; without this, failing fast
                 // looks quick.
                 // Lookups that can spare a part are the trials by which a node finds its way back.
-                double toll =
-                        (part.lookup.lookupClass.completeShare < 1 ? 3 : 9) * part.lookup.roundUs;
+                double toll = (part.lookup.lookupClass.completeShare < 1 ? 3 : 9) * part.lookup.roundUs;
                 double doubt = health.badness(s, now) * toll;
                 double cost = (health.latency(s, part.lookup.roundUs, now) * (s.calls + 1) + doubt)
                         / cold.present(s, now)
@@ -842,9 +798,8 @@
         }
 
         /** @param tookUs below 0 where the router can't tell */
-        void outcome(
-                ReplicaStats s, Attempt c, Outcome outcome, long tookUs, long roundUs, long now) {
-            switch (outcome) {
+        void outcome(ReplicaStats s, Attempt c, Outcome how, long tookUs, long roundUs, long now) {
+            switch (how) {
                 case SATISFIED -> {
                     sample(s, c, tookUs, now);
                     connection(c, 0, now);
@@ -1134,9 +1089,9 @@
         /**
          * Danger: what another site passes on is counted there; counted twice it would be over the budget.
          */
-        void took(Lookup lookup, long now, boolean part) {
-            replays = Math.min(cap, replays + (part && !lookup.isForwarded ? REPLAYS : 0));
-            resends = Math.min(cap, resends + (part && !lookup.isForwarded ? RESENDS : 0));
+        void took(Lookup lookup, long now, boolean isPart) {
+            replays = Math.min(cap, replays + (isPart && !lookup.isForwarded ? REPLAYS : 0));
+            resends = Math.min(cap, resends + (isPart && !lookup.isForwarded ? RESENDS : 0));
             if (lookBackUs > 0 && !lookup.isForwarded) {
                 taken.add(now);
             }
@@ -1205,41 +1160,4 @@
             return Math.min(maxComeBackUs, lookup.roundUs);
         }
     }
-
-    /** Keeps the subscription to the list open where the list must be asked. */
-    public static final class EndpointListPoller {
-        private final SplittableRandom random;
-        private final boolean asks;
-        private final long mustAskUs;
-        private long nextAt = NEVER;
-        private long backoffUs;
-
-        public EndpointListPoller(long seed, boolean asks, long mustAskUs) {
-            random = new SplittableRandom(seed);
-            this.asks = asks;
-            this.mustAskUs = mustAskUs;
-            backoffUs = mustAskUs / 16;
-        }
-
-        /** Danger: many routers that restart together and overrun the list; each waits a time of its own. */
-        void news(EndpointListUpdate news, long now) {
-            if (!asks) {
-                return;
-            }
-            if (news == EndpointListUpdate.CACHED) {
-                nextAt = now + random.nextLong(Math.max(1, mustAskUs / 16));
-            } else if (news == EndpointListUpdate.FAILED) {
-                nextAt = now + backoffUs / 2 + random.nextLong(Math.max(1, backoffUs));
-                backoffUs = Math.min(mustAskUs / 2, 2 * backoffUs);
-            } else {
-                backoffUs = mustAskUs / 16;
-            }
-        }
-
-        boolean due(long now) {
-            boolean due = now >= nextAt;
-            nextAt = due ? NEVER : nextAt;
-            return due;
-        }
-    }
 }
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -1,5 +1,6 @@
 package tinlink;
 
+import tinlink.decision.EndpointListPoller;
 import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
@@ -249,7 +250,7 @@
                             doubleSetting("ratio"),
                             100),
                     new FastestValidCoordinator.AdmissionController(7, microsSetting("comeback")),
-                    new FastestValidCoordinator.EndpointListPoller(
+                    new EndpointListPoller(
                             7, booleanSetting("asks"), microsSetting("mustask")));
             module.advanceClock(now);
         }
--- a/src/test/java/tinlink/decision/PlayedSettings.java
+++ b/src/test/java/tinlink/decision/PlayedSettings.java
@@ -110,6 +110,6 @@
                 new FastestValidCoordinator.RetryBudget(
                         whole("lookback"), number("free"), number("ratio"), small("open")),
                 new FastestValidCoordinator.AdmissionController(whole("seed"), whole("retry")),
-                new FastestValidCoordinator.EndpointListPoller(whole("seed"), yes("asks"), whole("mustask")));
+                new EndpointListPoller(whole("seed"), yes("asks"), whole("mustask")));
     }
 }
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -111,7 +111,7 @@
                             random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health),
                     new FastestValidCoordinator.RetryBudget(0, 0, 0, 1000),
                     new FastestValidCoordinator.AdmissionController(random.nextLong(), 0),
-                    new FastestValidCoordinator.EndpointListPoller(
+                    new EndpointListPoller(
                             random.nextLong(), false, 10_000_000));
         }
 
