--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -4,6 +4,7 @@
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.LookupClass;
 import tinlink.decision.QueryCoordinator;
+import tinlink.decision.RetryBudget;
 
 /** Builds the decision module from its settings, whichever source they have; each part gets its own few. */
 public final class DecisionConfig {
@@ -50,7 +51,7 @@
                         settings.number("rules.fallMultiple", 1),
                         settings.micros("rules.fallMs", 0),
                         health),
-                new FastestValidCoordinator.RetryBudget(
+                new RetryBudget(
                         settings.micros("rules.lookBackMs", 0),
                         settings.number("rules.minExtra", 0),
                         settings.number("rules.resendRatio", 0),
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -76,14 +76,14 @@
         lookup.arrivedAtUs = now;
         rounds.begin(lookup, now);
         open.add(lookup);
-        budget.took(lookup, now, false);
+        budget.onLookup(lookup, now);
         touch(lookup);
     }
 
     @Override
     public void onPart(Part part) {
         part.lookup.parts.add(part);
-        budget.took(part.lookup, now, true);
+        budget.onPart(part.lookup, now);
         touch(part.lookup);
     }
 
@@ -345,16 +345,16 @@
             if (missing <= 0) {
                 break;
             }
-            if (rounds.mayCall(part, now) && budget.may(true, now)) {
+            if (rounds.mayCall(part, now) && budget.allowsHedge(now)) {
                 if (place(List.of(part), true)) {
                     missing -= part.weight;
                 }
             } else if (rounds.mayGiveUpSilent(part)
                     && lastNode(part).lastGoodAt < part.attempts.get(0).sentAtUs
-                    && budget.may(true, now)) {
+                    && budget.allowsHedge(now)) {
                 // No second copies here: a node that has answered nothing since loses the part
                 // (departure).
-                budget.spent(true, now);
+                budget.spendHedge(now);
                 part.isHedgePaid = true;
                 cancelOut(part);
                 missing -= part.weight;
@@ -386,7 +386,7 @@
                 continue;
             }
             if (now >= part.notBeforeUs
-                    && (part.attempts.isEmpty() || part.isHedgePaid || budget.may(false, now))
+                    && (part.attempts.isEmpty() || part.isHedgePaid || budget.allowsRetry(now))
                     && place(List.of(part), false)) {
                 may += part.weight;
                 part.isHedgePaid = false;
@@ -412,8 +412,10 @@
                 continue;
             }
             any = true;
-            if (replay || !part.attempts.isEmpty() && !part.isHedgePaid) {
-                budget.spent(replay, now);
+            if (replay) {
+                budget.spendHedge(now);
+            } else if (!part.attempts.isEmpty() && !part.isHedgePaid) {
+                budget.spendRetry(now);
             }
             cold.sent(s, now);
             Attempt c = new Attempt();
@@ -1062,62 +1064,6 @@
         }
     }
 
-    /** Further part calls: replays under a tenth of parts, resends under a fifth, and the stated budget. */
-    public static final class RetryBudget {
-        private static final double REPLAYS = 0.1;
-        private static final double RESENDS = 0.2;
-        private final long lookBackUs;
-        private final double free;
-        private final double share;
-        private final double cap;
-        private double replays;
-        private double resends;
-        /** Times of what was taken and of further part calls; emptied as the look-back time passes. */
-        private final ArrayDeque<Long> taken = new ArrayDeque<>();
-
-        private final ArrayDeque<Long> further = new ArrayDeque<>();
-
-        /** @param lookBackUs 0 where no budget is stated; @param openCap lookups and parts held at most */
-        public RetryBudget(long lookBackUs, double free, double share, int openCap) {
-            this.lookBackUs = lookBackUs;
-            this.free = free;
-            this.share = share;
-            cap = openCap;
-            resends = RESENDS * cap / 2;
-        }
-
-        /**
-         * Danger: what another site passes on is counted there; counted twice it would be over the budget.
-         */
-        void took(Lookup lookup, long now, boolean isPart) {
-            replays = Math.min(cap, replays + (isPart && !lookup.isForwarded ? REPLAYS : 0));
-            resends = Math.min(cap, resends + (isPart && !lookup.isForwarded ? RESENDS : 0));
-            if (lookBackUs > 0 && !lookup.isForwarded) {
-                taken.add(now);
-            }
-        }
-
-        /** Danger: the stated budget, which holds in any window: what is taken now may soon leave it. */
-        boolean may(boolean replay, long now) {
-            while (!taken.isEmpty() && taken.peek() <= now - lookBackUs) {
-                taken.poll();
-            }
-            while (!further.isEmpty() && further.peek() < now - lookBackUs) {
-                further.poll();
-            }
-            return (replay ? replays : resends) >= 1
-                    && (lookBackUs <= 0 || further.size() + 1 <= free + share * taken.size());
-        }
-
-        void spent(boolean replay, long now) {
-            replays -= replay ? 1 : 0;
-            resends -= replay ? 0 : 1;
-            if (lookBackUs > 0) {
-                further.add(now);
-            }
-        }
-    }
-
     /**
      * Which lookups to nack at the door: those with too few parts that some holder can be expected to answer
      * within a round or two, judged by how long it took of late and how many calls were out then. Of nodes
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -10,6 +10,7 @@
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.decision.QueryCoordinator;
+import tinlink.decision.RetryBudget;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -244,7 +245,7 @@
                     health,
                     new FastestValidCoordinator.SlowStart(
                             7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
-                    new FastestValidCoordinator.RetryBudget(
+                    new RetryBudget(
                             microsSetting("lookback"),
                             intSetting("free"),
                             doubleSetting("ratio"),
--- a/src/test/java/tinlink/decision/PlayedSettings.java
+++ b/src/test/java/tinlink/decision/PlayedSettings.java
@@ -107,7 +107,7 @@
                         number("multiple"),
                         whole("fall"),
                         health),
-                new FastestValidCoordinator.RetryBudget(
+                new RetryBudget(
                         whole("lookback"), number("free"), number("ratio"), small("open")),
                 new FastestValidCoordinator.AdmissionController(whole("seed"), whole("retry")),
                 new EndpointListPoller(whole("seed"), yes("asks"), whole("mustask")));
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -109,7 +109,7 @@
                     health,
                     new FastestValidCoordinator.SlowStart(
                             random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health),
-                    new FastestValidCoordinator.RetryBudget(0, 0, 0, 1000),
+                    new RetryBudget(0, 0, 0, 1000),
                     new FastestValidCoordinator.AdmissionController(random.nextLong(), 0),
                     new EndpointListPoller(
                             random.nextLong(), false, 10_000_000));
