--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -1,7 +1,9 @@
 package tinlink.config;
 
 import tinlink.decision.EndpointListPoller;
+import tinlink.decision.AttemptTiming;
 import tinlink.decision.FastestValidCoordinator;
+import tinlink.decision.RepeatGuard;
 import tinlink.decision.LookupClass;
 import tinlink.decision.QueryCoordinator;
 import tinlink.decision.RetryBudget;
@@ -28,9 +30,9 @@
                 : 0;
         FastestValidCoordinator.OutlierDetector health =
                 new FastestValidCoordinator.OutlierDetector(longestSoftUs);
+        AttemptTiming timing = new AttemptTiming(settings.micros("stepMs", 1000));
         module = new FastestValidCoordinator(
-                new FastestValidCoordinator.AttemptTiming(
-                        settings.micros("stepMs", 1000),
+                timing, new RepeatGuard(timing,
                         settings.integer("limits.tryLimit", 1),
                         settings.flag("limits.secondCopies"),
                         settings.flag("limits.cancel")),
--- a/src/main/java/tinlink/decision/Attempt.java
+++ b/src/main/java/tinlink/decision/Attempt.java
@@ -1,29 +1,39 @@
 package tinlink.decision;
 
-/** One send of a part to a data node. Fields only. */
+/** One send of a part to one data node. Fields only; the host reads, the coordinator writes. */
 public final class Attempt {
-    /** What several part calls to one node share when they travel as one. */
+    /** What several attempts to one node share that depart in one turn and travel as one call. */
     public static final class SharedCall {
-        public int open;
-        public int size;
+        int open;
+        int size;
     }
 
     public Part part;
     public DataNode node;
+    /** From 0, in order of sending, among the attempts of its part. */
     public int number;
+
     public long sentAtUs;
-    /** Null while it is out. */
+    /** Null while it is in flight. */
     public Outcome outcome;
 
     public SharedCall sharedCall;
-    /** Calls that were out at its node when it was sent. */
-    public int callsInFlightBefore;
+    /** Calls that were in flight to its node when it was sent. */
+    int callsInFlightBefore;
+
+    boolean isCancelled;
+    /** How long its connection was idle before, as {@link IdleConnectionDetector#idleStep} counts it. */
+    int idleStep;
 
-    public boolean isCancelled;
-    /**
-     * For how long what it was sent on had not been used, in steps; 0 for not long, or a new one.
-     */
-    public int idleStep;
+    /** The idle connections to its node are closed before it is sent, so that it goes on a new one. */
+    boolean reconnectFirst;
 
-    public boolean reconnectFirst;
+    boolean isInFlight() {
+        return outcome == null;
+    }
+
+    /** Whether it is proven that the part did not run by this attempt, and will not. */
+    boolean neverRan() {
+        return outcome != null && outcome.neverRan;
+    }
 }
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -21,7 +21,8 @@
     /** Sums of part weights may be this much short. */
     private static final double SLACK = 1e-4;
 
-    private final AttemptTiming rounds;
+    private final AttemptTiming timing;
+    private final RepeatGuard guard;
     private final ReplicaSelector replicas;
     private final OutlierDetector health;
     private final SlowStart cold;
@@ -40,14 +41,16 @@
     private long stalledAt = NEVER;
 
     public FastestValidCoordinator(
-            AttemptTiming rounds,
+            AttemptTiming timing,
+            RepeatGuard guard,
             ReplicaSelector replicas,
             OutlierDetector health,
             SlowStart cold,
             RetryBudget budget,
             AdmissionController admission,
             EndpointListPoller poller) {
-        this.rounds = rounds;
+        this.timing = timing;
+        this.guard = guard;
         this.replicas = replicas;
         this.health = health;
         this.cold = cold;
@@ -65,7 +68,7 @@
     @Override
     public void advanceClock(long nowUs) {
         now = nowUs;
-        if (now - armed > rounds.stallUs()) {
+        if (now - armed > timing.stallUs()) {
             armed = NEVER;
             stalledAt = now;
         }
@@ -74,7 +77,7 @@
     @Override
     public void onLookup(Lookup lookup) {
         lookup.arrivedAtUs = now;
-        rounds.begin(lookup, now);
+        timing.begin(lookup, now);
         open.add(lookup);
         budget.onLookup(lookup, now);
         touch(lookup);
@@ -136,7 +139,7 @@
 
     @Override
     public void onClientGone(Lookup lookup) {
-        rounds.left(lookup, true, now);
+        timing.recordEnd(lookup, true, now);
         end(lookup);
     }
 
@@ -176,7 +179,7 @@
         }
         while (!surplus.isEmpty()) {
             Attempt c = surplus.poll();
-            if (rounds.mayCancel && c.outcome == null && !c.isCancelled) {
+            if (guard.mayCancel() && c.outcome == null && !c.isCancelled) {
                 c.isCancelled = true;
                 h.cancel(c);
                 return true;
@@ -223,7 +226,7 @@
             return false;
         }
         if (!lookup.isStarted) {
-            if (admission.refuses(lookup, replicas, cold, now) && rounds.mayNack(lookup)) {
+            if (admission.refuses(lookup, replicas, cold, now) && guard.mayReject(lookup)) {
                 end(lookup);
                 h.reject(lookup, admission.comeBack(lookup));
                 return true;
@@ -277,7 +280,7 @@
         double may = in;
         boolean out = false;
         for (Part part : lookup.parts) {
-            if (!part.isSatisfied && (part.attemptsInFlight > 0 || rounds.mayCall(part, now) && replicas.held(part, now))) {
+            if (!part.isSatisfied && (part.attemptsInFlight > 0 || guard.mayAttempt(part, now) && replicas.held(part, now))) {
                 may += part.weight;
                 out |= part.attemptsInFlight > 0;
             }
@@ -293,9 +296,9 @@
             lookup.isFirstStepComplete = whole;
             lookup.announcedParts = Math.min(lookup.lookupClass.secondStepParts, satisfied);
             lookup.parts = new ArrayList<>();
-            rounds.begin(lookup, now);
+            timing.begin(lookup, now);
         } else {
-            rounds.left(lookup, false, now);
+            timing.recordEnd(lookup, false, now);
             end(lookup);
         }
         h.answer(lookup, whole);
@@ -308,7 +311,7 @@
         if (lookup.parts.size() >= lookup.announcedParts && in > 0 && in >= floor - SLACK) {
             return answer(lookup, h, false);
         }
-        boolean nack = now < lookup.endsAtUs && rounds.mayNack(lookup);
+        boolean nack = now < lookup.endsAtUs && guard.mayReject(lookup);
         end(lookup);
         if (nack) {
             h.reject(lookup, admission.comeBack(lookup));
@@ -345,11 +348,11 @@
             if (missing <= 0) {
                 break;
             }
-            if (rounds.mayCall(part, now) && budget.allowsHedge(now)) {
+            if (guard.mayAttempt(part, now) && budget.allowsHedge(now)) {
                 if (place(List.of(part), true)) {
                     missing -= part.weight;
                 }
-            } else if (rounds.mayGiveUpSilent(part)
+            } else if (guard.mayGiveUpSilent(part)
                     && lastNode(part).lastGoodAt < part.attempts.get(0).sentAtUs
                     && budget.allowsHedge(now)) {
                 // No second copies here: a node that has answered nothing since loses the part
@@ -381,7 +384,7 @@
             if (part.isSatisfied
                     || part.attemptsInFlight > 0
                     || wait
-                    || !rounds.mayCall(part, now)
+                    || !guard.mayAttempt(part, now)
                     || may >= needed(lookup) - SLACK) {
                 continue;
             }
@@ -478,120 +481,6 @@
         }
     }
 
-    /** The rounds of a lookup, and the guard against repeated effects. */
-    public static final class AttemptTiming {
-        private static final double LEAVE_STEP = 0.05;
-        private static final double LEAVING = 0.1;
-        private static final long STALL_STEPS = 20;
-        private final long stepUs;
-        private final int tryLimit;
-        private final boolean secondCopies;
-        private final boolean mayCancel;
-        /** Share of lookups, smoothed, whose clients left early, and how long after asking. */
-        private double leaving;
-
-        private double leaveUs;
-
-        public AttemptTiming(long stepUs, int tryLimit, boolean secondCopies, boolean mayCancel) {
-            this.stepUs = stepUs;
-            this.tryLimit = tryLimit;
-            this.secondCopies = secondCopies;
-            this.mayCancel = mayCancel;
-        }
-
-        /** A round is a third of the aim; round, replay round and receive-only round end the lookup. */
-        void begin(Lookup lookup, long now) {
-            // Two steps of the clock early: a timer fires up to one late, and the client's end is
-            // final.
-            long last = Math.max(now, lookup.clientDeadlineUs - 2 * stepUs);
-            // Danger: one tenant's clients that give short times would make well nodes look silent
-            // to all.
-            lookup.isSilenceConclusive = last - now >= patience(lookup.lookupClass.latencyObjectiveUs);
-            lookup.roundUs = Math.max(stepUs, Math.min(patience(lookup.lookupClass.latencyObjectiveUs), last - now) / 3);
-            lookup.endsAtUs = endsAt(lookup, last, now);
-            lookup.nextCheckAtUs = now;
-            lookup.isStarted = false;
-            lookup.isFirstRoundOver = false;
-        }
-
-        /** The last moment for a final answer to this step. */
-        private long endsAt(Lookup lookup, long last, long now) {
-            LookupClass index = lookup.lookupClass;
-            // Danger: a partial answer that leaves at the aim reaches its client after it, and
-            // earns nothing.
-            long inTime = lookup.arrivedAtUs + index.latencyObjectiveUs - 2 * stepUs;
-            if (index.minimumShare < index.completeShare && index.lateAnswerWeight <= index.partialAnswerWeight && inTime > now) {
-                return Math.min(last, inTime);
-            }
-            // Departure: where all parts are needed and a late answer still has gain, an abort at
-            // the aim would only make the client ask for all of it again.
-            if (index.completeShare >= 1 && index.lateAnswerWeight > 0) {
-                return last;
-            }
-            return Math.min(last, Math.max(lookup.arrivedAtUs + index.latencyObjectiveUs, now + 3 * lookup.roundUs));
-        }
-
-        /**
-         * Danger: clients that leave long before the time they state, and ask again: all that was sent for
-         * them is lost. While over one in ten leaves, a round is a third of the time after which they do.
-         * May hurt where one kind of client alone is impatient.
-         */
-        private long patience(long softUs) {
-            return leaving > LEAVING ? Math.min(softUs, (long) leaveUs) : softUs;
-        }
-
-        void left(Lookup lookup, boolean client, long now) {
-            // Danger: who is gone at once, or before a late router has read it, did not wait: no
-            // patience.
-            boolean early = client && !lookup.isForwarded && now < lookup.clientDeadlineUs - lookup.roundUs;
-            double step = early && now - lookup.arrivedAtUs < lookup.lookupClass.latencyObjectiveUs / 16 ? 0 : LEAVE_STEP;
-            leaving += step * ((early ? 1 : 0) - leaving);
-            if (early && step > 0) {
-                leaveUs += (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lookup.arrivedAtUs - leaveUs);
-            }
-        }
-
-        long stallUs() {
-            return STALL_STEPS * stepUs;
-        }
-
-        /** Danger: an effect that happens twice. */
-        boolean mayCall(Part part, long now) {
-            if (part.attempts.size() >= (part.lookup.isForwarded ? 1 : tryLimit)
-                    || part.attemptsInFlight > 0 && !secondCopies) {
-                return false;
-            }
-            // Danger: a window that passes while it is on its way. What it may wait for in a turn
-            // of ours has
-            // to fit in.
-            LookupClass x = part.lookup.lookupClass;
-            return x.idempotency == LookupClass.Idempotency.IDEMPOTENT
-                    || part.attempts.stream()
-                            .allMatch(c -> neverRan(c)
-                                    || x.idempotency == LookupClass.Idempotency.BY_KEY
-                                            && now + stallUs() <= c.sentAtUs + x.deduplicationWindowUs);
-        }
-
-        boolean mayGiveUpSilent(Part part) {
-            return !secondCopies
-                    && mayCancel
-                    && part.lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
-                    && part.attempts.size() < tryLimit;
-        }
-
-        /** A nack says that trying again is harmless: not so once a part of the others may have run. */
-        boolean mayNack(Lookup lookup) {
-            return !lookup.isSecondStep
-                    && (lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
-                            || lookup.parts.stream()
-                                    .allMatch(part -> part.attempts.stream().allMatch(AttemptTiming::neverRan)));
-        }
-
-        private static boolean neverRan(Attempt c) {
-            return c.outcome != null && c.outcome.neverRan;
-        }
-    }
-
     /** The companion: which replica serves a part. */
     public static final class ReplicaSelector {
         private static final double FAR = 10;
--- a/src/main/java/tinlink/decision/Part.java
+++ b/src/main/java/tinlink/decision/Part.java
@@ -3,18 +3,47 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One part of a lookup, on one shard. Fields only. */
+/** One part of a lookup, on one shard. Fields only, and what can be read off them. */
 public class Part {
     public Lookup lookup;
     public int shard;
+    /** Its share of the lookup's answer; those of all parts add up to 1. */
     public double weight;
-    /** Its part calls, in order of sending. */
+    /** In order of sending. */
     public List<Attempt> attempts = new ArrayList<>();
 
     public int attemptsInFlight;
     public boolean isSatisfied;
-    /** Not before this time. */
-    public long notBeforeUs;
-    /** Its next part call is the replay that was charged when the silent one was given up. */
-    public boolean isHedgePaid;
+    /** It is not sent again before this time. */
+    long notBeforeUs;
+    /** Its next attempt was charged as a hedge when the silent one before it was given up. */
+    boolean isHedgePaid;
+
+    /** Not answered yet, and an attempt is in flight that may do it. */
+    boolean isAwaited() {
+        return !isSatisfied && attemptsInFlight > 0;
+    }
+
+    Attempt lastAttempt() {
+        return attempts.get(attempts.size() - 1);
+    }
+
+    boolean hasTried(DataNode node) {
+        for (Attempt attempt : attempts) {
+            if (attempt.node == node) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether it is proven that no attempt ran, or will. */
+    boolean neverRan() {
+        for (Attempt attempt : attempts) {
+            if (!attempt.neverRan()) {
+                return false;
+            }
+        }
+        return true;
+    }
 }
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -4,7 +4,9 @@
 import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
+import tinlink.decision.AttemptTiming;
 import tinlink.decision.FastestValidCoordinator;
+import tinlink.decision.RepeatGuard;
 import tinlink.decision.Lookup;
 import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
@@ -228,9 +230,9 @@
                     .orElse(1);
             FastestValidCoordinator.OutlierDetector health =
                     new FastestValidCoordinator.OutlierDetector(longestSoft);
+            AttemptTiming timing = new AttemptTiming(microsSetting("step"));
             module = new FastestValidCoordinator(
-                    new FastestValidCoordinator.AttemptTiming(
-                            microsSetting("step"),
+                    timing, new RepeatGuard(timing,
                             intSetting("tries"),
                             booleanSetting("copies"),
                             booleanSetting("cancel")),
--- a/src/test/java/tinlink/decision/PlayedSettings.java
+++ b/src/test/java/tinlink/decision/PlayedSettings.java
@@ -87,9 +87,9 @@
     /** @param longestSoftUs the longest latency objective of all classes */
     QueryCoordinator module(long longestSoftUs) {
         FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(longestSoftUs);
+        AttemptTiming timing = new AttemptTiming(whole("step"));
         return new FastestValidCoordinator(
-                new FastestValidCoordinator.AttemptTiming(
-                        whole("step"), small("tries"), yes("copies"), yes("cancel")),
+                timing, new RepeatGuard(timing, small("tries"), yes("copies"), yes("cancel")),
                 new FastestValidCoordinator.ReplicaSelector(
                         small("cells"),
                         small("reach"),
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -103,8 +103,9 @@
             LookupClass lookupClass = index();
             FastestValidCoordinator.OutlierDetector health =
                     new FastestValidCoordinator.OutlierDetector(lookupClass.latencyObjectiveUs);
+            AttemptTiming timing = new AttemptTiming(5000);
             module = new FastestValidCoordinator(
-                    new FastestValidCoordinator.AttemptTiming(5000, 3, true, true),
+                    timing, new RepeatGuard(timing, 3, true, true),
                     new FastestValidCoordinator.ReplicaSelector(CELLS, 1, 1, 0, 0, 0, health),
                     health,
                     new FastestValidCoordinator.SlowStart(
