--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -4,6 +4,8 @@
 import tinlink.decision.AttemptTiming;
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.RepeatGuard;
+import tinlink.decision.ReplicaHealth;
+import tinlink.decision.SlowStart;
 import tinlink.decision.LookupClass;
 import tinlink.decision.QueryCoordinator;
 import tinlink.decision.RetryBudget;
@@ -28,8 +30,8 @@
         maxRetryAfterUs = settings.flag("limits.retryAfter")
                 ? settings.micros("limits.maxRetryAfterMs", 0)
                 : 0;
-        FastestValidCoordinator.OutlierDetector health =
-                new FastestValidCoordinator.OutlierDetector(longestSoftUs);
+        ReplicaHealth health =
+                new ReplicaHealth(longestSoftUs);
         AttemptTiming timing = new AttemptTiming(settings.micros("stepMs", 1000));
         module = new FastestValidCoordinator(
                 timing, new RepeatGuard(timing,
@@ -45,7 +47,7 @@
                         settings.number("charges.crossZone", 0),
                         health),
                 health,
-                new FastestValidCoordinator.SlowStart(
+                new SlowStart(
                         seed,
                         settings.integer("groupSize", 1),
                         settings.number("rules.startCapacity", 1),
--- a/src/main/java/tinlink/decision/Attempt.java
+++ b/src/main/java/tinlink/decision/Attempt.java
@@ -4,8 +4,23 @@
 public final class Attempt {
     /** What several attempts to one node share that depart in one turn and travel as one call. */
     public static final class SharedCall {
-        int open;
-        int size;
+        private int inFlight;
+        private int size;
+
+        /** How many attempts travel by it. */
+        int size() {
+            return size;
+        }
+
+        void attemptJoined() {
+            size++;
+            inFlight++;
+        }
+
+        /** True with the last one. */
+        boolean attemptEnded() {
+            return --inFlight == 0;
+        }
     }
 
     public Part part;
--- a/src/main/java/tinlink/decision/DataNode.java
+++ b/src/main/java/tinlink/decision/DataNode.java
@@ -1,7 +1,8 @@
 package tinlink.decision;
 
-/** A data node as the list last showed it. Fields only. */
+/** A data node as the endpoint list last showed it. Fields only; the host writes them. */
 public final class DataNode {
+    /** What the endpoint list says of it. */
     public enum State {
         READY,
         DRAINING,
@@ -12,12 +13,13 @@
     public State state = State.READY;
     public int zone;
     public int kind;
+    /** Which shards it holds: those that fall on this cell, as {@link ReplicaDirectory} counts them. */
     public int cell;
+    /** The list's hint of its capacity; no decision rests on it. */
     public double size = 1;
-    /** Time of its last start; Long.MIN_VALUE when that is long ago. */
+    /** Time of its last start in microseconds; {@code Long.MIN_VALUE} when that is long ago. */
     public long startedAtUs = Long.MIN_VALUE;
-
-    /** What the line to another site takes, there and back; 0 where the node is at this one. */
+    /** Microseconds there and back over the link to another site; 0 for a node at this one. */
     public long linkRoundTripUs;
 
     public DataNode(long id) {
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -7,6 +7,8 @@
 import tinlink.decision.AttemptTiming;
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.RepeatGuard;
+import tinlink.decision.ReplicaHealth;
+import tinlink.decision.SlowStart;
 import tinlink.decision.Lookup;
 import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
@@ -228,8 +230,8 @@
                     .mapToLong(lookupClass -> lookupClass.latencyObjectiveUs)
                     .max()
                     .orElse(1);
-            FastestValidCoordinator.OutlierDetector health =
-                    new FastestValidCoordinator.OutlierDetector(longestSoft);
+            ReplicaHealth health =
+                    new ReplicaHealth(longestSoft);
             AttemptTiming timing = new AttemptTiming(microsSetting("step"));
             module = new FastestValidCoordinator(
                     timing, new RepeatGuard(timing,
@@ -245,7 +247,7 @@
                             doubleSetting("cross"),
                             health),
                     health,
-                    new FastestValidCoordinator.SlowStart(
+                    new SlowStart(
                             7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
                     new RetryBudget(
                             microsSetting("lookback"),
--- a/src/test/java/tinlink/decision/PlayedSettings.java
+++ b/src/test/java/tinlink/decision/PlayedSettings.java
@@ -86,7 +86,7 @@
 
     /** @param longestSoftUs the longest latency objective of all classes */
     QueryCoordinator module(long longestSoftUs) {
-        FastestValidCoordinator.OutlierDetector health = new FastestValidCoordinator.OutlierDetector(longestSoftUs);
+        ReplicaHealth health = new ReplicaHealth(longestSoftUs);
         AttemptTiming timing = new AttemptTiming(whole("step"));
         return new FastestValidCoordinator(
                 timing, new RepeatGuard(timing, small("tries"), yes("copies"), yes("cancel")),
@@ -99,7 +99,7 @@
                         number("cross"),
                         health),
                 health,
-                new FastestValidCoordinator.SlowStart(
+                new SlowStart(
                         whole("seed"),
                         small("group"),
                         number("start"),
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -101,14 +101,14 @@
          */
         One(long coldUs) {
             LookupClass lookupClass = index();
-            FastestValidCoordinator.OutlierDetector health =
-                    new FastestValidCoordinator.OutlierDetector(lookupClass.latencyObjectiveUs);
+            ReplicaHealth health =
+                    new ReplicaHealth(lookupClass.latencyObjectiveUs);
             AttemptTiming timing = new AttemptTiming(5000);
             module = new FastestValidCoordinator(
                     timing, new RepeatGuard(timing, 3, true, true),
                     new FastestValidCoordinator.ReplicaSelector(CELLS, 1, 1, 0, 0, 0, health),
                     health,
-                    new FastestValidCoordinator.SlowStart(
+                    new SlowStart(
                             random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health),
                     new RetryBudget(0, 0, 0, 1000),
                     new FastestValidCoordinator.AdmissionController(random.nextLong(), 0),
