--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -1,6 +1,10 @@
 package tinlink.config;
 
 import tinlink.decision.EndpointListPoller;
+import tinlink.decision.AdmissionController;
+import tinlink.decision.CallSharing;
+import tinlink.decision.ReplicaDirectory;
+import tinlink.decision.ReplicaSelector;
 import tinlink.decision.AttemptTiming;
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.RepeatGuard;
@@ -30,41 +34,53 @@
         maxRetryAfterUs = settings.flag("limits.retryAfter")
                 ? settings.micros("limits.maxRetryAfterMs", 0)
                 : 0;
-        ReplicaHealth health =
-                new ReplicaHealth(longestSoftUs);
+        module = coordinator(seed, longestSoftUs, settings);
+    }
+
+    /** What is wrong first is read first: the order of the settings is that of the messages. */
+    private QueryCoordinator coordinator(long seed, long longestSoftUs, FlatSettings settings) {
         AttemptTiming timing = new AttemptTiming(settings.micros("stepMs", 1000));
-        module = new FastestValidCoordinator(
-                timing, new RepeatGuard(timing,
-                        settings.integer("limits.tryLimit", 1),
-                        settings.flag("limits.secondCopies"),
-                        settings.flag("limits.cancel")),
-                new FastestValidCoordinator.ReplicaSelector(
-                        settings.count("familyInfo.sets", 1, 1),
-                        settings.integer("familyInfo.reach", 1),
-                        settings.integer("familyInfo.bundleMax", 1),
-                        settings.micros("familyInfo.callMs", 0),
-                        settings.integer("zone", 0),
-                        settings.number("charges.crossZone", 0),
-                        health),
+        RepeatGuard guard = new RepeatGuard(
+                timing,
+                settings.integer("limits.tryLimit", 1),
+                settings.flag("limits.secondCopies"),
+                settings.flag("limits.cancel"));
+        ReplicaHealth health = new ReplicaHealth(longestSoftUs);
+        ReplicaDirectory replicas = new ReplicaDirectory(
+                settings.count("familyInfo.sets", 1, 1),
+                settings.integer("familyInfo.reach", 1),
+                health);
+        CallSharing callSharing = new CallSharing(
+                settings.integer("familyInfo.bundleMax", 1),
+                settings.micros("familyInfo.callMs", 0));
+        int zone = settings.integer("zone", 0);
+        double crossZonePrice = settings.number("charges.crossZone", 0);
+        SlowStart slowStart = new SlowStart(
+                seed,
+                settings.integer("groupSize", 1),
+                settings.number("rules.startCapacity", 1),
+                settings.micros("rules.coldMs", 0),
+                settings.number("rules.fallMultiple", 1),
+                settings.micros("rules.fallMs", 0),
+                health);
+        RetryBudget budget = new RetryBudget(
+                settings.micros("rules.lookBackMs", 0),
+                settings.number("rules.minExtra", 0),
+                settings.number("rules.resendRatio", 0),
+                maxInFlight);
+        EndpointListPoller poller = new EndpointListPoller(
+                seed,
+                settings.text("discovery", "pushed").equals("on_request"),
+                settings.micros("rules.mustAskInMs", 1_000_000));
+        return new FastestValidCoordinator(
+                timing,
+                guard,
+                new ReplicaSelector(
+                        replicas, slowStart, callSharing, zone, crossZonePrice, health),
                 health,
-                new SlowStart(
-                        seed,
-                        settings.integer("groupSize", 1),
-                        settings.number("rules.startCapacity", 1),
-                        settings.micros("rules.coldMs", 0),
-                        settings.number("rules.fallMultiple", 1),
-                        settings.micros("rules.fallMs", 0),
-                        health),
-                new RetryBudget(
-                        settings.micros("rules.lookBackMs", 0),
-                        settings.number("rules.minExtra", 0),
-                        settings.number("rules.resendRatio", 0),
-                        maxInFlight),
-                new FastestValidCoordinator.AdmissionController(seed, maxRetryAfterUs),
-                new EndpointListPoller(
-                        seed,
-                        settings.text("discovery", "pushed").equals("on_request"),
-                        settings.micros("rules.mustAskInMs", 1_000_000)));
+                budget,
+                new AdmissionController(seed, maxRetryAfterUs),
+                poller);
     }
 
     private static LookupClass lookupClass(FlatSettings settings, int i) {
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -23,9 +23,9 @@
 
     private final AttemptTiming timing;
     private final RepeatGuard guard;
-    private final ReplicaSelector replicas;
+    private final ReplicaSelector selector;
+    private final ReplicaDirectory replicas;
     private final ReplicaHealth health;
-    private final SlowStart cold;
     private final RetryBudget budget;
     private final AdmissionController admission;
     private final EndpointListPoller poller;
@@ -43,17 +43,16 @@
     public FastestValidCoordinator(
             AttemptTiming timing,
             RepeatGuard guard,
-            ReplicaSelector replicas,
+            ReplicaSelector selector,
             ReplicaHealth health,
-            SlowStart cold,
             RetryBudget budget,
             AdmissionController admission,
             EndpointListPoller poller) {
         this.timing = timing;
         this.guard = guard;
-        this.replicas = replicas;
+        this.selector = selector;
+        replicas = selector.replicas();
         this.health = health;
-        this.cold = cold;
         this.budget = budget;
         this.admission = admission;
         this.poller = poller;
@@ -95,7 +94,7 @@
         c.outcome = how;
         Part part = c.part;
         part.attemptsInFlight--;
-        ReplicaStats s = replicas.seen(c.node);
+        ReplicaStats s = replicas.stats(c.node);
         s.onAttemptEnded(c.sharedCall);
         health.onOutcome(s, c, how, now == stalledAt ? -1 : tookUs, now);
         replicas.forgetIfGone(s);
@@ -114,7 +113,7 @@
 
     @Override
     public void onEndpoint(DataNode node, boolean restarted) {
-        replicas.listed(node, restarted);
+        replicas.onEndpoint(node, restarted);
     }
 
     @Override
@@ -223,9 +222,9 @@
             return false;
         }
         if (!lookup.isStarted) {
-            if (admission.refuses(lookup, replicas, cold, now) && guard.mayReject(lookup)) {
+            if (admission.isOverloaded(lookup, selector, health.latency(), now) && guard.mayReject(lookup)) {
                 end(lookup);
-                h.reject(lookup, admission.comeBack(lookup));
+                h.reject(lookup, admission.retryAfterUs(lookup));
                 return true;
             }
             lookup.isStarted = true;
@@ -277,7 +276,7 @@
         double may = in;
         boolean out = false;
         for (Part part : lookup.parts) {
-            if (!part.isSatisfied && (part.attemptsInFlight > 0 || guard.mayAttempt(part, now) && replicas.held(part, now))) {
+            if (!part.isSatisfied && (part.attemptsInFlight > 0 || guard.mayAttempt(part, now) && replicas.hasHolder(part, now))) {
                 may += part.weight;
                 out |= part.attemptsInFlight > 0;
             }
@@ -311,7 +310,7 @@
         boolean nack = now < lookup.endsAtUs && guard.mayReject(lookup);
         end(lookup);
         if (nack) {
-            h.reject(lookup, admission.comeBack(lookup));
+            h.reject(lookup, admission.retryAfterUs(lookup));
         } else {
             h.abort(lookup);
         }
@@ -323,7 +322,7 @@
         if (lookup.isSilenceConclusive) {
             lookup.parts.forEach(part -> part.attempts.stream()
                     .filter(c -> c.outcome == null)
-                    .forEach(c -> health.onSilence(replicas.seen(c.node), c, now)));
+                    .forEach(c -> health.onSilence(replicas.stats(c.node), c, now)));
             health.outliers().recordRound(lookup.parts.size(), (int)
                     lookup.parts.stream().filter(FastestValidCoordinator::awaited).count());
         }
@@ -367,7 +366,7 @@
     }
 
     private ReplicaStats lastNode(Part part) {
-        return replicas.seen(lastCall(part).node);
+        return replicas.stats(lastCall(part).node);
     }
 
     /** Parts that were never sent, or whose part calls all ended without an answer. */
@@ -402,11 +401,11 @@
     private boolean place(List<Part> parts, boolean replay) {
         boolean any = false;
         for (Part part : parts) {
-            ReplicaStats s = replicas.pick(part, cold, replay, now);
+            ReplicaStats s = selector.select(part, replay, now);
             // Danger: a full node turns away what comes again at once; all tries would be gone in a
             // moment.
             if (s == null
-                    || replicas.tried(s, part)
+                    || part.hasTried(s.node())
                             && lastCall(part).outcome == Outcome.REJECTED
                             && now < lastCall(part).sentAtUs + part.lookup.roundUs / 4) {
                 continue;
@@ -417,7 +416,7 @@
             } else if (!part.attempts.isEmpty() && !part.isHedgePaid) {
                 budget.spendRetry(now);
             }
-            cold.recordSend(s, now);
+            selector.recordSend(s, now);
             Attempt c = new Attempt();
             c.part = part;
             c.node = s.node();
@@ -433,214 +432,11 @@
             c.reconnectFirst = idle.isDropped(age, errors, now) && (replay || !tries);
             c.idleStep = c.reconnectFirst ? 0 : age;
             s.recordUse(now);
-            c.sharedCall = replicas.share(s, now);
+            c.sharedCall = selector.callSharing().join(s, now);
             part.attempts.add(c);
             part.attemptsInFlight++;
             outbox.add(c);
         }
         return any;
     }
-
-    /** The companion: which replica serves a part. */
-    public static final class ReplicaSelector {
-        private static final double FAR = 10;
-        private static final double SITE =
-                10; // At another site: goes when near ones are out, or as bad.
-        private final int cells;
-        private final int reach;
-        private final int bundleMax;
-        private final long callUs;
-        private final int zone;
-        /** What a node in another zone counts slower, where crossing has a price. */
-        private final double far;
-
-        private final Map<DataNode, ReplicaStats> known = new LinkedHashMap<>();
-        /** The same nodes by cell: the cost of a part goes with its holders, not with the fleet. */
-        private final List<List<ReplicaStats>> byCell = new ArrayList<>();
-
-        private final ReplicaHealth health;
-
-        public ReplicaSelector(
-                int cells,
-                int reach,
-                int bundleMax,
-                long callUs,
-                int zone,
-                double crossPrice,
-                ReplicaHealth health) {
-            this.zone = zone;
-            far = 1 + FAR * crossPrice;
-            this.cells = cells;
-            this.health = health;
-            for (int i = 0; i < cells; i++) {
-                byCell.add(new ArrayList<>());
-            }
-            this.reach = reach;
-            this.bundleMax = Math.max(1, bundleMax);
-            this.callUs = callUs;
-        }
-
-        void listed(DataNode n, boolean restarted) {
-            ReplicaStats s = known.get(n);
-            if (s == null || restarted || s.cell() != Math.floorMod(n.cell, cells)) {
-                ReplicaStats fresh = ReplicaStats.afresh(n, Math.floorMod(n.cell, cells), s);
-                forget(s);
-                known.put(n, fresh);
-                byCell.get(fresh.cell()).add(fresh);
-                s = fresh;
-            }
-            forgetIfGone(s);
-        }
-
-        void forgetIfGone(ReplicaStats s) {
-            if (s.node().state == DataNode.State.GONE
-                    && s.callsInFlight() == 0
-                    && known.get(s.node()) == s) {
-                forget(s);
-            }
-        }
-
-        private void forget(ReplicaStats s) {
-            if (s != null) {
-                known.remove(s.node());
-                byCell.get(s.cell()).remove(s);
-                health.latency().forget(s);
-                s.forget();
-            }
-        }
-
-        /** Never null: a call may end after its node was forgotten. */
-        ReplicaStats seen(DataNode n) {
-            ReplicaStats s = known.get(n);
-            return s == null ? ReplicaStats.ofForgotten(n) : s;
-        }
-
-        boolean held(Part part, long now) {
-            return !holders(part, now).isEmpty();
-        }
-
-        boolean heldWithRoom(Part part, AdmissionController admission, double luck, SlowStart cold, long now) {
-            return holders(part, now).stream()
-                    .anyMatch(s -> cold.admits(s, known.values(), now)
-                            && admission.room(
-                                    s,
-                                    health.latency().latencyUs(s, part.lookup.roundUs, now),
-                                    luck,
-                                    part.lookup.roundUs));
-        }
-
-        /**
-         * Drains: once told that a node drains or is gone, nothing new goes there; nor over too long a line.
-         */
-        private List<ReplicaStats> holders(Part part, long now) {
-            List<ReplicaStats> ready = new ArrayList<>();
-            for (int j = 0; j < Math.min(reach, cells); j++) {
-                for (ReplicaStats s : byCell.get(Math.floorMod(part.shard + j, cells))) {
-                    if (s.node().state == DataNode.State.READY
-                            && (s.node().linkRoundTripUs == 0
-                                    || !part.lookup.isForwarded
-                                            && part.lookup.endsAtUs - now > s.node().linkRoundTripUs)) {
-                        ready.add(s);
-                    }
-                }
-            }
-            return ready;
-        }
-
-        private boolean tried(ReplicaStats s, Part part) {
-            return part.attempts.stream().anyMatch(c -> c.node == s.node());
-        }
-
-        Attempt.SharedCall share(ReplicaStats s, long now) {
-            return s.joinCall(bundleMax, now);
-        }
-
-        /**
-         * The holder with the least smoothed latency times its own outstanding calls plus one; one whose call
-         * leaves in this turn costs no call of its own. Nodes that this part has tried go last.
-         */
-        ReplicaStats pick(Part part, SlowStart cold, boolean replay, long now) {
-            double callShare =
-                    Math.min(0.9, callUs / Math.max(1, health.latency().averageUs(part.lookup.roundUs)));
-            ReplicaStats best = null;
-            double least = Double.MAX_VALUE;
-            boolean bestTried = true;
-            for (ReplicaStats s : holders(part, now)) {
-                boolean tried = tried(s, part);
-                if (replay && tried || !cold.admits(s, known.values(), now)) {
-                    continue;
-                }
-                boolean joins = s.canShareCall(bundleMax, now);
-                // A call that goes bad costs its lookup the rounds; without this, failing fast
-                // looks quick.
-                // Lookups that can spare a part are the trials by which a node finds its way back.
-                double toll = (part.lookup.lookupClass.completeShare < 1 ? 3 : 9) * part.lookup.roundUs;
-                double doubt = health.outliers().failureShare(s, now) * toll;
-                double cost = (health.latency().latencyUs(s, part.lookup.roundUs, now) * (s.callsInFlight() + 1) + doubt)
-                        / cold.capacity(s.node(), now)
-                        * (joins ? 1 - callShare : 1)
-                        // Departure: crossing zones has a price, so a near node may be a little
-                        // slower.
-                        * (s.node().linkRoundTripUs > 0 ? SITE : s.node().zone == zone ? 1 : far);
-                if (best == null
-                        || (tried != bestTried
-                                ? bestTried
-                                : cost < least || cost == least && older(s, best))) {
-                    best = s;
-                    bestTried = tried;
-                    least = cost;
-                }
-            }
-            return best;
-        }
-
-        private static boolean older(ReplicaStats a, ReplicaStats b) {
-            return a.node().startedAtUs != b.node().startedAtUs
-                    ? a.node().startedAtUs < b.node().startedAtUs
-                    : a.node().id < b.node().id;
-        }
-    }
-
-    /**
-     * Which lookups to nack at the door: those with too few parts that some holder can be expected to answer
-     * within a round or two, judged by how long it took of late and how many calls were out then. Of nodes
-     * with no call out that look slow, a lookup still takes some by chance, fewer the slower they look: a
-     * router of many seldom has a call out there, and so the judgement is renewed. Danger: under overload
-     * all parts are sent, all end too late, clients ask again, and the service stays down after its cause
-     * has gone. Catches bursts, retry storms, lost capacity, slowness shared by all, and shards too popular
-     * for their holders; may hurt where calls are too few to tell a slow call from a slow node.
-     */
-    public static final class AdmissionController {
-        /** A nack costs little where clients are told when to come back, and the lookup's gain where not. */
-        private static final double ROUNDS_TOLD = 1.2;
-
-        private static final double ROUNDS_UNTOLD = 2;
-        private final long maxComeBackUs;
-        private final SplittableRandom random;
-
-        /** @param maxComeBackUs 0 where clients are told no time */
-        public AdmissionController(long seed, long maxComeBackUs) {
-            random = new SplittableRandom(seed);
-            this.maxComeBackUs = maxComeBackUs;
-        }
-
-        /** @param luck one draw for all parts of the lookup at the door */
-        boolean room(ReplicaStats s, double latency, double luck, long roundUs) {
-            double expected = latency * (s.callsInFlight() + 1) / (s.usualCallsInFlight() + 1);
-            return s.smoothedLatencyUs() == 0
-                    || expected * (s.callsInFlight() == 0 ? luck : 1)
-                            <= (maxComeBackUs > 0 ? ROUNDS_TOLD : ROUNDS_UNTOLD) * roundUs;
-        }
-
-        /** Too few of its parts have a holder with room. */
-        boolean refuses(Lookup lookup, ReplicaSelector replicas, SlowStart cold, long now) {
-            double luck = random.nextDouble();
-            return weight(lookup, part -> replicas.heldWithRoom(part, this, luck, cold, now))
-                    < lookup.lookupClass.completeShare - SLACK;
-        }
-
-        long comeBack(Lookup lookup) {
-            return Math.min(maxComeBackUs, lookup.roundUs);
-        }
-    }
 }
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -4,6 +4,10 @@
 import tinlink.decision.Attempt;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
+import tinlink.decision.AdmissionController;
+import tinlink.decision.CallSharing;
+import tinlink.decision.ReplicaDirectory;
+import tinlink.decision.ReplicaSelector;
 import tinlink.decision.AttemptTiming;
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.RepeatGuard;
@@ -230,31 +234,32 @@
                     .mapToLong(lookupClass -> lookupClass.latencyObjectiveUs)
                     .max()
                     .orElse(1);
-            ReplicaHealth health =
-                    new ReplicaHealth(longestSoft);
             AttemptTiming timing = new AttemptTiming(microsSetting("step"));
+            ReplicaHealth health = new ReplicaHealth(longestSoft);
+            ReplicaDirectory replicas =
+                    new ReplicaDirectory(intSetting("cells"), intSetting("reach"), health);
             module = new FastestValidCoordinator(
-                    timing, new RepeatGuard(timing,
+                    timing,
+                    new RepeatGuard(
+                            timing,
                             intSetting("tries"),
                             booleanSetting("copies"),
                             booleanSetting("cancel")),
-                    new FastestValidCoordinator.ReplicaSelector(
-                            intSetting("cells"),
-                            intSetting("reach"),
-                            intSetting("bundle"),
-                            microsSetting("call"),
+                    new ReplicaSelector(
+                            replicas,
+                            new SlowStart(
+                                    7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
+                            new CallSharing(intSetting("bundle"), microsSetting("call")),
                             intSetting("zone"),
                             doubleSetting("cross"),
                             health),
                     health,
-                    new SlowStart(
-                            7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
                     new RetryBudget(
                             microsSetting("lookback"),
                             intSetting("free"),
                             doubleSetting("ratio"),
                             100),
-                    new FastestValidCoordinator.AdmissionController(7, microsSetting("comeback")),
+                    new AdmissionController(7, microsSetting("comeback")),
                     new EndpointListPoller(
                             7, booleanSetting("asks"), microsSetting("mustask")));
             module.advanceClock(now);
--- a/src/test/java/tinlink/decision/PlayedSettings.java
+++ b/src/test/java/tinlink/decision/PlayedSettings.java
@@ -86,30 +86,30 @@
 
     /** @param longestSoftUs the longest latency objective of all classes */
     QueryCoordinator module(long longestSoftUs) {
-        ReplicaHealth health = new ReplicaHealth(longestSoftUs);
         AttemptTiming timing = new AttemptTiming(whole("step"));
+        ReplicaHealth health = new ReplicaHealth(longestSoftUs);
+        SlowStart slowStart = new SlowStart(
+                whole("seed"),
+                small("group"),
+                number("start"),
+                whole("cold"),
+                number("multiple"),
+                whole("fall"),
+                health);
         return new FastestValidCoordinator(
-                timing, new RepeatGuard(timing, small("tries"), yes("copies"), yes("cancel")),
-                new FastestValidCoordinator.ReplicaSelector(
-                        small("cells"),
-                        small("reach"),
-                        small("bundle"),
-                        whole("call"),
+                timing,
+                new RepeatGuard(timing, small("tries"), yes("copies"), yes("cancel")),
+                new ReplicaSelector(
+                        new ReplicaDirectory(small("cells"), small("reach"), health),
+                        slowStart,
+                        new CallSharing(small("bundle"), whole("call")),
                         small("zone"),
                         number("cross"),
                         health),
                 health,
-                new SlowStart(
-                        whole("seed"),
-                        small("group"),
-                        number("start"),
-                        whole("cold"),
-                        number("multiple"),
-                        whole("fall"),
-                        health),
                 new RetryBudget(
                         whole("lookback"), number("free"), number("ratio"), small("open")),
-                new FastestValidCoordinator.AdmissionController(whole("seed"), whole("retry")),
+                new AdmissionController(whole("seed"), whole("retry")),
                 new EndpointListPoller(whole("seed"), yes("asks"), whole("mustask")));
     }
 }
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -101,19 +101,24 @@
          */
         One(long coldUs) {
             LookupClass lookupClass = index();
-            ReplicaHealth health =
-                    new ReplicaHealth(lookupClass.latencyObjectiveUs);
+            ReplicaHealth health = new ReplicaHealth(lookupClass.latencyObjectiveUs);
             AttemptTiming timing = new AttemptTiming(5000);
+            SlowStart slowStart = new SlowStart(
+                    random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health);
             module = new FastestValidCoordinator(
-                    timing, new RepeatGuard(timing, 3, true, true),
-                    new FastestValidCoordinator.ReplicaSelector(CELLS, 1, 1, 0, 0, 0, health),
+                    timing,
+                    new RepeatGuard(timing, 3, true, true),
+                    new ReplicaSelector(
+                            new ReplicaDirectory(CELLS, 1, health),
+                            slowStart,
+                            new CallSharing(1, 0),
+                            0,
+                            0,
+                            health),
                     health,
-                    new SlowStart(
-                            random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health),
                     new RetryBudget(0, 0, 0, 1000),
-                    new FastestValidCoordinator.AdmissionController(random.nextLong(), 0),
-                    new EndpointListPoller(
-                            random.nextLong(), false, 10_000_000));
+                    new AdmissionController(random.nextLong(), 0),
+                    new EndpointListPoller(random.nextLong(), false, 10_000_000));
         }
 
         void turn(Runnable inputs) {
