--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -1,18 +1,18 @@
 package tinlink.config;
 
-import tinlink.decision.EndpointListPoller;
 import tinlink.decision.AdmissionController;
-import tinlink.decision.CallSharing;
-import tinlink.decision.ReplicaDirectory;
-import tinlink.decision.ReplicaSelector;
 import tinlink.decision.AttemptTiming;
+import tinlink.decision.CallSharing;
+import tinlink.decision.EndpointListPoller;
 import tinlink.decision.FastestValidCoordinator;
-import tinlink.decision.RepeatGuard;
-import tinlink.decision.ReplicaHealth;
-import tinlink.decision.SlowStart;
 import tinlink.decision.LookupClass;
 import tinlink.decision.QueryCoordinator;
+import tinlink.decision.RepeatGuard;
+import tinlink.decision.ReplicaDirectory;
+import tinlink.decision.ReplicaHealth;
+import tinlink.decision.ReplicaSelector;
 import tinlink.decision.RetryBudget;
+import tinlink.decision.SlowStart;
 
 /** Builds the decision module from its settings, whichever source they have; each part gets its own few. */
 public final class DecisionConfig {
@@ -75,8 +75,7 @@
         return new FastestValidCoordinator(
                 timing,
                 guard,
-                new ReplicaSelector(
-                        replicas, slowStart, callSharing, zone, crossZonePrice, health),
+                new ReplicaSelector(replicas, slowStart, callSharing, zone, crossZonePrice, health),
                 health,
                 budget,
                 new AdmissionController(seed, maxRetryAfterUs),
--- a/src/main/java/tinlink/decision/AdmissionController.java
+++ b/src/main/java/tinlink/decision/AdmissionController.java
@@ -43,7 +43,11 @@
     }
 
     private boolean hasCapacity(
-            Part part, double luck, ReplicaSelector selector, LatencyEstimator latency, long nowUs) {
+            Part part,
+            double luck,
+            ReplicaSelector selector,
+            LatencyEstimator latency,
+            long nowUs) {
         long roundUs = part.lookup.roundUs;
         for (ReplicaStats stats : selector.replicas().holders(part, nowUs)) {
             if (selector.admits(stats, nowUs)
@@ -55,8 +59,7 @@
         return false;
     }
 
-    private boolean hasCapacity(
-            ReplicaStats stats, double latencyUs, double luck, long roundUs) {
+    private boolean hasCapacity(ReplicaStats stats, double latencyUs, double luck, long roundUs) {
         if (stats.smoothedLatencyUs() == 0) {
             return true;
         }
--- a/src/main/java/tinlink/decision/AttemptDispatcher.java
+++ b/src/main/java/tinlink/decision/AttemptDispatcher.java
@@ -64,8 +64,7 @@
         attempt.sentAtUs = nowUs;
         attempt.callsInFlightBefore = stats.callsInFlight();
         IdleConnectionDetector idle = health.idleConnections();
-        int idleStep =
-                stats.callsInFlight() == 0 ? idle.idleStep(nowUs - stats.lastUsedAtUs()) : 0;
+        int idleStep = stats.callsInFlight() == 0 ? idle.idleStep(nowUs - stats.lastUsedAtUs()) : 0;
         double errors = isHedge ? 0 : IdleConnectionDetector.SURE;
         attempt.reconnectFirst =
                 idle.isDropped(idleStep, errors, nowUs) && (isHedge || !isTrial(part));
--- a/src/main/java/tinlink/decision/AttemptTiming.java
+++ b/src/main/java/tinlink/decision/AttemptTiming.java
@@ -74,7 +74,9 @@
      * the time after which they do. May hurt where one kind of client alone is impatient.
      */
     private long patienceUs(long objectiveUs) {
-        return leavingShare > MANY_LEAVE ? Math.min(objectiveUs, (long) leavesAfterUs) : objectiveUs;
+        return leavingShare > MANY_LEAVE
+                ? Math.min(objectiveUs, (long) leavesAfterUs)
+                : objectiveUs;
     }
 
     /** A lookup was answered, or its client has left. */
@@ -85,13 +87,12 @@
         long waitedUs = nowUs - lookup.arrivedAtUs;
         // Who is gone at once, or before a late router has read the lookup, did not wait: that says
         // nothing of patience.
-        boolean isNoWait =
-                isEarly && waitedUs < lookup.lookupClass.latencyObjectiveUs / NOT_WAITED;
+        boolean isNoWait = isEarly && waitedUs < lookup.lookupClass.latencyObjectiveUs / NOT_WAITED;
         double weight = isNoWait ? 0 : LEAVING_SMOOTHING;
         leavingShare += weight * ((isEarly ? 1 : 0) - leavingShare);
         if (isEarly && !isNoWait) {
-            leavesAfterUs += (leavesAfterUs == 0 ? 1 : 4 * LEAVING_SMOOTHING)
-                    * (waitedUs - leavesAfterUs);
+            leavesAfterUs +=
+                    (leavesAfterUs == 0 ? 1 : 4 * LEAVING_SMOOTHING) * (waitedUs - leavesAfterUs);
         }
     }
 }
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -84,8 +84,7 @@
     }
 
     @Override
-    public void onOutcome(
-            Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs) {
+    public void onOutcome(Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs) {
         attempt.outcome = outcome;
         Part part = attempt.part;
         part.attemptsInFlight--;
@@ -119,8 +118,7 @@
     }
 
     @Override
-    public void onHealthCheck(
-            DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
+    public void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
         // A health check proves that a process runs, not that it answers: nothing here rests on
         // one.
     }
@@ -219,8 +217,7 @@
      * nodes and satisfied no part is not sent again. May hurt where good nodes lose many connections.
      */
     private boolean isLost(Lookup lookup, double satisfied) {
-        return lookup.isSuspect() && satisfied == 0
-                || retries.isHopeless(lookup, satisfied, now);
+        return lookup.isSuspect() && satisfied == 0 || retries.isHopeless(lookup, satisfied, now);
     }
 
     /** Rejects the lookup, or sends its parts. */
--- a/src/main/java/tinlink/decision/RepeatGuard.java
+++ b/src/main/java/tinlink/decision/RepeatGuard.java
@@ -52,8 +52,7 @@
      */
     private boolean isDeduplicated(Attempt attempt, LookupClass lookupClass, long nowUs) {
         return lookupClass.idempotency == Idempotency.BY_KEY
-                && nowUs + timing.stallUs()
-                        <= attempt.sentAtUs + lookupClass.deduplicationWindowUs;
+                && nowUs + timing.stallUs() <= attempt.sentAtUs + lookupClass.deduplicationWindowUs;
     }
 
     /** Whether an attempt that is silent may be cancelled for another one elsewhere. */
--- a/src/main/java/tinlink/decision/ReplicaHealth.java
+++ b/src/main/java/tinlink/decision/ReplicaHealth.java
@@ -53,8 +53,7 @@
                 latency.record(stats, attempt, latencyUs, nowUs);
             }
             case ERROR -> outliers.recordFailure(stats, nowUs);
-            case CONNECTION_LOST, NO_CONNECTION ->
-                outliers.recordConnectionFailure(stats, nowUs);
+            case CONNECTION_LOST, NO_CONNECTION -> outliers.recordConnectionFailure(stats, nowUs);
             case NO_ANSWER -> latency.record(stats, attempt, tookUs, nowUs);
             case CANCELLED, NOT_SENT -> {
                 // They say nothing of the node.
--- a/src/main/java/tinlink/decision/RetryBudget.java
+++ b/src/main/java/tinlink/decision/RetryBudget.java
@@ -27,8 +27,7 @@
      * @param attemptsPerArrival further attempts that each lookup and each part allows besides
      * @param openCap lookups and parts in flight at most
      */
-    public RetryBudget(
-            long windowUs, double freeAttempts, double attemptsPerArrival, int openCap) {
+    public RetryBudget(long windowUs, double freeAttempts, double attemptsPerArrival, int openCap) {
         this.windowUs = windowUs;
         this.freeAttempts = freeAttempts;
         this.attemptsPerArrival = attemptsPerArrival;
--- a/src/main/java/tinlink/decision/RetryPlanner.java
+++ b/src/main/java/tinlink/decision/RetryPlanner.java
@@ -121,8 +121,7 @@
                 part.isHedgePaid = false;
             } else {
                 // No node may take it now: look again within the round, not on every input.
-                part.notBeforeUs =
-                        Math.max(part.notBeforeUs, nowUs + lookup.roundUs / PAUSE);
+                part.notBeforeUs = Math.max(part.notBeforeUs, nowUs + lookup.roundUs / PAUSE);
                 lookup.checkBy(part.notBeforeUs);
             }
         }
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -1,24 +1,24 @@
 package tinlink;
 
-import tinlink.decision.EndpointListPoller;
+import tinlink.decision.AdmissionController;
 import tinlink.decision.Attempt;
+import tinlink.decision.AttemptTiming;
+import tinlink.decision.CallSharing;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
-import tinlink.decision.AdmissionController;
-import tinlink.decision.CallSharing;
-import tinlink.decision.ReplicaDirectory;
-import tinlink.decision.ReplicaSelector;
-import tinlink.decision.AttemptTiming;
+import tinlink.decision.EndpointListPoller;
 import tinlink.decision.FastestValidCoordinator;
-import tinlink.decision.RepeatGuard;
-import tinlink.decision.ReplicaHealth;
-import tinlink.decision.SlowStart;
 import tinlink.decision.Lookup;
 import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.decision.QueryCoordinator;
+import tinlink.decision.RepeatGuard;
+import tinlink.decision.ReplicaDirectory;
+import tinlink.decision.ReplicaHealth;
+import tinlink.decision.ReplicaSelector;
 import tinlink.decision.RetryBudget;
+import tinlink.decision.SlowStart;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -260,8 +260,7 @@
                             doubleSetting("ratio"),
                             100),
                     new AdmissionController(7, microsSetting("comeback")),
-                    new EndpointListPoller(
-                            7, booleanSetting("asks"), microsSetting("mustask")));
+                    new EndpointListPoller(7, booleanSetting("asks"), microsSetting("mustask")));
             module.advanceClock(now);
         }
         return module;
--- a/src/test/java/tinlink/decision/PlayedClasses.java
+++ b/src/test/java/tinlink/decision/PlayedClasses.java
@@ -41,8 +41,15 @@
     static void change(List<LookupClass> all, SplittableRandom random) {
         for (int i = 0; i < all.size(); i++) {
             LookupClass old = all.get(i);
-            LookupClass one = of(1, old.completeShare, old.minimumShare, old.lateAnswerWeight, old.secondStepParts, old.idempotency);
-            one.latencyObjectiveUs = Math.max(50_000, old.latencyObjectiveUs * (60 + random.nextInt(70)) / 100);
+            LookupClass one = of(
+                    1,
+                    old.completeShare,
+                    old.minimumShare,
+                    old.lateAnswerWeight,
+                    old.secondStepParts,
+                    old.idempotency);
+            one.latencyObjectiveUs =
+                    Math.max(50_000, old.latencyObjectiveUs * (60 + random.nextInt(70)) / 100);
             one.deadlineUs = 4 * one.latencyObjectiveUs;
             one.deduplicationWindowUs = old.deduplicationWindowUs + random.nextInt(100_000);
             one.partialAnswerWeight = old.partialAnswerWeight;
--- a/src/test/java/tinlink/decision/PlayedSettings.java
+++ b/src/test/java/tinlink/decision/PlayedSettings.java
@@ -107,8 +107,7 @@
                         number("cross"),
                         health),
                 health,
-                new RetryBudget(
-                        whole("lookback"), number("free"), number("ratio"), small("open")),
+                new RetryBudget(whole("lookback"), number("free"), number("ratio"), small("open")),
                 new AdmissionController(whole("seed"), whole("retry")),
                 new EndpointListPoller(whole("seed"), yes("asks"), whole("mustask")));
     }
--- a/src/test/java/tinlink/decision/RecordedPlay.java
+++ b/src/test/java/tinlink/decision/RecordedPlay.java
@@ -330,10 +330,13 @@
             case FAILS -> at(now + wayUs, () -> ended(attempt, Outcome.ERROR));
             case FULL -> at(now + wayUs, () -> ended(attempt, Outcome.REJECTED));
             case REFUSES -> at(now + wayUs, () -> ended(attempt, Outcome.NO_CONNECTION));
-            case LOSES -> at(now + wayUs + workUs(1), () -> ended(attempt, Outcome.CONNECTION_LOST));
+            case LOSES ->
+                at(now + wayUs + workUs(1), () -> ended(attempt, Outcome.CONNECTION_LOST));
             case NOT_SENT -> at(now + wayUs, () -> ended(attempt, Outcome.NOT_SENT));
-            case SLOW -> at(one.take(now, workUs(6)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
-            case NONE -> at(one.take(now, workUs(1)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
+            case SLOW ->
+                at(one.take(now, workUs(6)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
+            case NONE ->
+                at(one.take(now, workUs(1)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
         }
     }
 
@@ -422,7 +425,10 @@
             if (!fails) {
                 nodes.forEach(each -> listed(each, false));
             }
-            news(fails ? QueryCoordinator.EndpointListUpdate.FAILED : QueryCoordinator.EndpointListUpdate.FULL);
+            news(
+                    fails
+                            ? QueryCoordinator.EndpointListUpdate.FAILED
+                            : QueryCoordinator.EndpointListUpdate.FULL);
         });
     }
 }
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -103,8 +103,8 @@
             LookupClass lookupClass = index();
             ReplicaHealth health = new ReplicaHealth(lookupClass.latencyObjectiveUs);
             AttemptTiming timing = new AttemptTiming(5000);
-            SlowStart slowStart = new SlowStart(
-                    random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health);
+            SlowStart slowStart =
+                    new SlowStart(random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health);
             module = new FastestValidCoordinator(
                     timing,
                     new RepeatGuard(timing, 3, true, true),
