--- a/src/main/java/tinlink/cluster/DiskRecordLog.java
+++ b/src/main/java/tinlink/cluster/DiskRecordLog.java
@@ -15,8 +15,8 @@
 
     /** As it was found. */
     RaftStateStore openStateStore() throws IOException {
-        RaftStateStore stateStore =
-                new RaftStateStore(this, durableLog.snapshot(), durableLog.records());
+        RaftStateStore stateStore = new RaftStateStore(
+                this, durableLog.recoveredSnapshot(), durableLog.recoveredRecords());
         durableLog.releaseRecovered();
         return stateStore;
     }
@@ -33,7 +33,7 @@
 
     @Override
     public void compactTo(byte[] state) throws IOException {
-        durableLog.snapshot(state);
+        durableLog.writeSnapshot(state);
     }
 
     @Override
--- a/src/main/java/tinlink/cluster/Identity.java
+++ b/src/main/java/tinlink/cluster/Identity.java
@@ -29,8 +29,10 @@
 
     public Identity(Path folder, String name) throws IOException {
         durableLog = new DurableLog(folder.resolve("self"), MAX_BYTES);
-        List<byte[]> records = durableLog.records();
-        byte[] last = records.isEmpty() ? durableLog.snapshot() : records.get(records.size() - 1);
+        List<byte[]> records = durableLog.recoveredRecords();
+        byte[] last = records.isEmpty()
+                ? durableLog.recoveredSnapshot()
+                : records.get(records.size() - 1);
         SecureRandom random = new SecureRandom();
         isFirstStart = last == null;
         startCount = 1;
@@ -64,7 +66,7 @@
                 .put(nameBytes)
                 .array();
         if (durableLog.bytesSinceSnapshot() > COMPACT_BYTES) {
-            durableLog.snapshot(record);
+            durableLog.writeSnapshot(record);
         } else {
             durableLog.append(record);
             durableLog.sync();
--- a/src/main/java/tinlink/storage/CorruptLogException.java
+++ b/src/main/java/tinlink/storage/CorruptLogException.java
@@ -1,15 +1,24 @@
 package tinlink.storage;
 
-import java.io.IOException;
+import java.nio.file.Path;
 
 /**
- * What is kept can't be trusted: something other than the end of the newest file is not as it was
- * written.
+ * Stored data is not as it was written, and not merely torn at the end of the newest log file by a
+ * crash.
  */
-public final class CorruptLogException extends IOException {
+public final class CorruptLogException extends StorageException {
     private static final long serialVersionUID = 1;
 
-    CorruptLogException(String file, long offset, String what) {
-        super(file + " at byte " + offset + ": " + what);
+    private final long offset;
+
+    /** @param offset bytes from the start of the file; 0 where the file as a whole is meant */
+    CorruptLogException(Path file, long offset, String problem) {
+        super(file.toString(), file + " at byte " + offset + ": " + problem, null);
+        this.offset = offset;
+    }
+
+    /** Where in the file, in bytes from its start. */
+    public long offset() {
+        return offset;
     }
 }
--- a/src/main/java/tinlink/storage/RecordFraming.java
+++ b/src/main/java/tinlink/storage/RecordFraming.java
@@ -1,66 +1,85 @@
 package tinlink.storage;
 
 import java.nio.ByteBuffer;
+import java.util.Arrays;
 import java.util.zip.CRC32C;
 
 /**
- * Records as they stand in a file: a length, the record's number, a checksum over both and the
- * bytes, the bytes. All big-endian.
+ * A record as it stands in a file, all numbers big-endian: the record's length (4 bytes), its
+ * number (8), a CRC-32C of both and of the record (4), the record.
  */
 final class RecordFraming {
-    static final int HEADER_BYTES = 4 + 8 + 4;
-    /** A record holds no more. */
+    private static final int LENGTH_BYTES = Integer.BYTES;
+    private static final int NUMBER_BYTES = Long.BYTES;
+    private static final int CHECKSUM_BYTES = Integer.BYTES;
+    static final int HEADER_BYTES = LENGTH_BYTES + NUMBER_BYTES + CHECKSUM_BYTES;
+    /** Bytes of the longest record. */
     static final int MAX_RECORD_BYTES = 8 << 20;
 
     private RecordFraming() {}
 
+    /**
+     * @throws IllegalArgumentException where the record is longer than {@link #MAX_RECORD_BYTES}
+     */
     static byte[] encode(long number, byte[] record) {
         if (record.length > MAX_RECORD_BYTES) {
-            throw new IllegalArgumentException("a record of " + record.length + " bytes");
+            throw new IllegalArgumentException(
+                    "a record of " + record.length + " bytes, past " + MAX_RECORD_BYTES);
         }
-        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + record.length)
+        return ByteBuffer.allocate(HEADER_BYTES + record.length)
                 .putInt(record.length)
-                .putLong(number);
-        return buffer.putInt(checksum(record.length, number, record, 0))
+                .putLong(number)
+                .putInt(checksum(record.length, number, record, 0))
                 .put(record)
                 .array();
     }
 
     private static int checksum(int length, long number, byte[] bytes, int offset) {
         CRC32C crc = new CRC32C();
-        crc.update(ByteBuffer.allocate(12).putInt(length).putLong(number).flip());
+        crc.update(ByteBuffer.allocate(LENGTH_BYTES + NUMBER_BYTES)
+                .putInt(length)
+                .putLong(number)
+                .flip());
         crc.update(bytes, offset, length);
         return (int) crc.getValue();
     }
 
-    /** The length of the whole record of that number there; -1 where there is none. */
-    static int lengthAt(byte[] file, int offset, long number) {
+    /**
+     * The length of the complete frame of that record at that offset, in bytes; -1 where there is
+     * none.
+     */
+    static int frameLengthAt(byte[] file, int offset, long number) {
         if (offset + HEADER_BYTES > file.length) {
             return -1;
         }
-        ByteBuffer buffer = ByteBuffer.wrap(file, offset, HEADER_BYTES);
-        int length = buffer.getInt();
+        ByteBuffer header = ByteBuffer.wrap(file, offset, HEADER_BYTES);
+        int length = header.getInt();
         if (length < 0
                 || length > MAX_RECORD_BYTES
                 || offset + HEADER_BYTES + (long) length > file.length
-                || buffer.getLong() != number) {
+                || header.getLong() != number) {
             return -1;
         }
-        return buffer.getInt() == checksum(length, number, file, offset + HEADER_BYTES)
-                ? HEADER_BYTES + length
-                : -1;
+        int checksum = checksum(length, number, file, offset + HEADER_BYTES);
+        return header.getInt() == checksum ? HEADER_BYTES + length : -1;
+    }
+
+    /** The record in the frame of that length at that offset. */
+    static byte[] recordAt(byte[] file, int offset, int frameLength) {
+        return Arrays.copyOfRange(file, offset + HEADER_BYTES, offset + frameLength);
     }
 
     /**
-     * Whether any whole record of a number past that one stands behind: then what is spoilt before
-     * it is no torn end.
+     * Whether the complete frame of a record with that number or a later one begins anywhere past
+     * the offset. If so, what is corrupt at the offset is not a torn end.
      */
     static boolean hasRecordAfter(byte[] file, int offset, long number) {
         for (int candidate = offset + 1; candidate + HEADER_BYTES <= file.length; candidate++) {
-            long candidateNumber = ByteBuffer.wrap(file, candidate + 4, 8).getLong();
-            if (candidateNumber >= number
-                    && candidateNumber - number <= file.length
-                    && lengthAt(file, candidate, candidateNumber) >= 0) {
+            long found = ByteBuffer.wrap(file, candidate + LENGTH_BYTES, NUMBER_BYTES)
+                    .getLong();
+            // A file holds fewer records than bytes, so a number further on is no record's.
+            boolean possible = found >= number && found - number <= file.length;
+            if (possible && frameLengthAt(file, candidate, found) >= 0) {
                 return true;
             }
         }
--- a/src/test/java/tinlink/storage/DurableLogTest.java
+++ b/src/test/java/tinlink/storage/DurableLogTest.java
@@ -16,7 +16,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The store against stops at every byte, damage, a full disk, a second user. */
+/** The durable log against crashes at every byte, corruption, a full disk, a second user. */
 class DurableLogTest {
     @TempDir
     Path directory;
@@ -50,16 +50,16 @@
         writeRecords(0, 7);
         writeRecords(7, 9);
         try (DurableLog durableLog = open()) {
-            assertNull(durableLog.snapshot());
-            assertRecords(durableLog.records(), 0, 9);
-            durableLog.snapshot(record(99));
+            assertNull(durableLog.recoveredSnapshot());
+            assertRecords(durableLog.recoveredRecords(), 0, 9);
+            durableLog.writeSnapshot(record(99));
             durableLog.append(record(9));
             durableLog.sync();
             durableLog.append(record(10)); // Never synced: it may be lost.
         }
         try (DurableLog durableLog = open()) {
-            assertArrayEquals(record(99), durableLog.snapshot());
-            assertRecords(durableLog.records(), 9, 10);
+            assertArrayEquals(record(99), durableLog.recoveredSnapshot());
+            assertRecords(durableLog.recoveredRecords(), 9, 10);
         }
     }
 
@@ -80,12 +80,12 @@
                 completeRecords++;
             }
             try (DurableLog durableLog = open()) {
-                assertRecords(durableLog.records(), 0, completeRecords);
+                assertRecords(durableLog.recoveredRecords(), 0, completeRecords);
                 durableLog.append(record(completeRecords));
                 durableLog.sync();
             }
             try (DurableLog durableLog = open()) {
-                assertRecords(durableLog.records(), 0, completeRecords + 1);
+                assertRecords(durableLog.recoveredRecords(), 0, completeRecords + 1);
             }
         }
     }
@@ -97,7 +97,7 @@
         byte[] original = Files.readAllBytes(logFile);
         Files.write(logFile, Arrays.copyOf(original, original.length + 4096));
         try (DurableLog durableLog = open()) {
-            assertRecords(durableLog.records(), 0, 3);
+            assertRecords(durableLog.recoveredRecords(), 0, 3);
             assertEquals(4096, durableLog.tornBytes());
         }
     }
@@ -123,16 +123,17 @@
         byte[] corrupted = original.clone();
         corrupted[secondRecordOffset + 5] ^= 1;
         Files.write(logFile, corrupted);
-        assertTrue(assertThrows(CorruptLogException.class, this::open)
-                .getMessage()
-                .contains("byte " + secondRecordOffset));
+        CorruptLogException exception = assertThrows(CorruptLogException.class, this::open);
+        assertEquals(secondRecordOffset, exception.offset());
+        assertEquals(logFile.toString(), exception.path());
+        assertTrue(exception.getMessage().contains("byte " + secondRecordOffset));
     }
 
     @Test
     void corruptSnapshotIsRejected() throws IOException {
         writeRecords(0, 4);
         try (DurableLog durableLog = open()) {
-            durableLog.snapshot(record(50));
+            durableLog.writeSnapshot(record(50));
         }
         Path snapshotFile = directory.resolve("snap-4");
         byte[] original = Files.readAllBytes(snapshotFile);
@@ -146,7 +147,8 @@
         Files.delete(directory.resolve("log-4"));
         try (DurableLog durableLog = open()) {
             assertArrayEquals(
-                    record(50), durableLog.snapshot()); // Stopped before its log was begun.
+                    record(50),
+                    durableLog.recoveredSnapshot()); // Stopped before its log was begun.
         }
     }
 
@@ -160,13 +162,13 @@
         byte[] oldLogContent = Files.readAllBytes(directory.resolve("log-0"));
         Files.write(directory.resolve("snap-4.new"), new byte[] {1, 2, 3});
         try (DurableLog durableLog = open()) {
-            assertRecords(durableLog.records(), 0, 4);
-            durableLog.snapshot(record(7));
+            assertRecords(durableLog.recoveredRecords(), 0, 4);
+            durableLog.writeSnapshot(record(7));
         }
         Files.write(directory.resolve("log-0"), oldLogContent); // The old log was not gone yet.
         try (DurableLog durableLog = open()) {
-            assertArrayEquals(record(7), durableLog.snapshot());
-            assertEquals(List.of(), durableLog.records());
+            assertArrayEquals(record(7), durableLog.recoveredSnapshot());
+            assertEquals(List.of(), durableLog.recoveredRecords());
         }
         assertTrue(Files.notExists(directory.resolve("log-0")));
         Files.delete(directory.resolve("snap-4"));
@@ -182,24 +184,26 @@
             durableLog.append(record(0));
             durableLog.sync();
             durableLog.append(new byte[300]);
-            assertThrows(IOException.class, durableLog::sync);
+            LogFullException full = assertThrows(LogFullException.class, durableLog::sync);
+            assertEquals(200, full.maxBytes());
+            assertEquals(RecordFraming.HEADER_BYTES + 300, full.addedBytes());
             assertThrows(
-                    IOException.class,
+                    LogFailedException.class,
                     durableLog::sync,
                     "a failed sync is not tried again as if nothing was lost");
-            assertThrows(IOException.class, () -> durableLog.append(record(1)));
+            assertThrows(LogFailedException.class, () -> durableLog.append(record(1)));
         }
         try (DurableLog durableLog = open()) {
-            assertRecords(durableLog.records(), 0, 1);
+            assertRecords(durableLog.recoveredRecords(), 0, 1);
         }
     }
 
     @Test
     void secondOpenOfTheDirectoryIsRejected() throws IOException {
         try (DurableLog durableLog = open()) {
-            assertTrue(assertThrows(IOException.class, this::open)
-                    .getMessage()
-                    .contains("another process"));
+            LogLockedException locked = assertThrows(LogLockedException.class, this::open);
+            assertEquals(directory.toString(), locked.path());
+            assertTrue(locked.getMessage().contains("another process"), locked.getMessage());
             durableLog.append(record(0));
             durableLog.sync();
         }
