--- a/src/main/java/tinlink/experiment/GatewayExperiment.java
+++ b/src/main/java/tinlink/experiment/GatewayExperiment.java
@@ -248,7 +248,7 @@
             for (TwoSites.RunningRouter r : world.routers.values()) {
                 side.stray += r.clients.unsolicited();
                 for (String end :
-                        List.of("done", "failed", "refused", "never_begun", "never_left")) {
+                        List.of("completed", "failed", "rejected", "not_started", "not_sent")) {
                     side.recovered += r.count("near_unsure_" + end);
                 }
                 for (String end : List.of("no_answer", "may_have_run")) {
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -1,6 +1,7 @@
 package tinlink.gateway;
 
 import tinlink.gateway.forwarding.ForwardedPart;
+import tinlink.gateway.forwarding.ForwardingHandler;
 import tinlink.gateway.forwarding.GatewayChannel;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.RemoteRouter;
@@ -22,7 +23,7 @@
  * The near side of a gateway: carries out what each {@link RemoteRouter} decides about the parts that this
  * router passes on to other sites. Runs on the loop's thread.
  */
-final class GatewayClient implements RemoteRouter.ForwardingHandler {
+final class GatewayClient implements ForwardingHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private static final int CLIENT_RETRY_FLAG = 1;
     private static final int IDEMPOTENCY_KEY_FLAG = 2;
@@ -179,7 +180,7 @@
                     "near_unsure_" + (part.routerRestarted() ? "died" : statusName));
         }
         gateway.partHandler.partEnded(
-                part, status.outcome, status == PartStatus.DONE ? part.durationUs : -1);
+                part, status.outcome, status == PartStatus.COMPLETED ? part.durationUs : -1);
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/GatewayClientSession.java
+++ b/src/main/java/tinlink/gateway/GatewayClientSession.java
@@ -67,7 +67,7 @@
             case GatewayProtocol.HEARTBEAT_ACK ->
                 channel.router.onHeartbeatAck(channel, payload.getLong());
             case GatewayProtocol.CREDIT_WINDOW ->
-                channel.router.creditWindow(Math.max(0, payload.getInt()));
+                channel.router.onCreditWindow(Math.max(0, payload.getInt()));
             case GatewayProtocol.SERVED_CELLS ->
                 channel.router.onServedCells(BitSet.valueOf(payload));
             case GatewayProtocol.GO_AWAY -> {
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -1,5 +1,6 @@
 package tinlink.gateway;
 
+import tinlink.gateway.forwarding.ExecutionHandler;
 import tinlink.gateway.forwarding.ForwardedPartReceiver;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ReceivedPart;
@@ -24,7 +25,7 @@
  * The far side of a gateway: takes connections from routers of other sites and carries out what {@link
  * ForwardedPartReceiver} decides about the parts that they pass on. Runs on the loop's thread.
  */
-final class GatewayServer implements ForwardedPartReceiver.ExecutionHandler, Network.AcceptHandler {
+final class GatewayServer implements ExecutionHandler, Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     /** Connections that may be here without having proved themselves. */
     private static final int MAX_UNAUTHENTICATED = 16;
--- a/src/main/java/tinlink/gateway/GatewayServerSession.java
+++ b/src/main/java/tinlink/gateway/GatewayServerSession.java
@@ -205,7 +205,7 @@
 
     @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
     void sendPartStatus(int aboutChannel, long number, PartStatus status, IncomingPart part) {
-        boolean hasValue = part != null && status == PartStatus.DONE;
+        boolean hasValue = part != null && status == PartStatus.COMPLETED;
         send(
                 GatewayProtocol.PART_STATUS,
                 new MessageCodec.Builder()
--- a/src/main/java/tinlink/gateway/forwarding/AccrualFailureDetector.java
+++ b/src/main/java/tinlink/gateway/forwarding/AccrualFailureDetector.java
@@ -3,18 +3,18 @@
 import org.apache.commons.statistics.distribution.NormalDistribution;
 
 /**
- * Whether a line can be believed in. Accrual: the longer the answer to a heartbeat is overdue,
- * measured by how regularly answers have come so far, the less likely the line is sound. Two
- * levels: past the first nothing new is sent on it, past the second it is cut. Hysteresis: a line
- * that has failed of late has to show more answers in a row before it is trusted again. Times are
- * microseconds of one clock; no I/O.
+ * Whether a connection can be relied on. Accrual: the longer the answer to a heartbeat is overdue, measured
+ * by how regularly answers have come so far, the less likely the connection is sound. Two levels: past the
+ * first nothing new is sent on it, past the second it is cut. Hysteresis: a channel that has failed of late
+ * has to show more answers in a row before it is trusted again. Times are microseconds of one clock; no
+ * I/O.
  *
- * <p>Source: N. Hayashibara and others, "The phi accrual failure detector" (SRDS 2004), with the
- * two levels computed as times rather than as a figure that is polled.
+ * <p>Source: N. Hayashibara and others, "The phi accrual failure detector" (SRDS 2004), with the two levels
+ * computed as times rather than as a figure that is polled.
  */
 final class AccrualFailureDetector {
     private static final double SMOOTHING = 0.125;
-    /** The chance that a sound line is taken for a doubtful, and for a dead one. */
+    /** Standard deviations past the mean: the chance that a sound connection is suspected, and held dead. */
     private static final double SUSPECT_DEVIATIONS =
             NormalDistribution.of(0, 1).inverseSurvivalProbability(1e-3);
 
@@ -39,7 +39,7 @@
         this.heartbeatUs = heartbeatUs;
     }
 
-    /** The line is up; its first answer is due a round trip from now. */
+    /** The connection is up; its first answer is due a round trip from now. */
     void onConnected(long now, long roundTripUs) {
         connected = true;
         consecutiveAcks = 0;
@@ -60,8 +60,8 @@
     }
 
     void onDisconnected(long now) {
-        // Only a line that was trusted has failed anybody; one that never comes up is no flapping
-        // one.
+        // Only a connection that was up has failed anybody; a channel that never comes up does not
+        // flap.
         if (connected) {
             failureScore = decayedFailureScore(now) + 1;
             failedAt = now;
@@ -71,18 +71,14 @@
     }
 
     private double decayedFailureScore(long now) {
-        return failureScore
-                * Math.pow(0.5, (now - failedAt) / (FAILURE_HALF_LIFE_HEARTBEATS * heartbeatUs));
+        double halfLives = (now - failedAt) / (FAILURE_HALF_LIFE_HEARTBEATS * heartbeatUs);
+        return failureScore * Math.pow(0.5, halfLives);
     }
 
-    /**
-     * Answers in a row that it has to show before it is trusted: one, and twice as many for each
-     * failure.
-     */
-    int requiredAcks(long now) {
-        return (int) Math.min(
-                MAX_REQUIRED_ACKS,
-                Math.round(Math.pow(2, Math.max(0, decayedFailureScore(now) - 0.5))));
+    /** Answers in a row before it is trusted: one, and twice as many for each recent failure. */
+    private int requiredAcks(long now) {
+        double doublings = Math.max(0, decayedFailureScore(now) - 0.5);
+        return (int) Math.min(MAX_REQUIRED_ACKS, Math.round(Math.pow(2, doublings)));
     }
 
     private double boundedDeviationUs() {
--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPart.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPart.java
@@ -1,21 +1,18 @@
 package tinlink.gateway.forwarding;
 
-/**
- * A part on its way to another site, as the near router knows it. Fields only; the deciding class keeps its
- * state here.
- */
+/** A part on its way to another site, as the router that forwards it knows it. State only. */
 public class ForwardedPart {
     enum State {
-        /** For a credit of the far router's. */
+        /** It waits for a credit of the remote router's. */
         QUEUED,
-        /** On its line. */
+        /** It was sent on its channel. */
         IN_FLIGHT,
-        /** Its line was cut; the far router has not said yet what became of it. */
+        /** Its channel was cut; the remote router has not reported yet what became of it. */
         UNRESOLVED,
         ENDED
     }
 
-    /** Until when an answer counts here. */
+    /** Until when an answer counts here, microseconds. */
     public final long deadline;
 
     public final int cell;
@@ -24,11 +21,13 @@
 
     State state = State.QUEUED;
     GatewayChannel channel;
-    /** Its number on its lane; they only rise. */
+    /** Its number on its channel; they only rise. */
     long number;
 
     long queueDeadline;
+    /** When its channel was first cut; 0 where it has not been. */
     long unresolvedSince;
+
     boolean routerRestarted;
 
     protected ForwardedPart(long deadline, int cell, boolean idempotent) {
@@ -37,17 +36,17 @@
         this.idempotent = idempotent;
     }
 
-    /** It has not been handed to a line. */
+    /** It has not been sent on any channel. */
     public boolean isQueued() {
         return state == State.QUEUED;
     }
 
-    /** Its line was cut while it was out, and nobody could tell at once whether it ran. */
+    /** Its channel was cut while it was in flight, and nobody could tell at once whether it ran. */
     public boolean wasUnresolved() {
         return unresolvedSince > 0;
     }
 
-    /** The router that it went to has started anew since. */
+    /** The router that it was sent to has started anew since. */
     public boolean routerRestarted() {
         return routerRestarted;
     }
@@ -56,6 +55,7 @@
         return number;
     }
 
+    /** Null while it is queued. */
     public GatewayChannel channel() {
         return channel;
     }
--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPartReceiver.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPartReceiver.java
@@ -1,49 +1,27 @@
 package tinlink.gateway.forwarding;
 
 import java.util.ArrayDeque;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 
 /**
- * What the far side decides about parts that other sites forward: what begins, what has been here
- * already, what is told of it, how much each near router may have here, what is forgotten and when.
- * A number that has been seen never runs a second time. Inputs only update what is known;
- * {@link #decide} is pulled until it says false. No I/O. Times are microseconds.
+ * Decides about the parts that routers of other sites forward to this one: which start, which have been here
+ * already, what is reported of them, how many each channel may have in flight, what is forgotten and when. A
+ * number that has been seen never runs a second time.
+ *
+ * <p>Inputs only update what is known; {@link #decide} is pulled until it returns false. No I/O, no clock;
+ * times are microseconds. Not thread-safe: all calls come from the owner's thread.
  */
 public final class ForwardedPartReceiver {
-    /** What decisions are carried out with. */
-    public interface ExecutionHandler {
-        void startPart(ReceivedPart part);
-
-        /** Its near router has no more use for it. */
-        void cancelPart(ReceivedPart part);
-
-        /** Says on a session what became of a part; the value is with the part. */
-        void sendPartStatus(
-                Object session,
-                int channelIndex,
-                long number,
-                PartStatus status,
-                ReceivedPart part);
-
-        void sendCreditWindow(Object session, int parts);
-
-        void closeSession(Object session);
-
-        void wakeAt(long at);
-    }
-
     /**
-     * How much of other sites' work is taken and remembered.
+     * How much of other sites' work is run and remembered.
      *
      * @param maxRunning parts of other sites that may run here at a time
-     * @param maxEnded ended ones that are remembered, and of how many bytes together
-     * @param retentionUs how long an origin without a connection is remembered: no client waits for
-     *     longer
-     * @param adjustIntervalUs the window follows refusals no faster
+     * @param maxEnded ended parts that are remembered
+     * @param maxEndedBytes bytes of their values together
+     * @param maxChannels channels of other sites' routers that are known at a time
+     * @param retentionUs how long a channel without a connection is remembered: no client waits longer
+     * @param adjustIntervalUs the credit windows follow rejections no faster
      */
     public record Limits(
             int maxRunning,
@@ -54,48 +32,44 @@
             long adjustIntervalUs) {}
 
     private final Limits limits;
-    /**
-     * By router, incarnation and line; bounded, each leaves some time after its last connection.
-     */
-    private final Map<String, InboundChannel> channels = new LinkedHashMap<>();
-    /** Ended parts in the order in which they ended; bounded by number and bytes. */
-    private final LinkedHashSet<ReceivedPart> endedParts = new LinkedHashSet<>();
+    private final InboundChannelTable channels;
+    private final EndedPartCache endedParts;
+    private final ConcurrencyLimit concurrencyLimit;
+    /** What inputs have led to; emptied by the decisions of the turn. */
+    private final ArrayDeque<ReceiverDecision> pendingDecisions = new ArrayDeque<>();
 
-    private long endedBytes;
     private int running;
-    /** What all near routers together may have here; shrinks as the module refuses, grows back. */
-    private double concurrencyLimit;
-
-    private boolean rejectedSinceAdjust;
-    private long adjustAt;
     private boolean draining;
-    private final Map<Object, Integer> announcedWindows = new LinkedHashMap<>();
-    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
-    private ExecutionHandler handler;
     private long now;
-    private long nextWakeAt = Long.MAX_VALUE;
+    /** The wake-up that has been asked for; {@link Long#MAX_VALUE} where none is. */
+    private long wakeAt = Long.MAX_VALUE;
 
     public ForwardedPartReceiver(Limits limits) {
         this.limits = limits;
-        concurrencyLimit = limits.maxRunning();
+        channels = new InboundChannelTable(limits.maxChannels());
+        endedParts = new EndedPartCache(limits.maxEnded(), limits.maxEndedBytes());
+        concurrencyLimit = new ConcurrencyLimit(limits.maxRunning(), limits.adjustIntervalUs());
     }
 
     // ---- Inputs. ----
 
+    /** Time has passed; comes before all other inputs of a turn. */
     public void advanceClock(long nowUs) {
         now = nowUs;
-        if (now >= nextWakeAt) {
-            nextWakeAt = Long.MAX_VALUE;
+        if (now >= wakeAt) {
+            wakeAt = Long.MAX_VALUE;
         }
     }
 
     /**
-     * A near router has proved who it is. Danger: its connection before may still bring parts that
-     * it has been told, or will be told, were never begun.
+     * A forwarding router has authenticated on one of its channels. Danger: the connection that the channel
+     * had before may still bring parts of which the router has heard, or will hear, that they never started.
      *
-     * @param connectCount how often the line has come up, this time included
-     * @param nextNumber it has sent no part of that number or a higher one on this line yet
-     * @return null where the table is full of routers that are connected
+     * @param router site and router
+     * @param connectCount how often the channel has connected, this time included
+     * @param nextNumber the router has sent no part of that number or a higher one on the channel yet
+     * @param session the connection, as the handler is to know it
+     * @return the channel, or null where the table is full of channels that are connected
      */
     public InboundChannel onConnected(
             String router,
@@ -104,283 +78,258 @@
             long connectCount,
             long nextNumber,
             Object session) {
-        for (InboundChannel inbound : List.copyOf(channels.values())) {
-            if (inbound.router.equals(router) && inbound.incarnation != incarnation) {
-                removeChannel(inbound); // It has started anew: nobody waits for these any more.
-            }
-        }
-        String key = InboundChannel.key(router, channelIndex, incarnation);
-        InboundChannel inbound = channels.get(key);
-        if (inbound == null) {
-            if (channels.size() >= limits.maxChannels() && !evictOldestDisconnected()) {
+        // It has started anew: nobody waits for these any more.
+        channels.ofOtherIncarnations(router, incarnation).forEach(this::removeChannel);
+        InboundChannel.Key key = new InboundChannel.Key(router, incarnation, channelIndex);
+        InboundChannel channel = channels.find(key);
+        if (channel == null) {
+            if (channels.isFull() && !evictOldestDisconnected()) {
                 return null;
             }
-            inbound = new InboundChannel(router, channelIndex, incarnation, nextNumber);
-            channels.put(key, inbound);
+            channel = new InboundChannel(key, nextNumber);
+            channels.add(channel);
         }
-        if (inbound.session != null && inbound.session != session) {
-            Object previousSession = inbound.session;
-            announcedWindows.remove(previousSession);
-            pendingActions.add(() -> handler.closeSession(previousSession));
+        if (channel.isConnected() && channel.session() != session) {
+            closeSession(channel);
         }
-        inbound.session = session;
-        inbound.connectCount = connectCount;
-        inbound.statusSession = session;
-        inbound.minAcceptedNumber = Math.max(inbound.minAcceptedNumber, nextNumber);
-        return inbound;
+        channel.onConnected(session, connectCount, nextNumber);
+        return channel;
     }
 
-    private boolean evictOldestDisconnected() {
-        InboundChannel oldest = null;
-        for (InboundChannel inbound : channels.values()) {
-            if (inbound.session == null
-                    && (oldest == null || inbound.disconnectedAt < oldest.disconnectedAt)) {
-                oldest = inbound;
-            }
-        }
-        if (oldest != null) {
-            removeChannel(oldest);
-        }
-        return oldest != null;
-    }
-
-    private void removeChannel(InboundChannel inbound) {
-        for (ReceivedPart part : List.copyOf(inbound.parts.values())) {
-            forgetPart(part);
-        }
-        if (inbound.session != null) {
-            Object previousSession = inbound.session;
-            announcedWindows.remove(previousSession);
-            pendingActions.add(() -> handler.closeSession(previousSession));
-        }
-        channels.remove(inbound.key(), inbound);
-    }
-
-    public void onDisconnected(InboundChannel inbound, Object session) {
-        announcedWindows.remove(session);
-        if (inbound.session == session) {
-            inbound.session = null;
-            inbound.disconnectedAt = now;
-        }
-        for (InboundChannel each : channels.values()) {
-            each.statusSession = each.statusSession == session ? null : each.statusSession;
-        }
+    /** The connection has ended; the channel and its parts stay for a while. */
+    public void onDisconnected(InboundChannel channel, Object session) {
+        channel.onSessionClosed(session, now);
+        channels.all().forEach(each -> each.stopReportingOn(session));
     }
 
     /**
-     * A part has arrived. Danger: the same frame twice or late, on this connection or another: what
-     * has been seen, or lies under the fence, never runs.
+     * A part has arrived. Danger: the same frame twice or late, on this connection or on another: a number
+     * that has been seen, or lies below the lowest one that is accepted, never runs.
      *
      * @param inTime it may have its effect now; one that was long on the way may not
      */
-    public void onForwardPart(InboundChannel inbound, ReceivedPart part, boolean inTime) {
-        ReceivedPart known = inbound.parts.get(part.number);
-        if (known != null
-                || part.number <= inbound.lastStarted
-                || part.number < inbound.minAcceptedNumber) {
-            queueStatus(inbound, part.number, known);
+    public void onForwardPart(InboundChannel channel, ReceivedPart part, boolean inTime) {
+        if (channel.mustNotStart(part.number)) {
+            report(channel, part.number);
             return;
         }
-        inbound.lastStarted = part.number;
-        inbound.parts.put(part.number, part);
-        if (draining || !inTime || running >= limits.maxRunning() || inbound.running >= window()) {
-            rejectedSinceAdjust |= running >= limits.maxRunning();
-            recordEnd(part, draining ? PartStatus.NEVER_BEGUN : PartStatus.REFUSED, 0);
+        channel.add(part);
+        boolean atLimit = running >= limits.maxRunning();
+        if (draining || !inTime || atLimit || channel.running() >= windowOfEachChannel()) {
+            if (atLimit) {
+                concurrencyLimit.onRejected();
+            }
+            recordEnd(part, draining ? PartStatus.NOT_STARTED : PartStatus.REJECTED, 0);
             return;
         }
         running++;
-        inbound.running++;
-        pendingActions.add(() -> {
-            if (part.status == PartStatus.RUNNING) {
-                handler.startPart(part);
-            }
-        });
+        channel.partStarted();
+        pendingDecisions.add(new ReceiverDecision.Start(part));
     }
 
-    /** How a part has ended here; said once, and remembered. */
+    /**
+     * A part that was started has ended; reported once, and remembered.
+     *
+     * @param bytes of its value
+     */
     public void onPartEnded(ReceivedPart part, PartStatus status, int bytes) {
-        if (part.status == PartStatus.RUNNING) {
-            running--;
-            part.channel.running--;
-            rejectedSinceAdjust |= status == PartStatus.REFUSED;
-            recordEnd(part, status, bytes);
-        }
-    }
-
-    private void recordEnd(ReceivedPart part, PartStatus status, int bytes) {
-        part.status = status;
-        if (part.channel.parts.get(part.number) != part) {
-            return; // Given up, or its origin is gone: nobody asks any more.
+        if (part.status != PartStatus.RUNNING) {
+            return; // It was cancelled, or forgotten with its channel.
         }
-        part.endedAt = now;
-        part.bytes = bytes;
-        endedParts.add(part);
-        endedBytes += bytes;
-        queueStatus(part.channel, part.number, part);
-        while (endedParts.size() > limits.maxEnded() || endedBytes > limits.maxEndedBytes()) {
-            ReceivedPart oldest = endedParts.iterator().next();
-            oldest.channel.forgottenBelow =
-                    Math.max(oldest.channel.forgottenBelow, oldest.number + 1);
-            forgetPart(oldest);
+        stopped(part);
+        if (status == PartStatus.REJECTED) {
+            concurrencyLimit.onRejected();
         }
+        recordEnd(part, status, bytes);
     }
 
-    private void queueStatus(InboundChannel inbound, long number, ReceivedPart known) {
-        PartStatus status = known != null
-                ? known.status
-                : number < inbound.forgottenBelow
-                        ? PartStatus.MAY_HAVE_RUN
-                        : PartStatus.NEVER_BEGUN;
-        pendingActions.add(() -> {
-            if (inbound.statusSession != null) {
-                handler.sendPartStatus(inbound.statusSession, inbound.index, number, status, known);
-            }
-        });
-    }
-
-    /** Out of the table; a part that still runs is given up. */
-    private void forgetPart(ReceivedPart part) {
-        part.channel.parts.remove(part.number, part);
-        if (endedParts.remove(part)) {
-            endedBytes -= part.bytes;
-        }
-        if (part.status == PartStatus.RUNNING) {
-            running--;
-            part.channel.running--;
-            part.status = PartStatus.MAY_HAVE_RUN;
-            pendingActions.add(() -> handler.cancelPart(part));
-        }
-    }
-
-    public void onCancelPart(InboundChannel inbound, long number) {
-        ReceivedPart part = inbound.parts.get(number);
+    /** Its router has no more use for the part. */
+    public void onCancelPart(InboundChannel channel, long number) {
+        ReceivedPart part = channel.find(number);
         if (part != null) {
             forgetPart(part);
         }
     }
 
-    /** Of what lies under that number nothing is of interest any more. */
-    public void forgetBelow(InboundChannel inbound, long number) {
-        List.copyOf(inbound.parts
-                        .headMap(Math.min(number, inbound.lastStarted + 1), false)
-                        .values())
-                .forEach(this::forgetPart);
+    /** Its router has no more use for anything below that number. */
+    public void forgetBelow(InboundChannel channel, long number) {
+        channel.partsBelow(number).forEach(this::forgetPart);
     }
 
     /**
-     * Asked on a session about a line of the same router: all that it still has use for. The rest
-     * is given up. Danger: a question that comes late over a slow line, after the line that it is
-     * about is up again: it knows nothing of what has been sent there since.
+     * A router asks on a session about one of its channels, naming all parts that it still has use for. Its
+     * other parts are cancelled. Danger: a query that comes late over a slow connection, after the channel
+     * that it is about has connected again, knows nothing of what has been sent there since.
      *
-     * @param asker the origin of the session
-     * @param connectCount how often that line had come up when this was asked
+     * @param asking the channel of the session
+     * @param channelIndex the channel that is asked about
+     * @param connectCount how often that one had connected when this was asked
+     * @param nextNumber no part of that number or a higher one had been sent on it
      */
     public void onStatusQuery(
-            InboundChannel asker,
+            InboundChannel asking,
             Object session,
             int channelIndex,
             long connectCount,
-            long minAcceptedNumber,
+            long nextNumber,
             Set<Long> numbers) {
-        InboundChannel inbound =
-                channels.get(InboundChannel.key(asker.router, channelIndex, asker.incarnation));
-        if (inbound == null) {
+        InboundChannel.Key key = new InboundChannel.Key(
+                asking.key().router(), asking.key().incarnation(), channelIndex);
+        InboundChannel channel = channels.find(key);
+        if (channel == null) {
             for (long number : numbers) {
-                pendingActions.add(() -> handler.sendPartStatus(
-                        session, channelIndex, number, PartStatus.MAY_HAVE_RUN, null));
+                pendingDecisions.add(
+                        new ReceiverDecision.ReportUnknownChannel(session, channelIndex, number));
             }
             return;
         }
-        if (connectCount < inbound.connectCount) {
-            return; // Asked again since, on that line itself.
+        if (connectCount < channel.connectCount()) {
+            return; // Asked again since, on that channel itself.
         }
-        if (inbound != asker && inbound.session != null) {
-            // Danger: a half-open connection of that line could still bring what is now said to be
-            // never
-            // begun.
-            Object previousSession = inbound.session;
-            pendingActions.add(() -> handler.closeSession(previousSession));
+        if (channel != asking && channel.isConnected()) {
+            // Danger: a half-open connection of that channel could still bring a part that is now
+            // reported as never started.
+            pendingDecisions.add(new ReceiverDecision.Close(channel.session()));
         }
-        inbound.statusSession = session;
-        inbound.minAcceptedNumber = Math.max(inbound.minAcceptedNumber, minAcceptedNumber);
-        for (ReceivedPart part : List.copyOf(inbound.parts.values())) {
-            if (part.number < minAcceptedNumber && !numbers.contains(part.number)) {
+        channel.reportStatusOn(session);
+        channel.rejectBelow(nextNumber);
+        for (ReceivedPart part : channel.parts()) {
+            if (part.number < nextNumber && !numbers.contains(part.number)) {
                 forgetPart(part);
             }
         }
         for (long number : numbers) {
-            queueStatus(inbound, number, inbound.parts.get(number));
+            report(channel, number);
         }
     }
 
-    /** The router stops: nothing begins any more. */
+    /** The router stops: nothing starts any more, what runs goes on. */
     public void startDraining() {
         draining = true;
     }
 
+    /** Parts of other sites that run here. */
     public int running() {
         return running;
     }
 
-    /** The highest number that has been begun, or refused, on the line. */
-    public long lastStarted(InboundChannel inbound) {
-        return inbound.lastStarted;
+    /** The highest number that was started, or rejected, on the channel. */
+    public long lastStarted(InboundChannel channel) {
+        return channel.lastStarted();
     }
 
-    // ---- Decisions. ----
+    // ---- State. ----
+
+    private boolean evictOldestDisconnected() {
+        InboundChannel oldest = channels.oldestDisconnected();
+        if (oldest != null) {
+            removeChannel(oldest);
+        }
+        return oldest != null;
+    }
 
-    private int window() {
-        int connected = 0;
-        for (InboundChannel each : channels.values()) {
-            connected += each.session != null ? 1 : 0;
+    private void removeChannel(InboundChannel channel) {
+        channel.parts().forEach(this::forgetPart);
+        if (channel.isConnected()) {
+            closeSession(channel);
         }
-        return Math.max(1, (int) (concurrencyLimit / Math.max(1, connected)));
+        channels.remove(channel);
     }
 
-    public boolean decide(ExecutionHandler decisionHandler) {
-        handler = decisionHandler;
-        if (!pendingActions.isEmpty()) {
-            pendingActions.poll().run();
-            return true;
+    private void closeSession(InboundChannel channel) {
+        pendingDecisions.add(new ReceiverDecision.Close(channel.session()));
+    }
+
+    private void recordEnd(ReceivedPart part, PartStatus status, int bytes) {
+        part.status = status;
+        if (!part.channel().remembers(part)) {
+            return; // Cancelled, or its channel is gone: nobody asks any more.
+        }
+        part.endedBytes = bytes;
+        endedParts.add(part);
+        report(part.channel(), part.number);
+        for (ReceivedPart oldest = endedParts.overflow();
+                oldest != null;
+                oldest = endedParts.overflow()) {
+            oldest.channel().forgottenUpTo(oldest.number);
+            forgetPart(oldest);
+        }
+    }
+
+    private void report(InboundChannel channel, long number) {
+        pendingDecisions.add(new ReceiverDecision.Report(
+                channel, number, channel.statusOf(number), channel.find(number)));
+    }
+
+    /** A part that still runs is cancelled. */
+    private void forgetPart(ReceivedPart part) {
+        part.channel().forget(part);
+        endedParts.remove(part);
+        if (part.status == PartStatus.RUNNING) {
+            stopped(part);
+            part.status = PartStatus.MAY_HAVE_RUN;
+            pendingDecisions.add(new ReceiverDecision.Cancel(part));
         }
-        if (now >= adjustAt) {
-            adjustAt = now + limits.adjustIntervalUs();
-            // Additive growth, a quarter less on refusals: the near sides hold back what would be
-            // refused
-            // here.
-            concurrencyLimit = rejectedSinceAdjust
-                    ? Math.max(1, 0.75 * concurrencyLimit)
-                    : Math.min(
-                            limits.maxRunning(),
-                            concurrencyLimit + Math.max(1, limits.maxRunning() / 32.0));
-            rejectedSinceAdjust = false;
+    }
+
+    private void stopped(ReceivedPart part) {
+        running--;
+        part.channel().partStopped();
+    }
+
+    private int windowOfEachChannel() {
+        return concurrencyLimit.windowOfEach(channels.connectedCount());
+    }
+
+    // ---- Decisions. ----
+
+    /** Carries out one decision. @return false where there is none */
+    public boolean decide(ExecutionHandler handler) {
+        ReceiverDecision decision = pendingDecisions.poll();
+        if (decision != null) {
+            decision.carryOut(handler);
+            return true;
         }
-        for (InboundChannel inbound : channels.values()) {
-            int window = window();
-            if (inbound.session != null
-                    && announcedWindows.getOrDefault(inbound.session, 0) != window) {
-                announcedWindows.put(inbound.session, window);
-                decisionHandler.sendCreditWindow(inbound.session, window);
+        concurrencyLimit.adjust(now);
+        return announceWindow(handler) || removeExpiredChannel() || askForWakeUp(handler);
+    }
+
+    private boolean announceWindow(ExecutionHandler handler) {
+        int window = windowOfEachChannel();
+        for (InboundChannel channel : channels.all()) {
+            if (channel.isConnected() && channel.announcedWindow() != window) {
+                channel.announcedWindow(window);
+                handler.sendCreditWindow(channel.session(), window);
                 return true;
             }
         }
-        for (InboundChannel inbound : channels.values()) {
-            if (inbound.session == null && now >= inbound.disconnectedAt + limits.retentionUs()) {
-                removeChannel(inbound);
+        return false;
+    }
+
+    private long expiresAt(InboundChannel channel) {
+        return channel.disconnectedAt() + limits.retentionUs();
+    }
+
+    private boolean removeExpiredChannel() {
+        for (InboundChannel channel : List.copyOf(channels.all())) {
+            if (!channel.isConnected() && now >= expiresAt(channel)) {
+                removeChannel(channel);
                 return true;
             }
         }
-        long nextDueAt = concurrencyLimit < limits.maxRunning() ? adjustAt : Long.MAX_VALUE;
-        for (InboundChannel inbound : channels.values()) {
-            nextDueAt = inbound.session == null
-                    ? Math.min(nextDueAt, inbound.disconnectedAt + limits.retentionUs())
-                    : nextDueAt;
+        return false;
+    }
+
+    private boolean askForWakeUp(ExecutionHandler handler) {
+        long dueAt = concurrencyLimit.growsAt();
+        for (InboundChannel channel : channels.all()) {
+            dueAt = channel.isConnected() ? dueAt : Math.min(dueAt, expiresAt(channel));
         }
-        if (nextDueAt < nextWakeAt) {
-            nextWakeAt = nextDueAt;
-            decisionHandler.wakeAt(nextDueAt);
-            return true;
+        if (dueAt >= wakeAt) {
+            return false;
         }
-        return false;
+        wakeAt = dueAt;
+        handler.wakeAt(dueAt);
+        return true;
     }
 }
--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPartTable.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPartTable.java
@@ -5,21 +5,22 @@
 import java.util.function.Predicate;
 
 /**
- * The parts that are held for one router of another site: those that wait for a credit, those that are out,
- * and the ends that nobody has been told yet. It keeps their times. No I/O; times are microseconds.
+ * The parts that are held for one remote router: those queued for a credit, those sent, and the ends that
+ * have not been handed out yet. It keeps their deadlines. No I/O; times are microseconds.
  */
 final class ForwardedPartTable {
+    private record End(ForwardedPart part, PartStatus status) {}
+
     private final List<GatewayChannel> channels;
     private final RemoteRouter.Settings settings;
-    /** For a credit; bounded by the patience, each leaves by its credit or in time. */
+    /** For a credit; bounded by the settings, each leaves by its credit or in time. */
     private final ArrayDeque<ForwardedPart> queued = new ArrayDeque<>();
     /** What inputs have made of parts; emptied by the decisions of the turn. */
-    private final ArrayDeque<ForwardedPart> ended = new ArrayDeque<>();
+    private final ArrayDeque<End> ends = new ArrayDeque<>();
 
-    private final ArrayDeque<PartStatus> endStatuses = new ArrayDeque<>();
     private final ArrayDeque<ForwardedPart> cancelled = new ArrayDeque<>();
     private int inFlight;
-    /** No part's time is over before; early by some, since parts leave in between. */
+    /** No deadline passes before; early by some, since parts leave in between. */
     private long nextDueAt = Long.MAX_VALUE;
 
     ForwardedPartTable(List<GatewayChannel> channels, RemoteRouter.Settings settings) {
@@ -32,9 +33,7 @@
     /** It waits for a credit, where the bound allows it. */
     void enqueue(ForwardedPart part, long now) {
         if (queued.size() >= settings.maxQueued()) {
-            finish(
-                    part,
-                    PartStatus.REFUSED); // Its bound is reached: as good as turned away over there.
+            finish(part, PartStatus.REJECTED); // As good as rejected over there.
             return;
         }
         part.queueDeadline = Math.min(part.deadline, now + settings.heartbeatUs());
@@ -44,17 +43,16 @@
 
     /** The part's outcome is known; its run over there should end too. */
     void cancel(ForwardedPart part) {
-        if (part.state == ForwardedPart.State.IN_FLIGHT
-                && part.channel.state == GatewayChannel.State.UP) {
+        if (part.state == ForwardedPart.State.IN_FLIGHT && part.channel.isUp()) {
             cancelled.add(part);
         }
         release(part);
     }
 
-    /** Its line was cut, and nobody will say on its own any more what becomes of it. */
+    /** Its channel was cut, and nobody will report unasked any more what becomes of it. */
     void markUnresolved(ForwardedPart part, long now) {
-        part.unresolvedSince =
-                part.state == ForwardedPart.State.UNRESOLVED ? part.unresolvedSince : now;
+        boolean already = part.state == ForwardedPart.State.UNRESOLVED;
+        part.unresolvedSince = already ? part.unresolvedSince : now;
         part.state = ForwardedPart.State.UNRESOLVED;
         setDueBy(recoveryDeadline(part));
     }
@@ -63,13 +61,11 @@
         return part.unresolvedSince + settings.recoveryUs();
     }
 
-    /** It leaves on that line. */
+    /** It leaves on that channel. */
     void assign(ForwardedPart part, GatewayChannel channel) {
-        part.channel = channel;
-        part.number = channel.nextPartNumber++;
         part.state = ForwardedPart.State.IN_FLIGHT;
         setDueBy(part.deadline);
-        channel.openParts.put(part.number, part);
+        channel.assign(part);
         inFlight++;
     }
 
@@ -78,11 +74,10 @@
         finish(part, status);
     }
 
-    /** The end of a part that is neither waiting nor out. */
+    /** The end of a part that is neither queued nor in flight. */
     void finish(ForwardedPart part, PartStatus status) {
         part.state = ForwardedPart.State.ENDED;
-        ended.add(part);
-        endStatuses.add(status);
+        ends.add(new End(part, status));
     }
 
     private void release(ForwardedPart part) {
@@ -97,12 +92,12 @@
 
     // ---- What is held. ----
 
-    /** Parts that wait, and that are out or unsure. */
+    /** Parts that are queued, in flight or unresolved. */
     int openCount() {
         return queued.size() + inFlight;
     }
 
-    /** Parts that are out or unsure. */
+    /** Parts that are in flight or unresolved. */
     int inFlight() {
         return inFlight;
     }
@@ -111,17 +106,17 @@
         return !queued.isEmpty();
     }
 
-    /** The next one for a credit; it does not wait any more. */
+    /** The next one for a credit; it is queued no longer. */
     ForwardedPart pollQueued() {
         return queued.poll();
     }
 
-    /** No part's time is over before. */
+    /** No deadline passes before. */
     long nextDueAt() {
         return nextDueAt;
     }
 
-    /** All times are looked at in the next decision. */
+    /** All deadlines are looked at in the next decision. */
     void recheckDeadlines() {
         nextDueAt = 0;
     }
@@ -132,10 +127,11 @@
 
     // ---- Decisions. ----
 
-    /** Says one end, or one part that is given up, if there is any. */
-    boolean reportNext(RemoteRouter.ForwardingHandler handler) {
-        if (!ended.isEmpty()) {
-            handler.partEnded(ended.poll(), endStatuses.poll());
+    /** Hands out one end, or one part that is cancelled. @return false where there is none */
+    boolean reportNext(ForwardingHandler handler) {
+        if (!ends.isEmpty()) {
+            End end = ends.poll();
+            handler.partEnded(end.part(), end.status());
             return true;
         }
         if (!cancelled.isEmpty()) {
@@ -170,11 +166,8 @@
         for (ForwardedPart part : List.copyOf(queued)) {
             boolean isReachable = canServe.test(part);
             if (now >= part.queueDeadline || !isReachable) {
-                end(
-                        part,
-                        now >= part.deadline || !isReachable
-                                ? PartStatus.NEVER_LEFT
-                                : PartStatus.REFUSED);
+                boolean isLost = now >= part.deadline || !isReachable;
+                end(part, isLost ? PartStatus.NOT_SENT : PartStatus.REJECTED);
                 anyExpired = true;
             } else {
                 setDueBy(part.queueDeadline);
--- a/src/main/java/tinlink/gateway/forwarding/GatewayChannel.java
+++ b/src/main/java/tinlink/gateway/forwarding/GatewayChannel.java
@@ -1,21 +1,19 @@
 package tinlink.gateway.forwarding;
 
-import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
 /**
- * One of the lines to a far router: its connection, its heartbeats, when it is tried again, and the parts
- * that are open on it. Times are microseconds.
+ * One of the channels to a remote router: its connection, which is made again after each loss, and the parts
+ * that are open on it. State only; {@link RemoteRouter} decides, on its owner's thread. Times are
+ * microseconds.
  */
 public final class GatewayChannel {
-    /** The shortest wait before a line is tried again, in heartbeats, and the longest. */
+    /** The shortest wait before it connects again, in heartbeats, and the longest. */
     private static final double MIN_BACKOFF_HEARTBEATS = 0.25;
 
     private static final double MAX_BACKOFF_HEARTBEATS = 8;
-    /** Heartbeats that are out at a time and measured; a line with more is dead long before. */
-    private static final int MAX_SENT_HEARTBEATS = 64;
 
     enum State {
         DOWN,
@@ -24,41 +22,31 @@
     }
 
     public final RemoteRouter router;
-    /** Its place among the lines to that router, the same on every try. */
+    /** Its place among the channels to that router, the same on every connection. */
     public final int index;
 
-    private final long heartbeatUs;
-    private final AccrualFailureDetector failureDetector;
-    private final RoundTripEstimator roundTripEstimator = new RoundTripEstimator();
+    private final HeartbeatMonitor heartbeats;
+    private final ReconnectBackoff backoff;
     State state = State.DOWN;
-    private long reconnectAt;
-    private long backoffUs;
-    private long heartbeatAt;
-    private long heartbeatNumber;
-    /** When those that are not answered left; bounded, and emptied as the line comes up. */
-    private final Map<Long, Long> sentHeartbeats = new HashMap<>();
-    /** The last heartbeat that was answered, and when; 0 where none has been since the line came up. */
-    private long ackedNumber;
-
-    private long ackedAt;
-    /** The line on which the far router would say what becomes of its parts; null where none. */
+    /** The channel on which the status of its parts would be reported; null where none. */
     GatewayChannel statusChannel;
     /** It leads to a router that has started anew since. */
     boolean stale;
-    /** What this line has carried that the far router still may speak of; each leaves as it ends. */
+    /** What it has carried that the remote router may still report on; each leaves as it ends. */
     final TreeMap<Long, ForwardedPart> openParts = new TreeMap<>();
 
-    long nextPartNumber = 1;
-    /** How often it has come up. */
+    private long nextPartNumber = 1;
+    /** How often it has connected. */
     private long connectCount;
-    /** What was out when it was cut has to be asked about. */
+    /** What was in flight when it was cut has to be asked about. */
     boolean statusQueryDue;
 
     GatewayChannel(RemoteRouter router, int index, long heartbeatUs) {
         this.router = router;
         this.index = index;
-        this.heartbeatUs = heartbeatUs;
-        failureDetector = new AccrualFailureDetector(heartbeatUs);
+        heartbeats = new HeartbeatMonitor(heartbeatUs);
+        backoff = new ReconnectBackoff((long) (MIN_BACKOFF_HEARTBEATS * heartbeatUs), (long)
+                (MAX_BACKOFF_HEARTBEATS * heartbeatUs));
     }
 
     // ---- Its connection. ----
@@ -68,28 +56,19 @@
         stale = false;
         statusChannel = this;
         state = State.UP;
-        backoffUs = 0;
-        roundTripEstimator.sample(roundTripUs);
-        failureDetector.onConnected(now, roundTripUs);
-        heartbeatAt = now;
-        sentHeartbeats.clear();
-        ackedNumber = 0;
-        // Asked even where nothing is open: it fences off what may still be under way, and gives up
-        // the rest.
+        backoff.onConnected();
+        heartbeats.onConnected(now, roundTripUs);
+        // Asked even where nothing is open: it keeps what may still be under way from starting, and
+        // cancels the rest.
         statusQueryDue = true;
     }
 
     void onDisconnected(long now, SplittableRandom random) {
         if (state == State.UP) {
-            failureDetector.onDisconnected(now);
+            heartbeats.onDisconnected(now);
         }
         state = State.DOWN;
-        long maxBackoffUs = (long) (MAX_BACKOFF_HEARTBEATS * heartbeatUs);
-        backoffUs = Math.min(
-                maxBackoffUs,
-                Math.max((long) (MIN_BACKOFF_HEARTBEATS * heartbeatUs), 2 * backoffUs));
-        // Danger: routers that lost the same line at once and all come back at once.
-        reconnectAt = now + backoffUs / 2 + random.nextLong(backoffUs);
+        backoff.onDisconnected(now, random);
     }
 
     boolean isUp() {
@@ -97,87 +76,83 @@
     }
 
     boolean isConnectDue(long now) {
-        return state == State.DOWN && now >= reconnectAt;
+        return state == State.DOWN && now >= backoff.retryAt();
     }
 
-    /** It is up, and believed in. */
+    /** It is up, and can be relied on. */
     boolean isTrusted(long now) {
-        return isUp() && failureDetector.isTrusted(now);
+        return isUp() && heartbeats.isTrusted(now);
     }
 
     /** It is up, and of no use any more. */
     boolean isDisconnectDue(long now) {
-        return isUp() && (stale || failureDetector.isDead(now));
+        return isUp() && (stale || heartbeats.isDead(now));
     }
 
     /** When something falls due here, unless an input comes before. */
     long nextDueAt(long now) {
         return switch (state) {
-            case DOWN -> reconnectAt;
+            case DOWN -> backoff.retryAt();
             case CONNECTING -> Long.MAX_VALUE;
-            case UP -> {
-                long dueAt = Math.min(heartbeatAt, failureDetector.deadAt());
-                yield failureDetector.isTrusted(now)
-                        ? Math.min(dueAt, failureDetector.suspectAt())
-                        : dueAt;
-            }
+            case UP -> heartbeats.nextDueAt(now);
         };
     }
 
     // ---- Its heartbeats. ----
 
     boolean isHeartbeatDue(long now) {
-        return isUp() && now >= heartbeatAt;
+        return isUp() && heartbeats.isDue(now);
     }
 
     /** A heartbeat leaves. @return its number */
     long onHeartbeatSent(long now) {
-        heartbeatAt = now + heartbeatUs;
-        if (sentHeartbeats.size() < MAX_SENT_HEARTBEATS) {
-            sentHeartbeats.put(++heartbeatNumber, now);
-        }
-        return heartbeatNumber;
+        return heartbeats.onSent(now);
     }
 
     void onHeartbeatAck(long number, long now) {
-        Long sentAt = sentHeartbeats.remove(number);
-        if (isUp() && sentAt != null) {
-            roundTripEstimator.sample(now - sentAt);
-            failureDetector.onHeartbeatAck(now);
-            ackedNumber = number;
-            ackedAt = now;
+        if (isUp()) {
+            heartbeats.onAck(number, now);
         }
     }
 
+    /** The number of the last heartbeat that was answered; 0 where none was since it connected. */
     public long lastAckedHeartbeat() {
-        return ackedNumber;
+        return heartbeats.lastAcked();
     }
 
     /**
-     * How long ago it was answered. Danger: a part's age over there is told from this; a clock can't cross.
+     * How long ago that answer came. Danger: the remote router derives a part's age from this, since no
+     * reading of a clock can cross.
      */
     public long sinceAckUs(long now) {
-        return now - ackedAt;
+        return heartbeats.sinceAckUs(now);
     }
 
-    /** What the far router keeps of a part's time, beside the round trip that it measures itself. */
+    /** What the remote router keeps of a part's time beside the round trip that it measures itself. */
     public long marginUs() {
-        return roundTripEstimator.marginUs();
+        return heartbeats.roundTrip().marginUs();
     }
 
-    /** What is kept of a part's time for the line, there and back. */
+    /** What is reserved of a part's time for the network, there and back. */
     long reservedUs() {
-        return roundTripEstimator.reservedUs();
+        return heartbeats.roundTrip().reservedUs();
     }
 
-    /** How long the next part would wait here, next to the other lines. */
+    /** How long the next part would take here, next to the other channels. */
     double expectedWaitUs() {
-        return (double) roundTripEstimator.reservedUs() * (openParts.size() + 1);
+        return (double) reservedUs() * (openParts.size() + 1);
     }
 
     // ---- Its parts. ----
 
-    /** The lowest number that is still of interest; what lies under it may be forgotten over there. */
+    /** The part leaves on it. */
+    void assign(ForwardedPart part) {
+        part.channel = this;
+        part.number = nextPartNumber++;
+        openParts.put(part.number, part);
+    }
+
+    /** The lowest number that is still of interest; what lies below may be forgotten over there. */
     public long lowestOpenNumber() {
         return openParts.isEmpty() ? nextPartNumber : openParts.firstKey();
     }
--- a/src/main/java/tinlink/gateway/forwarding/ReceivedPart.java
+++ b/src/main/java/tinlink/gateway/forwarding/ReceivedPart.java
@@ -1,15 +1,17 @@
 package tinlink.gateway.forwarding;
 
-/** A forwarded part as the far router knows it. Fields only; the deciding class keeps its state here. */
+/** A part that another site's router has forwarded to this one, as its receiver knows it. State only. */
 public class ReceivedPart {
-    final InboundChannel channel;
+    /** Its number on its channel, from 1; numbers of a channel only rise. */
     public final long number;
+
+    private final InboundChannel channel;
     PartStatus status = PartStatus.RUNNING;
-    long endedAt;
-    int bytes;
+    /** Bytes of its value, which count against the bound on remembered parts; 0 until it has ended. */
+    int endedBytes;
 
-    protected ReceivedPart(InboundChannel inbound, long number) {
-        this.channel = inbound;
+    protected ReceivedPart(InboundChannel channel, long number) {
+        this.channel = channel;
         this.number = number;
     }
 
--- a/src/main/java/tinlink/gateway/forwarding/RemoteRouter.java
+++ b/src/main/java/tinlink/gateway/forwarding/RemoteRouter.java
@@ -2,79 +2,59 @@
 
 import java.util.ArrayList;
 import java.util.BitSet;
+import java.util.Collections;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
 /**
- * What the near side decides about one router of another site: whether it may be used and for which cells, on
- * which of its lines a part leaves and when, what is asked about after a cut, when a line is tried again.
- * Inputs only update what is known; {@link #decide} is pulled until it says false. No I/O, no clock, no
- * chance of its own. Times are microseconds.
+ * Decides about one router of another site: whether it may be used and for which cells, on which of its
+ * channels a part leaves and when, what is asked about after a cut, when a channel connects again.
+ *
+ * <p>Inputs only update what is known; {@link #decide} is pulled until it returns false. No I/O, no clock, no
+ * randomness of its own; times are microseconds. Not thread-safe: all calls come from the owner's thread.
  */
 public final class RemoteRouter {
-    /** What decisions are carried out with. */
-    public interface ForwardingHandler {
-        void connect(GatewayChannel channel);
-
-        /** Ends the line's connection; {@link RemoteRouter#onDisconnected} follows. */
-        void disconnect(GatewayChannel channel);
-
-        /**
-         * Sends a heartbeat.
-         *
-         * @param lowestOpenNumber parts under this number are of no interest any more
-         */
-        void sendHeartbeat(GatewayChannel channel, long number, long lowestOpenNumber);
-
-        void sendPart(ForwardedPart part);
-
-        void sendCancel(ForwardedPart part);
-
-        /** Asks on one line about all that is still of interest of another, or of its own. */
-        void sendStatusQuery(GatewayChannel via, GatewayChannel about);
-
-        /** The end of a part; the value and times, if any, came with the input that it follows from. */
-        void partEnded(ForwardedPart part, PartStatus status);
-
-        /** Which cells may be reached now, and what the line takes there and back. */
-        void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs);
-
-        void wakeAt(RemoteRouter router, long at);
-    }
-
     /**
-     * How long and for how many parts the near side waits.
+     * How long and for how many parts the forwarding side waits.
      *
      * @param heartbeatUs between two heartbeats
      * @param maxQueued parts that may wait for a credit at a time
-     * @param recoveryUs how long after a cut a part is held for its fate
+     * @param recoveryUs how long after a cut the status of a part is waited for
      */
     public record Settings(long heartbeatUs, int maxQueued, long recoveryUs) {}
 
-    /** Whether some other router serves the cell too. */
+    /** The other remote routers. */
     public interface AlternativeRoutes {
+        /** Whether one of them can serve the cell too. */
         boolean hasAlternative(int cell, RemoteRouter other);
     }
 
     public final String name;
+    /** By index. */
+    public final List<GatewayChannel> channels;
+
     private final AlternativeRoutes alternatives;
     private final SplittableRandom random;
-    public final List<GatewayChannel> channels = new ArrayList<>();
     private final ForwardedPartTable partTable;
     /** Cells that it has said it serves. */
     private BitSet servedCells = new BitSet();
 
+    private final ReachableCells announced = new ReachableCells();
     private long incarnation;
-    /** Parts that it takes from us at a time; 0 until it says so. */
+    /** Parts that it takes from here at a time; 0 until it says so. */
     private int creditWindow;
 
     private boolean draining;
-    private BitSet announcedCells = new BitSet();
-    private long announcedRoundTripUs;
     private long now;
-    private long nextWakeAt = Long.MAX_VALUE;
+    /** The wake-up that has been asked for; {@link Long#MAX_VALUE} where none is. */
+    private long wakeAt = Long.MAX_VALUE;
 
+    /**
+     * A router that no channel has connected to yet.
+     *
+     * @param random for the jitter of reconnecting; drawn from by this router alone
+     */
     public RemoteRouter(
             String name,
             int channelCount,
@@ -84,64 +64,71 @@
         this.name = name;
         this.alternatives = alternatives;
         this.random = random;
-        for (int i = 0; i < channelCount; i++) {
-            this.channels.add(new GatewayChannel(this, i, settings.heartbeatUs()));
+        List<GatewayChannel> all = new ArrayList<>();
+        for (int index = 0; index < channelCount; index++) {
+            all.add(new GatewayChannel(this, index, settings.heartbeatUs()));
         }
-        partTable = new ForwardedPartTable(this.channels, settings);
+        channels = Collections.unmodifiableList(all);
+        partTable = new ForwardedPartTable(channels, settings);
     }
 
     // ---- Inputs. ----
 
+    /** Time has passed; comes before all other inputs of a turn. */
     public void advanceClock(long nowUs) {
         now = nowUs;
-        if (now >= nextWakeAt) {
-            nextWakeAt = Long.MAX_VALUE;
+        if (now >= wakeAt) {
+            wakeAt = Long.MAX_VALUE;
         }
     }
 
     /**
-     * A line is up and its far end has proved who it is. Danger: a router with another incarnation has
-     * started anew; it knows nothing of what the one before it ran.
+     * A channel has connected and its far end has authenticated. Danger: a router with another incarnation
+     * has started anew; it knows nothing of what the one before it ran.
      */
-    public void onConnected(GatewayChannel channel, long incarnation, long roundTripUs) {
-        if (incarnation != this.incarnation) {
-            this.incarnation = incarnation;
+    public void onConnected(GatewayChannel channel, long remoteIncarnation, long roundTripUs) {
+        if (remoteIncarnation != incarnation) {
+            incarnation = remoteIncarnation;
             onRouterRestarted(channel);
         }
         channel.onConnected(now, roundTripUs);
     }
 
-    private void onRouterRestarted(GatewayChannel channel) {
+    private void onRouterRestarted(GatewayChannel connected) {
         servedCells = new BitSet();
         creditWindow = 0;
         draining = false;
-        for (GatewayChannel each : channels) {
-            for (ForwardedPart part : List.copyOf(each.openParts.values())) {
+        for (GatewayChannel channel : channels) {
+            for (ForwardedPart part : List.copyOf(channel.openParts.values())) {
                 part.routerRestarted = true;
                 partTable.end(part, PartStatus.MAY_HAVE_RUN);
             }
-            each.stale = each != channel;
+            channel.stale = channel != connected;
         }
     }
 
-    /** @param mayHaveLeft whether the part's last byte had been handed to the kernel, or may have been */
-    public void onDisconnected(GatewayChannel channel, Predicate<ForwardedPart> mayHaveLeft) {
-        channel.onDisconnected(now, random);
-        for (GatewayChannel each : channels) {
-            if (each.statusChannel == channel) {
-                each.statusChannel = null;
-                resolveAfterCut(each, part -> each != channel || mayHaveLeft.test(part));
+    /**
+     * A channel has lost its connection, or did not get one.
+     *
+     * @param mayHaveLeft whether the part's last byte was handed to the kernel, or may have been
+     */
+    public void onDisconnected(GatewayChannel lost, Predicate<ForwardedPart> mayHaveLeft) {
+        lost.onDisconnected(now, random);
+        for (GatewayChannel channel : channels) {
+            if (channel.statusChannel == lost) {
+                channel.statusChannel = null;
+                resolveAfterCut(channel, part -> channel != lost || mayHaveLeft.test(part));
             }
         }
     }
 
-    /** Nobody will say on its own any more what becomes of what is out on that line. */
+    /** Nobody will report unasked any more on what is in flight on that channel. */
     private void resolveAfterCut(GatewayChannel channel, Predicate<ForwardedPart> mayHaveLeft) {
         for (ForwardedPart part : List.copyOf(channel.openParts.values())) {
             // Danger: what outlived one cut has left; its place in the stream was that of another
             // connection.
             if (!part.wasUnresolved() && !mayHaveLeft.test(part)) {
-                partTable.end(part, PartStatus.NEVER_LEFT);
+                partTable.end(part, PartStatus.NOT_SENT);
             } else if (part.idempotent && alternatives.hasAlternative(part.cell, this)) {
                 // A second run does no harm and another router can begin now.
                 partTable.end(part, PartStatus.MAY_HAVE_RUN);
@@ -152,45 +139,48 @@
         }
     }
 
+    /** A heartbeat was answered. */
     public void onHeartbeatAck(GatewayChannel channel, long number) {
         channel.onHeartbeatAck(number, now);
     }
 
+    /** The router has said which cells it reaches at its site. */
     public void onServedCells(BitSet cells) {
-        this.servedCells = cells;
+        servedCells = cells;
     }
 
-    public void creditWindow(int credits) {
+    /** The router has said how many parts it takes from here at a time. */
+    public void onCreditWindow(int credits) {
         creditWindow = credits;
     }
 
     /**
-     * It stops: of what left on that line, nothing past the last one that it names was begun or will be. It
-     * is trusted again as a new incarnation.
+     * The router stops: of what left on that channel, nothing past the last one that it names was started or
+     * will be. It is trusted again as a new incarnation.
      */
     public void onGoAway(GatewayChannel channel, long lastStarted) {
         draining = true;
         for (ForwardedPart part :
                 List.copyOf(channel.openParts.tailMap(lastStarted, false).values())) {
-            partTable.end(part, PartStatus.NEVER_BEGUN);
+            partTable.end(part, PartStatus.NOT_STARTED);
         }
     }
 
-    /** A part that the module has sent here. */
+    /** A part is to be forwarded to this router. */
     public void forward(ForwardedPart part) {
         if (canServe(part.cell)) {
             partTable.enqueue(part, now);
         } else {
-            partTable.finish(part, PartStatus.NEVER_LEFT);
+            partTable.finish(part, PartStatus.NOT_SENT);
         }
     }
 
-    /** The module has given a part up; its outcome is known, its run over there should end too. */
+    /** The part's outcome is known already; its run over there should end too. */
     public void cancel(ForwardedPart part) {
         partTable.cancel(part);
     }
 
-    /** What the far router says of a part, on its own or asked. */
+    /** What the router reports of a part, on its own or asked. */
     public void onPartStatus(GatewayChannel channel, long number, PartStatus status) {
         ForwardedPart part = channel.openParts.get(number);
         if (part == null) {
@@ -203,27 +193,34 @@
         }
     }
 
-    /** Whom an answer of that number is for; null where it is of no interest any more. */
+    // ---- State. ----
+
+    /** The open part of that number; null where it is of no interest any more. */
     public ForwardedPart findOpenPart(GatewayChannel channel, long number) {
         return channel.openParts.get(number);
     }
 
-    /** Parts that wait, and that are out or unsure. */
+    /** Parts that are queued, in flight or unresolved. */
     public int openPartCount() {
         return partTable.openCount();
     }
 
+    /** Parts that it takes from here at a time; 0 until it says so. */
     public int creditWindow() {
         return creditWindow;
     }
 
-    // ---- Decisions. ----
-
+    /** Whether a part for that cell may be forwarded to it now. */
     public boolean canServe(int cell) {
         return servedCells.get(cell) && bestTrustedChannel() != null;
     }
 
-    /** The line for the next part: the trusted one that would have its answer first. */
+    /** Of a part's time, what the remote router may use: the rest is kept for the network, there and back. */
+    public long remainingUs(ForwardedPart part, GatewayChannel channel) {
+        return part.deadline - now - channel.reservedUs();
+    }
+
+    /** The channel for the next part: the trusted one that would have its answer first; null for none. */
     private GatewayChannel bestTrustedChannel() {
         if (draining) {
             return null;
@@ -239,7 +236,7 @@
         return best;
     }
 
-    /** A line that is up, the trusted one if there is one: to ask about another. */
+    /** A channel that is up, the best trusted one if there is one: to ask about another. */
     private GatewayChannel channelForQuery(GatewayChannel about) {
         if (about.isUp()) {
             return about;
@@ -250,30 +247,25 @@
                 : channels.stream().filter(GatewayChannel::isUp).findFirst().orElse(null);
     }
 
+    // ---- Decisions. ----
+
+    /** Carries out one decision. @return false where there is none */
     public boolean decide(ForwardingHandler handler) {
         if (partTable.reportNext(handler)) {
             return true;
         }
         for (GatewayChannel channel : channels) {
-            if (maintainChannel(channel, handler)) {
+            if (maintain(channel, handler)) {
                 return true;
             }
         }
-        if (partTable.expire(now, part -> canServe(part.cell))
+        return partTable.expire(now, part -> canServe(part.cell))
                 || sendNextPart(handler)
-                || announceCells(handler)) {
-            return true;
-        }
-        long dueAt = nextDueAt();
-        if (dueAt < nextWakeAt) {
-            nextWakeAt = dueAt;
-            handler.wakeAt(this, dueAt);
-            return true;
-        }
-        return false;
+                || announceCells(handler)
+                || askForWakeUp(handler);
     }
 
-    private boolean maintainChannel(GatewayChannel channel, ForwardingHandler handler) {
+    private boolean maintain(GatewayChannel channel, ForwardingHandler handler) {
         if (channel.isConnectDue(now)) {
             channel.state = GatewayChannel.State.CONNECTING;
             handler.connect(channel);
@@ -283,7 +275,7 @@
             handler.disconnect(channel);
             return true;
         }
-        if (channel.statusQueryDue && queryStatuses(channel, handler)) {
+        if (channel.statusQueryDue && queryStatus(channel, handler)) {
             return true;
         }
         if (channel.isHeartbeatDue(now)) {
@@ -294,7 +286,7 @@
         return false;
     }
 
-    private boolean queryStatuses(GatewayChannel about, ForwardingHandler handler) {
+    private boolean queryStatus(GatewayChannel about, ForwardingHandler handler) {
         GatewayChannel via = channelForQuery(about);
         if (via == null) {
             return false;
@@ -315,7 +307,7 @@
         }
         ForwardedPart part = partTable.pollQueued();
         if (remainingUs(part, channel) <= 0) {
-            partTable.finish(part, PartStatus.NEVER_LEFT);
+            partTable.finish(part, PartStatus.NOT_SENT);
             return true;
         }
         partTable.assign(part, channel);
@@ -323,33 +315,29 @@
         return true;
     }
 
-    /** Of a part's time, what the far router may use: the rest is kept for the line, there and back. */
-    public long remainingUs(ForwardedPart part, GatewayChannel channel) {
-        return part.deadline - now - channel.reservedUs();
-    }
-
     private boolean announceCells(ForwardingHandler handler) {
         GatewayChannel channel = bestTrustedChannel();
         BitSet reachable = channel == null ? new BitSet() : servedCells;
-        // Told again when it has moved by an eighth, not at each heartbeat.
         long roundTripUs =
-                channel == null ? announcedRoundTripUs : Math.max(1, channel.reservedUs());
-        if (reachable.equals(announcedCells)
-                && Math.abs(roundTripUs - announcedRoundTripUs) <= announcedRoundTripUs / 8) {
+                channel == null ? announced.roundTripUs() : Math.max(1, channel.reservedUs());
+        if (!announced.update(reachable, roundTripUs)) {
             return false;
         }
-        announcedCells = (BitSet) reachable.clone();
-        announcedRoundTripUs = roundTripUs;
-        partTable.recheckDeadlines(); // What waits may have nowhere to go now.
-        handler.cellsChanged(this, announcedCells, roundTripUs);
+        partTable.recheckDeadlines(); // What is queued may have nowhere to go now.
+        handler.cellsChanged(this, announced.cells(), announced.roundTripUs());
         return true;
     }
 
-    private long nextDueAt() {
+    private boolean askForWakeUp(ForwardingHandler handler) {
         long dueAt = partTable.nextDueAt();
         for (GatewayChannel channel : channels) {
             dueAt = Math.min(dueAt, channel.nextDueAt(now));
         }
-        return dueAt;
+        if (dueAt >= wakeAt) {
+            return false;
+        }
+        wakeAt = dueAt;
+        handler.wakeAt(this, dueAt);
+        return true;
     }
 }
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -231,7 +231,7 @@
         } catch (MessageRejectedException e) {
             LOG.log(Level.FINE, "event=part_not_used why=\"{0}\"", e.getMessage());
         }
-        gateway.partEnded(part, PartStatus.REFUSED, null, 0);
+        gateway.partEnded(part, PartStatus.REJECTED, null, 0);
     }
 
     @Override
@@ -246,7 +246,7 @@
         String value = ((QueryPart) query.parts.get(0)).value;
         gateway.partEnded(
                 (IncomingPart) query.remoteOrigin,
-                PartStatus.DONE,
+                PartStatus.COMPLETED,
                 value.getBytes(StandardCharsets.UTF_8),
                 0);
     }
@@ -277,7 +277,7 @@
         }
         gateway.partEnded(
                 (IncomingPart) query.remoteOrigin,
-                neverRan ? PartStatus.REFUSED : PartStatus.FAILED,
+                neverRan ? PartStatus.REJECTED : PartStatus.FAILED,
                 null,
                 retryAfterUs);
     }
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -76,7 +76,7 @@
                         startedParts.incrementAndGet();
                         gateway.partEnded(
                                 part,
-                                PartStatus.DONE,
+                                PartStatus.COMPLETED,
                                 ("v" + part.shard).getBytes(StandardCharsets.UTF_8),
                                 0);
                     }
@@ -252,7 +252,7 @@
             PartStatus status = PartStatus.values()[b.get()];
             b.getLong();
             b.getLong();
-            return status == PartStatus.DONE
+            return status == PartStatus.COMPLETED
                     ? StandardCharsets.UTF_8.decode(b).toString()
                     : status.name();
         }
@@ -401,9 +401,9 @@
         Thread.sleep(120);
         wellBehavedPeer.sendPart(
                 1, 3, 100_000, 1); // It has had its heartbeat's answer for no time at all, it says.
-        assertEquals("REFUSED", wellBehavedPeer.awaitValue(1));
+        assertEquals("REJECTED", wellBehavedPeer.awaitValue(1));
         wellBehavedPeer.sendPart(2, 3, 1_000_000, 12_345); // An answer that never was.
-        assertEquals("REFUSED", wellBehavedPeer.awaitValue(2));
+        assertEquals("REJECTED", wellBehavedPeer.awaitValue(2));
         assertEquals(0, startedParts.get());
     }
 
--- a/src/test/java/tinlink/gateway/forwarding/ForwardingPlayer.java
+++ b/src/test/java/tinlink/gateway/forwarding/ForwardingPlayer.java
@@ -23,8 +23,7 @@
  * Plays a scenario of the gateway's choices; docs/scenarios.md has the notation. Time is the
  * script's.
  */
-public final class ForwardingPlayer
-        implements RemoteRouter.ForwardingHandler, ForwardedPartReceiver.ExecutionHandler {
+public final class ForwardingPlayer implements ForwardingHandler, ExecutionHandler {
     private static final class TestForwardedPart extends ForwardedPart {
         private final String name;
 
@@ -165,7 +164,7 @@
                 Arrays.stream(words).forEach(c -> cells.set(Integer.parseInt(c)));
                 remoteRouter.onServedCells(cells);
             }
-            case "window" -> remoteRouter.creditWindow(Integer.parseInt(words[0]));
+            case "window" -> remoteRouter.onCreditWindow(Integer.parseInt(words[0]));
             case "silent" -> silent.add(Integer.parseInt(words[0]));
             case "speaks" -> silent.remove(Integer.parseInt(words[0]));
             case "elsewhere" -> hasAlternative = true;
@@ -210,7 +209,7 @@
                         words.length < 3);
             case "ends" ->
                 receiver.onPartEnded(
-                        sessions.get(words[0]).parts.get(Long.parseLong(words[1])),
+                        sessions.get(words[0]).find(Long.parseLong(words[1])),
                         PartStatus.valueOf(words[2].toUpperCase(Locale.ROOT)),
                         words.length > 3 ? Integer.parseInt(words[3]) : 1);
             case "given-up" ->
@@ -306,12 +305,12 @@
 
     @Override
     public void startPart(ReceivedPart part) {
-        decided.add("begin " + part.channel().index + " " + part.number);
+        decided.add("begin " + part.channel().index() + " " + part.number);
     }
 
     @Override
     public void cancelPart(ReceivedPart part) {
-        decided.add("drop " + part.channel().index + " " + part.number);
+        decided.add("drop " + part.channel().index() + " " + part.number);
     }
 
     @Override
--- a/src/test/java/tinlink/gateway/forwarding/LossyChannelsTest.java
+++ b/src/test/java/tinlink/gateway/forwarding/LossyChannelsTest.java
@@ -131,7 +131,7 @@
                         faultsStopped ? 10_000 : random.nextInt(300) == 0 ? 900_000 : 30_000);
     }
 
-    private final RemoteRouter.ForwardingHandler sender = new RemoteRouter.ForwardingHandler() {
+    private final ForwardingHandler sender = new ForwardingHandler() {
         @Override
         public void connect(GatewayChannel channel) {
             TestConnection connection = new TestConnection(channel);
@@ -232,67 +232,61 @@
         assertTrue(now <= testPart.deadline, "an end after its time");
     }
 
-    private final ForwardedPartReceiver.ExecutionHandler executor =
-            new ForwardedPartReceiver.ExecutionHandler() {
-                @Override
-                public void startPart(ReceivedPart part) {
-                    TestForwardedPart testPart = ((TestReceivedPart) part).part;
-                    ForwardedPartReceiver at = receiver;
-                    assertTrue(receiver.running() <= 2 * WINDOW, "more runs than may");
-                    if (random.nextInt(6) == 0) {
-                        event(now + 1000, () -> ended(at, part, PartStatus.REFUSED));
-                        return;
-                    }
-                    testPart.effects++;
-                    event(
-                            now + 1000 + random.nextLong(200_000),
-                            () -> ended(
-                                    at,
-                                    part,
-                                    random.nextInt(5) == 0 ? PartStatus.FAILED : PartStatus.DONE));
-                }
+    private final ExecutionHandler executor = new ExecutionHandler() {
+        @Override
+        public void startPart(ReceivedPart part) {
+            TestForwardedPart testPart = ((TestReceivedPart) part).part;
+            ForwardedPartReceiver at = receiver;
+            assertTrue(receiver.running() <= 2 * WINDOW, "more runs than may");
+            if (random.nextInt(6) == 0) {
+                event(now + 1000, () -> ended(at, part, PartStatus.REJECTED));
+                return;
+            }
+            testPart.effects++;
+            event(
+                    now + 1000 + random.nextLong(200_000),
+                    () -> ended(
+                            at,
+                            part,
+                            random.nextInt(5) == 0 ? PartStatus.FAILED : PartStatus.COMPLETED));
+        }
 
-                private void ended(ForwardedPartReceiver at, ReceivedPart part, PartStatus status) {
-                    if (at == receiver) {
-                        receiver.onPartEnded(part, status, 10);
-                    }
-                }
+        private void ended(ForwardedPartReceiver at, ReceivedPart part, PartStatus status) {
+            if (at == receiver) {
+                receiver.onPartEnded(part, status, 10);
+            }
+        }
 
-                @Override
-                public void cancelPart(ReceivedPart part) {
-                    // What has run has run.
-                }
+        @Override
+        public void cancelPart(ReceivedPart part) {
+            // What has run has run.
+        }
 
-                @Override
-                public void sendPartStatus(
-                        Object session,
-                        int line,
-                        long number,
-                        PartStatus status,
-                        ReceivedPart part) {
-                    TestConnection connection = (TestConnection) session;
-                    connection.deliverToSender(() -> remoteRouter.onPartStatus(
-                            remoteRouter.channels.get(line), number, status));
-                }
+        @Override
+        public void sendPartStatus(
+                Object session, int line, long number, PartStatus status, ReceivedPart part) {
+            TestConnection connection = (TestConnection) session;
+            connection.deliverToSender(() ->
+                    remoteRouter.onPartStatus(remoteRouter.channels.get(line), number, status));
+        }
 
-                @Override
-                public void sendCreditWindow(Object session, int parts) {
-                    ((TestConnection) session)
-                            .deliverToSender(() -> remoteRouter.creditWindow(parts));
-                }
+        @Override
+        public void sendCreditWindow(Object session, int parts) {
+            ((TestConnection) session).deliverToSender(() -> remoteRouter.onCreditWindow(parts));
+        }
 
-                @Override
-                public void closeSession(Object session) {
-                    TestConnection connection = (TestConnection) session;
-                    connection.closeAtReceiver();
-                    event(now + delay(), connection::closeAtSender);
-                }
+        @Override
+        public void closeSession(Object session) {
+            TestConnection connection = (TestConnection) session;
+            connection.closeAtReceiver();
+            event(now + delay(), connection::closeAtSender);
+        }
 
-                @Override
-                public void wakeAt(long at) {
-                    event(Math.max(at, now), () -> {});
-                }
-            };
+        @Override
+        public void wakeAt(long at) {
+            event(Math.max(at, now), () -> {});
+        }
+    };
 
     private void startReceiver() {
         receiver = new ForwardedPartReceiver(
@@ -388,15 +382,15 @@
                 seen.merge(testPart.status, 1, Integer::sum);
                 assertTrue(
                         !testPart.status.outcome.neverRan || testPart.effects == 0,
-                        "it ran, and was told as " + testPart.status);
+                        "it ran, and was reported as " + testPart.status);
                 assertEquals(
-                        testPart.status == PartStatus.DONE ? 1 : testPart.effects,
+                        testPart.status == PartStatus.COMPLETED ? 1 : testPart.effects,
                         testPart.effects,
                         "done without a run");
             }
         }
         assertTrue(
-                seen.getOrDefault(PartStatus.DONE, 0) > parts.size() / 3,
+                seen.getOrDefault(PartStatus.COMPLETED, 0) > parts.size() / 3,
                 "so few were done: " + seen);
         assertEquals(0, remoteRouter.openPartCount(), "still held");
         assertEquals(0, receiver.running(), "still running");
