--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -113,7 +113,7 @@
         session.attach(link, gateway.timing.handshakeUs());
         unauthenticated.add(session);
         if (unauthenticated.size() > MAX_UNAUTHENTICATED) {
-            unauthenticated.iterator().next().close(CloseReason.DONE);
+            unauthenticated.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -151,7 +151,7 @@
             long silenceAt =
                     gateway.loop.nowUs() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
             EventLoop.Timer silenceTimer =
-                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.SILENT));
+                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.UNRESPONSIVE));
             gateway.loop.cancel(authenticated.put(session, silenceTimer));
         }
     }
@@ -210,7 +210,7 @@
 
     @Override
     public void closeSession(Object session) {
-        ((GatewayServerSession) session).close(CloseReason.GONE);
+        ((GatewayServerSession) session).close(CloseReason.ENDPOINT_REMOVED);
     }
 
     @Override
