--- a/src/test/java/tinlink/cluster/IdentityGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/IdentityGoldenFilesTest.java
@@ -31,7 +31,7 @@
 
     private String lastRecord(Path at) throws IOException {
         try (DurableLog log = self(at)) {
-            return hex(log.records());
+            return hex(log.recoveredRecords());
         }
     }
 
--- a/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
@@ -511,8 +511,8 @@
                         .putBytes(TEXT));
     }
 
-    private static final List<PartStatus> ENDS =
-            List.of(PartStatus.DONE, PartStatus.REFUSED, PartStatus.FAILED, PartStatus.NO_ANSWER);
+    private static final List<PartStatus> ENDS = List.of(
+            PartStatus.COMPLETED, PartStatus.REJECTED, PartStatus.FAILED, PartStatus.NO_ANSWER);
     private static final List<String> END_NAMES =
             List.of("done", "rejected", "failed", "no-answer");
 
@@ -534,7 +534,7 @@
         for (int i = 0; i < ENDS.size(); i++) {
             near.says(plainPart(i + 1));
             IncomingPart begun = far.begun.poll(20, TimeUnit.SECONDS);
-            boolean done = ENDS.get(i) == PartStatus.DONE;
+            boolean done = ENDS.get(i) == PartStatus.COMPLETED;
             far.ends(begun, ENDS.get(i), done ? VALUE : null, i == 1 ? RETRY_AFTER_US : 0);
             all.put("outcome-" + END_NAMES.get(i), said(near.awaits(SAY)));
         }
@@ -645,8 +645,7 @@
         line.says(golden.get("pong"));
         assertEquals(cells(), near.served.poll(20, TimeUnit.SECONDS));
         assertEquals(8, near.window());
-        Outcome[] outcomes = {
-            Outcome.SATISFIED, Outcome.TURNED_AWAY, Outcome.ERROR, Outcome.NO_ANSWER
+        Outcome[] outcomes = {Outcome.SATISFIED, Outcome.REJECTED, Outcome.ERROR, Outcome.NO_ANSWER
         };
         for (int i = 0; i < outcomes.length; i++) {
             near.sends("p" + i, null, false);
--- a/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
+++ b/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
@@ -16,6 +16,7 @@
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.NodeListDifference;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -416,7 +417,7 @@
     private String written(Set<String> nodes) throws Exception {
         EventLoop loop = new EventLoop();
         Thread thread = new Thread(
-                () -> loop.run(new EventLoop.EventLoopParticipant() {
+                () -> loop.run(new EventLoopParticipant() {
                     @Override
                     public void turnStarted(long nowUs) {}
 
--- a/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
+++ b/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
@@ -12,6 +12,7 @@
 import tinlink.GoldenFile;
 import tinlink.net.CloseReason;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
 
@@ -62,7 +63,7 @@
     void start() throws IOException {
         network = new Network(loop);
         Thread thread = new Thread(
-                () -> loop.run(new EventLoop.EventLoopParticipant() {
+                () -> loop.run(new EventLoopParticipant() {
                     @Override
                     public void turnStarted(long nowUs) {}
 
--- a/src/test/java/tinlink/storage/StorageGoldenFilesTest.java
+++ b/src/test/java/tinlink/storage/StorageGoldenFilesTest.java
@@ -58,7 +58,7 @@
             }
             log.sync();
             all.put("segment-of-three-records", bytes("written", "log-0"));
-            log.snapshot(STATE);
+            log.writeSnapshot(STATE);
             all.put("snapshot-after-three-records", bytes("written", "snap-3"));
             log.append(record(3));
             log.sync();
@@ -78,19 +78,19 @@
     void filesAreReadAsTheyWere() throws IOException {
         place("empty", "log-0", "segment-without-records");
         try (DurableLog log = open("empty")) {
-            assertEquals(List.of(), log.records());
+            assertEquals(List.of(), log.recoveredRecords());
             assertEquals(0, log.nextRecordNumber());
             assertEquals(0, log.tornBytes());
         }
         place("three", "log-0", "segment-of-three-records");
         try (DurableLog log = open("three")) {
-            assertNull(log.snapshot());
-            assertEquals(3, log.records().size());
+            assertNull(log.recoveredSnapshot());
+            assertEquals(3, log.recoveredRecords().size());
             for (int i = 0; i < 3; i++) {
-                assertArrayEquals(record(i), log.records().get(i));
+                assertArrayEquals(record(i), log.recoveredRecords().get(i));
             }
             assertEquals(0, log.tornBytes());
-            log.snapshot(STATE);
+            log.writeSnapshot(STATE);
         }
         assertEquals(
                 GoldenFile.read(FILE).get("snapshot-after-three-records"),
@@ -98,9 +98,9 @@
         place("both", "snap-3", "snapshot-after-three-records");
         place("both", "log-3", "segment-after-the-snapshot");
         try (DurableLog log = open("both")) {
-            assertArrayEquals(STATE, log.snapshot());
-            assertEquals(1, log.records().size());
-            assertArrayEquals(record(3), log.records().get(0));
+            assertArrayEquals(STATE, log.recoveredSnapshot());
+            assertEquals(1, log.recoveredRecords().size());
+            assertArrayEquals(record(3), log.recoveredRecords().get(0));
             assertEquals(4, log.nextRecordNumber());
             assertEquals(0, log.tornBytes());
         }
