--- a/src/main/java/tinlink/decision/Attempt.java
+++ b/src/main/java/tinlink/decision/Attempt.java
@@ -23,15 +23,19 @@
         }
     }
 
+    /** What is sent. */
     public Part part;
+    /** Where it goes. */
     public DataNode node;
     /** From 0, in order of sending, among the attempts of its part. */
     public int number;
 
+    /** When it was decided on, in microseconds of the coordinator's clock. */
     public long sentAtUs;
     /** Null while it is in flight. */
     public Outcome outcome;
 
+    /** The call that it travels by, alone or with others. */
     public SharedCall sharedCall;
     /** Calls that were in flight to its node when it was sent. */
     int callsInFlightBefore;
--- a/src/main/java/tinlink/decision/DataNode.java
+++ b/src/main/java/tinlink/decision/DataNode.java
@@ -4,14 +4,22 @@
 public final class DataNode {
     /** What the endpoint list says of it. */
     public enum State {
+        /** It takes parts. */
         READY,
+        /** It finishes what it has, and takes nothing new. */
         DRAINING,
+        /** The list no longer names it. */
         GONE
     }
 
-    public final long id;
+    /** The same at every router. */
+    public final long nodeId;
+
+    /** As the list last said. */
     public State state = State.READY;
+    /** Numbered by the host; calls into another zone may have a price. */
     public int zone;
+    /** Numbered by the host; nodes of one kind have like capacity. */
     public int kind;
     /** Which shards it holds: those that fall on this cell, as {@link ReplicaDirectory} counts them. */
     public int cell;
@@ -22,7 +30,8 @@
     /** Microseconds there and back over the link to another site; 0 for a node at this one. */
     public long linkRoundTripUs;
 
-    public DataNode(long id) {
-        this.id = id;
+    /** A node that is ready, warm, and at this site. */
+    public DataNode(long nodeId) {
+        this.nodeId = nodeId;
     }
 }
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -34,6 +34,7 @@
     private long wakesAtUs = NEVER;
     private long stalledAtUs = NEVER;
 
+    /** A coordinator for one router; its parts are used by no other. */
     public FastestValidCoordinator(
             AttemptTiming timing,
             RepeatGuard guard,
--- a/src/main/java/tinlink/decision/Lookup.java
+++ b/src/main/java/tinlink/decision/Lookup.java
@@ -13,18 +13,20 @@
     /** Sums of part weights may be this much short. */
     static final double WEIGHT_TOLERANCE = 1e-4;
 
+    /** What is agreed for lookups like it. */
     public LookupClass lookupClass;
     /** A client's retry, where clients mark them. */
     public boolean isClientRetry;
     /** A part that a router of another site has forwarded: it goes to one node here, once, and never on. */
     public boolean isForwarded;
 
+    /** Set by the coordinator. */
     public long arrivedAtUs;
     /** When the client stops waiting. */
     public long clientDeadlineUs;
-    /** Parts of the present step: how many were announced, and those that have come so far. */
+    /** How many parts the present step has. */
     public int announcedParts;
-
+    /** Those of them that have come so far; the coordinator adds them. */
     public List<Part> parts = new ArrayList<>();
     /** It has its final answer, or its client has left. */
     public boolean isEnded;
--- a/src/main/java/tinlink/decision/LookupClass.java
+++ b/src/main/java/tinlink/decision/LookupClass.java
@@ -12,6 +12,7 @@
         ONCE_ONLY
     }
 
+    /** What a repeat does. */
     public Idempotency idempotency = Idempotency.IDEMPOTENT;
     /** An answer later than this after the arrival is late. */
     public long latencyObjectiveUs;
@@ -24,9 +25,9 @@
     public double priorityWeight = 1;
     /** What a late answer is worth; 0 for nothing. */
     public double lateAnswerWeight;
-    /** Share of the parts' weight that makes a complete answer, and the least share for any answer. */
+    /** Share of the parts' weight that makes a complete answer. */
     public double completeShare = 1;
-
+    /** The least share for any answer, which is then a partial one. */
     public double minimumShare = 1;
     /** What a partial answer in time is worth. */
     public double partialAnswerWeight;
--- a/src/main/java/tinlink/decision/Part.java
+++ b/src/main/java/tinlink/decision/Part.java
@@ -5,14 +5,18 @@
 
 /** One part of a lookup, on one shard. Fields only, and what can be read off them. */
 public class Part {
+    /** What it is a part of. */
     public Lookup lookup;
+    /** Which part of the data it asks. */
     public int shard;
     /** Its share of the lookup's answer; those of all parts add up to 1. */
     public double weight;
     /** In order of sending. */
     public List<Attempt> attempts = new ArrayList<>();
 
+    /** Those without an outcome. */
     public int attemptsInFlight;
+    /** One of its attempts was answered. */
     public boolean isSatisfied;
     /** It is not sent again before this time. */
     long notBeforeUs;
--- a/src/main/java/tinlink/decision/ReplicaSelector.java
+++ b/src/main/java/tinlink/decision/ReplicaSelector.java
@@ -111,6 +111,6 @@
     private static boolean isOlder(ReplicaStats one, ReplicaStats other) {
         return one.node().startedAtUs != other.node().startedAtUs
                 ? one.node().startedAtUs < other.node().startedAtUs
-                : one.node().id < other.node().id;
+                : one.node().nodeId < other.node().nodeId;
     }
 }
--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -199,9 +199,9 @@
     /** A full list: what it does not name is gone. */
     void applyFullList(WireEndpointList endpointList) {
         for (DataNode node : new ArrayList<>(nodes.values())) {
-            if (!endpointList.contains(node.id)) {
+            if (!endpointList.contains(node.nodeId)) {
                 node.state = DataNode.State.GONE;
-                nodes.remove(node.id);
+                nodes.remove(node.nodeId);
                 module.onEndpoint(node, false);
             }
         }
@@ -227,7 +227,7 @@
         out.append("transmit ")
                 .append(wireId)
                 .append(' ')
-                .append(attempt.node.id)
+                .append(attempt.node.nodeId)
                 .append(' ');
         appendMillis(limitUs);
     }
@@ -244,7 +244,7 @@
 
     @Override
     public void closeIdleConnections(DataNode node) {
-        out.append("release ").append(node.id).append('\n');
+        out.append("release ").append(node.nodeId).append('\n');
     }
 
     @Override
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -314,7 +314,7 @@
 
     @Override
     public void send(Attempt c, long limitUs) {
-        unexpectedDecisions.add("send " + names.get(c.part) + " " + c.node.id);
+        unexpectedDecisions.add("send " + names.get(c.part) + " " + c.node.nodeId);
     }
 
     @Override
@@ -324,7 +324,7 @@
 
     @Override
     public void closeIdleConnections(DataNode node) {
-        unexpectedDecisions.add("release " + node.id);
+        unexpectedDecisions.add("release " + node.nodeId);
     }
 
     @Override
--- a/src/test/java/tinlink/decision/RecordedPlay.java
+++ b/src/test/java/tinlink/decision/RecordedPlay.java
@@ -211,7 +211,7 @@
         DataNode node = one.node;
         transcript.note(
                 "n",
-                node.id,
+                node.nodeId,
                 node.state.ordinal(),
                 node.cell,
                 node.startedAtUs,
@@ -294,7 +294,7 @@
     }
 
     private void probe(PlayedNode one) {
-        transcript.note("h", one.node.id);
+        transcript.note("h", one.node.nodeId);
         module.onHealthCheck(one.node, Outcome.SATISFIED, 2000, 1000);
     }
 
@@ -313,7 +313,7 @@
     @Override
     public void send(Attempt attempt, long limitUs) {
         int frame = frames.computeIfAbsent(attempt.sharedCall, any -> frames.size());
-        transcript.note("S", name(attempt), attempt.node.id, limitUs, attempt.sentAtUs, frame);
+        transcript.note("S", name(attempt), attempt.node.nodeId, limitUs, attempt.sentAtUs, frame);
         at(now + limitUs, () -> ended(attempt, Outcome.NO_ANSWER));
         PlayedNode one = byNode.get(attempt.node);
         long idleUs = settings.whole("idle");
@@ -376,7 +376,7 @@
 
     @Override
     public void closeIdleConnections(DataNode node) {
-        transcript.note("R", node.id);
+        transcript.note("R", node.nodeId);
         byNode.get(node).usedAt = now;
     }
 
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -141,7 +141,7 @@
                 if (some.size() == 1) {
                     // It stands for the one that had its block until now.
                     DataNode before = known.keySet().stream()
-                            .filter(d -> d.id == 0)
+                            .filter(d -> d.nodeId == 0)
                             .findFirst()
                             .orElseThrow();
                     before.state = DataNode.State.DRAINING;
