--- a/src/main/java/tinlink/config/ConfigFile.java
+++ b/src/main/java/tinlink/config/ConfigFile.java
@@ -44,16 +44,16 @@
     /**
      * Reads a file of JSON.
      *
-     * @throws InvalidInputException where it can't be read, or is no JSON object
+     * @throws ConfigException where it can't be read, or is no JSON object
      */
     public static ConfigFile of(String file) {
         try {
             if (Files.size(Path.of(file)) > MAX_BYTES) {
-                throw new InvalidInputException(file + ": it is over " + MAX_BYTES + " bytes");
+                throw new ConfigException(file, "", "it is over " + MAX_BYTES + " bytes");
             }
             return of(file, Files.readString(Path.of(file)));
         } catch (IOException e) {
-            throw new InvalidInputException(file + ": it can't be read: " + e.getMessage());
+            throw new ConfigException(file, "", "it can't be read: " + e.getMessage());
         }
     }
 
@@ -61,18 +61,21 @@
         try {
             JsonNode node = MAPPER.readTree(text);
             if (node == null || !node.isObject()) {
-                throw new InvalidInputException(file + ": it is no JSON object");
+                throw new ConfigException(file, "", "it is no JSON object");
             }
             return new ConfigFile(file, "", node);
         } catch (JsonProcessingException e) {
-            throw new InvalidInputException(file + ": line "
-                    + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()) + ": "
-                    + e.getOriginalMessage());
+            throw new ConfigException(
+                    file,
+                    "",
+                    "line " + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()) + ": "
+                            + e.getOriginalMessage());
         }
     }
 
-    public InvalidInputException invalid(String key, String problem) {
-        return new InvalidInputException(file + ": '" + path + key + "' " + problem);
+    /** @param problem what is wrong, with the offending value or what is allowed */
+    public ConfigException invalid(String key, String problem) {
+        return new ConfigException(file, path + key, problem);
     }
 
     private JsonNode get(String key) {
--- a/src/main/java/tinlink/config/FlatSettings.java
+++ b/src/main/java/tinlink/config/FlatSettings.java
@@ -32,7 +32,7 @@
             if (equalsAt > 0) {
                 settings.pairs.put(pair.substring(0, equalsAt), pair.substring(equalsAt + 1));
             } else if (!pair.isEmpty()) {
-                throw new InvalidInputException(source + ": no path=value pair: " + pair);
+                throw new ConfigException(source, "", "no path=value pair: " + pair);
             }
         }
         return settings;
@@ -112,8 +112,16 @@
         return value;
     }
 
+    /** Milliseconds with fractions, as whole microseconds. */
     long micros(String path, long defaultValue) {
-        return has(path) ? micros(source + ": '" + path + "'", pairs.get(path)) : defaultValue;
+        if (!has(path)) {
+            return defaultValue;
+        }
+        try {
+            return parseMillis(pairs.get(path));
+        } catch (NumberFormatException e) {
+            throw invalid(path, "is no time: " + pairs.get(path));
+        }
     }
 
     /** The items of a list of plain values. */
@@ -129,8 +137,9 @@
                 : defaultValue;
     }
 
-    InvalidInputException invalid(String path, String problem) {
-        return new InvalidInputException(source + ": '" + path + "' " + problem);
+    /** @param problem what is wrong, with the offending value or what is allowed */
+    ConfigException invalid(String path, String problem) {
+        return new ConfigException(source, path, problem);
     }
 
     private double number(String path, String value) {
@@ -150,13 +159,17 @@
         return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
     }
 
-    /** Milliseconds with fractions, as whole microseconds. */
-    public static long micros(String what, String millis) {
+    /**
+     * Milliseconds with fractions, as whole microseconds.
+     *
+     * @throws NumberFormatException where it is no number, or too large
+     */
+    public static long parseMillis(String millis) {
         try {
             BigDecimal us = new BigDecimal(millis).movePointRight(3);
             return us.setScale(0, RoundingMode.HALF_UP).longValueExact();
-        } catch (ArithmeticException | NumberFormatException e) {
-            throw new InvalidInputException(what + " is no time: " + millis);
+        } catch (ArithmeticException e) {
+            throw new NumberFormatException(millis);
         }
     }
 }
--- a/src/main/java/tinlink/config/HangupSignal.java
+++ b/src/main/java/tinlink/config/HangupSignal.java
@@ -34,7 +34,7 @@
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException e) {
-            throw new InvalidInputException("environment: SIGHUP can't be heard here: " + e);
+            throw new ConfigException("environment", "", "SIGHUP can't be heard here: " + e);
         }
     }
 }
--- a/src/main/java/tinlink/config/InvalidInputException.java
+++ b/src/main/java/tinlink/config/InvalidInputException.java
@@ -1,9 +1,10 @@
 package tinlink.config;
 
 /**
- * Input or configuration that is not what it may be; the message names the key or field at fault.
+ * Input that is not what it may be; the message says what is wrong, with the offending value. Of a setting it
+ * is a {@link ConfigException}.
  */
-public final class InvalidInputException extends RuntimeException {
+public class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     public InvalidInputException(String message) {
--- a/src/main/java/tinlink/config/PolicyDocument.java
+++ b/src/main/java/tinlink/config/PolicyDocument.java
@@ -22,7 +22,7 @@
 
     /**
      * @param config what this router was started with: what a document can't go beyond here
-     * @throws InvalidInputException naming the key that it can't use, and why
+     * @throws ConfigException naming the key that it can't use, and why
      */
     public PolicyDocument(String text, RouterConfig config) {
         this(ConfigFile.of("policy", text), config);
--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -65,7 +65,7 @@
         long leftUs = line.micros("leftMs");
         line.expectEnd();
         if (profile < 0 || profile >= lookupClasses.length) {
-            throw new InvalidInputException("job_in: no such profile: " + profile);
+            throw new WireFormatException("job_in", "no such profile: " + profile);
         }
         if (shard < 0) {
             WireLookup lookup = new WireLookup();
@@ -132,7 +132,7 @@
             case "connection_lost" -> Outcome.CONNECTION_LOST;
             case "called_off" -> Outcome.CANCELLED;
             case "not_sent" -> Outcome.NOT_SENT;
-            default -> throw new InvalidInputException(line.name() + ": no such outcome: " + code);
+            default -> throw new WireFormatException(line.name(), "no such outcome: " + code);
         };
     }
 
--- a/src/main/java/tinlink/simadapter/SimulatorAdapter.java
+++ b/src/main/java/tinlink/simadapter/SimulatorAdapter.java
@@ -62,14 +62,14 @@
     private WireLine readInBatch() throws IOException {
         WireLine line = read();
         if (line == null) {
-            throw new InvalidInputException("the input ends inside a batch");
+            throw new WireFormatException("", "the input ends inside a batch");
         }
         return line;
     }
 
     private String runBatch(WireLine firstLine) throws IOException {
         if (!firstLine.name().equals("round")) {
-            throw new InvalidInputException("a batch opens with round, not " + firstLine.name());
+            throw new WireFormatException("", "a batch opens with round, not " + firstLine.name());
         }
         nowUs = firstLine.micros("clock");
         long number = firstLine.wholeNumber("batch");
@@ -131,7 +131,7 @@
 
     private void dispatchEvent(long instanceId, WireLine line) {
         if (instanceId < 0) {
-            throw new InvalidInputException(line.name() + ": no target_instance before it");
+            throw new WireFormatException(line.name(), "no target_instance before it");
         }
         if (line.name().equals("start")) {
             long seed = line.wholeNumber("prng");
@@ -166,7 +166,7 @@
             }
             case "echo" -> instance.onHealthCheckAnswer(line);
             case "started", "whisper" -> line.rest(); // No streamed index and no peers here.
-            default -> throw new InvalidInputException("no such event: " + line.name());
+            default -> throw new WireFormatException("", "no such event: " + line.name());
         }
     }
 
@@ -182,11 +182,11 @@
                     case 3 -> QueryCoordinator.EndpointListUpdate.FAILED;
                     case 4 -> QueryCoordinator.EndpointListUpdate.FULL;
                     default ->
-                        throw new InvalidInputException("endpoints: no such scope: " + scope);
+                        throw new WireFormatException("endpoints", "no such scope: " + scope);
                 };
         if (watchEvent != QueryCoordinator.EndpointListUpdate.FAILED) {
             if (list < 0 || list >= endpointLists.length || endpointLists[(int) list] == null) {
-                throw new InvalidInputException("endpoints: no such list: " + list);
+                throw new WireFormatException("endpoints", "no such list: " + list);
             }
             WireEndpointList endpointList = endpointLists[(int) list];
             if (watchEvent == QueryCoordinator.EndpointListUpdate.CHANGES) {
--- a/src/main/java/tinlink/simadapter/WireEndpointList.java
+++ b/src/main/java/tinlink/simadapter/WireEndpointList.java
@@ -1,6 +1,5 @@
 package tinlink.simadapter;
 
-import tinlink.config.InvalidInputException;
 import tinlink.decision.DataNode;
 
 import java.util.HashSet;
@@ -37,7 +36,7 @@
 
     static Entry parseEntry(WireLine line) {
         if (!line.name().equals("node")) {
-            throw new InvalidInputException("sheet: a node line was expected, not " + line.name());
+            throw new WireFormatException("sheet", "a node line was expected, not " + line.name());
         }
         long id = line.wholeNumber("node");
         int zone = (int) line.wholeNumber("campus", 0);
@@ -50,7 +49,7 @@
                     case 1 -> DataNode.State.READY;
                     case 2 -> DataNode.State.DRAINING;
                     default ->
-                        throw new InvalidInputException("node: no such health: " + stateCode);
+                        throw new WireFormatException("node", "no such health: " + stateCode);
                 };
         double size = line.number("capacityHint", 1);
         long startedAt = line.micros("readyAtMs", 0);
--- a/src/main/java/tinlink/simadapter/WireLine.java
+++ b/src/main/java/tinlink/simadapter/WireLine.java
@@ -23,14 +23,14 @@
     /** The next field; null where it is absent. */
     String field(String fieldName) {
         if (position > text.length()) {
-            throw new InvalidInputException(name + ": field '" + fieldName + "' is missing");
+            throw new WireFormatException(name, fieldName, "is missing");
         }
         int space = text.indexOf(' ', position);
         int end = space < 0 ? text.length() : space;
         String value = text.substring(position, end);
         position = end + 1;
         if (value.isEmpty()) {
-            throw new InvalidInputException(name + ": field '" + fieldName + "' is empty");
+            throw new WireFormatException(name, fieldName, "is empty");
         }
         return value.equals("-") ? null : value;
     }
@@ -44,14 +44,14 @@
 
     void expectEnd() {
         if (position <= text.length()) {
-            throw new InvalidInputException(name + ": more fields than it has");
+            throw new WireFormatException(name, "more fields than it has");
         }
     }
 
     String requiredField(String fieldName) {
         String value = field(fieldName);
         if (value == null) {
-            throw new InvalidInputException(name + ": field '" + fieldName + "' is absent");
+            throw new WireFormatException(name, fieldName, "is absent");
         }
         return value;
     }
@@ -102,6 +102,10 @@
     }
 
     static long micros(String name, String fieldName, String millis) {
-        return FlatSettings.micros(name + ": field '" + fieldName + "'", millis);
+        try {
+            return FlatSettings.parseMillis(millis);
+        } catch (NumberFormatException e) {
+            throw new WireFormatException(name, fieldName, "is no time: " + millis);
+        }
     }
 }
