--- a/src/main/java/tinlink/net/EventLog.java
+++ b/src/main/java/tinlink/net/EventLog.java
@@ -5,12 +5,13 @@
 import java.util.logging.Logger;
 
 /**
- * The one way of logging: a line is {@code event=name key=value ...}. Names and keys are lower case with underscores; a
- * value that is empty, or holds a blank, a quote or an equals sign, stands in double quotes; one that is absent is {@code -}.
- * Card numbers, keys and texts of lookups are never given. {@code docs/on-call.md} lists all events.
+ * The one way of logging: a line is {@code event=name key=value ...}. Names and keys are lower case with
+ * underscores; a value that is empty, or holds a blank, a quote or an equals sign, stands in double quotes;
+ * one that is absent is {@code -}. Card numbers, keys and texts of lookups are never given. {@code
+ * docs/on-call.md} lists all events.
  *
- * <p>Safe for use by several threads, as the logger of java.util.logging that it writes to. Nothing is formatted while
- * the level is off.
+ * <p>Safe for use by several threads, as the logger of java.util.logging that it writes to. Nothing is
+ * formatted while the level is off.
  */
 public final class EventLog {
     /** Held here: java.util.logging forgets a logger, and its level, that nobody holds. */
--- a/src/main/java/tinlink/router/ClientAcceptor.java
+++ b/src/main/java/tinlink/router/ClientAcceptor.java
@@ -1,5 +1,6 @@
 package tinlink.router;
 
+import tinlink.decision.LookupClass;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLog;
@@ -11,53 +12,40 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.logging.Level;
 
-/** Accepts client connections and admits their queries to the decision driver. */
+/**
+ * Accepts client connections, admits their queries to the decision driver, and closes connections when
+ * descriptors run short or the router stops. Of the event loop's thread.
+ */
 final class ClientAcceptor implements Network.AcceptHandler {
     private static final EventLog LOG = new EventLog("tinlink.clients");
+
+    /**
+     * @param maxInFlight lookups and parts that may be in flight, where no policy says otherwise
+     * @param lingerUs how long the other side may take to see a close
+     * @param maxBodyBytesInFlight bytes that bodies which are being read may hold together
+     * @param maxDeadlineUs no client waits for longer than this
+     */
+    record Limits(int maxInFlight, long lingerUs, long maxBodyBytesInFlight, long maxDeadlineUs) {}
+
     private final EventLoop loop;
     private final Network network;
     private final DescriptorBudget descriptors;
     private final QueryParser queryParser;
     private final DecisionDriver driver;
-    private final int maxInFlight;
-    /** How long the other side may take to see a close. */
-    private final long lingerUs;
-
-    private final long maxBodyBytesInFlight;
-    /** No client waits for longer than this. */
-    private final long maxDeadlineUs;
-    /** Open client connections; each leaves as it closes. */
-    private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    /**
-     * Those that have had their last answer, that have said nothing yet, that have nothing in hand
-     * now.
-     */
-    private final Set<ClientConnection> closingClients = new LinkedHashSet<>();
-
-    private final Set<ClientConnection> silentClients = new LinkedHashSet<>();
-    private final Set<ClientConnection> idleClients = new LinkedHashSet<>();
-    /**
-     * Those of whose request a part has come, and since when; each leaves with the rest or its
-     * answer.
-     */
-    private final Map<ClientConnection, Long> sendingClients = new LinkedHashMap<>();
-    /** When the first of them may be closed, while no other gives way; null while none has to. */
+    private final Limits limits;
+    private final ClientConnections clients = new ClientConnections();
+    /** When the first slow request may be closed, while no other gives way; null while none has to. */
     private EventLoop.Timer slowClientTimer;
-    /** Bytes of bodies that are being read. */
-    private long bodyBytesInFlight;
 
+    private long bodyBytesInFlight;
     private boolean isDraining;
-    /** What can't be answered by then is not taken. */
+    /** What can't be answered by then is not admitted. */
     private long admitUntilUs = Long.MAX_VALUE;
 
-    private boolean ready = true;
+    private boolean isReady = true;
     /** The policy by which lookups are admitted; null where it never changes. */
     private PolicyIntegration policy;
 
@@ -67,19 +55,13 @@
             DescriptorBudget descriptors,
             QueryParser queryParser,
             DecisionDriver driver,
-            int maxInFlight,
-            long lingerUs,
-            long maxBodyBytesInFlight,
-            long maxDeadlineUs) {
+            Limits limits) {
         this.loop = loop;
         this.network = network;
         this.descriptors = descriptors;
         this.queryParser = queryParser;
         this.driver = driver;
-        this.maxInFlight = maxInFlight;
-        this.lingerUs = lingerUs;
-        this.maxBodyBytesInFlight = maxBodyBytesInFlight;
-        this.maxDeadlineUs = maxDeadlineUs;
+        this.limits = limits;
     }
 
     // ---- Accepting. ----
@@ -95,7 +77,7 @@
     }
 
     /**
-     * @param acceptedAtUs when it was accepted; its first request has its time from then on
+     * @param acceptedAtUs its first request has its time from then on
      * @param hasSentBytes what it asks has waited for us since then, so that much less of its time is left
      */
     void accepted(
@@ -106,22 +88,21 @@
         descriptors.clientOpened();
         ClientConnection client = (ClientConnection) listener;
         client.attach(connection, hasSentBytes ? acceptedAtUs : Long.MAX_VALUE);
-        clients.add(client);
+        clients.opened(client);
         freeDescriptor();
-        silentClients.add(client);
+        clients.markSilent(client);
         client.awaitRequest(acceptedAtUs);
     }
 
     private void freeDescriptor() {
-        if (!descriptors.hasForClient()
-                && !closeIdle()
-                && !sendingClients.isEmpty()
-                && slowClientTimer == null) {
-            slowClientTimer =
-                    loop.schedule(sendingClients.values().iterator().next() + lingerUs, () -> {
-                        slowClientTimer = null;
-                        freeDescriptor();
-                    });
+        if (!descriptors.hasForClient() && !closeIdle() && slowClientTimer == null) {
+            Long sinceUs = clients.firstSendingSinceUs();
+            if (sinceUs != null) {
+                slowClientTimer = loop.schedule(sinceUs + limits.lingerUs(), () -> {
+                    slowClientTimer = null;
+                    freeDescriptor();
+                });
+            }
         }
     }
 
@@ -134,18 +115,13 @@
     @Override
     public void acceptFailed(Throwable cause) {
         LOG.logFailure(Level.WARNING, "accept_failed", cause);
-        loop.schedule(loop.nowUs() + lingerUs, () -> network.accept(this));
+        loop.schedule(loop.nowUs() + limits.lingerUs(), () -> network.accept(this));
     }
 
-    /**
-     * Closes one client connection that nothing is in flight on, which its client then opens anew.
-     * Danger: clients that connect by the hundreds and say nothing would push out the usual ones;
-     * they go first, right after those that are over but for their end. Last go those that have
-     * long been sending.
-     */
+    /** Closes one client connection, if there is one that may give way. @return whether one was closed */
     boolean closeIdle() {
         int clientsBefore = clients.size();
-        whileReadsPaused(this::closeOneIdle);
+        whileReadsPaused(() -> clients.closeOneIdle(loop.nowUs() - limits.lingerUs()));
         return clients.size() < clientsBefore;
     }
 
@@ -153,44 +129,14 @@
         network.whileReadsPaused(task);
     }
 
-    private void closeOneIdle() {
-        for (Set<ClientConnection> candidates :
-                List.of(closingClients, silentClients, idleClients)) {
-            for (ClientConnection client : candidates) {
-                if (candidates == closingClients
-                        ? client.connection().isIdle()
-                        : !client.connection().hasUnprocessedRead()) {
-                    client.connection().close(CloseReason.IDLE_TIMEOUT);
-                    return;
-                }
-            }
-        }
-        // Danger: clients that send byte by byte would hold all connections, and the usual ones
-        // find none. A
-        // request that is sent at all has come whole by now.
-        for (Map.Entry<ClientConnection, Long> sending : sendingClients.entrySet()) {
-            ClientConnection client = sending.getKey();
-            if (sending.getValue() + lingerUs > loop.nowUs()) {
-                break;
-            }
-            if (!client.connection().hasUnprocessedRead()) {
-                client.connection().close(CloseReason.IDLE_TIMEOUT);
-                return;
-            }
-        }
-    }
-
     // ---- Requests. ----
 
     void markBusy(ClientConnection client) {
-        idleClients.remove(client);
-        silentClients.remove(client);
+        clients.markBusy(client);
     }
 
     void markIdle(ClientConnection client) {
-        sendingClients.remove(client);
-        if (clients.contains(client)) {
-            idleClients.add(client);
+        if (clients.markIdle(client)) {
             loop.execute(this::freeDescriptor);
             if (isDraining) {
                 whileReadsPaused(() -> drain(client));
@@ -200,28 +146,23 @@
 
     /** A part of a request has come. */
     void requestStarted(ClientConnection client) {
-        if (clients.contains(client)) {
-            sendingClients.putIfAbsent(client, loop.nowUs());
-        }
+        clients.requestStarted(client, loop.nowUs());
     }
 
-    /** It has come whole, or nothing more is read of it. */
+    /** It is complete, or nothing more is read of it. */
     void requestReceived(ClientConnection client) {
-        sendingClients.remove(client);
+        clients.requestReceived(client);
     }
 
     void clientClosed(ClientConnection client) {
-        clients.remove(client);
-        closingClients.remove(client);
-        sendingClients.remove(client);
-        markBusy(client);
+        clients.closed(client);
         descriptors.clientClosed();
         loop.execute(() -> network.accept(this));
     }
 
     /**
-     * Between the two times that the protocol gives: after that, a connection with nothing in hand
-     * is closed.
+     * Between the two times that the protocol gives: after that, a connection with nothing in flight is
+     * closed.
      */
     EventLoop.Timer scheduleRequestTimeout(long sinceUs, Runnable task) {
         return loop.schedule(
@@ -232,9 +173,9 @@
                 task);
     }
 
-    /** What has been read, and waits for the loop, has been taken by then. */
+    /** What has been read, and waits for the event loop, has been processed by then. */
     EventLoop.Timer scheduleAfterLinger(Runnable task) {
-        return loop.schedule(loop.nowUs() + lingerUs, task);
+        return loop.schedule(loop.nowUs() + limits.lingerUs(), task);
     }
 
     long nowUs() {
@@ -245,16 +186,14 @@
         loop.cancel(timer);
     }
 
-    /** It has had its last answer; if it does not end the connection itself, we do. */
+    /** It has had its last response; if it does not close the connection itself, we do. */
     void closeAfterLinger(ClientConnection client) {
-        markBusy(client);
-        sendingClients.remove(client);
-        closingClients.add(client);
-        closeAfterLinger(client, loop.nowUs() + maxDeadlineUs);
+        clients.markClosing(client);
+        closeAfterLinger(client, loop.nowUs() + limits.maxDeadlineUs());
     }
 
     private void closeAfterLinger(ClientConnection client, long deadlineUs) {
-        loop.schedule(loop.nowUs() + lingerUs, () -> {
+        loop.schedule(loop.nowUs() + limits.lingerUs(), () -> {
             if (client.connection().isIdle() || loop.nowUs() >= deadlineUs) {
                 client.connection().close(CloseReason.COMPLETED);
             } else {
@@ -271,14 +210,14 @@
         });
     }
 
-    /** The answer is the last one on its connection. */
+    /** Whether the next response is the last one on its connection. */
     boolean closesAfterResponse() {
-        return isDraining || descriptors.hasTooManyIdle(idleClients.size());
+        return isDraining || descriptors.hasTooManyIdle(clients.idleCount());
     }
 
     /** Whether clients may be sent here. */
     boolean isReady() {
-        return ready && (policy == null || policy.unavailableReason().isEmpty());
+        return isReady && (policy == null || policy.unavailableReason().isEmpty());
     }
 
     /** From now on lookups are admitted by the policy in force, or not at all. */
@@ -292,22 +231,22 @@
     }
 
     void setReady(boolean isReady) {
-        ready = isReady;
+        this.isReady = isReady;
     }
 
-    /** @param requestedAtUs when its client has asked, as far as that is known */
+    /**
+     * @param requestedAtUs when its client has sent it, as far as that is known
+     * @throws MessageRejectedException where it can't be admitted, with the status that says why
+     */
     Query parse(
             Map<String, String> headers,
             JsonReader body,
             ClientConnection client,
             long requestedAtUs)
             throws MessageRejectedException {
+        Map<String, LookupClass> currentClasses = policy == null ? null : policy.lookupClasses();
         Query query = queryParser.parse(
-                headers,
-                body,
-                client,
-                Math.min(requestedAtUs, loop.nowUs()),
-                policy == null ? null : policy.lookupClasses());
+                headers, body, client, Math.min(requestedAtUs, loop.nowUs()), currentClasses);
         if (driver.isKnownCallId(query.callId)) {
             throw new MessageRejectedException(409, "x-call-id: one of that id is or was in hand");
         }
@@ -317,15 +256,12 @@
     /** Danger: bodies that many clients send at once, each in full size, would fill the heap. */
     boolean reserveBodyBytes(int bytes) {
         bodyBytesInFlight += bytes;
-        return bodyBytesInFlight <= maxBodyBytesInFlight;
+        return bodyBytesInFlight <= limits.maxBodyBytesInFlight();
     }
 
-    /**
-     * The settings' number of lookups and parts in hand has not been reached, nor is there too
-     * little time.
-     */
+    /** The limit of lookups and parts in flight has not been reached, nor is there too little time. */
     boolean hasCapacity(Query query) {
-        return driver.inFlight() < (policy == null ? maxInFlight : policy.maxInFlight())
+        return driver.inFlight() < (policy == null ? limits.maxInFlight() : policy.maxInFlight())
                 && query.clientDeadlineUs <= admitUntilUs;
     }
 
@@ -344,21 +280,18 @@
     }
 
     /**
-     * Clients with nothing in hand are told that nothing more comes; what crosses that goes
-     * elsewhere.
+     * Clients with nothing in flight are told that nothing more is taken; what crosses that goes elsewhere.
      */
     void stopAccepting() {
         isDraining = true;
         network.stopAccepting();
         whileReadsPaused(() -> {
-            List.copyOf(idleClients).forEach(this::drain);
-            List.copyOf(silentClients).forEach(this::drain);
+            clients.idle().forEach(this::drain);
+            clients.silent().forEach(this::drain);
         });
     }
 
-    /**
-     * What has been read and waits for the loop is answered first, as the last on its connection.
-     */
+    /** What has been read and waits for the event loop is answered first, as the last on its connection. */
     private void drain(ClientConnection client) {
         if (!client.connection().hasUnprocessedRead()) {
             client.drain();
@@ -377,6 +310,6 @@
     }
 
     boolean isEmpty() {
-        return clients.isEmpty();
+        return clients.size() == 0;
     }
 }
--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -13,68 +13,71 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
 import java.util.logging.Level;
 
 /**
- * Drives the decision module in each turn: its clock, its inputs, its decisions, and then the actions that
- * these ask for.
+ * Drives the decision module in each turn of the event loop, on its thread: passes the clock and the inputs
+ * on, pulls decisions until there is none, and only then carries them out. What ends while they are carried
+ * out is an input of the next turn.
  */
 final class DecisionDriver implements DecisionHandler, EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.decisions");
+
     private final EventLoop loop;
     private final QueryCoordinator module;
-    /** Queries in flight; each leaves with its response or its client. */
-    private final Map<String, Query> queries = new HashMap<>();
-    /**
-     * Ids of queries that are over, and since when; each leaves after the time that a client waits
-     * at most.
-     */
-    private final Map<String, Long> recentCallIds = new LinkedHashMap<>();
-
-    private final long callIdRetentionUs;
+    private final QueriesInFlight queries;
+    private final long maxRetryAfterUs;
     /** Queries with inputs in this turn; emptied at its end. */
     private final Set<Query> queriesWithInput = new LinkedHashSet<>();
     /** What this turn's decisions ask for; emptied at its end. */
     private final List<Runnable> pendingActions = new ArrayList<>();
+    /**
+     * Those who decide before the module, whose inputs count in the same turn, and again once its attempts
+     * are sent. One may leave while they are called.
+     */
+    private final List<EventLoopParticipant> aroundDecisions = new CopyOnWriteArrayList<>();
+    /** Those who decide last; what they change is an input of the next turn's decisions. */
+    private final List<EventLoopParticipant> afterDecisions = new ArrayList<>();
 
-    private int partsInFlight;
     private boolean isCarryingOut;
-    private final long maxRetryAfterUs;
     private AttemptDispatcher dispatcher;
     private Runnable followEndpointList;
-    /** What else decides in each turn, beside the module; null where nothing does. */
-    private EventLoopParticipant beside;
-    /** Work on machines; null where it is off. */
-    private EventLoopParticipant also;
 
-    /** @param maxRetryAfterUs the longest Retry-After that clients are given */
+    /**
+     * @param callIdRetentionUs for how long the call id of a query that has ended is not admitted again
+     * @param maxRetryAfterUs the longest Retry-After that clients are given
+     */
     DecisionDriver(
             EventLoop loop, QueryCoordinator module, long callIdRetentionUs, long maxRetryAfterUs) {
         this.loop = loop;
-        this.callIdRetentionUs = callIdRetentionUs;
-        this.maxRetryAfterUs = maxRetryAfterUs;
         this.module = module;
+        this.maxRetryAfterUs = maxRetryAfterUs;
+        queries = new QueriesInFlight(callIdRetentionUs);
     }
 
+    /** Where decisions are carried out; called once, before the first turn. */
     void connect(AttemptDispatcher dispatcher, Runnable followEndpointList) {
         this.dispatcher = dispatcher;
         this.followEndpointList = followEndpointList;
     }
 
-    void beside(EventLoopParticipant participant) {
-        beside = participant;
+    /** From now on this one decides before the module and again once its attempts are sent. */
+    void addAroundDecisions(EventLoopParticipant participant) {
+        aroundDecisions.add(participant);
+    }
+
+    void removeAroundDecisions(EventLoopParticipant participant) {
+        aroundDecisions.remove(participant);
     }
 
-    void also(EventLoopParticipant participant) {
-        also = participant;
+    /** From now on this one decides last in each turn. */
+    void addAfterDecisions(EventLoopParticipant participant) {
+        afterDecisions.add(participant);
     }
 
     // ---- Inputs. ----
@@ -82,44 +85,34 @@
     @Override
     public void turnStarted(long nowUs) {
         module.advanceClock(nowUs);
-        if (beside != null) {
-            beside.turnStarted(nowUs);
-        }
-        if (also != null) {
-            also.turnStarted(nowUs);
-        }
+        aroundDecisions.forEach(participant -> participant.turnStarted(nowUs));
+        afterDecisions.forEach(participant -> participant.turnStarted(nowUs));
     }
 
     /**
-     * Danger: a lookup that takes the id of another, in hand or just over, would run parts that
-     * data nodes take for those of the other.
+     * Danger: a lookup that takes the id of another, in flight or just ended, would run parts that data nodes
+     * take for those of the other.
      */
     boolean isKnownCallId(String callId) {
-        long expiredUs = loop.nowUs() - callIdRetentionUs;
-        for (Iterator<Long> at = recentCallIds.values().iterator();
-                at.hasNext() && at.next() <= expiredUs; ) {
-            at.remove();
-        }
-        return queries.containsKey(callId) || recentCallIds.containsKey(callId);
+        return queries.isKnown(callId, loop.nowUs());
     }
 
     /** Lookups and parts in flight. */
     int inFlight() {
-        return queries.size() + partsInFlight;
+        return queries.size();
     }
 
     void admit(Query query) {
         List<Part> allParts = query.parts;
         query.parts = new ArrayList<>(allParts.size());
-        queries.put(query.callId, query);
-        partsInFlight += query.announcedParts;
+        queries.add(query);
         queriesWithInput.add(query);
         module.onLookup(query);
         allParts.forEach(module::onPart);
     }
 
     void clientGone(Query query) {
-        forget(query);
+        queries.remove(query, loop.nowUs());
         try {
             if (!query.isEnded) {
                 module.onClientGone(query);
@@ -130,14 +123,13 @@
     }
 
     /**
-     * What ends while decisions are carried out is an input of the next turn. No report is passed
-     * on.
+     * What ends while decisions are carried out is an input of the next turn. No load report is passed on.
      */
     void outcome(SentAttempt sent, Outcome outcome) {
         outcome(sent, outcome, loop.nowUs() - sent.attempt.sentAtUs);
     }
 
-    /** @param tookUs without what a line to another site took; below 0 where it says nothing */
+    /** @param tookUs without what the way to another site took; below 0 where it says nothing */
     void outcome(SentAttempt sent, Outcome outcome, long tookUs) {
         applyInput(m -> {
             if (sent.attempt.outcome == null) {
@@ -159,55 +151,32 @@
 
     @Override
     public void turnEnding() {
-        besides(); // What has come over the lines is an input of this turn.
+        letDecide(aroundDecisions); // What has come from other sites is an input of this turn.
         // Danger: a fault in the module would come back at every pull. First the lookups with
-        // inputs in this
-        // turn are given up, then all; each as failed, since some part of it may have run.
+        // inputs in this turn are
+        // given up, then all; each as failed, since some part of it may have run.
         if (!pullDecisions(queriesWithInput)) {
-            pullDecisions(queries.values());
+            pullDecisions(queries.all());
         }
         queriesWithInput.clear();
         isCarryingOut = true;
-        for (int i = 0; i < pendingActions.size(); i++) {
-            try {
-                pendingActions.get(i).run();
-            } catch (RuntimeException e) {
-                LOG.logFailure(Level.SEVERE, "action_failed", e);
-            }
-        }
-        pendingActions.clear();
+        carryOut();
         dispatcher.flush();
-        besides();
+        letDecide(aroundDecisions);
         isCarryingOut = false;
-        alsoDecides();
+        letDecide(afterDecisions);
     }
 
-    /** Danger: a fault there must not keep the module from deciding. */
-    private void besides() {
+    /** Danger: a fault in one of them must not keep the module from deciding. */
+    private static void letDecide(List<EventLoopParticipant> participants) {
         try {
-            if (beside != null) {
-                beside.turnEnding();
-            }
-        } catch (RuntimeException e) {
-            LOG.logFailure(Level.SEVERE, "participant_failed", e);
-        }
-    }
-
-    /** What it changes of the list is an input of the next turn's decisions. */
-    private void alsoDecides() {
-        try {
-            if (also != null) {
-                also.turnEnding();
-            }
+            participants.forEach(EventLoopParticipant::turnEnding);
         } catch (RuntimeException e) {
             LOG.logFailure(Level.SEVERE, "participant_failed", e);
         }
     }
 
-    /**
-     * Pulls decisions until there is none; false after a fault, for which these lookups have been
-     * ended.
-     */
+    /** Pulls decisions until there is none; false after a fault, for which these lookups have been ended. */
     private boolean pullDecisions(Collection<Query> affected) {
         try {
             while (module.decide(this)) {
@@ -231,11 +200,15 @@
         }
     }
 
-    private void forget(Query query) {
-        if (queries.remove(query.callId, query)) {
-            partsInFlight -= query.announcedParts;
-            recentCallIds.put(query.callId, loop.nowUs());
+    private void carryOut() {
+        for (int i = 0; i < pendingActions.size(); i++) {
+            try {
+                pendingActions.get(i).run();
+            } catch (RuntimeException e) {
+                LOG.logFailure(Level.SEVERE, "action_failed", e);
+            }
         }
+        pendingActions.clear();
     }
 
     @Override
@@ -251,7 +224,7 @@
 
     @Override
     public void closeIdleConnections(DataNode node) {
-        pendingActions.add(() -> dispatcher.release(node));
+        pendingActions.add(() -> dispatcher.closeIdleConnections(node));
     }
 
     @Override
@@ -261,16 +234,16 @@
 
     @Override
     public void reject(Lookup lookup, long retryAfterUs) {
-        // A far router's advice counts too, where advice is given at all.
         finish(
                 lookup,
-                query -> query.listener.onRejection(
-                        query,
-                        retryAfterUs <= 0
-                                ? retryAfterUs
-                                : Math.max(
-                                        retryAfterUs,
-                                        Math.min(query.remoteRetryAfterUs, maxRetryAfterUs))));
+                query -> query.listener.onRejection(query, withRemoteAdvice(query, retryAfterUs)));
+    }
+
+    /** The advice of a router of another site counts too, where advice is given at all. */
+    private long withRemoteAdvice(Query query, long retryAfterUs) {
+        return retryAfterUs <= 0
+                ? retryAfterUs
+                : Math.max(retryAfterUs, Math.min(query.remoteRetryAfterUs, maxRetryAfterUs));
     }
 
     @Override
@@ -280,7 +253,7 @@
 
     private void finish(Lookup lookup, Consumer<Query> response) {
         Query query = (Query) lookup;
-        forget(query);
+        queries.remove(query, loop.nowUs());
         pendingActions.add(() -> response.accept(query));
     }
 
--- a/src/main/java/tinlink/router/EndpointList.java
+++ b/src/main/java/tinlink/router/EndpointList.java
@@ -1,14 +1,12 @@
 package tinlink.router;
 
-import tinlink.config.FlatSettings;
 import tinlink.config.Http2Config;
 import tinlink.config.RouterConfig;
 import tinlink.decision.DataNode;
-import tinlink.decision.QueryCoordinator;
+import tinlink.decision.QueryCoordinator.EndpointListUpdate;
 import tinlink.maintenance.MaintenanceService;
 import tinlink.net.EventLog;
 
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Comparator;
@@ -20,7 +18,10 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 
-/** The endpoint list: the data nodes known at the start, and what discovery has sent since. */
+/**
+ * The endpoint list: the data nodes known at the start, and what discovery has sent since. Of the event
+ * loop's thread; as many entries as discovery lists.
+ */
 final class EndpointList {
     private static final EventLog LOG = new EventLog("tinlink.discovery");
     private final DecisionDriver driver;
@@ -30,8 +31,8 @@
     /** By uid; a node leaves when the list no longer has it. */
     private final Map<String, DataNode> nodes = new HashMap<>();
     /**
-     * Left out for work, whatever the list says of them; as many as there is work in hand. What is
-     * open there stays open when the list drops the node: null where it was never listed.
+     * Cordoned for maintenance, whatever the list says of them; as many as there are tasks in hand. What is
+     * in flight there stays so when the list drops the node: null where it was never listed.
      */
     private final Map<String, NodeEndpoint> cordoned = new HashMap<>();
     /** Those that the list itself does not have in service; each leaves with its node. */
@@ -41,23 +42,6 @@
     private Consumer<BitSet> cellListener = cells -> {};
     private long revision;
 
-    /** Numbers for names: those of the settings first, others as they come. There are few. */
-    private static final class NameTable {
-        private final List<String> names;
-
-        NameTable(List<String> names) {
-            this.names = new ArrayList<>(names);
-        }
-
-        int idOf(String name) {
-            String plainName = FlatSettings.plainName(name);
-            if (!names.contains(plainName)) {
-                names.add(plainName);
-            }
-            return names.indexOf(plainName);
-        }
-    }
-
     EndpointList(
             DecisionDriver driver, AttemptDispatcher dispatcher, RouterConfig.EndpointNames names) {
         this.driver = driver;
@@ -75,7 +59,7 @@
         return revision;
     }
 
-    /** A data node that work is done on takes nothing new, or again whatever the list lets it. */
+    /** A data node in maintenance takes nothing new; after it, whatever the list lets it. */
     void setCordoned(String uid, boolean isCordoned) {
         DataNode node = nodes.get(uid);
         if (isCordoned) {
@@ -86,8 +70,7 @@
         if (node != null) {
             node.state = state(uid);
             notifyChanged(node, false, false);
-            driver.applyInput(
-                    m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
+            driver.applyInput(m -> m.onEndpointListUpdate(EndpointListUpdate.CHANGES));
             notifyCells();
         }
     }
@@ -103,26 +86,26 @@
         DataNode node = nodes.get(uid);
         NodeEndpoint cordonedEndpoint = cordoned.get(uid);
         NodeEndpoint listedEndpoint = node == null ? cordonedEndpoint : dispatcher.endpointOf(node);
-        return (listedEndpoint == null ? 0 : listedEndpoint.attemptsInFlight)
-                + (cordonedEndpoint == null || cordonedEndpoint == listedEndpoint
-                        ? 0
-                        : cordonedEndpoint.attemptsInFlight);
+        int listed = listedEndpoint == null ? 0 : listedEndpoint.attemptsInFlight;
+        return cordonedEndpoint == null || cordonedEndpoint == listedEndpoint
+                ? listed
+                : listed + cordonedEndpoint.attemptsInFlight;
     }
 
-    /** The list as it is held, by names. */
+    /** The list as it is held, by names and in the order of the uids. */
     List<MaintenanceService.ListedNode> snapshot() {
         List<MaintenanceService.ListedNode> entries = new ArrayList<>();
         nodes.forEach((uid, node) -> entries.add(new MaintenanceService.ListedNode(
                 uid,
                 node.cell,
-                zones.names.get(node.zone),
-                kinds.names.get(node.kind),
+                zones.nameOf(node.zone),
+                kinds.nameOf(node.kind),
                 dispatcher.endpointOf(node).address)));
         entries.sort(Comparator.comparing(MaintenanceService.ListedNode::id));
         return entries;
     }
 
-    /** Notified of the cells with a node that accepts new parts, whenever the list has changed. */
+    /** Notified of the cells with a node that accepts new parts, now and whenever the list has changed. */
     void setCellListener(Consumer<BitSet> listener) {
         cellListener = listener;
         notifyCells();
@@ -143,10 +126,7 @@
                         && (offer.zone() == null || zones.idOf(offer.zone()) == node.zone));
     }
 
-    /**
-     * A router of another site as the module sees it: one node a cell, of a zone and a kind of
-     * their own.
-     */
+    /** A router of another site as the module sees it: one node a cell, of a zone and a kind of their own. */
     DataNode newRemoteNode(String site, int cell) {
         DataNode node = new DataNode(nextNodeId++);
         node.state = DataNode.State.DRAINING;
@@ -159,24 +139,27 @@
     /** The list as the router had it before it started; it may be old. */
     void applyCached(Map<?, ?> list) {
         if (!list.isEmpty()) {
-            apply(list, QueryCoordinator.EndpointListUpdate.CACHED);
+            apply(list, EndpointListUpdate.CACHED);
         }
     }
 
-    // ---- Updates from discovery. ----
+    // ---- Updates. ----
 
     /**
-     * One object of discovery's. What of it can't be used is left out and said; the list held
+     * Applies one object of discovery's. What of it can't be used is left out and logged; the list held
      * stays.
+     *
+     * @param fullListUpdate what a full list is to the module
+     * @return whether it is a list
      */
-    boolean apply(Object object, QueryCoordinator.EndpointListUpdate updateKind) {
+    boolean apply(Object object, EndpointListUpdate fullListUpdate) {
         if (!(object instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)) {
             LOG.log(Level.WARNING, "endpoint_list_invalid", "reason", "'targets' is no list");
             return false;
         }
-        boolean isFullList = updateKind == QueryCoordinator.EndpointListUpdate.CACHED
-                || Boolean.TRUE.equals(map.get("all"));
+        boolean isFullList =
+                fullListUpdate == EndpointListUpdate.CACHED || Boolean.TRUE.equals(map.get("all"));
         if (map.get("rev") instanceof Double rev) {
             revision = rev.longValue();
         }
@@ -185,22 +168,21 @@
         for (Object entry : targets) {
             if (entry instanceof Map<?, ?> fields && fields.get("uid") instanceof String uid) {
                 namedUids.add(uid);
-                entries.add(() -> applyEntry(uid, fields));
+                entries.add(() -> applyEntry(EndpointEntry.read(uid, fields)));
             } else {
                 LOG.log(Level.WARNING, "endpoint_invalid", "field", "uid", "reason", "missing");
             }
         }
         if (isFullList) {
-            for (String uid : nodes.keySet().stream()
-                    .filter(u -> !namedUids.contains(u))
+            nodes.keySet().stream()
+                    .filter(uid -> !namedUids.contains(uid))
                     .sorted()
-                    .toList()) {
-                remove(uid);
-            }
+                    .toList()
+                    .forEach(this::remove);
         }
         entries.forEach(Runnable::run);
-        driver.applyInput(m -> m.onEndpointListUpdate(
-                isFullList ? updateKind : QueryCoordinator.EndpointListUpdate.CHANGES));
+        driver.applyInput(m ->
+                m.onEndpointListUpdate(isFullList ? fullListUpdate : EndpointListUpdate.CHANGES));
         notifyCells();
         LOG.log(
                 Level.INFO,
@@ -228,83 +210,44 @@
         dispatcher.endpointChanged(dispatcher.endpointOf(node), hasMoved || hasRestarted);
     }
 
-    private void applyEntry(String uid, Map<?, ?> fields) {
-        String state = String.valueOf(fields.get("state"));
-        if (state.equals("terminated")) {
-            remove(uid);
+    private void applyEntry(EndpointEntry entry) {
+        if (entry.state() == EndpointEntry.State.TERMINATED) {
+            remove(entry.uid());
             return;
         }
-        boolean ready = state.equals("in_service");
-        if (!ready && !state.equals("terminating")) {
-            LOG.log(
-                    Level.WARNING,
-                    "endpoint_invalid",
-                    "field",
-                    "state",
-                    "uid",
-                    uid,
-                    "value",
-                    state);
-        }
-        DataNode knownNode = nodes.get(uid);
-        InetSocketAddress address = address(uid, String.valueOf(fields.get("endpoint")));
-        Double cell = address == null ? null : cell(uid, fields.get("pod_group"));
-        if (cell == null) {
-            // Danger: drains are kept from the first word of them, whatever else of the entry can't
+        DataNode knownNode = nodes.get(entry.uid());
+        if (entry.isUsable()) {
+            update(knownNode, entry);
+        } else if (knownNode != null && !entry.isInService()) {
+            // Danger: drains are kept from the first entry that has them, whatever else of it can't
             // be used.
-            if (knownNode != null && !ready) {
-                drainingUids.add(uid);
-                knownNode.state = DataNode.State.DRAINING;
-                notifyChanged(knownNode, false, false);
-            }
-            return;
+            drainingUids.add(entry.uid());
+            knownNode.state = DataNode.State.DRAINING;
+            notifyChanged(knownNode, false, false);
         }
+    }
+
+    /** @param knownNode null where the list has not had it */
+    private void update(DataNode knownNode, EndpointEntry entry) {
+        String uid = entry.uid();
         DataNode node = knownNode == null ? new DataNode(nextNodeId++) : knownNode;
-        long startedAt = fields.get("boot_ms") instanceof Double ms && ms > 0
-                ? Math.round(1000 * ms)
-                : Long.MIN_VALUE;
-        boolean hasRestarted = knownNode != null && node.startedAtUs != startedAt;
-        if (ready) {
+        boolean hasRestarted = knownNode != null && node.startedAtUs != entry.startedAtUs();
+        if (entry.isInService()) {
             drainingUids.remove(uid);
         } else {
             drainingUids.add(uid);
         }
         node.state = state(uid);
-        node.zone = zones.idOf(String.valueOf(fields.get("az")));
-        node.kind = kinds.idOf(String.valueOf(fields.get("model")));
-        node.cell = cell.intValue();
-        node.size = fields.get("capacity_hint") instanceof Double size && size > 0 ? size : 1;
-        node.startedAtUs = startedAt;
+        node.zone = zones.idOf(entry.zone());
+        node.kind = kinds.idOf(entry.kind());
+        node.cell = entry.cell();
+        node.size = entry.capacity();
+        node.startedAtUs = entry.startedAtUs();
         nodes.put(uid, node);
         NodeEndpoint endpoint = dispatcher.endpointOf(node);
         endpoint.uid = uid;
-        boolean hasMoved = endpoint.address != null && !endpoint.address.equals(address);
-        endpoint.address = address;
+        boolean hasMoved = endpoint.address != null && !endpoint.address.equals(entry.address());
+        endpoint.address = entry.address();
         notifyChanged(node, hasRestarted, hasMoved);
     }
-
-    private static InetSocketAddress address(String uid, String endpoint) {
-        try {
-            return RouterConfig.parseAddress(endpoint);
-        } catch (IllegalArgumentException e) {
-            LOG.log(
-                    Level.WARNING,
-                    "endpoint_invalid",
-                    "field",
-                    "endpoint",
-                    "uid",
-                    uid,
-                    "value",
-                    endpoint);
-            return null;
-        }
-    }
-
-    private static Double cell(String uid, Object group) {
-        if (group instanceof Double cell) {
-            return cell;
-        }
-        LOG.log(Level.WARNING, "endpoint_invalid", "field", "pod_group", "uid", uid);
-        return null;
-    }
 }
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -93,7 +93,7 @@
             gateway.listen(gatewayConfig.listen);
         }
         pipeline.endpointList.setCellListener(gateway::announceCells);
-        pipeline.driver.beside(gateway.turn());
+        pipeline.driver.addAroundDecisions(gateway.turn());
         gateway.logCounters();
         LOG.log(
                 Level.INFO,
--- a/src/main/java/tinlink/router/Http2Dispatcher.java
+++ b/src/main/java/tinlink/router/Http2Dispatcher.java
@@ -22,8 +22,8 @@
     private final EventLoop loop;
     private final Network network;
     private final AttemptDispatcher dispatcher;
+    private final NodeConnections connections;
     private final RouterConfig.NodeConnectionSettings linkSettings;
-    private final long idleTimeoutUs;
     private Predicate<DataNode> offersHttp2 = node -> false;
     private ConnectionPool.Settings settings;
     private Counters counters;
@@ -34,13 +34,13 @@
             EventLoop loop,
             Network network,
             AttemptDispatcher dispatcher,
-            RouterConfig.NodeConnectionSettings linkSettings,
-            long idleTimeoutUs) {
+            NodeConnections connections,
+            RouterConfig.NodeConnectionSettings linkSettings) {
         this.loop = loop;
         this.network = network;
         this.dispatcher = dispatcher;
+        this.connections = connections;
         this.linkSettings = linkSettings;
-        this.idleTimeoutUs = idleTimeoutUs;
     }
 
     /** Nodes of these kinds and zones are served by HTTP/2. */
@@ -53,7 +53,7 @@
                 config.maxQueuedParts,
                 config.maxQueueWaitUs,
                 linkSettings.connectTimeoutUs(),
-                idleTimeoutUs,
+                connections.idleTimeoutUs(),
                 config.pingTimeoutUs,
                 config.fallbackMemoryUs);
     }
@@ -79,7 +79,7 @@
                 query.idempotencyKey,
                 query.text,
                 sent.deadlineUs,
-                sent.effectDeadlineUs() - dispatcher.maxTransitUs());
+                sent.effectDeadlineUs() - connections.maxTransitUs());
         sent.transport = new AttemptTransport() {
             @Override
             public boolean isQueued() {
@@ -142,18 +142,18 @@
 
         @Override
         public boolean mayOpenConnection() {
-            return dispatcher.canOpenConnection();
+            return connections.canOpenConnection();
         }
 
         @Override
         public void connectionOpened() {
-            dispatcher.descriptors().nodeOpened();
+            connections.descriptors().nodeOpened();
         }
 
         @Override
         public void connectionClosed() {
-            dispatcher.descriptors().nodeClosed();
-            dispatcher.forgetIfRemoved(endpoint);
+            connections.descriptors().nodeClosed();
+            connections.forgetIfRemoved(endpoint);
         }
 
         @Override
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -29,7 +29,7 @@
  * What a request's stages and work on machines have to do with each other: nodes that are left out,
  * clients that are let go, and what is open here.
  */
-final class MaintenanceIntegration implements MaintenanceService.DataPlane {
+final class MaintenanceIntegration implements MaintenanceService.DataPlane, EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
     /** Held here, or its level is forgotten. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
@@ -129,8 +129,7 @@
      * long enough: serving never depends on agreement.
      */
     void start(Runnable whenReady) throws IOException {
-        pipeline.driver.also(
-                policy == null ? maintenance : new ParticipantPair(maintenance, policy.policy()));
+        pipeline.driver.addAfterDecisions(this);
         pipeline.dispatcher.setOutcomeListener((machine, outcome) -> {
             if (outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED) {
                 maintenance.onCallResult(
@@ -184,20 +183,20 @@
         maintenance.close();
     }
 
-    /** Two that decide in each turn. */
-    private record ParticipantPair(EventLoopParticipant first, EventLoopParticipant second)
-            implements EventLoopParticipant {
-        @Override
-        public void turnStarted(long nowUs) {
-            first.turnStarted(nowUs);
-            second.turnStarted(nowUs);
+    @Override
+    public void turnStarted(long nowUs) {
+        maintenance.turnStarted(nowUs);
+        if (policy != null) {
+            policy.policy().turnStarted(nowUs);
         }
+    }
 
-        @Override
-        public void turnEnding() {
-            second.turnEnding();
-            first.turnEnding();
+    @Override
+    public void turnEnding() {
+        if (policy != null) {
+            policy.policy().turnEnding();
         }
+        maintenance.turnEnding();
     }
 
     @Override
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -10,42 +10,26 @@
 import tinlink.net.MessageRejectedException;
 import tinlink.net.RingBuffer;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.logging.Level;
 
-/** One connection to a data node, and the attempts that are in flight on it. */
+/** One connection to a data node, and the attempts that are in flight on it. Of the event loop's thread. */
 final class NodeConnection implements Connection.Listener, FrameReader.FrameListener {
     private static final EventLog LOG = new EventLog("tinlink.nodes");
 
     /**
-     * Danger: of frames that are written together none can be recalled once one is stuck. A frame is
-     * put behind others only as long as these have fewer bytes than this.
+     * Danger: of frames that are written together none can be recalled once one is stuck. A frame is put
+     * behind others only as long as these have fewer bytes than this.
      */
     private static final int MAX_WRITE_BYTES = 4096;
 
+    private final NodeConnections connections;
     private final AttemptDispatcher dispatcher;
     private final NodeEndpoint endpoint;
     private final FrameReader reader = new FrameReader(this);
-    /** Attempts whose frames are in the buffer or sent, by part id; each leaves with its outcome. */
-    private final Map<String, SentAttempt> unansweredAttempts = new HashMap<>();
-    /**
-     * Ids that have left without an answer, which may still come: the newest, as many as may be out
-     * at once.
-     */
-    private final Set<String> abandonedIds = new LinkedHashSet<>();
-    /** Part id of the last answer; a duplicate of it may follow. */
-    private String lastAnsweredId;
-    /**
-     * Frames to come, and ids to give up; they go into the ring only when they can leave at once.
-     */
+    private final AwaitedAnswers awaited;
+    /** Frames to come, and ids to cancel; they go into the buffer only when they can leave at once. */
     private final ArrayDeque<AttemptBatch> queuedBatches = new ArrayDeque<>();
 
     private final ArrayDeque<String> idsToCancel = new ArrayDeque<>();
@@ -62,10 +46,13 @@
     /** Runs while a frame has begun and has not come whole. */
     private EventLoop.Timer frameTimer;
 
-    NodeConnection(AttemptDispatcher dispatcher, NodeEndpoint endpoint, long nowUs) {
+    NodeConnection(
+            NodeConnections connections, AttemptDispatcher dispatcher, NodeEndpoint endpoint) {
+        this.connections = connections;
         this.dispatcher = dispatcher;
         this.endpoint = endpoint;
-        lastUsedUs = nowUs;
+        awaited = new AwaitedAnswers(connections.callsPerConnection());
+        lastUsedUs = connections.nowUs();
     }
 
     void attach(Connection connection, EventLoop.Timer connectTimer) {
@@ -90,16 +77,15 @@
     }
 
     /**
-     * Danger: a machine that has vanished leaves its connections open; one on which a call went
-     * unanswered, with nothing heard since, is not trusted with the next. Nor is one to a node that
-     * has moved or started anew since: what is out on it may still be answered, what is new would
-     * be lost.
+     * Danger: a machine that has vanished leaves its connections open; one on which a call went unanswered,
+     * with nothing heard since, is not trusted with the next. Nor is one to a node that has moved or started
+     * anew since: what is in flight on it may still be answered, what is new would be lost.
      */
     boolean isUsable() {
         return !isUnresponsive && !isRetired;
     }
 
-    /** Why it is closed once no call is out on it; null where it stays for the next. */
+    /** Why it is closed once no call is in flight on it; null where it stays for the next. */
     CloseReason closeReasonWhenUnused() {
         boolean isRemoved = isRetired || endpoint.node.state == DataNode.State.GONE;
         return isUnresponsive
@@ -112,10 +98,9 @@
         isRetired = true;
     }
 
-    /** Danger: an answer to an earlier part call of that id would pass for one to the new. */
+    /** Danger: an answer to an earlier attempt of that id would pass for one to the new. */
     boolean hasIdInUse(SentAttempt sent) {
-        return unansweredAttempts.containsKey(sent.part().id)
-                || abandonedIds.contains(sent.part().id);
+        return awaited.isIdInUse(sent.part().id);
     }
 
     void close(CloseReason closeReason) {
@@ -127,47 +112,39 @@
     void enqueue(AttemptBatch batch) {
         batch.connection = this;
         slotsInUse++;
-        dispatcher.cancelTimer(idleTimer);
+        connections.cancelTimer(idleTimer);
         queuedBatches.add(batch);
         flush();
     }
 
-    /** One part call is over, and is given up if its frame is out. */
+    /** One attempt has ended, and is cancelled at its node if its frame is out. */
     void attemptEnded(SentAttempt sent, boolean cancelAtNode) {
-        if (!sent.batch.isQueued() && unansweredAttempts.remove(sent.part().id, sent)) {
-            if (!sent.isAnswered) {
-                abandonedIds.add(sent.part().id);
-                if (abandonedIds.size() > dispatcher.callsPerConnection()) {
-                    abandonedIds.remove(abandonedIds.iterator().next());
-                }
-            }
-            if (cancelAtNode) {
-                idsToCancel.add(sent.part().id);
-                flush();
-            }
+        if (!sent.batch.isQueued() && awaited.ended(sent) && cancelAtNode) {
+            idsToCancel.add(sent.part().id);
+            flush();
         }
         if (--sent.batch.attemptsInFlight == 0) {
             queuedBatches.remove(sent.batch);
             slotsInUse--;
-            lastUsedUs = dispatcher.nowUs();
+            lastUsedUs = connections.nowUs();
             if (slotsInUse == 0 && !connection.isClosed()) {
-                idleTimer = dispatcher.scheduleIdleClose(this);
+                idleTimer = connections.scheduleIdleClose(this);
             }
         }
     }
 
-    /** A call on it went unanswered for all its time. */
+    /** An attempt on it went unanswered for all its time. */
     void attemptTimedOut(SentAttempt sent) {
         isUnresponsive |= !sent.batch.isQueued() && lastAnswerUs < sent.attempt.sentAtUs;
     }
 
-    boolean mayHaveLeft(SentAttempt sent) {
+    private boolean mayHaveLeft(SentAttempt sent) {
         return !sent.batch.isQueued() && connection.mayHaveLeft(sent.batch.frameEndPosition);
     }
 
     @Override
     public void connected() {
-        dispatcher.cancelTimer(connectTimer);
+        connections.cancelTimer(connectTimer);
         flush();
     }
 
@@ -176,80 +153,58 @@
         flush();
     }
 
-    /** Writes what waits, if it can leave at once. */
-    void flush() {
+    /** Writes what is queued, if it can leave at once. */
+    private void flush() {
         if (connection == null || !connection.canWriteNow()) {
             return;
         }
-        RingBuffer ring = connection.out();
+        RingBuffer out = connection.out();
         while (!idsToCancel.isEmpty()) {
-            byte[] idBytes = idsToCancel.poll().getBytes(StandardCharsets.UTF_8);
-            ring.put(frameHeader(1 + idBytes.length, 'A')).put(idBytes);
+            NodeFrames.writeCancel(out, idsToCancel.poll());
             connection.scheduleWrite();
         }
-        while (!queuedBatches.isEmpty() && ring.size() < MAX_WRITE_BYTES) {
+        while (!queuedBatches.isEmpty() && out.size() < MAX_WRITE_BYTES) {
             AttemptBatch batch = queuedBatches.poll();
             dropStale(batch);
             if (batch.attemptsInFlight > 0) {
-                writeFrame(batch, ring);
-                batch.frameEndPosition = connection.scheduleWrite();
-                lastUsedUs = dispatcher.nowUs();
+                write(batch, out);
             }
         }
     }
 
+    private void write(AttemptBatch batch, RingBuffer out) {
+        NodeFrames.writeRequest(out, batch, connections.nowUs());
+        for (SentAttempt sent : batch.sentAttempts) {
+            if (!sent.isEnded) {
+                awaited.sent(sent);
+            }
+        }
+        batch.frameEndPosition = connection.scheduleWrite();
+        lastUsedUs = connections.nowUs();
+    }
+
+    /** Nothing of what is queued goes out that its node should not run any more. */
+    void dropStale() {
+        List.copyOf(queuedBatches).forEach(this::dropStale);
+    }
+
     /**
-     * Danger: what waits for a connection may go out after its lookup has ended, its node was told
-     * as draining or gone, or its key's window has passed or will have when it arrives.
+     * Danger: what is queued for a connection may go out after its lookup has ended, its node was listed as
+     * draining or removed, or its key's window has passed or will have when it arrives.
      */
-    void dropStale(AttemptBatch batch) {
+    private void dropStale(AttemptBatch batch) {
         for (SentAttempt sent : List.copyOf(batch.sentAttempts)) {
             if (!sent.isEnded
                     && (sent.attempt.part.lookup.isEnded
                             || sent.attempt.part.isSatisfied
                             || endpoint.node.state != DataNode.State.READY
-                            || dispatcher.nowUs() + dispatcher.maxTransitUs()
+                            || connections.nowUs() + connections.maxTransitUs()
                                     > sent.effectDeadlineUs())) {
                 dispatcher.recordOutcome(sent, Outcome.NOT_SENT, false);
             }
         }
     }
 
-    void dropStale() {
-        List.copyOf(queuedBatches).forEach(this::dropStale);
-    }
-
-    private void writeFrame(AttemptBatch batch, RingBuffer ring) {
-        List<byte[]> lines = new ArrayList<>();
-        int length = 1;
-        for (SentAttempt sent : batch.sentAttempts) {
-            if (!sent.isEnded) {
-                Query query = sent.part().query();
-                long timeoutMs = Math.max(1, (sent.deadlineUs - dispatcher.nowUs() + 999) / 1000);
-                byte[] line = (sent.part().id + " " + sent.attempt.part.shard + " d=" + timeoutMs
-                                + (query.idempotencyKey == null ? "" : ",k=" + query.idempotencyKey)
-                                + " " + query.text.length + "\n")
-                        .getBytes(StandardCharsets.UTF_8);
-                lines.add(line);
-                lines.add(query.text);
-                length += line.length + query.text.length;
-                unansweredAttempts.put(sent.part().id, sent);
-            }
-        }
-        ring.put(frameHeader(length, 'R'));
-        lines.forEach(ring::put);
-    }
-
-    private static byte[] frameHeader(int length, char letter) {
-        return new byte[] {
-            (byte) (length >> 24),
-            (byte) (length >> 16),
-            (byte) (length >> 8),
-            (byte) length,
-            (byte) letter
-        };
-    }
-
     @Override
     public void bytesReceived(RingBuffer in) {
         try {
@@ -265,52 +220,43 @@
             connection.close(CloseReason.PROTOCOL_ERROR);
         }
         if (reader.isAtBoundary() != (frameTimer == null)) {
-            dispatcher.cancelTimer(frameTimer);
-            // Danger: a frame that stops in its middle would hold all that is out here until its
-            // time is over.
+            connections.cancelTimer(frameTimer);
+            // Danger: a frame that stops in its middle would hold all that is in flight here until
+            // its time is over.
             frameTimer = reader.isAtBoundary() || connection.isClosed()
                     ? null
-                    : dispatcher.scheduleFrameTimeout(
+                    : connections.scheduleFrameTimeout(
                             () -> connection.close(CloseReason.PROTOCOL_ERROR));
         }
     }
 
-    /**
-     * Danger: an answer to what was never sent here: what else comes on the connection can't be
-     * trusted.
-     */
+    /** Danger: an answer to what was never sent here: what else comes on the connection can't be trusted. */
     @Override
     public void answerStarted(String partId) throws MessageRejectedException {
-        if (!unansweredAttempts.containsKey(partId)
-                && !abandonedIds.contains(partId)
-                && !partId.equals(lastAnsweredId)) {
+        if (!awaited.isExpected(partId)) {
             throw new MessageRejectedException(502, "an answer to a call that was not sent");
         }
     }
 
-    /** Danger: only a whole answer shows that the node lives; noise does not. */
+    /** Danger: only a complete answer shows that the node lives; noise does not. */
     @Override
     public void answerReceived(String partId, String status, String loadReport, String value) {
-        lastAnswerUs = dispatcher.nowUs();
+        lastAnswerUs = connections.nowUs();
         isUnresponsive = false;
-        lastAnsweredId = partId;
-        SentAttempt sent = unansweredAttempts.get(partId);
+        SentAttempt sent = awaited.answered(partId);
         if (sent == null) {
-            abandonedIds.remove(partId); // Ended, or a duplicate: it says nothing any more.
             return;
         }
-        sent.isAnswered = true;
         if (status.equals("OK")) {
             sent.part().value = value;
         }
-        dispatcher.recordOutcome(
-                sent,
+        Outcome outcome =
                 switch (status) {
                     case "OK" -> Outcome.SATISFIED;
                     case "ERROR" -> Outcome.ERROR;
                     default -> Outcome.TURNED_AWAY;
-                },
-                false);
+                };
+        dispatcher.recordOutcome(sent, outcome, false);
     }
 
     @Override
@@ -321,9 +267,9 @@
 
     @Override
     public void connectionClosed(CloseReason closeReason) {
-        dispatcher.cancelTimer(connectTimer);
-        dispatcher.cancelTimer(idleTimer);
-        dispatcher.cancelTimer(frameTimer);
+        connections.cancelTimer(connectTimer);
+        connections.cancelTimer(idleTimer);
+        connections.cancelTimer(frameTimer);
         LOG.log(
                 Level.FINE,
                 "node_connection_closed",
@@ -334,13 +280,12 @@
                 "in_flight",
                 slotsInUse);
         // One answer was spoilt: it is held to be that of the call that has waited longest. A
-        // connection that
-        // has carried answers and closes in order was closed between two, and speaks of no call.
-        List<SentAttempt> lost = new ArrayList<>(unansweredAttempts.values());
-        lost.sort(Comparator.comparingLong(sent -> sent.attempt.sentAtUs));
+        // connection that has
+        // carried answers and closes in order was closed between two, and speaks of no call.
+        List<SentAttempt> lost = awaited.oldestFirst();
         SentAttempt oldestLost = lost.isEmpty() ? null : lost.get(0);
         queuedBatches.forEach(batch -> lost.addAll(batch.sentAttempts));
-        dispatcher.connectionClosed(this);
+        connections.connectionClosed(this);
         for (SentAttempt sent : lost) {
             if (!sent.isEnded) {
                 boolean concernsCall = closeReason == CloseReason.PEER_CLOSED
--- a/src/main/java/tinlink/router/RequestPipeline.java
+++ b/src/main/java/tinlink/router/RequestPipeline.java
@@ -27,10 +27,11 @@
                 descriptors,
                 queryParser,
                 driver,
-                config.lookups.maxInFlight(),
-                config.nodeConnections.connectTimeoutUs(),
-                config.maxBodyBytesInFlight,
-                config.maxDeadlineUs);
+                new ClientAcceptor.Limits(
+                        config.lookups.maxInFlight(),
+                        config.nodeConnections.connectTimeoutUs(),
+                        config.maxBodyBytesInFlight,
+                        config.maxDeadlineUs));
         endpointList = new EndpointList(driver, dispatcher, config.endpointNames);
         discoveryWatcher = new DiscoveryWatcher(
                 loop,
@@ -41,6 +42,6 @@
                 config.isDiscoveryPushed,
                 config.seed,
                 (int) Math.min(Integer.MAX_VALUE, config.maxBodyBytesInFlight));
-        dispatcher.setAcceptor(acceptor);
+        dispatcher.connections().setAcceptor(acceptor);
     }
 }
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -123,15 +123,22 @@
                         (System.nanoTime() - startNanos) / 1_000_000);
                 next.run();
             });
-            driver.beside(warmup);
+            driver.addAroundDecisions(warmup);
             network.accept(warmup);
         } catch (IOException | RuntimeException e) {
             LOG.logFailure(Level.WARNING, "warm_up_failed", e);
+            leaveWarmup();
             warmup = null;
             next.run();
         }
     }
 
+    private void leaveWarmup() {
+        if (warmup != null) {
+            driver.removeAroundDecisions(warmup);
+        }
+    }
+
     /** Serves until it is told to stop. */
     public void run() throws IOException {
         try {
@@ -205,7 +212,7 @@
             return;
         }
         isServing = true;
-        driver.beside(null);
+        leaveWarmup();
         try {
             if (gateway != null) {
                 gateway.start(config.gateway);
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -124,7 +124,7 @@
         isEnded = true;
         loop.cancel(timeLimit);
         warmupClients.forEach(client -> client.connection.close(CloseReason.COMPLETED));
-        pipeline.dispatcher.closeAll();
+        pipeline.dispatcher.connections().closeAll();
         nodeConnections.forEach(nodeConnection -> nodeConnection.close(CloseReason.COMPLETED));
         whenDone.run();
     }
