--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -133,7 +133,7 @@
         pipeline.dispatcher.setOutcomeListener((machine, outcome) -> {
             if (outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED) {
                 maintenance.onCallResult(
-                        machine, outcome == Outcome.SATISFIED || outcome == Outcome.TURNED_AWAY);
+                        machine, outcome == Outcome.SATISFIED || outcome == Outcome.REJECTED);
             }
         });
         maintenance.start(whenReady);
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -254,7 +254,7 @@
                 switch (status) {
                     case "OK" -> Outcome.SATISFIED;
                     case "ERROR" -> Outcome.ERROR;
-                    default -> Outcome.TURNED_AWAY;
+                    default -> Outcome.REJECTED;
                 };
         dispatcher.recordOutcome(sent, outcome, false);
     }
