--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -93,7 +93,7 @@
             gateway.listen(gatewayConfig.listen);
         }
         pipeline.endpointList.setCellListener(gateway::announceCells);
-        pipeline.driver.beside(gateway.turn());
+        pipeline.driver.addAroundDecisions(gateway.turn());
         gateway.logCounters();
         LOG.log(
                 Level.INFO,
@@ -195,7 +195,7 @@
     /** Danger: what comes later on a line must not be the first of its key to run. */
     private static long effectUntil(SentAttempt sent) {
         LookupClass lookupClass = sent.part().lookup.lookupClass;
-        return lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED
+        return lookupClass.idempotency != LookupClass.Idempotency.BY_KEY
                 ? Long.MAX_VALUE
                 : Math.min(
                         sent.effectDeadlineUs(),
@@ -212,7 +212,7 @@
         Query query = sent.part().query();
         if (outcome == Outcome.SATISFIED) {
             sent.part().value = new String(part.value, StandardCharsets.UTF_8);
-        } else if (outcome == Outcome.TURNED_AWAY) {
+        } else if (outcome == Outcome.REJECTED) {
             query.remoteRetryAfterUs = Math.max(query.remoteRetryAfterUs, part.retryAfterUs);
         }
         pipeline.driver.outcome(sent, outcome, tookUs);
@@ -233,7 +233,7 @@
         } catch (MessageRejectedException e) {
             LOG.log(Level.FINE, "forwarded_part_rejected", "reason", e.getMessage());
         }
-        gateway.partEnded(part, PartStatus.REFUSED, null, 0);
+        gateway.partEnded(part, PartStatus.REJECTED, null, 0);
     }
 
     @Override
@@ -248,7 +248,7 @@
         String value = ((QueryPart) query.parts.get(0)).value;
         gateway.partEnded(
                 (IncomingPart) query.remoteOrigin,
-                PartStatus.DONE,
+                PartStatus.COMPLETED,
                 value.getBytes(StandardCharsets.UTF_8),
                 0);
     }
@@ -279,7 +279,7 @@
         }
         gateway.partEnded(
                 (IncomingPart) query.remoteOrigin,
-                neverRan ? PartStatus.REFUSED : PartStatus.FAILED,
+                neverRan ? PartStatus.REJECTED : PartStatus.FAILED,
                 null,
                 retryAfterUs);
     }
--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -59,20 +59,19 @@
         long flags = line.wholeNumber("marks", 0);
         int shard = (int) line.number("rangeNo", -1);
         long queryNo = line.wholeNumber("queryNo");
-        int tenant = (int) line.wholeNumber("party", 0);
+        line.wholeNumber("party", 0); // No decision rests on the tenant.
         double weight = line.number("heft", 1);
         int profile = (int) line.wholeNumber("profile", 0);
         long leftUs = line.micros("leftMs");
         line.expectEnd();
         if (profile < 0 || profile >= lookupClasses.length) {
-            throw new InvalidInputException("job_in: no such profile: " + profile);
+            throw new WireFormatException("job_in", "no such profile: " + profile);
         }
         if (shard < 0) {
             WireLookup lookup = new WireLookup();
             lookup.wireId = wireId;
             lookup.queryNo = queryNo;
             lookup.lookupClass = lookupClasses[profile];
-            lookup.tenant = tenant;
             lookup.isClientRetry = (flags & 2) != 0;
             lookup.announcedParts = (int) Math.round(weight);
             lookup.clientDeadlineUs = nowUs + leftUs;
@@ -126,13 +125,13 @@
         return switch (code) {
             case "served" -> Outcome.SATISFIED;
             case "server_error" -> Outcome.ERROR;
-            case "turned_away" -> Outcome.TURNED_AWAY;
+            case "turned_away" -> Outcome.REJECTED;
             case "no_answer" -> Outcome.NO_ANSWER;
             case "no_connection" -> Outcome.NO_CONNECTION;
             case "connection_lost" -> Outcome.CONNECTION_LOST;
             case "called_off" -> Outcome.CANCELLED;
             case "not_sent" -> Outcome.NOT_SENT;
-            default -> throw new InvalidInputException(line.name() + ": no such outcome: " + code);
+            default -> throw new WireFormatException(line.name(), "no such outcome: " + code);
         };
     }
 
@@ -200,9 +199,9 @@
     /** A full list: what it does not name is gone. */
     void applyFullList(WireEndpointList endpointList) {
         for (DataNode node : new ArrayList<>(nodes.values())) {
-            if (!endpointList.contains(node.id)) {
+            if (!endpointList.contains(node.nodeId)) {
                 node.state = DataNode.State.GONE;
-                nodes.remove(node.id);
+                nodes.remove(node.nodeId);
                 module.onEndpoint(node, false);
             }
         }
@@ -228,7 +227,7 @@
         out.append("transmit ")
                 .append(wireId)
                 .append(' ')
-                .append(attempt.node.id)
+                .append(attempt.node.nodeId)
                 .append(' ');
         appendMillis(limitUs);
     }
@@ -245,7 +244,7 @@
 
     @Override
     public void closeIdleConnections(DataNode node) {
-        out.append("release ").append(node.id).append('\n');
+        out.append("release ").append(node.nodeId).append('\n');
     }
 
     @Override
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -1,14 +1,24 @@
 package tinlink;
 
+import tinlink.decision.AdmissionController;
 import tinlink.decision.Attempt;
+import tinlink.decision.AttemptTiming;
+import tinlink.decision.CallSharing;
 import tinlink.decision.DataNode;
 import tinlink.decision.DecisionHandler;
+import tinlink.decision.EndpointListPoller;
 import tinlink.decision.FastestValidCoordinator;
 import tinlink.decision.Lookup;
 import tinlink.decision.LookupClass;
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.decision.QueryCoordinator;
+import tinlink.decision.RepeatGuard;
+import tinlink.decision.ReplicaDirectory;
+import tinlink.decision.ReplicaHealth;
+import tinlink.decision.ReplicaSelector;
+import tinlink.decision.RetryBudget;
+import tinlink.decision.SlowStart;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -224,33 +234,33 @@
                     .mapToLong(lookupClass -> lookupClass.latencyObjectiveUs)
                     .max()
                     .orElse(1);
-            FastestValidCoordinator.OutlierDetector health =
-                    new FastestValidCoordinator.OutlierDetector(longestSoft);
+            AttemptTiming timing = new AttemptTiming(microsSetting("step"));
+            ReplicaHealth health = new ReplicaHealth(longestSoft);
+            ReplicaDirectory replicas =
+                    new ReplicaDirectory(intSetting("cells"), intSetting("reach"), health);
             module = new FastestValidCoordinator(
-                    new FastestValidCoordinator.AttemptTiming(
-                            microsSetting("step"),
+                    timing,
+                    new RepeatGuard(
+                            timing,
                             intSetting("tries"),
                             booleanSetting("copies"),
                             booleanSetting("cancel")),
-                    new FastestValidCoordinator.ReplicaSelector(
-                            intSetting("cells"),
-                            intSetting("reach"),
-                            intSetting("bundle"),
-                            microsSetting("call"),
+                    new ReplicaSelector(
+                            replicas,
+                            new SlowStart(
+                                    7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
+                            new CallSharing(intSetting("bundle"), microsSetting("call")),
                             intSetting("zone"),
                             doubleSetting("cross"),
                             health),
                     health,
-                    new FastestValidCoordinator.SlowStart(
-                            7, intSetting("group"), 0.2, 10_000_000, 2, 2_000_000, health),
-                    new FastestValidCoordinator.RetryBudget(
+                    new RetryBudget(
                             microsSetting("lookback"),
                             intSetting("free"),
                             doubleSetting("ratio"),
                             100),
-                    new FastestValidCoordinator.AdmissionController(7, microsSetting("comeback")),
-                    new FastestValidCoordinator.EndpointListPoller(
-                            7, booleanSetting("asks"), microsSetting("mustask")));
+                    new AdmissionController(7, microsSetting("comeback")),
+                    new EndpointListPoller(7, booleanSetting("asks"), microsSetting("mustask")));
             module.advanceClock(now);
         }
         return module;
@@ -304,7 +314,7 @@
 
     @Override
     public void send(Attempt c, long limitUs) {
-        unexpectedDecisions.add("send " + names.get(c.part) + " " + c.node.id);
+        unexpectedDecisions.add("send " + names.get(c.part) + " " + c.node.nodeId);
     }
 
     @Override
@@ -314,7 +324,7 @@
 
     @Override
     public void closeIdleConnections(DataNode node) {
-        unexpectedDecisions.add("release " + node.id);
+        unexpectedDecisions.add("release " + node.nodeId);
     }
 
     @Override
