--- a/src/main/java/tinlink/cluster/PeerSession.java
+++ b/src/main/java/tinlink/cluster/PeerSession.java
@@ -3,6 +3,7 @@
 import tinlink.cluster.membership.Incarnation;
 import tinlink.net.CloseReason;
 import tinlink.net.MessageRejectedException;
+import tinlink.securechannel.FrameFormat;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 import tinlink.securechannel.SecureSession;
@@ -65,7 +66,7 @@
                 body,
                 FRAME_HEADER_BYTES
                         + body.length
-                        + (wasAuthenticated() ? MessageCodec.TAG_BYTES : 0));
+                        + (wasAuthenticated() ? FrameFormat.TAG_BYTES : 0));
         return super.send(type, body);
     }
 
--- a/src/main/java/tinlink/gateway/GatewayProtocol.java
+++ b/src/main/java/tinlink/gateway/GatewayProtocol.java
@@ -1,6 +1,7 @@
 package tinlink.gateway;
 
 import tinlink.net.ProtocolLimits;
+import tinlink.securechannel.FrameFormat;
 import tinlink.securechannel.MessageCodec;
 
 /**
@@ -29,8 +30,10 @@
     /** Before that, a message holds no more: whoever it is, it can't make us hold much. */
     static final int MAX_UNAUTHENTICATED_BYTES = 1 << 10;
 
-    static final int MAX_MESSAGE_BYTES =
-            1 + ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES + TAG_BYTES;
+    static final int MAX_MESSAGE_BYTES = 1
+            + ProtocolLimits.MAX_HEAD_BYTES
+            + ProtocolLimits.MAX_BODY_BYTES
+            + FrameFormat.TAG_BYTES;
     static final int MAX_QUERIED_PARTS = 4096;
 
     private GatewayProtocol() {}
--- a/src/main/java/tinlink/securechannel/SecureSession.java
+++ b/src/main/java/tinlink/securechannel/SecureSession.java
@@ -13,28 +13,34 @@
 import java.util.logging.Logger;
 
 /**
- * One connection between two routers, on either side: messages out and in, sealed once both have
- * proved themselves.
+ * One connection between two routers, on either side: messages in frames, each with a tag once both
+ * sides are authenticated. Which messages there are, the handshake's too, is up to its subclasses.
+ * Belongs to the event loop's thread.
  */
 public abstract class SecureSession implements Connection.Listener, FrameReader.Handler {
+    private static final byte[] NO_TAG = {};
+
     private final EventLoop loop;
     private final FrameReader frameReader;
+    private final long messageTimeoutUs;
+    /** Null until {@link #attach}. */
     protected Connection connection;
-    private KeyRing.FrameAuthenticator outboundAuthenticator;
-    private KeyRing.FrameAuthenticator inboundAuthenticator;
+
+    /** Null until both sides are authenticated. */
+    private SessionKeys keys;
     /**
-     * Runs until both sides have proved themselves, and while a message has begun and not come
-     * whole.
+     * Runs until both sides are authenticated, and from then on while a frame has begun and is not
+     * complete.
      */
     private EventLoop.Timer deadline;
 
-    private final long messageTimeoutUs;
-    private boolean authenticated;
-
     /**
-     * @param messageTimeoutUs a handshake, and each message, has to come whole within it
-     * @param maxHandshakeLength how long a message may be until both have proved themselves; after that
-     *     {@code most}
+     * A session without a connection yet.
+     *
+     * @param messageTimeoutUs within which a frame that has begun has to be complete, microseconds
+     * @param maxHandshakeLength bytes of a frame, without its length, until both sides are
+     *     authenticated
+     * @param maxAuthenticatedLength bytes of a frame after that
      */
     protected SecureSession(
             EventLoop loop,
@@ -46,46 +52,58 @@
         frameReader = new FrameReader(this, maxHandshakeLength, maxAuthenticatedLength);
     }
 
+    /**
+     * Called once, before anything is sent.
+     *
+     * @param handshakeTimeoutUs for the handshake's next message
+     */
     public void attach(Connection connection, long handshakeTimeoutUs) {
         this.connection = connection;
         restartHandshakeDeadline(handshakeTimeoutUs);
     }
 
-    /** The next message of the handshake has to come within that time. */
+    /** The next message of the handshake has to come within that time, microseconds from now. */
     protected void restartHandshakeDeadline(long handshakeTimeoutUs) {
+        closeAfter(handshakeTimeoutUs, CloseReason.NOT_UP);
+    }
+
+    private void closeAfter(long timeoutUs, CloseReason closeReason) {
         loop.cancel(deadline);
-        deadline = loop.schedule(
-                loop.nowUs() + handshakeTimeoutUs, () -> connection.close(CloseReason.NOT_UP));
+        deadline = loop.schedule(loop.nowUs() + timeoutUs, () -> connection.close(closeReason));
     }
 
-    /** From here on each message is sealed; the two directions have keys of their own. */
-    protected void enableAuthentication(byte[] secret, boolean isInitiator) {
-        byte[] initiatorToResponderKey = KeyRing.mac(secret, "to the far side");
-        byte[] responderToInitiatorKey = KeyRing.mac(secret, "to the near side");
-        outboundAuthenticator = new KeyRing.FrameAuthenticator(
-                isInitiator ? initiatorToResponderKey : responderToInitiatorKey);
-        inboundAuthenticator = new KeyRing.FrameAuthenticator(
-                isInitiator ? responderToInitiatorKey : initiatorToResponderKey);
-        authenticated = true;
-        frameReader.peerAuthenticated();
+    private void cancelDeadline() {
         loop.cancel(deadline);
         deadline = null;
     }
 
-    /** Ends the connection, if it is there yet. */
+    /**
+     * Both sides are authenticated: from here on each frame has a tag.
+     *
+     * @param secret of this connection alone
+     * @param isInitiator whether this side has opened the connection
+     */
+    protected void enableAuthentication(byte[] secret, boolean isInitiator) {
+        keys = SessionKeys.derive(secret, isInitiator);
+        frameReader.peerAuthenticated();
+        cancelDeadline();
+    }
+
+    /** Closes the connection, if there is one. */
     public void close(CloseReason closeReason) {
         if (connection != null) {
             connection.close(closeReason);
         }
     }
 
-    /** It is, or was until it ended. */
+    /** Whether both sides have been authenticated, even if the connection is closed by now. */
     public boolean wasAuthenticated() {
-        return authenticated;
+        return keys != null;
     }
 
+    /** Whether both sides are authenticated and the connection is open. */
     public boolean isAuthenticated() {
-        return authenticated && !connection.isClosed();
+        return keys != null && !connection.isClosed();
     }
 
     /** Bytes that wait to be taken by the kernel. */
@@ -93,24 +111,19 @@
         return connection.out().size();
     }
 
-    /** The place in the stream where the message ends. */
+    /** Sends a message and returns the position in the outbound stream at which it ends. */
     public long send(byte type, byte[] body) {
-        byte[] tag = outboundAuthenticator == null
-                ? new byte[0]
-                : outboundAuthenticator.nextTag(type, body, 0, body.length);
-        int length = 1 + body.length + tag.length;
+        byte[] tag = keys == null ? NO_TAG : keys.outbound().nextTag(type, body, 0, body.length);
         RingBuffer out = connection.out();
-        out.put(new byte[] {
-            (byte) (length >> 24), (byte) (length >> 16), (byte) (length >> 8), (byte) length, type
-        });
+        out.put(FrameFormat.header(type, body.length + tag.length));
         out.put(body).put(tag);
         return connection.scheduleWrite();
     }
 
     @Override
-    public void bytesReceived(RingBuffer in) {
+    public void bytesReceived(RingBuffer received) {
         try {
-            frameReader.read(in);
+            frameReader.read(received);
         } catch (MessageRejectedException | BufferUnderflowException e) {
             logger().log(
                             Level.FINE,
@@ -119,35 +132,39 @@
             incrementCounter("spoilt");
             connection.close(CloseReason.BAD_INPUT);
         }
-        if (authenticated
-                && !connection.isClosed()
-                && frameReader.isAtFrameBoundary() != (deadline == null)) {
-            loop.cancel(deadline);
-            // Danger: a message that stops in its middle, or whose length was spoilt, holds up all
-            // behind it.
-            deadline = frameReader.isAtFrameBoundary()
-                    ? null
-                    : loop.schedule(
-                            loop.nowUs() + messageTimeoutUs,
-                            () -> connection.close(CloseReason.BAD_INPUT));
+        if (isAuthenticated() && frameReader.isAtFrameBoundary() != (deadline == null)) {
+            if (frameReader.isAtFrameBoundary()) {
+                cancelDeadline();
+            } else {
+                // Danger: a frame that stops in its middle, or whose length was changed on the way,
+                // holds up all behind it.
+                closeAfter(messageTimeoutUs, CloseReason.BAD_INPUT);
+            }
         }
     }
 
     @Override
     public void onFrame(byte type, byte[] frame) throws MessageRejectedException {
-        int bodyEnd = frame.length;
-        if (authenticated) {
-            bodyEnd -= MessageCodec.TAG_BYTES;
-            if (bodyEnd < 1
-                    || !KeyRing.constantTimeEquals(
-                            inboundAuthenticator.nextTag(type, frame, 1, bodyEnd - 1),
-                            Arrays.copyOfRange(frame, bodyEnd, frame.length))) {
-                throw MessageCodec.malformed("a wrong seal");
-            }
-        }
+        int bodyEnd = keys == null ? frame.length : verifyTag(type, frame);
         if (!connection.isClosed()) {
-            onMessage(type, ByteBuffer.wrap(frame, 1, bodyEnd - 1), frame);
+            int bodyBytes = bodyEnd - FrameFormat.TYPE_BYTES;
+            onMessage(type, ByteBuffer.wrap(frame, FrameFormat.TYPE_BYTES, bodyBytes), frame);
+        }
+    }
+
+    /** Where the body ends and the tag begins; the tag is right. */
+    private int verifyTag(byte type, byte[] frame) throws MessageRejectedException {
+        int bodyEnd = frame.length - FrameFormat.TAG_BYTES;
+        if (bodyEnd < FrameFormat.TYPE_BYTES) {
+            throw MessageCodec.malformed("a frame of " + frame.length + " bytes has no tag");
+        }
+        byte[] expected = keys.inbound()
+                .nextTag(type, frame, FrameFormat.TYPE_BYTES, bodyEnd - FrameFormat.TYPE_BYTES);
+        byte[] actual = Arrays.copyOfRange(frame, bodyEnd, frame.length);
+        if (!KeyRing.constantTimeEquals(expected, actual)) {
+            throw MessageCodec.malformed("a wrong authentication tag");
         }
+        return bodyEnd;
     }
 
     @Override
@@ -157,18 +174,25 @@
     }
 
     /**
-     * A message has come from the proved other side.
+     * A message has come, and its tag is right where there has to be one.
      *
-     * @param frame type and body, as they came
+     * @param body the message without type and tag
+     * @param frame type, body and tag as they came
+     * @throws MessageRejectedException where the message is not allowed; the connection is closed
+     *     then
      */
     protected abstract void onMessage(byte type, ByteBuffer body, byte[] frame)
             throws MessageRejectedException;
 
+    /** The connection is closed; called once. */
     protected abstract void onClosed(CloseReason closeReason);
 
+    /** The other side's name, for logs. */
     protected abstract String peerName();
 
+    /** Counts an event of that name. */
     protected abstract void incrementCounter(String counter);
 
+    /** Where events of this session are logged. */
     protected abstract Logger logger();
 }
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -14,6 +14,7 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.FrameFormat;
 import tinlink.securechannel.MessageCodec;
 
 import java.io.ByteArrayOutputStream;
@@ -122,8 +123,8 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        tinlink.securechannel.KeyRing.FrameAuthenticator outboundSeal;
-        tinlink.securechannel.KeyRing.FrameAuthenticator inboundSeal;
+        tinlink.securechannel.FrameAuthenticator outboundSeal;
+        tinlink.securechannel.FrameAuthenticator inboundSeal;
         int version = GatewayProtocol.VERSION;
         long incarnation = 5;
         long connectCount = 1;
@@ -194,9 +195,9 @@
             exchangeHello();
             send(GatewayProtocol.PROOF, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(
+            outboundSeal = new tinlink.securechannel.FrameAuthenticator(
                     GatewayKeys.mac(secret, "to the far side"));
-            inboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(
+            inboundSeal = new tinlink.securechannel.FrameAuthenticator(
                     GatewayKeys.mac(secret, "to the near side"));
             awaitMessage(GatewayProtocol.CREDIT_WINDOW);
         }
@@ -204,7 +205,7 @@
         ByteBuffer awaitMessage(byte type) throws IOException {
             while (true) {
                 byte[] whole = next();
-                int end = whole.length - GatewayProtocol.TAG_BYTES;
+                int end = whole.length - FrameFormat.TAG_BYTES;
                 assertArrayEquals(
                         inboundSeal.nextTag(whole[0], whole, 1, end - 1),
                         Arrays.copyOfRange(whole, end, whole.length));
@@ -380,7 +381,7 @@
             byte[] frame =
                     peer.frame(GatewayProtocol.FORWARD_PART, peer.partBody(7, 3, 1_000_000, 1));
             if (changed) {
-                frame[frame.length - GatewayProtocol.TAG_BYTES - 2] ^= 1;
+                frame[frame.length - FrameFormat.TAG_BYTES - 2] ^= 1;
                 peer.socket.getOutputStream().write(frame);
             } else {
                 peer.socket.getOutputStream().write(frame);
