--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -196,13 +196,8 @@
         loop.execute(() -> {
             ProposalTerms terms = ProposalTerms.parse(text);
             policyRollout.propose(
-                    id,
-                    policyRollout.changes().inForce().epoch(),
-                    terms.digest(),
-                    text,
-                    "lab",
-                    "measured",
-                    terms.absencePolicy(),
+                    terms.proposal(
+                            id, policyRollout.changes().inForce().epoch(), text, "lab", "measured"),
                     (said, why) -> {});
         });
     }
@@ -230,7 +225,7 @@
             s.heardUpTo = clusterNode.learnedIndex();
             s.openChange = policyRollout.changes().openChange() == null
                     ? ""
-                    : policyRollout.changes().openChange().id();
+                    : policyRollout.changes().openChange().changeId();
             s.tookOldTooLate = tookOldTooLate;
             s.connections = clusterNode.connectionCount();
             s.traffic = clusterNode.traffic().byKind();
--- a/src/main/java/tinlink/experiment/simulation/PolicyChecks.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicyChecks.java
@@ -58,9 +58,9 @@
     /** An operator was told how that change has ended. */
     void told(PolicyChange change) {
         String how = change.state() + " " + change.epoch() + " " + change.effectiveAtUs();
-        String before = outcomes.putIfAbsent(change.id(), how);
+        String before = outcomes.putIfAbsent(change.changeId(), how);
         if (before != null && !before.equals(how)) {
-            violated("flipped: " + change.id() + " " + before + " / " + how);
+            violated("flipped: " + change.changeId() + " " + before + " / " + how);
         }
     }
 
--- a/src/main/java/tinlink/experiment/simulation/PolicySimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicySimulation.java
@@ -6,6 +6,7 @@
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.ChangeCoordinator;
 import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.EffectivePolicy;
 import tinlink.policy.rollout.PolicyChange;
 import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.PolicyCommand;
@@ -150,7 +151,7 @@
 
         void take() {
             participant.updateClocks(shared(), simulation.now());
-            ChangeParticipant.EffectivePolicy effectivePolicy = participant.effectivePolicy(view);
+            EffectivePolicy effectivePolicy = participant.effectivePolicy(view);
             long epoch = size.planted() ? view.inForce().epoch() : effectivePolicy.epoch();
             if (epoch >= 0) {
                 checks.taken(simulation.now(), epoch, number);
@@ -257,13 +258,13 @@
     private void checkSettled() {
         for (Router r : routers) {
             PolicyChange open = r.view.openChange();
-            ChangeParticipant.EffectivePolicy effectivePolicy =
-                    r.participant.effectivePolicy(r.view);
+            EffectivePolicy effectivePolicy = r.participant.effectivePolicy(r.view);
             if (open != null || !effectivePolicy.isPresent()) {
                 checks.violated("unsettled: " + r.name + " " + effectivePolicy.unavailableReason()
                         + (open == null
                                 ? ""
-                                : ", " + open.id() + " is open, owing " + r.view.pendingRouters()));
+                                : ", " + open.changeId() + " is open, owing "
+                                        + r.view.pendingRouters()));
             }
         }
     }
--- a/src/main/java/tinlink/maintenance/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -70,13 +70,6 @@
         request.rejectUnknownKeys();
         ProposalTerms terms = ProposalTerms.parse(text);
         policyRollout.propose(
-                id,
-                againstEpoch,
-                terms.digest(),
-                text,
-                author,
-                reason,
-                terms.absencePolicy(),
-                connection::answerProposal);
+                terms.proposal(id, againstEpoch, text, author, reason), connection::answerProposal);
     }
 }
--- a/src/main/java/tinlink/policy/PolicyRolloutService.java
+++ b/src/main/java/tinlink/policy/PolicyRolloutService.java
@@ -5,56 +5,64 @@
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.ChangeCoordinator;
 import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.EffectivePolicy;
+import tinlink.policy.rollout.EnrolledRouter;
 import tinlink.policy.rollout.PolicyChange;
 import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyVersion;
+import tinlink.policy.rollout.StartChecks;
 
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import java.util.function.Function;
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /**
- * Changes of policy in a router that serves: carries out what {@link ChangeParticipant} and {@link
- * ChangeCoordinator} decide. All of it belongs to the loop's thread.
+ * Changes of policy in a router that serves: carries out what {@link ChangeParticipant} and
+ * {@link ChangeCoordinator} decide. Belongs to the event loop's thread.
  */
 public final class PolicyRolloutService implements EventLoop.EventLoopParticipant {
     private static final Logger LOG = Logger.getLogger("tinlink.policy");
+
     private final EventLoop loop;
     private final ClusterNode clusterNode;
-    private final PolicyStateMachine policyStateMachine;
+    private final PolicyStateMachine stateMachine;
     private final ChangeParticipant participant;
     private final ChangeCoordinator coordinator;
     private final LongSupplier sharedClockUs;
     private final long retryIntervalUs;
-    private String unavailableReason = "";
-    private long effectiveEpoch = -1;
-    /** A confirmation that was given and counts once so much has been heard of; below 0 none. */
-    private long pendingLeaseIndex = -1;
+    /** As of the last lookup or heartbeat. */
+    private EffectivePolicy effective = EffectivePolicy.none("");
+    /**
+     * A confirmation that was given and counts once so much of the log has been applied here; null
+     * for none.
+     */
+    private PendingLease pendingLease;
 
-    private long pendingLeaseRequestedAtUs;
     private boolean isStopped;
 
+    /** What was asked for at {@code requestedAtUs} on the event loop's clock. */
+    private record PendingLease(long logIndex, long requestedAtUs) {}
+
     /**
-     * @param startChecks of a text by this router's own start checks: why it can't be used, or empty
-     * @param sharedClockUs the clock that all machines read, microseconds
+     * The part of one router. Decides nothing before {@link #start}.
+     *
+     * @param sharedClockUs the clock that all machines read, microseconds; it may step
+     * @param retryIntervalUs after which a command whose effect is not seen is proposed again
      */
     public PolicyRolloutService(
             EventLoop loop,
             ClusterNode clusterNode,
-            PolicyStateMachine policyStateMachine,
-            Function<PolicyChange, String> startChecks,
+            PolicyStateMachine stateMachine,
+            StartChecks startChecks,
             LongSupplier sharedClockUs,
             long retryIntervalUs) {
         this.loop = loop;
         this.clusterNode = clusterNode;
-        this.policyStateMachine = policyStateMachine;
+        this.stateMachine = stateMachine;
         this.sharedClockUs = sharedClockUs;
         this.retryIntervalUs = retryIntervalUs;
         participant = new ChangeParticipant(
@@ -66,46 +74,45 @@
         coordinator = new ChangeCoordinator(retryIntervalUs);
     }
 
+    /** Called once, on the event loop. */
     public void start() {
         heartbeat();
     }
 
+    /** The replicated state, to be read only. */
     public PolicyChanges changes() {
-        return policyStateMachine.changes();
+        return stateMachine.changes();
     }
 
     /**
-     * By which version a lookup that comes now is taken; null where none may be, and {@link
-     * #unavailableReason} says why.
+     * By which version a lookup that comes now is taken; null where none may be, and
+     * {@link #unavailableReason} says why.
      */
     public PolicyVersion effectiveVersion() {
         participant.updateClocks(sharedClockUs.getAsLong(), loop.nowUs());
-        ChangeParticipant.EffectivePolicy effective = participant.effectivePolicy(changes());
-        if (effective.epoch() != effectiveEpoch
-                || !effective.unavailableReason().equals(unavailableReason)) {
+        EffectivePolicy current = participant.effectivePolicy(changes());
+        if (!current.equals(effective)) {
             LOG.log(
-                    effective.isPresent() ? Level.INFO : Level.WARNING,
+                    current.isPresent() ? Level.INFO : Level.WARNING,
                     "event=policy_effective epoch={0} reason=\"{1}\"",
-                    new Object[] {Long.toString(effective.epoch()), effective.unavailableReason()});
+                    new Object[] {Long.toString(current.epoch()), current.unavailableReason()});
+        }
+        effective = current;
+        if (!current.isPresent()) {
+            return null;
         }
-        effectiveEpoch = effective.epoch();
-        unavailableReason = effective.unavailableReason();
         PolicyVersion inForce = changes().inForce();
-        return !effective.isPresent()
-                ? null
-                : inForce.epoch() == effective.epoch() ? inForce : changes().previous();
+        return inForce.epoch() == current.epoch() ? inForce : changes().previous();
     }
 
     /** Why no lookups are taken; empty where they are, as of the last that came. */
     public String unavailableReason() {
-        return unavailableReason;
+        return effective.unavailableReason();
     }
 
-    // ---- Its part in a turn. ----
-
     @Override
     public void turnStarted(long nowUs) {
-        // It reads its clocks as it decides.
+        // Nothing: it reads its clocks as it decides.
     }
 
     @Override
@@ -113,16 +120,15 @@
         if (isStopped) {
             return;
         }
-        long nowUs = loop.nowUs();
-        participant.updateClocks(sharedClockUs.getAsLong(), nowUs);
-        if (pendingLeaseIndex >= 0 && clusterNode.learnedIndex() >= pendingLeaseIndex) {
+        participant.updateClocks(sharedClockUs.getAsLong(), loop.nowUs());
+        if (pendingLease != null && clusterNode.learnedIndex() >= pendingLease.logIndex()) {
             participant.leaseGranted(
-                    pendingLeaseRequestedAtUs,
+                    pendingLease.requestedAtUs(),
                     changes().inForce().absencePolicy().leaseUs());
-            pendingLeaseIndex = -1;
+            pendingLease = null;
         }
         participant.decide(changes(), this::propose);
-        coordinator.updateClocks(nowUs, sharedClockUs.getAsLong());
+        coordinator.updateClocks(loop.nowUs(), sharedClockUs.getAsLong());
         coordinator.setLeader(clusterNode.isLeader());
         coordinator.decide(changes(), this::propose);
     }
@@ -131,136 +137,98 @@
         if (isStopped) {
             return;
         }
-        AbsencePolicy absencePolicy = changes().inForce().absencePolicy();
-        PolicyChange openChange = changes().openChange();
-        boolean requiresLease = absencePolicy.rule() == AbsencePolicy.Rule.FENCE
-                || (openChange != null
-                        && openChange.absencePolicy().rule() == AbsencePolicy.Rule.FENCE);
-        if (requiresLease) {
-            long requestedAtUs = loop.nowUs();
-            clusterNode.confirmCommitIndex(index -> {
-                if (pendingLeaseIndex < 0) {
-                    pendingLeaseIndex = index;
-                    pendingLeaseRequestedAtUs = requestedAtUs;
-                }
-            });
+        if (needsLease()) {
+            requestLease();
         }
-        effectiveVersion(); // So that what it says of itself is not of the last lookup, which may
-        // be long ago.
+        // So that what operators are shown is not of the last lookup, which may be long ago.
+        effectiveVersion();
         loop.schedule(loop.nowUs() + retryIntervalUs / 2, this::heartbeat);
     }
 
+    private boolean needsLease() {
+        PolicyChange openChange = changes().openChange();
+        return fences(changes().inForce().absencePolicy())
+                || (openChange != null && fences(openChange.absencePolicy()));
+    }
+
+    private static boolean fences(AbsencePolicy absencePolicy) {
+        return absencePolicy.rule() == AbsencePolicy.Rule.FENCE;
+    }
+
+    /**
+     * Asks a majority how much there is: who has applied that much is up to date as of the request.
+     */
+    private void requestLease() {
+        long requestedAtUs = loop.nowUs();
+        clusterNode.confirmCommitIndex(index -> {
+            if (pendingLease == null) {
+                pendingLease = new PendingLease(index, requestedAtUs);
+            }
+        });
+    }
+
     private void propose(PolicyCommand command) {
-        clusterNode.propose(PolicyStateMachine.encode(command), (result, failure) -> {
-            if (failure != null || !result.isEmpty()) {
+        clusterNode.propose(PolicyStateMachine.encode(command), (answer, failure) -> {
+            if (failure != null || !answer.isEmpty()) {
                 LOG.log(
                         Level.FINE,
                         "event=policy_command_not_accepted command={0} reason={1}",
                         new Object[] {
-                            command.getClass().getSimpleName(), failure == null ? result : failure
+                            command.getClass().getSimpleName(), failure == null ? answer : failure
                         });
             }
         });
     }
 
-    /** Nothing is taken any more. */
+    /** Leaves the group of participants; from here on it decides nothing. */
     public void stop() {
         isStopped = true;
         propose(new PolicyCommand.Leave(
                 clusterNode.incarnation().router(), clusterNode.incarnation().toString()));
     }
 
-    // ---- For operators. ----
-
     /** An operator vouches that this router's process is gone: no change waits for it. */
     public void removeRouter(String router) {
-        PolicyChanges.EnrolledRouter enrolledRouter =
-                changes().enrolledRouters().get(router);
-        if (enrolledRouter != null) {
-            propose(new PolicyCommand.Leave(router, enrolledRouter.incarnation()));
+        EnrolledRouter enrolled = changes().enrolledRouters().get(router);
+        if (enrolled != null) {
+            propose(new PolicyCommand.Leave(router, enrolled.incarnation()));
         }
     }
 
     /**
-     * Proposes a change, for an operator.
+     * Proposes a change for an operator.
      *
-     * @param onResult what is said to it, or why that is not known
+     * @param onResult is given the answer, empty if it was accepted; or why that is not known
      */
-    public void propose(
-            String changeId,
-            long baseEpoch,
-            String digest,
-            String text,
-            String author,
-            String reason,
-            AbsencePolicy absencePolicy,
-            BiConsumer<String, String> onResult) {
-        clusterNode.propose(
-                PolicyStateMachine.encode(new PolicyCommand.Propose(
-                        changeId, baseEpoch, digest, text, author, reason, absencePolicy)),
-                onResult);
+    public void propose(PolicyCommand.Propose proposal, BiConsumer<String, String> onResult) {
+        clusterNode.propose(PolicyStateMachine.encode(proposal), onResult);
     }
 
+    /**
+     * Withdraws a change for an operator.
+     *
+     * @param onResult is given the answer, empty if it was accepted; or why that is not known
+     */
     public void withdraw(String changeId, String reason, BiConsumer<String, String> onResult) {
-        clusterNode.propose(
-                PolicyStateMachine.encode(new PolicyCommand.Abort(changeId, reason)), onResult);
+        PolicyCommand command = new PolicyCommand.Abort(changeId, reason);
+        clusterNode.propose(PolicyStateMachine.encode(command), onResult);
     }
 
-    /** How this router stands. */
+    /** How this router stands, for operators. */
     public Map<String, Object> status() {
-        Map<String, Object> view = new LinkedHashMap<>();
-        view.put("epoch", effectiveEpoch);
-        view.put("why", unavailableReason);
-        view.put("in_force", status(changes().inForce()));
-        if (changes().previous() != null) {
-            view.put("before", status(changes().previous()));
-        }
-        PolicyChange openChange = changes().openChange();
-        view.put("open", openChange == null ? "" : openChange.id());
-        view.put("owing", changes().pendingRouters());
-        return view;
-    }
-
-    private static Map<String, Object> status(PolicyVersion version) {
-        Map<String, Object> view = new LinkedHashMap<>();
-        view.put("epoch", version.epoch());
-        view.put("digest", version.digest());
-        view.put("change", version.changeId());
-        view.put("author", version.author());
-        view.put("reason", version.reason());
-        view.put("at_us", version.effectiveAtUs());
-        view.put("text", version.text());
-        return view;
+        return PolicyStatusView.status(changes(), effective);
     }
 
     /** A change as far as this router has heard; null where it has not. */
     public Map<String, Object> status(String changeId) {
         PolicyChange change = changes().change(changeId);
-        return change == null ? null : status(change);
+        return change == null ? null : PolicyStatusView.change(change);
     }
 
+    /** The newest changes, oldest first. */
     public List<Object> history() {
-        List<Object> views = new ArrayList<>();
-        changes().history().forEach(change -> views.add(status(change)));
-        return views;
-    }
-
-    private static Map<String, Object> status(PolicyChange change) {
-        Map<String, Object> view = new LinkedHashMap<>();
-        view.put("id", change.id());
-        view.put(
-                "state",
-                switch (change.state()) {
-                    case OPEN -> "not settled";
-                    case IN_FORCE -> "in force";
-                    case WITHDRAWN -> "withdrawn";
-                });
-        view.put("why", change.withdrawalReason());
-        view.put("epoch", change.epoch());
-        view.put("at_us", change.effectiveAtUs());
-        view.put("digest", change.digest());
-        view.put("author", change.author());
-        view.put("reason", change.reason());
-        return view;
+        return changes().history().stream()
+                .<Object>map(PolicyStatusView::change)
+                .toList();
     }
 }
--- a/src/main/java/tinlink/policy/ProposalTerms.java
+++ b/src/main/java/tinlink/policy/ProposalTerms.java
@@ -2,6 +2,7 @@
 
 import tinlink.config.ConfigFile;
 import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyCommand;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -10,41 +11,54 @@
 import java.util.Locale;
 
 /**
- * What a policy document says of its own change: the digest that names it, and what is done about
- * routers that are absent. All else in it is for each router's own checks.
+ * What a policy document says of its own change. All else in it is left to each router's start
+ * checks.
+ *
+ * @param digest names the document: SHA-256 of its text, in hex
+ * @param absencePolicy what is done about routers that are absent
  */
 public record ProposalTerms(String digest, AbsencePolicy absencePolicy) {
     /**
-     * Reads the terms from a policy's text.
+     * Reads the terms from the text of a policy document.
      *
-     * @throws tinlink.config.InvalidInputException naming the key that is wrong
+     * @throws tinlink.config.InvalidInputException naming the key that is wrong, and what it is
      */
     public static ProposalTerms parse(String text) {
-        ConfigFile absentObject = ConfigFile.of("policy", text).object("absent");
-        String rule = absentObject.text("rule", "withdraw");
+        ConfigFile absent = ConfigFile.of("policy", text).object("absent");
+        String rule = absent.text("rule", "withdraw");
         if (!rule.matches("wait|withdraw|fence")) {
-            throw absentObject.invalid("rule", "is none of wait, withdraw, fence: " + rule);
+            throw absent.invalid("rule", "is none of wait, withdraw, fence: " + rule);
         }
         return new ProposalTerms(
                 digest(text),
                 new AbsencePolicy(
                         AbsencePolicy.Rule.valueOf(rule.toUpperCase(Locale.ROOT)),
-                        absentObject.micros("wait_ms", 10_000, 100, 3_600_000),
-                        absentObject.micros("hold_ms", 1000, 100, 60_000),
+                        absent.micros("wait_ms", 10_000, 100, 3_600_000),
+                        absent.micros("hold_ms", 1000, 100, 60_000),
                         rule.equals("fence")
-                                ? absentObject.micros("lease_ms", 30_000, 500, 3_600_000)
+                                ? absent.micros("lease_ms", 30_000, 500, 3_600_000)
                                 : 0,
-                        absentObject.micros("clock_error_ms", 50, 0, 10_000)));
+                        absent.micros("clock_error_ms", 50, 0, 10_000)));
+    }
+
+    /**
+     * The command that proposes the document.
+     *
+     * @param text of the document that these terms are of
+     */
+    public PolicyCommand.Propose proposal(
+            String changeId, long baseEpoch, String text, String author, String reason) {
+        return new PolicyCommand.Propose(
+                changeId, baseEpoch, digest, text, author, reason, absencePolicy);
     }
 
-    /** SHA-256 of the text, in hex. */
     private static String digest(String text) {
         try {
             return HexFormat.of()
                     .formatHex(MessageDigest.getInstance("SHA-256")
                             .digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // Every Java has it.
+            throw new IllegalStateException(e); // Every Java platform has it.
         }
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/policy/rollout/CommandProposer.java
@@ -0,0 +1,10 @@
+package tinlink.policy.rollout;
+
+/**
+ * Proposes a command to the agreed log. It may get lost, so it is proposed again until its effect
+ * is seen.
+ */
+@FunctionalInterface
+public interface CommandProposer {
+    void propose(PolicyCommand command);
+}
--- a/src/main/java/tinlink/policy/rollout/PolicyChange.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChange.java
@@ -1,85 +1,104 @@
 package tinlink.policy.rollout;
 
+import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One proposed change of policy. Nothing of it changes but by what all have agreed on. */
+/**
+ * One proposed change of policy. It is changed by commands of the agreed log alone. Times are
+ * microseconds on the clock that all machines read.
+ */
 public final class PolicyChange {
-    /** How it stands; the last two are for ever. */
+    /** The last two are final. The names are those of stored snapshots. */
     public enum State {
         OPEN,
         IN_FORCE,
         WITHDRAWN
     }
 
-    /** A router's word: it holds the text and is bound by it, or says no. */
-    record Vote(String incarnation, boolean accepts, long boundUntilUs, String reason) {}
-
-    final String id;
-    final long baseEpoch;
-    final String digest;
-    final String text;
-    final String author;
-    final String reason;
-    final AbsencePolicy absencePolicy;
-    State state = State.OPEN;
-    /** Why it was withdrawn. */
-    String withdrawalReason = "";
-    /** The epoch that it made, and from when on; 0 before. */
-    long epoch;
-
-    long effectiveAtUs;
     /**
-     * A leader's clock once it had seen the proposal agreed; 0 before. Leases from before it are
-     * older.
+     * The newest vote of a router.
+     *
+     * @param boundUntilUs until when it is bound; 0 where it rejects the change
+     * @param reason why it rejects the change; empty where it accepts
      */
-    long confirmedAtUs;
-    /** By router, the newest word of each; emptied as it is settled. */
-    final Map<String, Vote> votes = new TreeMap<>();
-
-    PolicyChange(
-            String id,
-            long baseEpoch,
-            String digest,
-            String text,
-            String author,
-            String reason,
-            AbsencePolicy absencePolicy) {
-        this.id = id;
-        this.baseEpoch = baseEpoch;
-        this.digest = digest;
-        this.text = text;
-        this.author = author;
-        this.reason = reason;
-        this.absencePolicy = absencePolicy;
-    }
-
-    public String id() {
-        return id;
+    record Vote(String incarnation, boolean accepts, long boundUntilUs, String reason) {}
+
+    private final PolicyCommand.Propose proposal;
+    private State state = State.OPEN;
+    private String withdrawalReason = "";
+    private long epoch;
+    private long effectiveAtUs;
+    private long confirmedAtUs;
+    /** By router; emptied as the change is settled. */
+    private final Map<String, Vote> votes = new TreeMap<>();
+
+    PolicyChange(PolicyCommand.Propose proposal) {
+        this.proposal = proposal;
+    }
+
+    /** The change by which a version came, for checks of its text. */
+    static PolicyChange fromVersion(PolicyVersion version) {
+        return new PolicyChange(new PolicyCommand.Propose(
+                version.changeId(),
+                version.epoch() - 1,
+                version.digest(),
+                version.text(),
+                version.author(),
+                version.reason(),
+                version.absencePolicy()));
+    }
+
+    /** As it stands in a snapshot, without its votes. */
+    static PolicyChange restore(
+            PolicyCommand.Propose proposal,
+            State state,
+            String withdrawalReason,
+            long epoch,
+            long effectiveAtUs,
+            long confirmedAtUs) {
+        PolicyChange change = new PolicyChange(proposal);
+        change.state = state;
+        change.withdrawalReason = withdrawalReason;
+        change.epoch = epoch;
+        change.effectiveAtUs = effectiveAtUs;
+        change.confirmedAtUs = confirmedAtUs;
+        return change;
+    }
+
+    public String changeId() {
+        return proposal.changeId();
     }
 
     public State state() {
         return state;
     }
 
+    /** The epoch that has to be in force for it. */
+    long baseEpoch() {
+        return proposal.baseEpoch();
+    }
+
+    /** Names the text. */
     public String digest() {
-        return digest;
+        return proposal.digest();
     }
 
     public String text() {
-        return text;
+        return proposal.text();
     }
 
     public String author() {
-        return author;
+        return proposal.author();
     }
 
+    /** Its author's reason. */
     public String reason() {
-        return reason;
+        return proposal.reason();
     }
 
     public AbsencePolicy absencePolicy() {
-        return absencePolicy;
+        return proposal.absencePolicy();
     }
 
     /** Why it was withdrawn; empty where it was not. */
@@ -92,21 +111,69 @@
         return epoch;
     }
 
-    /** From when on it is in force; 0 where it is not. */
+    /** Since when it is in force; 0 where it is not. */
     public long effectiveAtUs() {
         return effectiveAtUs;
     }
 
+    /**
+     * The newest time at which a coordinator saw the proposal agreed on: leases from before are
+     * older. 0: none yet.
+     */
+    long confirmedAtUs() {
+        return confirmedAtUs;
+    }
+
+    Map<String, Vote> votes() {
+        return Collections.unmodifiableMap(votes);
+    }
+
     /** Until when that incarnation of that router has bound itself; 0 where it has not. */
     public long boundUntilUs(String router, String incarnation) {
         Vote vote = votes.get(router);
-        return vote == null || !vote.accepts || !vote.incarnation.equals(incarnation)
+        return vote == null || !vote.accepts() || !vote.incarnation().equals(incarnation)
                 ? 0
-                : vote.boundUntilUs;
+                : vote.boundUntilUs();
     }
 
     boolean isRejectedBy(String router) {
         Vote vote = votes.get(router);
-        return vote != null && !vote.accepts;
+        return vote != null && !vote.accepts();
+    }
+
+    /** Whether it is what that command proposes, so that to propose it again changes nothing. */
+    boolean isProposedBy(PolicyCommand.Propose command) {
+        return digest().equals(command.digest()) && baseEpoch() == command.baseEpoch();
+    }
+
+    void confirm(long coordinatorTimeUs) {
+        confirmedAtUs = Math.max(confirmedAtUs, coordinatorTimeUs);
+    }
+
+    void vote(String router, Vote vote) {
+        votes.put(router, vote);
+    }
+
+    /** Puts the change in force and returns the version that it makes. */
+    PolicyVersion commit(long newEpoch, long atUs) {
+        state = State.IN_FORCE;
+        epoch = newEpoch;
+        effectiveAtUs = atUs;
+        votes.clear();
+        return new PolicyVersion(
+                epoch,
+                digest(),
+                text(),
+                changeId(),
+                author(),
+                reason(),
+                absencePolicy(),
+                effectiveAtUs);
+    }
+
+    void withdraw(String why) {
+        state = State.WITHDRAWN;
+        withdrawalReason = why;
+        votes.clear();
     }
 }
--- a/src/main/java/tinlink/policy/rollout/PolicySnapshotCodec.java
+++ b/src/main/java/tinlink/policy/rollout/PolicySnapshotCodec.java
@@ -4,38 +4,38 @@
 import java.util.List;
 
 /**
- * The written form of all that stands ({@link PolicyChanges}), as lists of words. It is version 1 of {@link
- * PolicyCommandCodec} and some lines of its own: {@code is} and {@code was} for versions, {@code change},
- * {@code vote}.
+ * The written form of {@link PolicyChanges}: lines, each a list of fields. It is version 1 of
+ * {@link PolicyCommandCodec}, with lines of its own for versions, changes and votes.
  */
 final class PolicySnapshotCodec {
+    // Kinds of lines as they stand in stored snapshots.
+    private static final String VERSION_IN_FORCE = "is";
+    private static final String PREVIOUS_VERSION = "was";
+    private static final String CHANGE = "change";
+    private static final String VOTE = "vote";
+
     private PolicySnapshotCodec() {}
 
     static List<List<String>> encode(PolicyChanges changes) {
         List<List<String>> lines = new ArrayList<>();
-        lines.add(version("is", changes.inForce()));
+        lines.add(encodeVersion(VERSION_IN_FORCE, changes.inForce()));
         if (changes.previous() != null) {
-            lines.add(version("was", changes.previous()));
+            lines.add(encodeVersion(PREVIOUS_VERSION, changes.previous()));
         }
         changes.enrolledRouters()
                 .forEach((router, enrolled) ->
                         lines.add(PolicyCommandCodec.encode(new PolicyCommand.Enrol(
                                 router, enrolled.incarnation(), enrolled.startCount()))));
         for (PolicyChange change : changes.history()) {
-            lines.add(change(change));
-            change.votes.forEach((router, vote) -> lines.add(PolicyCommandCodec.fields(
-                    "vote",
-                    change.id,
-                    router,
-                    vote.incarnation(),
-                    vote.accepts(),
-                    vote.boundUntilUs(),
-                    vote.reason())));
+            lines.add(encodeChange(change));
+            change.votes()
+                    .forEach((router, vote) ->
+                            lines.add(encodeVote(change.changeId(), router, vote)));
         }
         return lines;
     }
 
-    private static List<String> version(String kind, PolicyVersion version) {
+    private static List<String> encodeVersion(String kind, PolicyVersion version) {
         List<String> fields = PolicyCommandCodec.fields(
                 kind,
                 version.epoch(),
@@ -49,76 +49,76 @@
         return fields;
     }
 
-    private static List<String> change(PolicyChange change) {
+    private static List<String> encodeChange(PolicyChange change) {
         List<String> fields = PolicyCommandCodec.fields(
-                "change",
-                change.id,
-                change.baseEpoch,
-                change.digest,
-                change.text,
-                change.author,
-                change.reason,
-                change.state,
-                change.withdrawalReason,
-                change.epoch,
-                change.effectiveAtUs,
-                change.confirmedAtUs);
-        fields.addAll(PolicyCommandCodec.encode(change.absencePolicy));
+                CHANGE,
+                change.changeId(),
+                change.baseEpoch(),
+                change.digest(),
+                change.text(),
+                change.author(),
+                change.reason(),
+                change.state(),
+                change.withdrawalReason(),
+                change.epoch(),
+                change.effectiveAtUs(),
+                change.confirmedAtUs());
+        fields.addAll(PolicyCommandCodec.encode(change.absencePolicy()));
         return fields;
     }
 
+    private static List<String> encodeVote(String changeId, String router, PolicyChange.Vote vote) {
+        return PolicyCommandCodec.fields(
+                VOTE,
+                changeId,
+                router,
+                vote.incarnation(),
+                vote.accepts(),
+                vote.boundUntilUs(),
+                vote.reason());
+    }
+
     /** @throws IllegalArgumentException where these are no lines of {@link #encode} */
     static void restoreInto(PolicyChanges changes, List<List<String>> lines) {
         for (List<String> line : lines) {
             FieldReader reader = new FieldReader(line);
             reader.nextText(); // The subject.
             switch (reader.nextText()) {
-                case "is" -> changes.restoreInForce(version(reader));
-                case "was" -> changes.restorePrevious(version(reader));
-                case "enrol" ->
+                case VERSION_IN_FORCE -> changes.restoreInForce(decodeVersion(reader));
+                case PREVIOUS_VERSION -> changes.restorePrevious(decodeVersion(reader));
+                case PolicyCommandCodec.ENROL ->
                     changes.restoreEnrolled(
                             reader.nextText(),
-                            new PolicyChanges.EnrolledRouter(reader.nextText(), reader.nextLong()));
-                case "change" -> changes.restore(change(reader));
-                case "vote" -> {
+                            new EnrolledRouter(reader.nextText(), reader.nextLong()));
+                case CHANGE -> changes.restoreChange(decodeChange(reader));
+                case VOTE -> {
                     PolicyChange change = changes.change(reader.nextText());
                     if (change == null) {
                         throw new IllegalArgumentException("a vote for no change: " + line);
                     }
-                    change.votes.put(
-                            reader.nextText(),
-                            new PolicyChange.Vote(
-                                    reader.nextText(),
-                                    reader.nextBoolean(),
-                                    reader.nextLong(),
-                                    reader.nextText()));
+                    change.vote(reader.nextText(), decodeVote(reader));
                 }
-                default -> throw new IllegalArgumentException("no line of changes: " + line);
+                default ->
+                    throw new IllegalArgumentException("no line of a policy snapshot: " + line);
             }
         }
     }
 
-    private static PolicyVersion version(FieldReader reader) {
+    private static PolicyVersion decodeVersion(FieldReader reader) {
         long epoch = reader.nextLong();
         String digest = reader.nextText();
         String text = reader.nextText();
-        String change = reader.nextText();
+        String changeId = reader.nextText();
         String author = reader.nextText();
         String reason = reader.nextText();
         long effectiveAtUs = reader.nextLong();
+        AbsencePolicy absencePolicy = PolicyCommandCodec.decodeAbsencePolicy(reader);
         return new PolicyVersion(
-                epoch,
-                digest,
-                text,
-                change,
-                author,
-                reason,
-                PolicyCommandCodec.decodeAbsencePolicy(reader),
-                effectiveAtUs);
+                epoch, digest, text, changeId, author, reason, absencePolicy, effectiveAtUs);
     }
 
-    private static PolicyChange change(FieldReader reader) {
-        String id = reader.nextText();
+    private static PolicyChange decodeChange(FieldReader reader) {
+        String changeId = reader.nextText();
         long baseEpoch = reader.nextLong();
         String digest = reader.nextText();
         String text = reader.nextText();
@@ -129,19 +129,19 @@
         long epoch = reader.nextLong();
         long effectiveAtUs = reader.nextLong();
         long confirmedAtUs = reader.nextLong();
-        PolicyChange change = new PolicyChange(
-                id,
-                baseEpoch,
-                digest,
-                text,
-                author,
-                reason,
-                PolicyCommandCodec.decodeAbsencePolicy(reader));
-        change.state = state;
-        change.withdrawalReason = withdrawalReason;
-        change.epoch = epoch;
-        change.effectiveAtUs = effectiveAtUs;
-        change.confirmedAtUs = confirmedAtUs;
-        return change;
+        AbsencePolicy absencePolicy = PolicyCommandCodec.decodeAbsencePolicy(reader);
+        return PolicyChange.restore(
+                new PolicyCommand.Propose(
+                        changeId, baseEpoch, digest, text, author, reason, absencePolicy),
+                state,
+                withdrawalReason,
+                epoch,
+                effectiveAtUs,
+                confirmedAtUs);
+    }
+
+    private static PolicyChange.Vote decodeVote(FieldReader reader) {
+        return new PolicyChange.Vote(
+                reader.nextText(), reader.nextBoolean(), reader.nextLong(), reader.nextText());
     }
 }
--- a/src/main/java/tinlink/policy/rollout/PolicyVersion.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyVersion.java
@@ -3,11 +3,12 @@
 /**
  * A policy that is or was in force.
  *
- * @param epoch counts up by one with each change that took hold; 0 is each router's own file,
- *     before any
+ * @param epoch one more with each change that took effect; 0 is each router's own file, before any
+ *     change
  * @param digest names the text
- * @param changeId by which it came; empty for epoch 0
- * @param effectiveAtUs from when on it is in force, on the clock that all machines read
+ * @param changeId the change that made it; empty for epoch 0
+ * @param reason of its author
+ * @param effectiveAtUs since when it is in force, microseconds on the clock that all machines read
  */
 public record PolicyVersion(
         long epoch,
--- a/src/main/java/tinlink/storage/DurableLog.java
+++ b/src/main/java/tinlink/storage/DurableLog.java
@@ -44,7 +44,7 @@
         this.maxBytes = maxBytes;
         directory = LogDirectory.open(path);
         try {
-            LogRecovery.Result recovered = LogRecovery.recover(directory);
+            LogRecovery recovered = LogRecovery.recover(directory);
             recoveredSnapshot = recovered.snapshot();
             recoveredRecords = recovered.records();
             tornBytes = recovered.tornBytes();
--- a/src/main/java/tinlink/storage/LogRecovery.java
+++ b/src/main/java/tinlink/storage/LogRecovery.java
@@ -18,62 +18,78 @@
 final class LogRecovery {
     private final LogDirectory directory;
     private final List<byte[]> records = new ArrayList<>();
+    private final List<Path> obsoleteFiles = new ArrayList<>();
+    private byte[] snapshot;
+    private Path newestLog;
     private long nextRecordNumber;
     private long logBytes;
     private long tornBytes;
 
+    private LogRecovery(LogDirectory directory) {
+        this.directory = directory;
+    }
+
     /**
-     * What was found.
+     * Reads the directory and repairs what a crash has left.
      *
-     * @param snapshot the state before the records; null where there is none
-     * @param logBytes bytes of the log files that count
-     * @param tornBytes bytes that were cut off
-     * @param newestLog the file to append to; null where one has to be created
-     * @param obsoleteFiles files that the snapshot has replaced
+     * @throws CorruptLogException where what is there can't be trusted
      */
-    record Result(
-            byte[] snapshot,
-            List<byte[]> records,
-            long nextRecordNumber,
-            long logBytes,
-            long tornBytes,
-            Path newestLog,
-            List<Path> obsoleteFiles) {}
+    static LogRecovery recover(LogDirectory directory) throws IOException {
+        LogRecovery recovery = new LogRecovery(directory);
+        recovery.recover();
+        return recovery;
+    }
 
-    private LogRecovery(LogDirectory directory) {
-        this.directory = directory;
+    /** The state before the records; null where there is none. */
+    byte[] snapshot() {
+        return snapshot;
     }
 
-    /** @throws CorruptLogException where what is there can't be trusted */
-    static Result recover(LogDirectory directory) throws IOException {
-        return new LogRecovery(directory).recover();
+    List<byte[]> records() {
+        return records;
     }
 
-    private Result recover() throws IOException {
+    long nextRecordNumber() {
+        return nextRecordNumber;
+    }
+
+    /** Bytes of the log files that count. */
+    long logBytes() {
+        return logBytes;
+    }
+
+    /** Bytes that were cut off. */
+    long tornBytes() {
+        return tornBytes;
+    }
+
+    /** The file to append to; null where one has to be created. */
+    Path newestLog() {
+        return newestLog;
+    }
+
+    /** Files that the snapshot has replaced. */
+    List<Path> obsoleteFiles() {
+        return obsoleteFiles;
+    }
+
+    private void recover() throws IOException {
         LogDirectory.Listing files = directory.cleanAndList();
-        byte[] snapshot = null;
         if (!files.snapshots().isEmpty()) {
             nextRecordNumber = files.snapshots().lastKey();
             snapshot = SnapshotFile.read(files.snapshots().get(nextRecordNumber), nextRecordNumber);
         }
         // Older ones are there if the process ended between the snapshot's rename and their
         // deletion.
-        List<Path> obsoleteFiles =
-                new ArrayList<>(files.snapshots().headMap(nextRecordNumber).values());
+        obsoleteFiles.addAll(files.snapshots().headMap(nextRecordNumber).values());
         obsoleteFiles.addAll(files.logs().headMap(nextRecordNumber).values());
         SortedMap<Long, Path> liveLogs = files.logs().tailMap(nextRecordNumber);
         readLogs(liveLogs);
-        if (liveLogs.isEmpty() && snapshot == null && !files.logs().isEmpty()) {
+        if (!liveLogs.isEmpty()) {
+            newestLog = liveLogs.get(liveLogs.lastKey());
+        } else if (snapshot == null && !files.logs().isEmpty()) {
             throw new CorruptLogException(directory.path(), 0, "the first records are missing");
         }
-        return new Result(
-                snapshot,
-                records,
-                nextRecordNumber,
-                logBytes,
-                tornBytes,
-                liveLogs.isEmpty() ? null : liveLogs.get(liveLogs.lastKey()),
-                obsoleteFiles);
     }
 
     private void readLogs(SortedMap<Long, Path> liveLogs) throws IOException {
@@ -105,7 +121,7 @@
                         end,
                         "record " + nextRecordNumber + " is corrupt and others stand behind it");
             }
-            tornBytes = content.length - end;
+            tornBytes = (long) content.length - end;
         }
         if (end < content.length || !hasHeader) {
             repair(file, end, hasHeader ? null : FileType.LOG.header(firstNumber));
@@ -113,7 +129,9 @@
         logBytes += end;
     }
 
-    /** Reads records until one is not complete. @return the offset behind the last complete one */
+    /**
+     * Reads records until one is not complete and returns the offset behind the last complete one.
+     */
     private int readRecords(byte[] content) {
         int offset = FileType.LOG.headerLength();
         int length = RecordFraming.frameLengthAt(content, offset, nextRecordNumber);
--- a/src/test/java/tinlink/policy/rollout/PolicyChangesTest.java
+++ b/src/test/java/tinlink/policy/rollout/PolicyChangesTest.java
@@ -9,6 +9,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * What routers agree on about a change of policy, and by what one of them takes lookups; times in
@@ -79,7 +80,7 @@
                 .contains("that id"));
         assertEquals("another change is open: c1", propose("c2", 0, WAIT));
         assertEquals("", apply(new PolicyCommand.VoteNo("c1", "a", "a.1", "too small")));
-        assertEquals("a: too small", changes.firstRejection());
+        assertEquals(Optional.of("a: too small"), changes.commitRule().firstRejection());
         assertEquals("it may not take hold then", commit("c1", 99_000));
         assertEquals("", apply(new PolicyCommand.Abort("c1", "refused")));
         assertEquals("that change is settled", voteYes("c1", "a", 5000));
@@ -123,7 +124,7 @@
 
     private final List<PolicyCommand> sentCommands = new ArrayList<>();
 
-    private ChangeParticipant.EffectivePolicy effectivePolicy(
+    private EffectivePolicy effectivePolicy(
             ChangeParticipant participant, long sharedTimeUs, long localTimeUs) {
         participant.updateClocks(sharedTimeUs, localTimeUs);
         participant.decide(changes, sentCommands::add);
@@ -168,7 +169,7 @@
                 "a.1",
                 1,
                 100,
-                change -> change.id().equals("big") ? "too large for this machine" : "");
+                change -> change.changeId().equals("big") ? "too large for this machine" : "");
         assertFalse(effectivePolicy(participant, 0, 0).isPresent());
         participant.leaseGranted(0, 1500);
         assertTrue(effectivePolicy(participant, 1499, 1499).isPresent());
