--- a/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
+++ b/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
@@ -135,7 +135,7 @@
                 "proof-by-key-in-use",
                 GoldenFile.hex(keys.proof(keys.activeKeyId(), "session", body(1))));
         all.put("key-of-one-direction", GoldenFile.hex(KeyRing.mac(SECRET, "to the far side")));
-        KeyRing.FrameAuthenticator authenticator = new KeyRing.FrameAuthenticator(SECRET);
+        FrameAuthenticator authenticator = new FrameAuthenticator(SECRET);
         for (int i = 0; i < FRAMES; i++) {
             byte[] b = body(i);
             all.put("seal-" + i, GoldenFile.hex(authenticator.nextTag(type(i), b, 0, b.length)));
