--- a/src/main/java/tinlink/experiment/GatewayExperiment.java
+++ b/src/main/java/tinlink/experiment/GatewayExperiment.java
@@ -249,10 +249,10 @@
                 side.stray += r.clients.unsolicited();
                 for (String end :
                         List.of("completed", "failed", "rejected", "not_started", "not_sent")) {
-                    side.recovered += r.count("near_unsure_" + end);
+                    side.recovered += r.count("outbound_unresolved_" + end);
                 }
                 for (String end : List.of("no_answer", "may_have_run")) {
-                    side.unsure += r.count("near_unsure_" + end);
+                    side.unsure += r.count("outbound_unresolved_" + end);
                 }
             }
             side.unsure += side.recovered;
--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -1,11 +1,12 @@
 package tinlink.gateway;
 
-import tinlink.decision.Outcome;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.Handshake;
+import tinlink.securechannel.KeyRing;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,26 +20,38 @@
 
 /**
  * The links of one router with those of other sites, both ways: {@link GatewayClient} for the parts that go
- * out, {@link GatewayServer} for those that come in, and what the two share. Runs on the loop's thread; it is
- * pulled twice a turn.
+ * out, {@link GatewayServer} for those that come in, and what the two share. Runs on the event loop's
+ * thread; its decisions are pulled at the end of each turn.
  */
 public final class Gateway {
+    /** Channels that one router may have to another. */
     static final int MAX_CHANNELS = 16;
+
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private static final long COUNTER_LOG_INTERVAL_US = 60_000_000;
 
-    /** Who this router is, and which sites' routers it takes parts from. */
+    /** Who this router is, and which sites' routers it accepts parts from. */
     public record Identity(
             String site, String router, long incarnation, Set<String> acceptedSites) {}
 
     /**
-     * The times of a gateway, in microseconds.
+     * All in microseconds.
      *
-     * @param recoveryUs how long a part is held for its fate after a cut; 0: not at all
+     * @param recoveryUs how long the status of a part is waited for after a cut; 0: not at all
+     * @param maxRequestUs no client waits for longer
      */
-    public record Timing(long heartbeatUs, long handshakeUs, long recoveryUs, long maxRequestUs) {}
+    public record Timing(
+            long heartbeatUs, long handshakeUs, long recoveryUs, long maxRequestUs) {}
 
-    /** What other sites may have here, and what may wait for a credit of theirs. */
+    /**
+     * What other sites may have here, and what may wait for a credit of theirs.
+     *
+     * @param maxRunningParts parts of other sites that may run here
+     * @param maxEndedParts ended ones that are remembered
+     * @param maxEndedBytes bytes of their values together
+     * @param maxInboundChannels channels from other sites' routers
+     * @param maxQueuedParts own parts that may wait for a credit of one remote router
+     */
     public record Limits(
             int maxRunningParts,
             int maxEndedParts,
@@ -46,32 +59,30 @@
             int maxInboundChannels,
             int maxQueuedParts) {}
 
-    /** A router of another site; its lines lead to the same process. */
+    /** A router of another site, with an address for each channel; all lead to the same process. */
     public record RemoteEndpoint(String site, String router, List<InetSocketAddress> addresses) {}
 
-    /** What becomes of parts, both ways. */
-    public interface PartHandler {
-        /** The one outcome of a part that was passed on; {@code tookUs} is below 0 where it says nothing. */
-        void partEnded(OutgoingPart part, Outcome outcome, long durationUs);
-
-        void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs);
-
-        void startPart(IncomingPart part);
-
-        void cancelPart(IncomingPart part);
-    }
+    /**
+     * What is fixed while the router runs.
+     *
+     * @param seed of the jitter of reconnecting
+     */
+    public record Settings(
+            Identity identity,
+            Timing timing,
+            Limits limits,
+            List<RemoteEndpoint> endpoints,
+            long seed) {}
 
     final EventLoop loop;
     final Network network;
-    final Identity identity;
-    final Timing timing;
+    final Settings settings;
     final PartHandler partHandler;
-    final Counters counters = new Counters();
-    GatewayKeys keys;
+    private final Counters counters = new Counters();
     private final SecureRandom secureRandom = new SecureRandom();
     private final GatewayClient client;
     private final GatewayServer server;
-    private final EventLoop.EventLoopParticipant turn = new EventLoop.EventLoopParticipant() {
+    private final EventLoop.EventLoopParticipant participant = new EventLoop.EventLoopParticipant() {
         @Override
         public void turnStarted(long nowUs) {
             client.advanceClock(nowUs);
@@ -84,36 +95,32 @@
             server.decide();
         }
     };
+    private KeyRing keys;
     private String loggedCounters = "";
 
     public Gateway(
             EventLoop loop,
             Network network,
-            Identity identity,
-            GatewayKeys keys,
-            Timing timing,
-            Limits limits,
-            List<RemoteEndpoint> endpoints,
-            long seed,
+            Settings settings,
+            KeyRing keys,
             PartHandler partHandler) {
         this.loop = loop;
         this.network = network;
-        this.identity = identity;
+        this.settings = settings;
         this.keys = keys;
-        this.timing = timing;
         this.partHandler = partHandler;
-        client = new GatewayClient(this, endpoints, limits.maxQueuedParts(), seed);
-        server = new GatewayServer(this, limits);
+        client = new GatewayClient(this);
+        server = new GatewayServer(this);
     }
 
-    /** Its part of a turn. */
+    /** What it does in each turn of the event loop. */
     public EventLoop.EventLoopParticipant turn() {
-        return turn;
+        return participant;
     }
 
-    /** One decision is pulled after another. */
-    static void runAllDecisions(BooleanSupplier decides) {
-        while (decides.getAsBoolean()) {
+    /** Pulls and carries out decisions until there is none. */
+    static void runAllDecisions(BooleanSupplier decide) {
+        while (decide.getAsBoolean()) {
             // Each has been carried out.
         }
     }
@@ -123,12 +130,12 @@
         loop.schedule(at, () -> {});
     }
 
-    /** Says the counters once a minute, where one has changed, and at the stop. */
+    /** Logs the counters now and once a minute, where one has changed. */
     public void logCounters() {
         String current = counters.toString();
         if (!current.equals(loggedCounters)) {
             loggedCounters = current;
-            LOG.log(Level.INFO, "event=gateway_counts {0}", current);
+            LOG.log(Level.INFO, "event=gateway_counters {0}", current);
         }
         loop.schedule(loop.nowUs() + COUNTER_LOG_INTERVAL_US, this::logCounters);
     }
@@ -138,36 +145,43 @@
     }
 
     /** From now on these are the keys; connections that are up stay. */
-    public void keys(GatewayKeys replacement) {
+    public void replaceKeys(KeyRing replacement) {
         keys = replacement;
     }
 
+    KeyRing keys() {
+        return keys;
+    }
+
     byte[] newNonce() {
-        byte[] nonce = new byte[GatewayProtocol.NONCE_BYTES];
-        secureRandom.nextBytes(nonce);
-        return nonce;
+        return Handshake.newNonce(secureRandom);
     }
 
     // ---- Parts that go out. ----
 
-    /** Of which site a far router is. */
+    /** The site of a remote router. */
     public String siteOf(RemoteRouter router) {
         return client.siteOf(router);
     }
 
-    public void forward(RemoteRouter to, OutgoingPart part) {
-        to.forward(part);
+    public void forward(RemoteRouter router, OutgoingPart part) {
+        router.forward(part);
     }
 
     /** Its outcome is known already. */
-    public void cancel(RemoteRouter to, OutgoingPart part) {
-        to.cancel(part);
+    public void cancel(RemoteRouter router, OutgoingPart part) {
+        router.cancel(part);
     }
 
     // ---- Parts that come in. ----
 
-    public void listen(InetSocketAddress at) throws IOException {
-        server.listen(at);
+    /**
+     * Accepts connections of other sites' routers from now on.
+     *
+     * @throws IOException where the address can't be listened on
+     */
+    public void listen(InetSocketAddress address) throws IOException {
+        server.listen(address);
     }
 
     public InetSocketAddress address() throws IOException {
@@ -176,19 +190,19 @@
 
     /** Which cells this router reaches at its own site. */
     public void announceCells(BitSet reachableCells) {
-        server.reachableCells(reachableCells);
+        server.announceCells(reachableCells);
     }
 
-    /** Connections that have not proved themselves. */
+    /** Connections that have not authenticated. */
     int unauthenticatedConnections() {
-        return server.unauthenticated();
+        return server.unauthenticatedConnections();
     }
 
     /**
-     * A part that was begun has ended here.
+     * A part that was started has ended here.
      *
-     * @param value of one that is done, else null
-     * @param retryAfterUs of a refused one, 0 for no advice
+     * @param value of one that is completed, else null
+     * @param retryAfterUs of a rejected one, 0 for no advice
      */
     public void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
         server.partEnded(part, status, value, retryAfterUs);
@@ -196,14 +210,14 @@
 
     // ---- The stop. ----
 
-    /** Says to each near router which part was the last; what is in hand is finished. */
+    /** Tells each forwarding router which part was the last; what is in flight is finished. */
     public void startDraining() {
         logCounters();
         server.startDraining();
     }
 
-    /** Nothing of another site's is in hand. */
+    /** No part of another site's is in flight. */
     public boolean isIdle() {
-        return server.receiver.running() == 0;
+        return server.receiver().running() == 0;
     }
 }
--- a/src/main/java/tinlink/gateway/GatewayClientSession.java
+++ b/src/main/java/tinlink/gateway/GatewayClientSession.java
@@ -2,24 +2,19 @@
 
 import tinlink.gateway.forwarding.ForwardedPart;
 import tinlink.gateway.forwarding.GatewayChannel;
-import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.CloseReason;
 import tinlink.net.MessageRejectedException;
-import tinlink.securechannel.MessageCodec;
-import tinlink.securechannel.SecureSession;
+import tinlink.securechannel.Handshake;
 
 import java.nio.ByteBuffer;
-import java.util.BitSet;
+import java.util.Locale;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
- * The near side of a line to a far router: calls it, proves itself, passes parts on and hears of
- * their fates.
+ * The forwarding side of a connection to a remote router: connects, authenticates, sends parts and receives
+ * their status. Runs on the event loop's thread.
  */
-final class GatewayClientSession extends SecureSession {
-    private static final Logger LOG = Logger.getLogger("tinlink.gateway");
-    private final Gateway gateway;
+final class GatewayClientSession extends GatewaySession {
     private final GatewayClient client;
     final GatewayChannel channel;
     private final String site;
@@ -29,150 +24,134 @@
 
     GatewayClientSession(
             Gateway gateway, GatewayClient client, GatewayChannel channel, String site) {
-        super(
-                gateway.loop,
-                gateway.timing.handshakeUs(),
-                GatewayProtocol.MAX_UNAUTHENTICATED_BYTES,
-                GatewayProtocol.MAX_MESSAGE_BYTES);
-        this.gateway = gateway;
+        super(gateway);
         this.client = client;
         this.channel = channel;
         this.site = site;
     }
 
+    // ---- The handshake. ----
+
     @Override
     public void connected() {
-        keyId = gateway.keys.activeKeyId();
-        hello = new MessageCodec.Builder()
-                .putShort(GatewayProtocol.VERSION)
-                .putText(keyId)
-                .putText(gateway.identity.site())
-                .putText(gateway.identity.router())
-                .putShort(channel.index)
-                .putLong(gateway.identity.incarnation())
-                .putBytes(gateway.newNonce())
-                .build();
+        keyId = gateway.keys().activeKeyId();
+        Gateway.Identity identity = gateway.settings.identity();
+        hello = GatewayMessageCodec.encode(new GatewayMessage.Hello(
+                keyId,
+                identity.site(),
+                identity.router(),
+                channel.index,
+                identity.incarnation(),
+                gateway.newNonce()));
         helloSentAt = gateway.loop.nowUs();
-        send(GatewayProtocol.HELLO, hello);
+        send(GatewayMessage.Type.HELLO.code, hello);
     }
 
-    @Override
-    protected void onMessage(byte type, ByteBuffer payload, byte[] frame)
+    /** The remote router says who it is, and proves it with our nonce; then we do with its own. */
+    private void onChallenge(byte type, ByteBuffer body, byte[] frame)
             throws MessageRejectedException {
-        if (!isAuthenticated()) {
-            onChallenge(type, payload, frame);
-            return;
+        requireType(GatewayMessage.Type.CHALLENGE, type);
+        GatewayMessage.Challenge challenge = GatewayMessageCodec.decodeChallenge(body);
+        Handshake handshake =
+                new Handshake(gateway::keys, keyId, PROOF_LABELS, hello, readSoFar(frame, body));
+        byte[] proof = GatewayMessageCodec.decodeProofBytes(body);
+        if (!challenge.site().equals(site) || !challenge.router().equals(channel.router.name)) {
+            throw GatewayMessageCodec.malformed("it is " + challenge.site() + "/"
+                    + challenge.router() + ", not the router that was called");
         }
-        switch (type) {
-            case GatewayProtocol.HEARTBEAT_ACK ->
-                channel.router.onHeartbeatAck(channel, payload.getLong());
-            case GatewayProtocol.CREDIT_WINDOW ->
-                channel.router.onCreditWindow(Math.max(0, payload.getInt()));
-            case GatewayProtocol.SERVED_CELLS ->
-                channel.router.onServedCells(BitSet.valueOf(payload));
-            case GatewayProtocol.GO_AWAY -> {
-                LOG.log(Level.INFO, "event=far_leaves site={0} router={1}", new Object[] {
-                    site, channel.router.name
-                });
-                channel.router.onGoAway(channel, payload.getLong());
-            }
-            case GatewayProtocol.PART_STATUS -> onPartStatus(payload);
-            default -> throw GatewayProtocol.malformed("a message of type " + type);
+        if (!handshake.isResponderProof(proof)) {
+            gateway.counters().increment("outbound_wrong_proof");
+            throw GatewayMessageCodec.malformed("a wrong proof");
         }
+        byte[] claims = GatewayMessageCodec.encode(new GatewayMessage.Proof(
+                channel.connectCount() + 1, channel.nextPartNumber()));
+        sendWithProof(GatewayMessage.Type.PROOF, claims, handshake.initiatorProof(claims));
+        enableAuthentication(handshake.sessionSecret(), true);
+        onAuthenticated(challenge.incarnation());
     }
 
-    /** The far router says who it is, and proves it with our nonce; then we do with its own. */
-    private void onChallenge(byte type, ByteBuffer payload, byte[] frame)
-            throws MessageRejectedException {
-        if (type != GatewayProtocol.CHALLENGE || payload.getShort() != GatewayProtocol.VERSION) {
-            throw GatewayProtocol.malformed("no challenge of this version");
-        }
-        String remoteSite = GatewayProtocol.readText(payload);
-        String remoteRouter = GatewayProtocol.readText(payload);
-        long incarnation = payload.getLong();
-        GatewayProtocol.readBytes(payload, GatewayProtocol.NONCE_BYTES);
-        int challengeEnd = payload.position();
-        byte[] proof = GatewayProtocol.readBytes(payload, GatewayProtocol.PROOF_BYTES);
-        byte[] challenge = java.util.Arrays.copyOfRange(frame, 1, challengeEnd);
-        if (!remoteSite.equals(site) || !remoteRouter.equals(channel.router.name)) {
-            throw GatewayProtocol.malformed(
-                    "it is " + remoteSite + "/" + remoteRouter + ", not who was called");
-        }
-        if (!gateway.keys.contains(keyId)
-                || !GatewayKeys.constantTimeEquals(
-                        proof, gateway.keys.proof(keyId, "far proof", hello, challenge))) {
-            gateway.counters.increment("near_wrong_proof");
-            throw GatewayProtocol.malformed("a wrong proof");
-        }
-        byte[] channelCounts = new MessageCodec.Builder()
-                .putLong(channel.connectCount() + 1)
-                .putLong(channel.nextPartNumber())
-                .build();
-        send(
-                GatewayProtocol.PROOF,
-                new MessageCodec.Builder()
-                        .putBytes(channelCounts)
-                        .putBytes(gateway.keys.proof(
-                                keyId, "near proof", hello, challenge, channelCounts))
-                        .build());
-        enableAuthentication(gateway.keys.proof(keyId, "session", hello, challenge), true);
-        gateway.counters.increment("near_lines_up");
+    private void onAuthenticated(long remoteIncarnation) {
+        long roundTripUs = gateway.loop.nowUs() - helloSentAt;
+        gateway.counters().increment("outbound_channels_up");
         LOG.log(
                 Level.INFO,
-                "event=line_up site={0} router={1} line={2} round_trip_us={3}",
+                "event=channel_up site={0} router={1} channel={2} round_trip_us={3}",
                 new Object[] {
-                    site,
-                    remoteRouter,
-                    channel.index,
-                    String.valueOf(gateway.loop.nowUs() - helloSentAt)
+                    site, channel.router.name, channel.index, String.valueOf(roundTripUs)
                 });
-        channel.router.onConnected(channel, incarnation, gateway.loop.nowUs() - helloSentAt);
+        channel.router.onConnected(channel, remoteIncarnation, roundTripUs);
+    }
+
+    // ---- What the remote router says. ----
+
+    @Override
+    protected void onMessage(byte code, ByteBuffer body, byte[] frame)
+            throws MessageRejectedException {
+        if (!isAuthenticated()) {
+            onChallenge(code, body, frame);
+            return;
+        }
+        GatewayMessage.Type type = GatewayMessageCodec.typeOf(code);
+        switch (type) {
+            case HEARTBEAT_ACK ->
+                channel.router.onHeartbeatAck(
+                        channel, GatewayMessageCodec.decodeHeartbeatAck(body).number());
+            case CREDIT_WINDOW ->
+                channel.router.onCreditWindow(
+                        GatewayMessageCodec.decodeCreditWindow(body).parts());
+            case SERVED_CELLS ->
+                channel.router.onServedCells(
+                        GatewayMessageCodec.decodeServedCells(body).cells());
+            case GO_AWAY -> onGoAway(GatewayMessageCodec.decodeGoAway(body));
+            case PART_STATUS -> onPartStatus(GatewayMessageCodec.decodeStatusReport(body));
+            default -> throw GatewayMessageCodec.unexpected(type);
+        }
+    }
+
+    private void onGoAway(GatewayMessage.GoAway goAway) {
+        LOG.log(Level.INFO, "event=remote_router_draining site={0} router={1}", new Object[] {
+            site, channel.router.name
+        });
+        channel.router.onGoAway(channel, goAway.lastStarted());
     }
 
-    @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
-    private void onPartStatus(ByteBuffer payload) throws MessageRejectedException {
-        int channelIndex = payload.getShort();
-        long number = payload.getLong();
-        int statusCode = payload.get();
-        long durationUs = payload.getLong();
-        long retryAfterUs = payload.getLong();
-        if (channelIndex < 0
-                || channelIndex >= channel.router.channels.size()
-                || statusCode < 0
-                || statusCode >= PartStatus.values().length) {
-            throw GatewayProtocol.malformed("a fate of what was never sent");
+    private void onPartStatus(GatewayMessage.StatusReport report) throws MessageRejectedException {
+        int index = report.channelIndex();
+        if (index < 0 || index >= channel.router.channels.size()) {
+            throw GatewayMessageCodec.malformed("a status on channel " + index);
         }
-        GatewayChannel about = channel.router.channels.get(channelIndex);
-        if (number < 1 || number >= about.nextPartNumber()) {
-            throw GatewayProtocol.malformed("a fate of what was never sent");
+        GatewayChannel about = channel.router.channels.get(index);
+        if (report.number() < 1 || report.number() >= about.nextPartNumber()) {
+            throw GatewayMessageCodec.malformed("a status of a part that was never sent");
         }
-        ForwardedPart openPart = channel.router.findOpenPart(about, number);
+        ForwardedPart openPart = channel.router.findOpenPart(about, report.number());
         if (openPart instanceof OutgoingPart part) {
-            part.value = GatewayProtocol.readBytes(payload, payload.remaining());
-            part.durationUs =
-                    Math.max(1, Math.min(durationUs, gateway.loop.nowUs() - part.forwardedAt));
-            part.retryAfterUs = Math.max(0, retryAfterUs);
-            channel.router.onPartStatus(about, number, PartStatus.values()[statusCode]);
+            long sinceForwardedUs = gateway.loop.nowUs() - part.forwardedAt;
+            part.value = report.value();
+            part.durationUs = Math.max(1, Math.min(report.durationUs(), sinceForwardedUs));
+            part.retryAfterUs = Math.max(0, report.retryAfterUs());
+            channel.router.onPartStatus(about, report.number(), report.status());
         }
     }
 
+    // ---- The end. ----
+
     @Override
-    protected void onClosed(CloseReason closeReason) {
+    protected void onClosed(CloseReason reason) {
         boolean wasUp = client.sessionClosed(this);
         LOG.log(
                 wasUp ? Level.WARNING : Level.FINE,
-                "event=line_down site={0} router={1} line={2} how={3} open={4}",
+                "event=channel_down site={0} router={1} channel={2} reason={3} open_parts={4}",
                 new Object[] {
                     site,
                     channel.router.name,
                     channel.index,
-                    closeReason,
+                    reason,
                     channel.openParts().size()
                 });
-        gateway.counters.increment(
-                wasUp
-                        ? "near_lines_" + closeReason.name().toLowerCase(java.util.Locale.ROOT)
-                        : "near_not_up");
+        String reasonName = reason.name().toLowerCase(Locale.ROOT);
+        gateway.counters()
+                .increment(wasUp ? "outbound_channels_" + reasonName : "outbound_not_connected");
         channel.router.onDisconnected(
                 channel, part -> connection.mayHaveLeft(((OutgoingPart) part).endPosition));
     }
@@ -183,12 +162,7 @@
     }
 
     @Override
-    protected void incrementCounter(String what) {
-        gateway.counters.increment("near_" + what);
-    }
-
-    @Override
-    protected Logger logger() {
-        return LOG;
+    protected void incrementCounter(String counter) {
+        gateway.counters().increment("outbound_" + counter);
     }
 }
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -8,51 +8,55 @@
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.UnauthenticatedSessions;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.Locale;
 import java.util.Map;
-import java.util.Set;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /**
- * The far side of a gateway: takes connections from routers of other sites and carries out what {@link
- * ForwardedPartReceiver} decides about the parts that they pass on. Runs on the loop's thread.
+ * The receiving side of a gateway: accepts connections from routers of other sites and carries out what
+ * {@link ForwardedPartReceiver} decides about the parts that they forward. Runs on the event loop's thread.
  */
 final class GatewayServer implements ExecutionHandler, Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
-    /** Connections that may be here without having proved themselves. */
     private static final int MAX_UNAUTHENTICATED = 16;
-    /** A near router that has said nothing for so many heartbeats is gone. */
+    /** A router that has sent nothing for so many heartbeats is gone. */
     private static final int MAX_SILENT_HEARTBEATS = 12;
 
-    final ForwardedPartReceiver receiver;
+    private final ForwardedPartReceiver receiver;
     private final Gateway gateway;
-    private Network.ListeningSocket listening;
-    /** Connections that have not proved themselves; each leaves as it does, or ends. */
-    private final Set<GatewayServerSession> unauthenticated = new LinkedHashSet<>();
-    /** Connections of near routers, with the time by which they have to speak; each leaves as it ends. */
+    private Network.ListeningSocket listeningSocket;
+    private final UnauthenticatedSessions unauthenticated =
+            new UnauthenticatedSessions(MAX_UNAUTHENTICATED);
+    /** Sessions of forwarding routers, with the timer of their silence; each leaves as it ends. */
     private final Map<GatewayServerSession, EventLoop.Timer> authenticated = new HashMap<>();
     /** Which cells this router reaches at its own site. */
     private BitSet reachableCells = new BitSet();
 
     private boolean draining;
 
-    GatewayServer(Gateway gateway, Gateway.Limits limits) {
+    GatewayServer(Gateway gateway) {
         this.gateway = gateway;
+        Gateway.Limits limits = gateway.settings.limits();
+        Gateway.Timing timing = gateway.settings.timing();
         receiver = new ForwardedPartReceiver(new ForwardedPartReceiver.Limits(
                 limits.maxRunningParts(),
                 limits.maxEndedParts(),
                 limits.maxEndedBytes(),
                 limits.maxInboundChannels(),
-                2 * gateway.timing.maxRequestUs(),
-                gateway.timing.heartbeatUs()));
+                2 * timing.maxRequestUs(),
+                timing.heartbeatUs()));
+    }
+
+    ForwardedPartReceiver receiver() {
+        return receiver;
     }
 
     void advanceClock(long nowUs) {
@@ -64,18 +68,18 @@
         Gateway.runAllDecisions(() -> receiver.decide(this));
     }
 
-    void reachableCells(BitSet updatedCells) {
-        if (!updatedCells.equals(reachableCells)) {
-            reachableCells = updatedCells;
+    void announceCells(BitSet cells) {
+        if (!cells.equals(reachableCells)) {
+            reachableCells = cells;
             authenticated.keySet().forEach(this::sendCells);
         }
     }
 
     private void sendCells(GatewayServerSession session) {
-        session.send(GatewayProtocol.SERVED_CELLS, reachableCells.toByteArray());
+        session.send(new GatewayMessage.ServedCells(reachableCells));
     }
 
-    /** Tells each near router which part was the last; what is in hand is finished. */
+    /** Tells each forwarding router which part was the last; what is in flight is finished. */
     void startDraining() {
         draining = true;
         receiver.startDraining();
@@ -83,22 +87,18 @@
     }
 
     private void sendGoAway(GatewayServerSession session) {
-        session.send(
-                GatewayProtocol.GO_AWAY,
-                new GatewayProtocol.Builder()
-                        .putLong(receiver.lastStarted(session.inbound))
-                        .build());
+        session.send(new GatewayMessage.GoAway(receiver.lastStarted(session.channel())));
     }
 
     // ---- Connections. ----
 
-    void listen(InetSocketAddress at) throws IOException {
-        listening = gateway.network.listenAt(at);
-        listening.accept(this);
+    void listen(InetSocketAddress address) throws IOException {
+        listeningSocket = gateway.network.listenAt(address);
+        listeningSocket.accept(this);
     }
 
     InetSocketAddress address() throws IOException {
-        return listening.address();
+        return listeningSocket.address();
     }
 
     @Override
@@ -106,15 +106,11 @@
         return new GatewayServerSession(gateway, this);
     }
 
-    /** Danger: connections that never prove themselves would hold all room; the oldest gives way. */
     @Override
-    public void accepted(Connection link, Connection.Listener owner) {
-        GatewayServerSession session = (GatewayServerSession) owner;
-        session.attach(link, gateway.timing.handshakeUs());
+    public void accepted(Connection connection, Connection.Listener listener) {
+        GatewayServerSession session = (GatewayServerSession) listener;
+        session.attach(connection, gateway.settings.timing().handshakeUs());
         unauthenticated.add(session);
-        if (unauthenticated.size() > MAX_UNAUTHENTICATED) {
-            unauthenticated.iterator().next().close(CloseReason.DONE);
-        }
     }
 
     @Override
@@ -123,18 +119,17 @@
     }
 
     @Override
-    public void acceptFailed(Throwable why) {
-        LOG.log(Level.WARNING, "event=accept_failed", why);
-        gateway.loop.schedule(
-                gateway.loop.nowUs() + gateway.timing.heartbeatUs(), () -> listening.accept(this));
+    public void acceptFailed(Throwable cause) {
+        LOG.log(Level.WARNING, "event=accept_failed", cause);
+        long retryAt = gateway.loop.nowUs() + gateway.settings.timing().heartbeatUs();
+        gateway.loop.schedule(retryAt, () -> listeningSocket.accept(this));
     }
 
-    /** How many connections have not proved themselves. */
-    int unauthenticated() {
+    int unauthenticatedConnections() {
         return unauthenticated.size();
     }
 
-    /** The session has proved itself. */
+    /** The session has authenticated. */
     void authenticated(GatewayServerSession session) {
         unauthenticated.remove(session);
         authenticated.put(session, null);
@@ -148,15 +143,14 @@
     /** The session has sent a heartbeat. */
     void heartbeatReceived(GatewayServerSession session) {
         if (authenticated.containsKey(session)) {
-            long silenceAt =
-                    gateway.loop.nowUs() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
-            EventLoop.Timer silenceTimer =
-                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.SILENT));
-            gateway.loop.cancel(authenticated.put(session, silenceTimer));
+            long silenceUs = MAX_SILENT_HEARTBEATS * gateway.settings.timing().heartbeatUs();
+            EventLoop.Timer silence = gateway.loop.schedule(
+                    gateway.loop.nowUs() + silenceUs,
+                    () -> session.close(CloseReason.SILENT));
+            gateway.loop.cancel(authenticated.put(session, silence));
         }
     }
 
-    /** The session has ended. */
     void sessionClosed(GatewayServerSession session) {
         unauthenticated.remove(session);
         gateway.loop.cancel(authenticated.remove(session));
@@ -165,16 +159,16 @@
     // ---- Parts. ----
 
     /**
-     * A part that was begun has ended here.
+     * A part that was started has ended here.
      *
-     * @param value of one that is done, else null
-     * @param retryAfterUs of a refused one, 0 for no advice
+     * @param value of one that is completed, else null
+     * @param retryAfterUs of a rejected one, 0 for no advice
      */
     void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
         part.durationUs = gateway.loop.nowUs() - part.arrivedAt;
         part.retryAfterUs = retryAfterUs;
         part.value = value == null ? part.value : value;
-        gateway.counters.increment("far_" + status.name().toLowerCase(Locale.ROOT));
+        gateway.counters().increment("inbound_" + status.name().toLowerCase(Locale.ROOT));
         receiver.onPartEnded(part, status, part.value.length);
     }
 
@@ -185,7 +179,7 @@
 
     @Override
     public void cancelPart(ReceivedPart part) {
-        gateway.counters.increment("far_given_up");
+        gateway.counters().increment("inbound_cancelled");
         gateway.partHandler.cancelPart((IncomingPart) part);
     }
 
@@ -202,9 +196,7 @@
     public void sendCreditWindow(Object session, int parts) {
         GatewayServerSession target = (GatewayServerSession) session;
         if (target.isAuthenticated()) {
-            target.send(
-                    GatewayProtocol.CREDIT_WINDOW,
-                    new GatewayProtocol.Builder().putInt(parts).build());
+            target.send(new GatewayMessage.CreditWindow(parts));
         }
     }
 
--- a/src/main/java/tinlink/gateway/IncomingPart.java
+++ b/src/main/java/tinlink/gateway/IncomingPart.java
@@ -3,18 +3,13 @@
 import tinlink.gateway.forwarding.InboundChannel;
 import tinlink.gateway.forwarding.ReceivedPart;
 
-/** A part that another site has passed on to this router. Fields only. */
+/** A part that another site has forwarded to this router. State only; belongs to the event loop's thread. */
 public final class IncomingPart extends ReceivedPart {
+    public final PartContent content;
+    /** Microseconds of the event loop's clock. */
     public final long arrivedAt;
-    /** How long it may run here, and have its effect. */
+    /** How long it may run here, and have its effect, microseconds. */
     public final long remainingUs;
-
-    public final String id;
-    public final String index;
-    public final int shard;
-    public final String idempotencyKey;
-    public final byte[] text;
-    public final boolean clientRetry;
     /** Whatever the part is to whoever runs it here. */
     public Object attachment;
 
@@ -23,24 +18,14 @@
     long durationUs;
 
     IncomingPart(
-            InboundChannel inbound,
+            InboundChannel channel,
             long number,
             long arrivedAt,
             long remainingUs,
-            String id,
-            String index,
-            int shard,
-            String idempotencyKey,
-            byte[] text,
-            boolean clientRetry) {
-        super(inbound, number);
+            PartContent content) {
+        super(channel, number);
         this.arrivedAt = arrivedAt;
         this.remainingUs = remainingUs;
-        this.id = id;
-        this.index = index;
-        this.shard = shard;
-        this.idempotencyKey = idempotencyKey;
-        this.text = text;
-        this.clientRetry = clientRetry;
+        this.content = content;
     }
 }
--- a/src/main/java/tinlink/gateway/OutgoingPart.java
+++ b/src/main/java/tinlink/gateway/OutgoingPart.java
@@ -2,34 +2,32 @@
 
 import tinlink.gateway.forwarding.ForwardedPart;
 
-/** A part that this router passes on to another site. Fields only. */
+/** A part that this router forwards to another site. State only; belongs to the event loop's thread. */
 public final class OutgoingPart extends ForwardedPart {
-    final String id;
-    final String index;
-    final int shard;
-    /** Null where its index needs none. */
-    final String idempotencyKey;
-
-    final byte[] text;
-    final boolean clientRetry;
+    final PartContent content;
     /** Until when it may have its effect at all; Long.MAX_VALUE where that does not matter. */
     final long effectDeadline;
-    /** Whatever the part is to whoever passed it on. */
+    /** Whatever the part is to whoever forwards it. */
     public final Object attachment;
 
     final long forwardedAt;
-    /** Where its message ends in what its line has written. */
+    /** Where its message ends in what its connection has written. */
     long endPosition;
-    /** What came with its end: the value, the time that it took over there, when to come back. */
+    /** What came with its end; null where it has no value. */
     public byte[] value;
 
+    /** How long it took over there, microseconds. */
     public long durationUs;
+    /** When the client may try again, microseconds; 0 for no advice. */
     public long retryAfterUs;
 
     /**
-     * @param cell where the near router's module wants it
-     * @param idempotent a second run does no
-     *     harm
+     * A part that has not been sent yet.
+     *
+     * @param now microseconds of the event loop's clock, as all times
+     * @param deadline until when an answer counts
+     * @param cell where it is to run
+     * @param idempotent a second run does no harm
      * @param effectDeadline the end of its key's window; Long.MAX_VALUE where it has none
      */
     public OutgoingPart(
@@ -38,22 +36,12 @@
             long deadline,
             int cell,
             boolean idempotent,
-            String id,
-            String index,
-            int shard,
-            String idempotencyKey,
-            byte[] text,
-            boolean clientRetry,
+            PartContent content,
             long effectDeadline) {
         super(deadline, cell, idempotent);
         this.attachment = attachment;
         forwardedAt = now;
-        this.id = id;
-        this.index = index;
-        this.shard = shard;
-        this.idempotencyKey = idempotencyKey;
-        this.text = text;
-        this.clientRetry = clientRetry;
+        this.content = content;
         this.effectDeadline = effectDeadline;
     }
 }
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -8,14 +8,16 @@
 import tinlink.decision.Part;
 import tinlink.decision.QueryCoordinator;
 import tinlink.gateway.Gateway;
-import tinlink.gateway.GatewayKeys;
 import tinlink.gateway.IncomingPart;
 import tinlink.gateway.OutgoingPart;
+import tinlink.gateway.PartContent;
+import tinlink.gateway.PartHandler;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
+import tinlink.securechannel.KeyRing;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -31,7 +33,7 @@
  * stand before the module as data nodes, one a cell; parts that come from other sites are lookups
  * of one part.
  */
-final class GatewayIntegration implements Gateway.PartHandler, Query.ResponseListener {
+final class GatewayIntegration implements PartHandler, Query.ResponseListener {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private final EventLoop loop;
     private final RequestPipeline pipeline;
@@ -58,12 +60,11 @@
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Identity(
+                new Gateway.Settings(new Gateway.Identity(
                         gatewayConfig.site,
                         gatewayConfig.router,
                         loop.nowUs(),
                         gatewayConfig.acceptedSites),
-                keys(gatewayConfig),
                 new Gateway.Timing(
                         gatewayConfig.heartbeatUs,
                         gatewayConfig.handshakeUs,
@@ -79,12 +80,13 @@
                         .map(remote -> new Gateway.RemoteEndpoint(
                                 remote.site(), remote.router(), remote.addresses()))
                         .toList(),
-                config.seed,
+                config.seed),
+                keys(gatewayConfig),
                 this);
     }
 
-    private static GatewayKeys keys(GatewayConfig gatewayConfig) {
-        return new GatewayKeys(Map.copyOf(gatewayConfig.keys), gatewayConfig.activeKeyId);
+    private static KeyRing keys(GatewayConfig gatewayConfig) {
+        return new KeyRing(Map.copyOf(gatewayConfig.keys), gatewayConfig.activeKeyId);
     }
 
     /** From now on lines are opened and taken. */
@@ -108,7 +110,7 @@
 
     /** The keys alone are taken over in service. */
     void updateKeys(GatewayConfig gatewayConfig) {
-        gateway.keys(keys(gatewayConfig));
+        gateway.replaceKeys(keys(gatewayConfig));
     }
 
     /** From another thread. */
@@ -164,12 +166,13 @@
                 sent.deadlineUs,
                 sent.attempt.node.cell,
                 query.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT,
+                new PartContent(
                 sent.part().id,
                 classNames.get(query.lookupClass),
                 sent.part().shard,
                 query.idempotencyKey,
                 query.text,
-                query.isClientRetry,
+                query.isClientRetry),
                 effectUntil(sent));
         sent.transport = new AttemptTransport() {
             @Override
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -73,23 +73,23 @@
      */
     Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener)
             throws MessageRejectedException {
-        LookupClass lookupClass = settings.lookupClasses().get(part.index);
-        if (lookupClass == null || part.shard < 0 || part.shard >= settings.shardCount()) {
+        LookupClass lookupClass = settings.lookupClasses().get(part.content.lookupClass());
+        if (lookupClass == null || part.content.shard() < 0 || part.content.shard() >= settings.shardCount()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
         boolean needsKey = lookupClass.idempotency == LookupClass.Idempotency.FINGERPRINTED;
-        if (!PART_ID.matcher(part.id).matches()
+        if (!PART_ID.matcher(part.content.id()).matches()
                 || (needsKey
-                        && (part.idempotencyKey == null
-                                || !KEY.matcher(part.idempotencyKey).matches()))) {
+                        && (part.content.idempotencyKey() == null
+                                || !KEY.matcher(part.content.idempotencyKey()).matches()))) {
             throw new MessageRejectedException(400, "id or key: not of its form");
         }
-        Query query = new Query(id, part.text, needsKey ? part.idempotencyKey : null, listener);
+        Query query = new Query(id, part.content.text(), needsKey ? part.content.idempotencyKey() : null, listener);
         query.lookupClass = lookupClass;
-        query.isClientRetry = part.clientRetry;
+        query.isClientRetry = part.content.clientRetry();
         query.isForwarded = true;
         query.clientDeadlineUs = part.arrivedAt + part.remainingUs;
-        query.parts.add(new QueryPart(query, part.shard, 1, part.id));
+        query.parts.add(new QueryPart(query, part.content.shard(), 1, part.content.id()));
         query.announcedParts = 1;
         return query;
     }
--- /dev/null
+++ b/src/main/java/tinlink/securechannel/UnauthenticatedSessions.java
@@ -0,0 +1,40 @@
+package tinlink.securechannel;
+
+import tinlink.net.CloseReason;
+
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+/**
+ * Sessions that were accepted and have not authenticated yet, oldest first; each leaves as it does, or ends.
+ * Danger: connections that never authenticate would hold all capacity; the oldest gives way.
+ */
+public final class UnauthenticatedSessions {
+    private final int maxSessions;
+    private final Set<SecureSession> sessions = new LinkedHashSet<>();
+
+    public UnauthenticatedSessions(int maxSessions) {
+        this.maxSessions = maxSessions;
+    }
+
+    /** Closes the oldest where there are too many. */
+    public void add(SecureSession session) {
+        sessions.add(session);
+        if (sessions.size() > maxSessions) {
+            sessions.iterator().next().close(CloseReason.DONE);
+        }
+    }
+
+    /** It has authenticated, or ended. */
+    public void remove(SecureSession session) {
+        sessions.remove(session);
+    }
+
+    public int size() {
+        return sessions.size();
+    }
+
+    public void closeAll() {
+        Set.copyOf(sessions).forEach(session -> session.close(CloseReason.DONE));
+    }
+}
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -14,6 +14,8 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.Handshake;
+import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 
 import java.io.ByteArrayOutputStream;
@@ -39,9 +41,9 @@
 @Timeout(30)
 class HostilePeerTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-    private static final GatewayKeys KEYS = new GatewayKeys(
+    private static final KeyRing KEYS = new KeyRing(
             Map.of("k1", KEY, "k2", "fedcba9876543210".getBytes(StandardCharsets.US_ASCII)), "k1");
-    private static final int NONCE = GatewayProtocol.NONCE_BYTES;
+    private static final int NONCE = Handshake.NONCE_BYTES;
     private final EventLoop loop = new EventLoop();
     private final AtomicInteger startedParts = new AtomicInteger();
     private Network network;
@@ -54,13 +56,14 @@
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Identity("west", "w1", 77, Set.of("east")),
+                new Gateway.Settings(
+                        new Gateway.Identity("west", "w1", 77, Set.of("east")),
+                        new Gateway.Timing(50_000, 400_000, 1_000_000, 1_000_000),
+                        new Gateway.Limits(8, 16, 1 << 16, 4, 4),
+                        List.of(),
+                        1),
                 KEYS,
-                new Gateway.Timing(50_000, 400_000, 1_000_000, 1_000_000),
-                new Gateway.Limits(8, 16, 1 << 16, 4, 4),
-                List.of(),
-                1,
-                new Gateway.PartHandler() {
+                new PartHandler() {
                     @Override
                     public void partEnded(OutgoingPart part, Outcome outcome, long tookUs) {
                         throw new IllegalStateException("nothing is passed on here");
@@ -77,7 +80,7 @@
                         gateway.partEnded(
                                 part,
                                 PartStatus.COMPLETED,
-                                ("v" + part.shard).getBytes(StandardCharsets.UTF_8),
+                                ("v" + part.content.shard()).getBytes(StandardCharsets.UTF_8),
                                 0);
                     }
 
@@ -114,7 +117,7 @@
 
     /** A near router as far as its bytes go. */
     private final class Peer {
-        final GatewayKeys keys;
+        final KeyRing keys;
         final String keyId;
         final String site;
         final Socket socket;
@@ -122,13 +125,13 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        tinlink.securechannel.KeyRing.FrameAuthenticator outboundSeal;
-        tinlink.securechannel.KeyRing.FrameAuthenticator inboundSeal;
-        int version = GatewayProtocol.VERSION;
+        KeyRing.FrameAuthenticator outboundSeal;
+        KeyRing.FrameAuthenticator inboundSeal;
+        int version = GatewayMessageCodec.VERSION;
         long incarnation = 5;
         long connectCount = 1;
 
-        Peer(GatewayKeys keys, String keyId, String site) throws IOException {
+        Peer(KeyRing keys, String keyId, String site) throws IOException {
             this.keys = keys;
             this.keyId = keyId;
             this.site = site;
@@ -171,14 +174,14 @@
                     .putLong(incarnation)
                     .putBytes(nonce)
                     .build();
-            send(GatewayProtocol.HELLO, hello);
+            send(GatewayMessage.Type.HELLO.code, hello);
             byte[] whole = next();
-            assertEquals(GatewayProtocol.CHALLENGE, whole[0]);
-            challenge = Arrays.copyOfRange(whole, 1, whole.length - GatewayProtocol.PROOF_BYTES);
+            assertEquals(GatewayMessage.Type.CHALLENGE.code, whole[0]);
+            challenge = Arrays.copyOfRange(whole, 1, whole.length - Handshake.PROOF_BYTES);
             assertArrayEquals(
                     KEYS.proof(keyId, "far proof", hello, challenge),
                     Arrays.copyOfRange(
-                            whole, whole.length - GatewayProtocol.PROOF_BYTES, whole.length));
+                            whole, whole.length - Handshake.PROOF_BYTES, whole.length));
         }
 
         byte[] proof() {
@@ -192,19 +195,19 @@
 
         void completeHandshake() throws IOException {
             exchangeHello();
-            send(GatewayProtocol.PROOF, proof());
+            send(GatewayMessage.Type.PROOF.code, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(
-                    GatewayKeys.mac(secret, "to the far side"));
-            inboundSeal = new tinlink.securechannel.KeyRing.FrameAuthenticator(
-                    GatewayKeys.mac(secret, "to the near side"));
-            awaitMessage(GatewayProtocol.CREDIT_WINDOW);
+            outboundSeal = new KeyRing.FrameAuthenticator(
+                    KeyRing.mac(secret, "to the far side"));
+            inboundSeal = new KeyRing.FrameAuthenticator(
+                    KeyRing.mac(secret, "to the near side"));
+            awaitMessage(GatewayMessage.Type.CREDIT_WINDOW.code);
         }
 
         ByteBuffer awaitMessage(byte type) throws IOException {
             while (true) {
                 byte[] whole = next();
-                int end = whole.length - GatewayProtocol.TAG_BYTES;
+                int end = whole.length - MessageCodec.TAG_BYTES;
                 assertArrayEquals(
                         inboundSeal.nextTag(whole[0], whole, 1, end - 1),
                         Arrays.copyOfRange(whole, end, whole.length));
@@ -216,9 +219,9 @@
 
         void exchangeHeartbeat(long number) throws IOException {
             send(
-                    GatewayProtocol.HEARTBEAT,
+                    GatewayMessage.Type.HEARTBEAT.code,
                     new MessageCodec.Builder().putLong(number).putLong(1).build());
-            assertEquals(number, awaitMessage(GatewayProtocol.HEARTBEAT_ACK).getLong());
+            assertEquals(number, awaitMessage(GatewayMessage.Type.HEARTBEAT_ACK.code).getLong());
         }
 
         byte[] partBody(long number, int shard, long remainingUs, long ackedHeartbeat) {
@@ -239,17 +242,17 @@
         void sendPart(long number, int shard, long remainingUs, long ackedHeartbeat)
                 throws IOException {
             send(
-                    GatewayProtocol.FORWARD_PART,
+                    GatewayMessage.Type.FORWARD_PART.code,
                     partBody(number, shard, remainingUs, ackedHeartbeat));
         }
 
         /** The fate that comes next, which must be of that number, and its value. */
         @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
         String awaitValue(long number) throws IOException {
-            ByteBuffer b = awaitMessage(GatewayProtocol.PART_STATUS);
+            ByteBuffer b = awaitMessage(GatewayMessage.Type.PART_STATUS.code);
             b.getShort();
             assertEquals(number, b.getLong());
-            PartStatus status = PartStatus.values()[b.get()];
+            PartStatus status = PartStatus.ofCode(b.get());
             b.getLong();
             b.getLong();
             return status == PartStatus.COMPLETED
@@ -271,9 +274,9 @@
 
     @Test
     void wrongKeyIsRejectedAndAnyKeyOfTheRingIsAccepted() throws Exception {
-        Peer peer = new Peer(new GatewayKeys(Map.of("k1", new byte[16]), "k1"), "k1", "east");
+        Peer peer = new Peer(new KeyRing(Map.of("k1", new byte[16]), "k1"), "k1", "east");
         peer.exchangeHello();
-        peer.send(GatewayProtocol.PROOF, peer.proof());
+        peer.send(GatewayMessage.Type.PROOF.code, peer.proof());
         peer.assertDisconnected();
         Peer other = new Peer(KEYS, "k2", "east"); // Any key of the ring is good.
         other.incarnation = 6;
@@ -281,7 +284,7 @@
         other.socket.close();
         Peer old = new Peer(KEYS, "k0", "east");
         old.send(
-                GatewayProtocol.HELLO,
+                GatewayMessage.Type.HELLO.code,
                 new MessageCodec.Builder()
                         .putShort(1)
                         .putText("k0")
@@ -309,7 +312,7 @@
                     .putBytes(peer.nonce)
                     .build();
             if (i < 2) {
-                peer.send(GatewayProtocol.HELLO, peer.hello);
+                peer.send(GatewayMessage.Type.HELLO.code, peer.hello);
             }
             peer.assertDisconnected();
         }
@@ -325,7 +328,7 @@
         again.incarnation = 6;
         again.exchangeHello();
         again.send(
-                GatewayProtocol.PROOF,
+                GatewayMessage.Type.PROOF.code,
                 recorded); // Of the connection before: its challenge was another.
         again.assertDisconnected();
         first.socket.close();
@@ -378,9 +381,9 @@
             peer.completeHandshake();
             peer.exchangeHeartbeat(1);
             byte[] frame =
-                    peer.frame(GatewayProtocol.FORWARD_PART, peer.partBody(7, 3, 1_000_000, 1));
+                    peer.frame(GatewayMessage.Type.FORWARD_PART.code, peer.partBody(7, 3, 1_000_000, 1));
             if (changed) {
-                frame[frame.length - GatewayProtocol.TAG_BYTES - 2] ^= 1;
+                frame[frame.length - MessageCodec.TAG_BYTES - 2] ^= 1;
                 peer.socket.getOutputStream().write(frame);
             } else {
                 peer.socket.getOutputStream().write(frame);
@@ -432,7 +435,7 @@
             new byte[3],
             new MessageCodec.Builder().putLong(-1).build()
         };
-        byte[] types = {GatewayProtocol.STATUS_QUERY, GatewayProtocol.FORWARD_PART, (byte) 99};
+        byte[] types = {GatewayMessage.Type.STATUS_QUERY.code, GatewayMessage.Type.FORWARD_PART.code, (byte) 99};
         for (int i = 0; i < bodies.length; i++) {
             Peer peer = new Peer(KEYS, "k1", "east");
             peer.connectCount = 3L + i;
