--- a/src/main/java/tinlink/experiment/scale/ServingRouter.java
+++ b/src/main/java/tinlink/experiment/scale/ServingRouter.java
@@ -51,9 +51,10 @@
     /** The one index of lookups: all parts are needed, and running a part twice does no harm. */
     static final String INDEX = "find";
 
-    private static final Pattern SERVES = Pattern.compile(" serves at [^/]*/([0-9.]+):([0-9]+) ");
+    private static final Pattern SERVES =
+            Pattern.compile("event=serving router=[^ ]+ address=([0-9.]+):([0-9]+) ");
     /** Begins what the router logs of each object of discovery's. */
-    private static final String LIST_TOLD = " told, ";
+    private static final String LIST_TOLD = "event=endpoint_list_updated ";
 
     private static final long START_S = 30;
     private static final long STOP_S = 10;
@@ -73,7 +74,11 @@
     private final List<String> lines = new ArrayList<>();
     private final AtomicLong listsTold = new AtomicLong();
 
-    /** Starts the router and waits until it serves. @param folder for its configuration */
+    /**
+     * Starts the router and waits until it serves.
+     *
+     * @param folder for its configuration
+     */
     ServingRouter(Settings settings, InetSocketAddress discovery, Path folder)
             throws IOException, InterruptedException {
         Path config = Files.writeString(folder.resolve("router.json"), config(settings, discovery));
@@ -83,7 +88,7 @@
         long from = System.nanoTime();
         process = builder.start();
         RUNNING.add(process);
-        process.onExit().thenAccept(RUNNING::remove);
+        var unused = process.onExit().thenAccept(RUNNING::remove);
         CompletableFuture<InetSocketAddress> serves = new CompletableFuture<>();
         Thread reader = new Thread(() -> readOutput(serves), "serving-router-output");
         reader.setDaemon(true);
--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -4,6 +4,7 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 import tinlink.securechannel.Handshake;
 import tinlink.securechannel.KeyRing;
@@ -82,7 +83,7 @@
     private final SecureRandom secureRandom = new SecureRandom();
     private final GatewayClient client;
     private final GatewayServer server;
-    private final EventLoop.EventLoopParticipant participant = new EventLoop.EventLoopParticipant() {
+    private final EventLoopParticipant participant = new EventLoopParticipant() {
         @Override
         public void turnStarted(long nowUs) {
             client.advanceClock(nowUs);
@@ -114,7 +115,7 @@
     }
 
     /** What it does in each turn of the event loop. */
-    public EventLoop.EventLoopParticipant turn() {
+    public EventLoopParticipant turn() {
         return participant;
     }
 
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -100,7 +100,7 @@
     public void disconnect(GatewayChannel channel) {
         GatewayClientSession session = sessions.get(channel);
         if (session != null) {
-            session.close(CloseReason.SILENT);
+            session.close(CloseReason.UNRESPONSIVE);
         }
     }
 
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -146,7 +146,7 @@
             long silenceUs = MAX_SILENT_HEARTBEATS * gateway.settings.timing().heartbeatUs();
             EventLoop.Timer silence = gateway.loop.schedule(
                     gateway.loop.nowUs() + silenceUs,
-                    () -> session.close(CloseReason.SILENT));
+                    () -> session.close(CloseReason.UNRESPONSIVE));
             gateway.loop.cancel(authenticated.put(session, silence));
         }
     }
@@ -202,7 +202,7 @@
 
     @Override
     public void closeSession(Object session) {
-        ((GatewayServerSession) session).close(CloseReason.GONE);
+        ((GatewayServerSession) session).close(CloseReason.ENDPOINT_REMOVED);
     }
 
     @Override
--- a/src/main/java/tinlink/gateway/forwarding/PartStatus.java
+++ b/src/main/java/tinlink/gateway/forwarding/PartStatus.java
@@ -14,7 +14,7 @@
     /**
      * The remote router rejected it, or its own decisions did before any attempt that may have run.
      */
-    REJECTED(2, Outcome.TURNED_AWAY),
+    REJECTED(2, Outcome.REJECTED),
     /** It runs there; no end. */
     RUNNING(3, null),
     /** It has run there, and its value is here. */
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -6,6 +6,7 @@
 import tinlink.decision.Outcome;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
@@ -15,13 +16,12 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Sends attempts to data nodes: frames, connections, timeouts, and each attempt's one outcome.
  */
 final class AttemptDispatcher {
-    private static final Logger LOG = Logger.getLogger("tinlink.nodes");
+    private static final EventLog LOG = new EventLog("tinlink.nodes");
     private final EventLoop loop;
     private final Network network;
     private final DescriptorBudget descriptors;
@@ -206,7 +206,7 @@
         for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
             if (nodeConnection.slotsInUse() == 0
                     && nowUs() - nodeConnection.lastUsedUs() >= idleTimeoutUs) {
-                nodeConnection.close(CloseReason.IDLE);
+                nodeConnection.close(CloseReason.IDLE_TIMEOUT);
             } else if (nodeConnection.slotsInUse() < settings.callsPerConnection()
                     && nodeConnection.isUsable()
                     && batch.sentAttempts.stream().noneMatch(nodeConnection::hasIdInUse)
@@ -222,7 +222,7 @@
         }
         for (SentAttempt sent : batch.sentAttempts) {
             if (!sent.isEnded) {
-                recordOutcome(sent, CloseReason.NO_SOCKET.toOutcome(false, true), false);
+                recordOutcome(sent, CloseReason.NO_DESCRIPTOR.toOutcome(false, true), false);
             }
         }
     }
@@ -238,12 +238,12 @@
                     connection,
                     loop.schedule(
                             nowUs() + settings.connectTimeoutUs(),
-                            () -> connection.close(CloseReason.NOT_UP)));
+                            () -> connection.close(CloseReason.CONNECT_TIMEOUT)));
             descriptors.nodeOpened();
             endpoint.connections.add(nodeConnection);
             return nodeConnection;
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "no connection to " + endpoint.address, e);
+            LOG.logFailure(Level.WARNING, "node_connect_failed", e, "node", endpoint.address);
             return null;
         }
     }
@@ -252,7 +252,7 @@
     void closeAll() {
         List.copyOf(endpoints.values())
                 .forEach(endpoint -> List.copyOf(endpoint.connections)
-                        .forEach(nodeConnection -> nodeConnection.close(CloseReason.DONE)));
+                        .forEach(nodeConnection -> nodeConnection.close(CloseReason.COMPLETED)));
     }
 
     // ---- Outcomes. ----
@@ -295,7 +295,7 @@
         }
         return loop.schedule(
                 nodeConnection.lastUsedUs() + idleTimeoutUs,
-                () -> closeUnused(nodeConnection, CloseReason.IDLE));
+                () -> closeUnused(nodeConnection, CloseReason.IDLE_TIMEOUT));
     }
 
     private static void closeUnused(NodeConnection nodeConnection, CloseReason closeReason) {
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -14,6 +14,7 @@
 import tinlink.gateway.PartHandler;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.RemoteRouter;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -26,7 +27,6 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * What a request's stages and the links with other sites have to do with each other. Far routers
@@ -34,7 +34,7 @@
  * of one part.
  */
 final class GatewayIntegration implements PartHandler, Query.ResponseListener {
-    private static final Logger LOG = Logger.getLogger("tinlink.gateway");
+    private static final EventLog LOG = new EventLog("tinlink.gateway");
     private final EventLoop loop;
     private final RequestPipeline pipeline;
     private final Gateway gateway;
@@ -99,13 +99,15 @@
         gateway.logCounters();
         LOG.log(
                 Level.INFO,
-                "event=gateway_on site={0} router={1} far={2} listen={3}",
-                new Object[] {
-                    gatewayConfig.site,
-                    gatewayConfig.router,
-                    gatewayConfig.remoteRouters.size(),
-                    gatewayConfig.listen == null ? "-" : gateway.address()
-                });
+                "gateway_started",
+                "site",
+                gatewayConfig.site,
+                "router",
+                gatewayConfig.router,
+                "remote_routers",
+                gatewayConfig.remoteRouters.size(),
+                "address",
+                gatewayConfig.listen == null ? "-" : gateway.address());
     }
 
     /** The keys alone are taken over in service. */
@@ -196,7 +198,7 @@
     /** Danger: what comes later on a line must not be the first of its key to run. */
     private static long effectUntil(SentAttempt sent) {
         LookupClass lookupClass = sent.part().lookup.lookupClass;
-        return lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED
+        return lookupClass.idempotency != LookupClass.Idempotency.BY_KEY
                 ? Long.MAX_VALUE
                 : Math.min(
                         sent.effectDeadlineUs(),
@@ -213,7 +215,7 @@
         Query query = sent.part().query();
         if (outcome == Outcome.SATISFIED) {
             sent.part().value = new String(part.value, StandardCharsets.UTF_8);
-        } else if (outcome == Outcome.TURNED_AWAY) {
+        } else if (outcome == Outcome.REJECTED) {
             query.remoteRetryAfterUs = Math.max(query.remoteRetryAfterUs, part.retryAfterUs);
         }
         pipeline.driver.outcome(sent, outcome, tookUs);
@@ -232,7 +234,7 @@
                 return;
             }
         } catch (MessageRejectedException e) {
-            LOG.log(Level.FINE, "event=part_not_used why=\"{0}\"", e.getMessage());
+            LOG.log(Level.FINE, "forwarded_part_rejected", "reason", e.getMessage());
         }
         gateway.partEnded(part, PartStatus.REJECTED, null, 0);
     }
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -12,7 +12,9 @@
 import tinlink.maintenance.MaintenanceService;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 import tinlink.policy.PolicyStateMachine;
 
@@ -28,7 +30,7 @@
  * clients that are let go, and what is open here.
  */
 final class MaintenanceIntegration implements MaintenanceService.DataPlane {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
     /** Held here, or its level is forgotten. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
@@ -132,7 +134,7 @@
         pipeline.dispatcher.setOutcomeListener((machine, outcome) -> {
             if (outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED) {
                 maintenance.onCallResult(
-                        machine, outcome == Outcome.SATISFIED || outcome == Outcome.TURNED_AWAY);
+                        machine, outcome == Outcome.SATISFIED || outcome == Outcome.REJECTED);
             }
         });
         maintenance.start(whenReady);
@@ -151,9 +153,13 @@
                     config.controlToken,
                     config.controlTimeoutUs);
         }
-        LOG.log(Level.INFO, "event=work_listens peers={0} control={1}", new Object[] {
-            maintenance.peers().address(), control == null ? "-" : control.address()
-        });
+        LOG.log(
+                Level.INFO,
+                "maintenance_listening",
+                "cluster",
+                maintenance.peers().address(),
+                "control",
+                control == null ? "-" : control.address());
     }
 
     /**
@@ -179,9 +185,8 @@
     }
 
     /** Two that decide in each turn. */
-    private record ParticipantPair(
-            EventLoop.EventLoopParticipant first, EventLoop.EventLoopParticipant second)
-            implements EventLoop.EventLoopParticipant {
+    private record ParticipantPair(EventLoopParticipant first, EventLoopParticipant second)
+            implements EventLoopParticipant {
         @Override
         public void turnStarted(long nowUs) {
             first.turnStarted(nowUs);
@@ -249,7 +254,7 @@
             }
             pipeline.acceptor.setReady(true);
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "event=door_not_open", e);
+            LOG.logFailure(Level.WARNING, "accept_resume_failed", e);
             loop.schedule(loop.nowUs() + config.reportIntervalUs, this::resumeAccepting);
         }
     }
--- a/src/main/java/tinlink/securechannel/UnauthenticatedSessions.java
+++ b/src/main/java/tinlink/securechannel/UnauthenticatedSessions.java
@@ -21,7 +21,7 @@
     public void add(SecureSession session) {
         sessions.add(session);
         if (sessions.size() > maxSessions) {
-            sessions.iterator().next().close(CloseReason.DONE);
+            sessions.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -35,6 +35,6 @@
     }
 
     public void closeAll() {
-        Set.copyOf(sessions).forEach(session -> session.close(CloseReason.DONE));
+        Set.copyOf(sessions).forEach(session -> session.close(CloseReason.COMPLETED));
     }
 }
