--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -10,6 +10,7 @@
 import tinlink.config.PolicyDocument;
 import tinlink.config.RouterConfig;
 import tinlink.maintenance.MaintenanceService;
+import tinlink.maintenance.MaintenanceSettings;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.net.EventLoop;
@@ -141,9 +142,9 @@
                 clusterNode,
                 replicatedState,
                 this,
-                new MaintenanceService.Settings(
-                        clusterConfig.zone,
-                        maintenanceConfig.siteByZone,
+                new MaintenanceSettings(
+                        new MaintenanceSettings.Location(
+                                clusterConfig.zone, maintenanceConfig.siteByZone),
                         limits,
                         maintenanceConfig.observerCount,
                         maintenanceConfig.healthCheckIntervalUs,
@@ -224,7 +225,7 @@
                     + (int) clusterNode.membership().members().stream()
                             .filter(m -> m.state() == MemberState.ALIVE)
                             .count();
-            s.machines = maintenance.stateMachine().machines().size();
+            s.machines = maintenance.state().machines().size();
             s.enrolled = policyRollout.changes().enrolledRouters().size();
             s.epoch = policyRollout.changes().inForce().epoch();
             s.heardUpTo = clusterNode.learnedIndex();
--- a/src/main/java/tinlink/experiment/simulation/ControlFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlFleet.java
@@ -7,10 +7,12 @@
 import tinlink.cluster.membership.Incarnation;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MachineFailureDetector;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.NodeListDifference;
+import tinlink.maintenance.scheduling.WatcherAssignment;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyChanges;
 
@@ -79,17 +81,16 @@
             nodes.add(machine(
                     "node-" + i, Machine.Kind.NODE, i / HOLDERS, i % REGION_OF_ZONE.length, false));
         }
-        nodes.forEach(node -> stateMachine.apply(MaintenanceStateMachine.machineLine(node)));
+        nodes.forEach(node -> stateMachine.apply(new MaintenanceCommand.RegisterMachine(node)));
         for (int region = 0; region < REGIONS; region++) {
-            nodeLists.add(NodeListDifference.between(
-                            "region-" + region, nodes, stateMachine.agreedNodes())
-                    .encode());
+            nodeLists.add(MachineReportCodec.encode(NodeListDifference.between(
+                    "region-" + region, nodes, stateMachine.state().agreedNodes())));
         }
         routers.values()
                 .forEach(router ->
-                        stateMachine.apply(MaintenanceStateMachine.machineLine(router.machine)));
+                        stateMachine.apply(new MaintenanceCommand.RegisterMachine(router.machine)));
         routers.keySet()
-                .forEach(name -> stateMachine.apply(MaintenanceStateMachine.routerLine(
+                .forEach(name -> stateMachine.apply(new MaintenanceCommand.RegisterRouter(
                         name, new Incarnation(name, 1, simulation.random.nextLong()).toString())));
         nodes.forEach(node -> watch(node.id()));
         routers.keySet().forEach(this::watch);
@@ -108,8 +109,7 @@
     }
 
     private void watch(String machine) {
-        for (String watcher :
-                MachineFailureDetector.watchers(routers.keySet(), machine, WATCHERS)) {
+        for (String watcher : WatcherAssignment.watchers(routers.keySet(), machine, WATCHERS)) {
             watched.computeIfAbsent(watcher, w -> new HashMap<>()).put(machine, true);
         }
     }
@@ -137,7 +137,8 @@
 
     /** What that router reports of machines that it watches. */
     String soundness(String router) {
-        return MaintenanceCoordinator.healthReportLine(watched.getOrDefault(router, Map.of()));
+        return MachineReportCodec.encode(
+                new MachineReport.Health(watched.getOrDefault(router, Map.of())));
     }
 
     int watchedBy(String router) {
--- a/src/main/java/tinlink/experiment/simulation/ControlRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlRouter.java
@@ -5,7 +5,8 @@
 
 import tinlink.cluster.membership.LineCodec;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.ChangeCoordinator;
 import tinlink.policy.rollout.ChangeParticipant;
@@ -102,7 +103,7 @@
     }
 
     private void report() {
-        report(MessageKind.REPORT, MaintenanceCoordinator.selfReportLine(machine));
+        report(MessageKind.REPORT, MachineReportCodec.encode(new MachineReport.Self(machine)));
         report(MessageKind.REPORT, fleet.soundness(name));
         if (simulation.now() - listToldAt > REPORT_COUNTS_US / 3) {
             listToldAt = simulation.now();
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceFleet.java
@@ -6,9 +6,11 @@
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MachineFailureDetector;
-import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceState;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.WatcherAssignment;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -101,25 +103,25 @@
     }
 
     /** The order as it stands by all that any router has found agreed. */
-    MaintenanceStateMachine truth() {
+    MaintenanceState truth() {
         group.log.after(truthIndex).forEach((index, line) -> {
             truth.apply(line);
             truthIndex = index;
         });
-        return truth.stateMachine();
+        return truth.state();
     }
 
     /** Routers that look after that machine. */
     List<String> watchers(String machine) {
         return watchers.computeIfAbsent(
-                machine, m -> MachineFailureDetector.watchers(routers.keySet(), m, WATCHERS));
+                machine, m -> WatcherAssignment.watchers(routers.keySet(), m, WATCHERS));
     }
 
     String nodeList(String site) {
         return nodeLists.computeIfAbsent(
                 site,
-                s -> MaintenanceCoordinator.nodeListLine(
-                        s, nodes.values().stream().map(n -> n.machine).toList()));
+                s -> MachineReportCodec.encode(new MachineReport.FullNodeList(
+                        s, nodes.values().stream().map(n -> n.machine).toList())));
     }
 
     /** A router that runs and is awake, by chance; null where none does. */
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceOperators.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceOperators.java
@@ -3,8 +3,8 @@
 import static tinlink.experiment.simulation.Simulation.MS;
 import static tinlink.experiment.simulation.Simulation.SEC;
 
+import tinlink.maintenance.scheduling.MaintenanceCommand;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
 import tinlink.maintenance.scheduling.TaskState;
 
@@ -83,16 +83,16 @@
     private boolean isOver(MaintenanceRequest request, SimulatedRouter router) {
         List<MaintenanceTask> pieces = router.order().tasksOf(request.id());
         if (pieces.isEmpty()) {
-            router.propose(MaintenanceStateMachine.requestLine(request));
+            router.propose(new MaintenanceCommand.SubmitRequest(request));
         } else if (pieces.stream().allMatch(MaintenanceTask::isFinished)) {
             finished += (int) pieces.stream()
-                    .filter(task -> task.state() == TaskState.BACK)
+                    .filter(task -> task.state() == TaskState.COMPLETED)
                     .count();
             return true;
         }
         if (calledOff.contains(request.id())
                 && pieces.stream().anyMatch(MaintenanceOperators::mayBeCalledOff)) {
-            router.propose(MaintenanceStateMachine.cancelLine(request.id(), "called off"));
+            router.propose(new MaintenanceCommand.CancelRequest(request.id(), "called off"));
         }
         pieces.forEach(task -> tend(request, task, router));
         return false;
@@ -117,7 +117,8 @@
             takeOut(request, task);
         } else if (fleet.simulation.now() - since > request.durationUs() / 2) {
             giveBack(request, task);
-            router.propose(MaintenanceStateMachine.doneLine(request.id(), task.machine(), false));
+            router.propose(
+                    new MaintenanceCommand.CompleteWork(request.id(), task.machine(), false));
         }
     }
 
--- a/src/main/java/tinlink/experiment/simulation/MaintenanceReplica.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceReplica.java
@@ -3,13 +3,14 @@
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.MaintenanceState;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.List;
 
 /** One router's replica of the order of work. */
 interface MaintenanceReplica extends ReplicatedStateMachine {
-    MaintenanceStateMachine order();
+    MaintenanceState order();
 
     /** The replica is not used any more. */
     void release();
@@ -23,8 +24,8 @@
         }
 
         @Override
-        public MaintenanceStateMachine order() {
-            return replicatedState.stateMachine();
+        public MaintenanceState order() {
+            return replicatedState.state();
         }
 
         @Override
@@ -57,8 +58,8 @@
         }
 
         @Override
-        public MaintenanceStateMachine order() {
-            return replica.state();
+        public MaintenanceState order() {
+            return replica.state().state();
         }
 
         @Override
--- a/src/main/java/tinlink/experiment/simulation/OptimalSchedule.java
+++ b/src/main/java/tinlink/experiment/simulation/OptimalSchedule.java
@@ -2,6 +2,7 @@
 
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 import tinlink.maintenance.scheduling.MaintenanceTask;
@@ -71,10 +72,10 @@
     private long granted() {
         MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
         machines.forEach(
-                machine -> stateMachine.apply(MaintenanceStateMachine.machineLine(machine)));
+                machine -> stateMachine.apply(new MaintenanceCommand.RegisterMachine(machine)));
         IntStream.range(0, asked.size())
                 .forEach(i -> stateMachine.apply(
-                        MaintenanceStateMachine.requestLine(new MaintenanceRequest(
+                        new MaintenanceCommand.SubmitRequest(new MaintenanceRequest(
                                 "q" + i,
                                 List.of(asked.get(i).id()),
                                 forUs.get(i),
@@ -84,18 +85,18 @@
                                 "work"))));
         Map<String, Long> since = new HashMap<>();
         long waits = 0;
-        for (long now = 0; !stateMachine.openTasks().isEmpty(); now += STEP) {
-            for (MaintenanceTask task : stateMachine.openTasks()) {
+        for (long now = 0; !stateMachine.state().openTasks().isEmpty(); now += STEP) {
+            for (MaintenanceTask task : stateMachine.state().openTasks()) {
                 if (task.state() == TaskState.OUT) {
                     Long from = since.putIfAbsent(task.machine(), now);
                     waits += from == null ? now : 0;
                     if (now - since.get(task.machine()) >= task.request().durationUs()) {
-                        stateMachine.apply(
-                                MaintenanceStateMachine.doneLine(task.request().id(), "", false));
+                        stateMachine.apply(new MaintenanceCommand.CompleteWork(
+                                task.request().id(), "", false));
                     }
                 }
             }
-            stateMachine.apply(MaintenanceStateMachine.tickLine(STEP));
+            stateMachine.apply(new MaintenanceCommand.AdvanceTime(STEP));
         }
         return waits;
     }
--- a/src/main/java/tinlink/experiment/simulation/SharedMaintenanceStateMachine.java
+++ b/src/main/java/tinlink/experiment/simulation/SharedMaintenanceStateMachine.java
@@ -1,6 +1,7 @@
 package tinlink.experiment.simulation;
 
 import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.List;
@@ -26,7 +27,7 @@
 
     @Override
     public String apply(MaintenanceStateMachine state, String line) {
-        return state.apply(line);
+        return state.apply(MaintenanceCommandCodec.decode(line)).message();
     }
 
     @Override
--- a/src/main/java/tinlink/experiment/simulation/SimulatedRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedRouter.java
@@ -5,8 +5,12 @@
 
 import tinlink.maintenance.scheduling.DrainController;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
+import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
 import tinlink.maintenance.scheduling.MaintenanceCoordinator;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceState;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -92,7 +96,7 @@
         openCalls.clear();
     }
 
-    MaintenanceStateMachine order() {
+    MaintenanceState order() {
         return replica.order();
     }
 
@@ -124,7 +128,9 @@
         coordinator.setVoters(seated);
         while (coordinator.decide(
                 order(),
-                line -> raft.propose(line, (said, failure) -> coordinator.onProposalCompleted()))) {
+                command -> raft.propose(
+                        MaintenanceCommandCodec.encode(command),
+                        (said, failure) -> coordinator.onProposalCompleted()))) {
             // Each has been put to the vote.
         }
     }
@@ -177,23 +183,27 @@
     /** To whoever leads, as far as is known; it may get lost, and is said again. */
     private void report() {
         List<String> lines = List.of(
-                MaintenanceCoordinator.selfReportLine(machine),
-                MaintenanceCoordinator.healthReportLine(soundness()),
+                MachineReportCodec.encode(new MachineReport.Self(machine)),
+                MachineReportCodec.encode(new MachineReport.Health(soundness())),
                 fleet.nodeList(machine.site()));
         SimulatedRouter leader = isLeader() ? this : fleet.routers.get(leaderHint);
         if (leader == this) {
-            lines.forEach(line -> coordinator.onReport(name, line));
+            lines.forEach(line -> receive(name, line));
         } else if (leader != null) {
             fleet.network.send(
                     name,
                     leaderHint,
                     () -> leader.deliver(() -> {
                         leader.livesKnown.put(name, incarnation);
-                        lines.forEach(line -> leader.coordinator.onReport(name, line));
+                        lines.forEach(line -> leader.receive(name, line));
                     }));
         }
     }
 
+    private void receive(String from, String report) {
+        MachineReportCodec.decode(report).ifPresent(decoded -> coordinator.onReport(from, decoded));
+    }
+
     // ---- What it serves. ----
 
     private void serve() {
@@ -243,6 +253,11 @@
 
     // ---- What is decided. ----
 
+    @Override
+    public void propose(MaintenanceCommand command) {
+        propose(MaintenanceCommandCodec.encode(command));
+    }
+
     @Override
     public void setCordoned(String node, boolean out) {
         if (out) {
--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import tinlink.config.ConfigFile;
 import tinlink.config.InvalidInputException;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
@@ -14,15 +13,14 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
 import java.util.Map;
 
-/** One operator's connection: reads its request, checks its token, and writes the one answer. */
-final class ControlConnection implements Connection.Listener, HttpReader.MessageListener {
-    static final int OK = 200;
-    static final int NOT_FOUND = 404;
-    static final int UNAVAILABLE = 503;
-    static final int BAD_REQUEST = 400;
+/**
+ * One operator's connection: reads its request, checks its token, and writes the one response. Belongs to the
+ * event loop's thread.
+ */
+final class ControlConnection
+        implements Connection.Listener, HttpReader.MessageListener, ControlResponder {
     private static final int UNAUTHORIZED = 401;
     private static final int TOO_LARGE = 413;
     /** Characters of a request's body. */
@@ -30,27 +28,32 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final ControlServer control;
+    private final ControlServer server;
     private final HttpReader reader = HttpReader.forRequests(this);
     private final StringBuilder body = new StringBuilder();
-    private Connection link;
+    private Connection connection;
     private EventLoop.Timer timeout;
     private boolean authorized;
     private boolean responseSent;
 
-    ControlConnection(ControlServer control) {
-        this.control = control;
+    ControlConnection(ControlServer server) {
+        this.server = server;
     }
 
     /** It is up, and has to be over within that time. */
-    void opened(Connection up, long timeoutUs) {
-        link = up;
-        timeout = control.loop.schedule(
-                control.loop.nowUs() + timeoutUs, () -> link.close(CloseReason.IDLE));
+    void opened(Connection accepted, long timeoutUs) {
+        connection = accepted;
+        setTimeout(timeoutUs, () -> connection.close(CloseReason.IDLE));
     }
 
-    void end(CloseReason closeReason) {
-        link.close(closeReason);
+    void close(CloseReason closeReason) {
+        connection.close(closeReason);
+    }
+
+    private void setTimeout(long timeoutUs, Runnable task) {
+        EventLoop loop = server.loop();
+        loop.cancel(timeout);
+        timeout = loop.schedule(loop.nowUs() + timeoutUs, task);
     }
 
     @Override
@@ -74,12 +77,8 @@
 
     @Override
     public void header(String name, String value) {
-        // Danger: a comparison that ends at the first wrong byte tells how much of a guess was
-        // right.
-        authorized |= name.equals("authorization")
-                && MessageDigest.isEqual(
-                        control.token,
-                        value.replaceFirst("^Bearer ", "").getBytes(StandardCharsets.UTF_8));
+        authorized |=
+                name.equals("authorization") && server.isToken(value.replaceFirst("^Bearer ", ""));
     }
 
     @Override
@@ -99,23 +98,22 @@
 
     @Override
     public void messageEnded() throws MessageRejectedException {
-        setTimeout(() -> respond(
-                UNAVAILABLE,
-                Map.of("said", "it is not known to be agreed: ask again, here or elsewhere")));
+        setTimeout(
+                server.answerTimeoutUs(),
+                () -> respond(
+                        UNAVAILABLE,
+                        Map.of(
+                                "said",
+                                "it is not known to be agreed: ask again, here or elsewhere")));
         try {
-            control.commands.execute(ConfigFile.of("request", body.toString()), this);
+            server.requestHandler().handle(body.toString(), this);
         } catch (InvalidInputException | IllegalArgumentException e) {
             throw new MessageRejectedException(BAD_REQUEST, String.valueOf(e.getMessage()));
         }
     }
 
-    private void setTimeout(Runnable then) {
-        control.loop.cancel(timeout);
-        timeout = control.loop.schedule(control.loop.nowUs() + control.answerTimeoutUs, then);
-    }
-
-    /** The first answer counts; what follows it is dropped. */
-    void respond(int status, Map<String, ?> answer) {
+    @Override
+    public void respond(int status, Map<String, ?> answer) {
         if (responseSent) {
             return;
         }
@@ -126,37 +124,26 @@
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
-        link.out()
+        connection
+                .out()
                 .put("HTTP/1.1 " + status + (status == OK ? " OK" : " No")
                         + "\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: "
                         + json.length + "\r\n\r\n")
                 .put(json);
-        link.scheduleWrite();
-        setTimeout(() -> link.close(CloseReason.DONE));
-    }
-
-    /** Answers with what the vote came to. @param failure why that is not known; null where it is */
-    void answerProposal(String said, String failure) {
-        respond(
-                failure == null ? OK : UNAVAILABLE,
-                Map.of(
-                        "said",
-                        failure == null
-                                ? said
-                                : "it is not known to be agreed (" + failure
-                                        + "): ask again, here or elsewhere"));
+        connection.scheduleWrite();
+        setTimeout(server.answerTimeoutUs(), () -> connection.close(CloseReason.DONE));
     }
 
     @Override
     public void writesCompleted() {
         if (responseSent) {
-            link.halfClose();
+            connection.halfClose();
         }
     }
 
     @Override
     public void connectionClosed(CloseReason closeReason) {
-        control.loop.cancel(timeout);
-        control.connectionClosed(this);
+        server.loop().cancel(timeout);
+        server.connectionClosed(this);
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/maintenance/ControlRequest.java
@@ -0,0 +1,64 @@
+package tinlink.maintenance;
+
+import java.util.List;
+
+/** What an operator asks over the control socket. {@link ControlRequestParser} reads it from JSON. */
+sealed interface ControlRequest {
+    /**
+     * Requests machines.
+     *
+     * @param selectors which machines; see {@link MachineSelector}
+     * @param durationUs how long each machine is out, microseconds
+     * @param startWithinUs each task has to have started so long after the request
+     */
+    record Submit(
+            String id,
+            List<String> selectors,
+            long durationUs,
+            long startWithinUs,
+            int urgency,
+            String author,
+            String reason)
+            implements ControlRequest {}
+
+    /** Lists all requests that are known. */
+    record ListRequests() implements ControlRequest {}
+
+    /** Shows one request. */
+    record ShowRequest(String id) implements ControlRequest {}
+
+    /** Lists all machines that are known. */
+    record ListMachines() implements ControlRequest {}
+
+    /** Shows the status of the router that is asked. */
+    record ShowRouter() implements ControlRequest {}
+
+    /** Work is done; of all machines of the request where the machine is empty. */
+    record Complete(String id, String machine, boolean lost) implements ControlRequest {}
+
+    /** Takes a request back. */
+    record Cancel(String id, String reason) implements ControlRequest {}
+
+    /** A router's process has ended for good, by the operator's word. */
+    record RemoveRouter(String router) implements ControlRequest {}
+
+    /** Another router is to vote in a voter's place. */
+    record ReplaceVoter(String voter, String replacement) implements ControlRequest {}
+
+    /** Shows the policy in force. */
+    record ShowPolicy() implements ControlRequest {}
+
+    /** Lists the changes of policy that are known. */
+    record ListPolicyChanges() implements ControlRequest {}
+
+    /** Shows one change of policy. */
+    record ShowPolicyChange(String id) implements ControlRequest {}
+
+    /** Takes a change of policy back. */
+    record WithdrawPolicyChange(String id, String reason) implements ControlRequest {}
+
+    /** Proposes a change of policy. @param againstEpoch the epoch that has to be in force */
+    record ProposePolicyChange(
+            String id, String text, int againstEpoch, String author, String reason)
+            implements ControlRequest {}
+}
--- a/src/main/java/tinlink/maintenance/ControlServer.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -9,6 +9,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -16,31 +17,33 @@
 import java.util.logging.Logger;
 
 /**
- * What operators say to a router and what they are told, over HTTP/1.1 on loopback: one POST of a JSON object
- * a connection, with a token. What is said here is put to all routers; the answer says what came of that, or
- * that it is not known, and then the same may be said again, here or elsewhere. Runs on the loop's thread.
+ * Where operators ask a router, over HTTP/1.1 on loopback: one POST of a JSON object a connection, with a token.
+ * What they change is proposed to all routers; the answer says what came of that, or that it is not known, and
+ * then the same may be asked again, here or elsewhere. Belongs to the event loop's thread.
  */
 public final class ControlServer implements Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
     private static final int MAX_CONNECTIONS = 32;
 
-    final EventLoop loop;
-    final MaintenanceControlCommands commands;
-    final byte[] token;
-    final long answerTimeoutUs;
-    private final Network.ListeningSocket listening;
-    /** Each leaves with its answer, or with its time; the oldest gives way. */
+    private final EventLoop loop;
+    private final ControlRequestHandler requestHandler;
+    private final byte[] token;
+    private final long answerTimeoutUs;
+    private final Network.ListeningSocket listeningSocket;
+    /** Each leaves with its response, or by its timeout; the oldest gives way. */
     private final Set<ControlConnection> connections = new LinkedHashSet<>();
 
     /**
-     * @param policyRollout null where it is off
-     * @param answerTimeoutUs an operator hears by then whether something is known to be agreed
+     * @param policy null where it is off
+     * @param listenAddress on loopback
+     * @param answerTimeoutUs an operator hears by then whether something is known to be agreed, microseconds
+     * @throws IOException where it can't listen there
      */
     public ControlServer(
             EventLoop loop,
             Network network,
             MaintenanceService maintenance,
-            PolicyRolloutService policyRollout,
+            PolicyRolloutService policy,
             InetSocketAddress listenAddress,
             String token,
             long answerTimeoutUs)
@@ -48,21 +51,40 @@
         this.loop = loop;
         this.token = token.getBytes(StandardCharsets.UTF_8);
         this.answerTimeoutUs = answerTimeoutUs;
-        commands = new MaintenanceControlCommands(maintenance, policyRollout);
-        listening = network.listenAt(listenAddress);
-        listening.accept(this);
+        requestHandler = new ControlRequestHandler(maintenance, policy);
+        listeningSocket = network.listenAt(listenAddress);
+        listeningSocket.accept(this);
     }
 
+    /** Where it listens, with the port where any was asked for. */
     public InetSocketAddress address() throws IOException {
-        return listening.address();
+        return listeningSocket.address();
     }
 
+    /** Ends it with all its connections. */
     public void close() {
-        listening.close();
-        List.copyOf(connections).forEach(connection -> connection.end(CloseReason.DONE));
+        listeningSocket.close();
+        List.copyOf(connections).forEach(connection -> connection.close(CloseReason.DONE));
+    }
+
+    EventLoop loop() {
+        return loop;
+    }
+
+    ControlRequestHandler requestHandler() {
+        return requestHandler;
+    }
+
+    /** By when a request is answered in any case, microseconds. */
+    long answerTimeoutUs() {
+        return answerTimeoutUs;
+    }
+
+    /** Danger: a comparison that ends at the first wrong byte shows how much of a guess was right. */
+    boolean isToken(String presented) {
+        return MessageDigest.isEqual(token, presented.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The connection has ended. */
     void connectionClosed(ControlConnection connection) {
         connections.remove(connection);
     }
@@ -73,12 +95,12 @@
     }
 
     @Override
-    public void accepted(Connection link, Connection.Listener owner) {
-        ControlConnection connection = (ControlConnection) owner;
-        connections.add(connection);
-        connection.opened(link, 2 * answerTimeoutUs);
+    public void accepted(Connection connection, Connection.Listener listener) {
+        ControlConnection accepted = (ControlConnection) listener;
+        connections.add(accepted);
+        accepted.opened(connection, 2 * answerTimeoutUs);
         if (connections.size() > MAX_CONNECTIONS) {
-            connections.iterator().next().end(CloseReason.IDLE);
+            connections.iterator().next().close(CloseReason.IDLE);
         }
     }
 
@@ -88,8 +110,8 @@
     }
 
     @Override
-    public void acceptFailed(Throwable why) {
-        LOG.log(Level.WARNING, "event=control_accept_failed", why);
-        loop.schedule(loop.nowUs() + answerTimeoutUs, () -> listening.accept(this));
+    public void acceptFailed(Throwable cause) {
+        LOG.log(Level.WARNING, "event=control_accept_failed", cause);
+        loop.schedule(loop.nowUs() + answerTimeoutUs, () -> listeningSocket.accept(this));
     }
 }
--- a/src/main/java/tinlink/maintenance/ControlViews.java
+++ b/src/main/java/tinlink/maintenance/ControlViews.java
@@ -2,7 +2,7 @@
 
 import tinlink.maintenance.scheduling.Machine;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceState;
 import tinlink.maintenance.scheduling.MaintenanceTask;
 
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Requests and machines as operators are shown them, ready to be written as JSON. */
+/** Requests and machines as operators are shown them, ready to be written as JSON; its keys stay. */
 final class ControlViews {
     private static final int MICROS_PER_MILLI = 1000;
 
@@ -20,17 +20,18 @@
         this.maintenance = maintenance;
     }
 
-    private MaintenanceStateMachine stateMachine() {
-        return maintenance.stateMachine();
+    private MaintenanceState state() {
+        return maintenance.state();
     }
 
     /** The answer, with which router gives it and who is known to lead. */
     Map<String, Object> withLeader(Map<String, ?> answer) {
+        String leader = maintenance.cluster().leader();
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("said", "");
-        view.put("router", maintenance.peers().incarnation().router());
-        view.put("leader", maintenance.peers().leader());
-        if (maintenance.peers().leader().isEmpty()) {
+        view.put("router", maintenance.cluster().incarnation().router());
+        view.put("leader", leader);
+        if (leader.isEmpty()) {
             view.put(
                     "note",
                     "nobody is known to lead: nothing is granted until most voters are there");
@@ -39,7 +40,7 @@
         return view;
     }
 
-    /** @param tasks all of one request */
+    /** A request. @param tasks all of it */
     Map<String, Object> request(List<MaintenanceTask> tasks) {
         MaintenanceRequest request = tasks.get(0).request();
         Map<String, Object> view = new LinkedHashMap<>();
@@ -62,12 +63,11 @@
         view.put("why", task.reason());
         view.put("fence", task.fencingToken());
         view.put("away", task.isActive());
-        view.put(
-                "since_ms",
-                (stateMachine().agreedTimeUs() - task.stateSinceUs()) / MICROS_PER_MILLI);
+        view.put("since_ms", (state().agreedTimeUs() - task.stateSinceUs()) / MICROS_PER_MILLI);
         return view;
     }
 
+    /** A machine, and the request by which it can't be counted on. */
     Map<String, Object> machine(Machine machine) {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("id", machine.id());
@@ -78,8 +78,8 @@
         view.put("zone", machine.zone());
         view.put("site", machine.site());
         view.put("voter", machine.voter());
-        view.put("sound", stateMachine().isHealthy(machine.id()));
-        MaintenanceTask activeTask = stateMachine().activeTask(machine.id());
+        view.put("sound", state().isHealthy(machine.id()));
+        MaintenanceTask activeTask = state().activeTask(machine.id());
         view.put("away", activeTask == null ? "" : activeTask.request().id());
         return view;
     }
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -1,16 +1,9 @@
 package tinlink.maintenance;
 
-import tinlink.cluster.membership.LineCodec;
 import tinlink.net.EventLoop;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.ExecutorService;
@@ -19,18 +12,18 @@
 import java.util.logging.Logger;
 
 /**
- * Which data nodes this router leaves out, on its disk. Danger: started again, and with nobody to
- * ask, it would send to machines that are out by its own word. So what it leaves out is written
- * down before it says that it is done there, and is left out from its first breath until it knows
- * better. The disk has a thread of its own.
+ * Which data nodes this router cordons, persisted. Danger: started again, and with nobody to ask, it would send
+ * to machines that are out by its own confirmation. So a cordon is written to disk before this router confirms
+ * that the node is drained, and holds from its next start on until it knows better. Belongs to the event loop's
+ * thread; writes have a thread of their own.
  */
 final class CordonStore {
     private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
     private final EventLoop loop;
-    private final Path file;
+    private final CordonFile file;
     private final ExecutorService diskExecutor;
     private final Set<String> cordoned = new TreeSet<>();
-    /** What is on the disk; the loop's copy of it. */
+    /** What is on the disk, as far as the loop has heard. */
     private Set<String> persisted;
 
     private boolean writeInProgress;
@@ -38,24 +31,21 @@
     /** @throws IOException where what is there can't be read */
     CordonStore(EventLoop loop, Path folder) throws IOException {
         this.loop = loop;
-        file = folder.resolve("left-out");
-        persisted = Files.exists(file)
-                ? new TreeSet<>(LineCodec.decode(Files.readString(file)))
-                : new TreeSet<>();
-        persisted.remove("");
-        diskExecutor = Executors.newSingleThreadExecutor(r -> {
-            Thread t = new Thread(r, "left-out");
-            t.setDaemon(true);
-            return t;
+        file = new CordonFile(folder);
+        persisted = file.read();
+        diskExecutor = Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "cordon-store");
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
-    /** As it was found at the start. */
+    /** As they were found at the start. */
     Set<String> restored() {
         return Set.copyOf(persisted);
     }
 
-    /** Whether it would still be left out after a stop at any moment from now on. */
+    /** Whether the node would still be cordoned after a stop at any moment from now on. */
     boolean isPersisted(String machine) {
         return persisted.contains(machine);
     }
@@ -78,37 +68,19 @@
         Set<String> snapshot = new TreeSet<>(cordoned);
         diskExecutor.execute(() -> {
             try {
-                writeFile(LineCodec.encode(snapshot.toArray()));
-                loop.execute(() -> {
-                    persisted = snapshot;
-                    writeInProgress = false;
-                    writeIfChanged();
-                });
+                file.write(snapshot);
+                loop.execute(() -> onWritten(snapshot));
             } catch (IOException e) {
-                // It goes on saying that it is not done there: nobody is told "out" on the strength
-                // of it.
+                // The cordon is never confirmed: no operator takes a machine on the strength of it.
                 LOG.log(Level.SEVERE, "event=cordons_not_persisted", e);
             }
         });
     }
 
-    private void writeFile(String text) throws IOException {
-        Path temporaryFile = file.resolveSibling("left-out.new");
-        try (FileChannel channel = FileChannel.open(
-                temporaryFile,
-                StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer buffer = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-            while (buffer.hasRemaining()) {
-                channel.write(buffer);
-            }
-            channel.force(true);
-        }
-        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
-        try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
-        }
+    private void onWritten(Set<String> snapshot) {
+        persisted = snapshot;
+        writeInProgress = false;
+        writeIfChanged();
     }
 
     void close() {
--- a/src/main/java/tinlink/maintenance/MachineSelector.java
+++ b/src/main/java/tinlink/maintenance/MachineSelector.java
@@ -3,18 +3,18 @@
 import tinlink.maintenance.scheduling.Machine;
 
 /**
- * How an operator names machines: by id, or by pairs as {@code zone=z1,kind=router}, which all have to
- * hold.
+ * How an operator selects machines: by id, or by labels as in {@code zone=z1,kind=router}, which all have to
+ * match.
  */
 final class MachineSelector {
     private MachineSelector() {}
 
-    /** It is no id. */
+    /** Whether it selects by labels, and is no id. */
     static boolean isLabelSelector(String selector) {
         return selector.contains("=");
     }
 
-    /** @throws IllegalArgumentException where a pair is of no property that machines have */
+    /** @throws IllegalArgumentException where it has a label that machines don't have */
     static boolean matches(String selector, Machine machine) {
         if (!isLabelSelector(selector)) {
             return machine.id().equals(selector);
--- a/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
@@ -1,9 +1,9 @@
 package tinlink.maintenance;
 
-import tinlink.config.ConfigFile;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceState;
 import tinlink.maintenance.scheduling.MaintenanceTask;
 import tinlink.policy.PolicyRolloutService;
 
@@ -14,203 +14,138 @@
 import java.util.TreeSet;
 
 /**
- * An operator's commands about work on machines. A command that reads is answered at once from what this
- * router has heard; one that changes something is put to the vote, and answered with what came of that.
+ * Carries out operators' requests about maintenance. One that reads is answered at once from what this router
+ * has heard; one that changes something is proposed, and answered with what came of that. Belongs to the event
+ * loop's thread.
  */
 final class MaintenanceControlCommands {
-    private static final int MAX_SELECTORS = 1000;
-    /** Milliseconds. */
-    private static final double MAX_DURATION_MS = 1e10;
-
     private final MaintenanceService maintenance;
     private final ControlViews views;
     /** Null where policy is off. */
-    private final PolicyControlCommands policyCommands;
-
-    private final PolicyRolloutService policyRollout;
+    private final PolicyRolloutService policy;
 
-    /** @param policyRollout null where it is off */
-    MaintenanceControlCommands(MaintenanceService maintenance, PolicyRolloutService policyRollout) {
+    /** @param policy null where it is off */
+    MaintenanceControlCommands(
+            MaintenanceService maintenance, ControlViews views, PolicyRolloutService policy) {
         this.maintenance = maintenance;
-        this.policyRollout = policyRollout;
-        views = new ControlViews(maintenance);
-        policyCommands =
-                policyRollout == null ? null : new PolicyControlCommands(policyRollout, views);
+        this.views = views;
+        this.policy = policy;
     }
 
-    /**
-     * @throws tinlink.config.InvalidInputException where the request can't be understood; it names the field
-     */
-    void execute(ConfigFile request, ControlConnection connection) {
-        String command = request.text("do");
-        if (command.startsWith(PolicyControlCommands.PREFIX)) {
-            if (policyCommands == null) {
-                throw request.invalid(
-                        "do", "is of policy, which is off here: 'policy' in the work file");
-            }
-            policyCommands.execute(command, request, connection);
-            return;
-        }
-        switch (command) {
-            case "ask" -> submitRequest(request, connection);
-            case "list" -> list(request, connection);
-            case "show" -> show(request, connection);
-            case "machines" -> machines(request, connection);
-            case "router" -> router(request, connection);
-            case "done" ->
-                propose(
-                        MaintenanceStateMachine.doneLine(
-                                request.text("id"),
-                                request.text("machine", ""),
-                                request.flag("lost", false)),
-                        request,
-                        connection);
-            case "call-off" ->
-                propose(
-                        MaintenanceStateMachine.cancelLine(
-                                request.text("id"), request.text("why", "called off")),
-                        request,
-                        connection);
-            case "ended" -> removeRouter(request, connection);
-            case "seat" -> replaceVoter(request, connection);
-            default ->
-                throw request.invalid(
-                        "do",
-                        "is none of ask, list, show, machines, router, done, "
-                                + "call-off, ended, seat: " + command);
+    /** Carries out a request about maintenance; returns whether it is one. */
+    boolean execute(ControlRequest request, ControlResponder responder) {
+        if (request instanceof ControlRequest.Submit r) {
+            submit(r, responder);
+        } else if (request instanceof ControlRequest.ListRequests) {
+            listRequests(responder);
+        } else if (request instanceof ControlRequest.ShowRequest r) {
+            showRequest(r.id(), responder);
+        } else if (request instanceof ControlRequest.ListMachines) {
+            listMachines(responder);
+        } else if (request instanceof ControlRequest.ShowRouter) {
+            responder.respond(ControlResponder.OK, views.withLeader(maintenance.status()));
+        } else if (request instanceof ControlRequest.Complete r) {
+            propose(new MaintenanceCommand.CompleteWork(r.id(), r.machine(), r.lost()), responder);
+        } else if (request instanceof ControlRequest.Cancel r) {
+            propose(new MaintenanceCommand.CancelRequest(r.id(), r.reason()), responder);
+        } else if (request instanceof ControlRequest.RemoveRouter r) {
+            removeRouter(r.router(), responder);
+        } else if (request instanceof ControlRequest.ReplaceVoter r) {
+            replaceVoter(r, responder);
+        } else {
+            return false;
         }
+        return true;
     }
 
-    private MaintenanceStateMachine stateMachine() {
-        return maintenance.stateMachine();
+    private MaintenanceState state() {
+        return maintenance.state();
     }
 
-    // ---- What is read. ----
-
-    private void list(ConfigFile request, ControlConnection connection) {
-        request.rejectUnknownKeys();
+    private void listRequests(ControlResponder responder) {
         List<Object> requests = new ArrayList<>();
-        stateMachine().requests().forEach(tasks -> requests.add(views.request(tasks)));
-        connection.respond(ControlConnection.OK, views.withLeader(Map.of("requests", requests)));
+        state().requests().forEach(tasks -> requests.add(views.request(tasks)));
+        responder.respond(ControlResponder.OK, views.withLeader(Map.of("requests", requests)));
     }
 
-    private void show(ConfigFile request, ControlConnection connection) {
-        String id = request.text("id");
-        request.rejectUnknownKeys();
-        List<MaintenanceTask> tasks = stateMachine().tasksOf(id);
+    private void showRequest(String id, ControlResponder responder) {
+        List<MaintenanceTask> tasks = state().tasksOf(id);
         if (tasks.isEmpty()) {
-            connection.respond(
-                    ControlConnection.NOT_FOUND,
+            responder.respond(
+                    ControlResponder.NOT_FOUND,
                     views.withLeader(Map.of(
                             "said", "no request has that id, as far as this router has heard")));
         } else {
-            connection.respond(
-                    ControlConnection.OK,
-                    views.withLeader(Map.of("request", views.request(tasks))));
+            responder.respond(
+                    ControlResponder.OK, views.withLeader(Map.of("request", views.request(tasks))));
         }
     }
 
-    private void machines(ConfigFile request, ControlConnection connection) {
-        request.rejectUnknownKeys();
+    private void listMachines(ControlResponder responder) {
         List<Object> machines = new ArrayList<>();
-        stateMachine().machines().forEach(machine -> machines.add(views.machine(machine)));
-        connection.respond(ControlConnection.OK, views.withLeader(Map.of("machines", machines)));
-    }
-
-    private void router(ConfigFile request, ControlConnection connection) {
-        request.rejectUnknownKeys();
-        connection.respond(ControlConnection.OK, views.withLeader(maintenance.status()));
+        state().machines().forEach(machine -> machines.add(views.machine(machine)));
+        responder.respond(ControlResponder.OK, views.withLeader(Map.of("machines", machines)));
     }
 
-    // ---- What is put to the vote. ----
-
-    private void propose(String command, ConfigFile request, ControlConnection connection) {
-        request.rejectUnknownKeys();
-        maintenance.propose(command, connection::answerProposal);
+    private void propose(MaintenanceCommand command, ControlResponder responder) {
+        maintenance.propose(command, responder::respondProposal);
     }
 
-    /** A router's process has ended for good, by the operator's word. */
-    private void removeRouter(ConfigFile request, ControlConnection connection) {
-        String router = request.text("router");
-        request.rejectUnknownKeys();
-        String incarnation = stateMachine().incarnation(router);
-        if (policyRollout != null) {
-            policyRollout.removeRouter(router);
+    private void removeRouter(String router, ControlResponder responder) {
+        String incarnation = state().incarnation(router);
+        if (policy != null) {
+            policy.removeRouter(router);
         }
         if (incarnation == null) {
-            connection.respond(ControlConnection.OK, Map.of("said", ""));
+            responder.respond(ControlResponder.OK, Map.of("said", ""));
         } else {
-            propose(
-                    MaintenanceStateMachine.routerEndedLine(router, incarnation),
-                    request,
-                    connection);
+            propose(new MaintenanceCommand.RemoveRouter(router, incarnation), responder);
         }
     }
 
-    /** Another router is to vote in a voter's place. */
-    private void replaceVoter(ConfigFile request, ControlConnection connection) {
-        String voter = request.text("from");
-        String replacement = request.text("to");
-        request.rejectUnknownKeys();
-        maintenance.peers().replaceVoter(voter, replacement);
-        // Whoever leads does it as soon as that is safe; it is heard by asking who votes.
-        String said =
-                maintenance.peers().leader().isEmpty() ? "nobody is known to lead: ask again" : "";
-        connection.respond(ControlConnection.OK, views.withLeader(Map.of("said", said)));
+    /** Whoever leads does it as soon as that is safe; it is heard by asking who votes. */
+    private void replaceVoter(ControlRequest.ReplaceVoter request, ControlResponder responder) {
+        maintenance.cluster().replaceVoter(request.voter(), request.replacement());
+        String message = maintenance.cluster().leader().isEmpty()
+                ? "nobody is known to lead: ask again"
+                : "";
+        responder.respond(ControlResponder.OK, views.withLeader(Map.of("said", message)));
     }
 
-    /** Asks for machines. */
-    private void submitRequest(ConfigFile json, ControlConnection connection) {
-        String id = json.text("id");
-        List<String> selectors = json.texts("machines");
-        long durationUs = json.micros("for_ms", 0, 1, MAX_DURATION_MS);
-        long startWithinUs = json.has("within_ms")
-                ? json.micros("within_ms", 0, 1, MAX_DURATION_MS)
-                : Long.MAX_VALUE;
-        int urgency = json.integer("urgency", 5, 0, MaintenanceRequest.MAX_URGENCY);
-        String author = json.text("author", "unknown");
-        String reason = json.text("why", "work");
-        json.rejectUnknownKeys();
-        if (durationUs <= 0) {
-            throw json.invalid("for_ms", "is missing: how long each machine is out");
-        }
-        if (selectors.size() > MAX_SELECTORS) {
-            throw json.invalid("machines", "names more than " + MAX_SELECTORS);
-        }
-        List<MaintenanceTask> known = stateMachine().tasksOf(id);
+    private void submit(ControlRequest.Submit request, ControlResponder responder) {
+        List<MaintenanceTask> known = state().tasksOf(request.id());
         if (!known.isEmpty()) {
-            // Asked before: what was named then may mean other machines by now, and is not found
-            // anew.
-            connection.respond(
-                    ControlConnection.OK, Map.of("said", "", "request", views.request(known)));
+            // Submitted before: what was selected then may be other machines by now, and is not
+            // selected anew.
+            responder.respond(
+                    ControlResponder.OK, Map.of("said", "", "request", views.request(known)));
             return;
         }
         Set<String> machines = new TreeSet<>();
-        for (String selector : selectors) {
-            List<String> found = select(selector);
-            if (found.isEmpty() && MachineSelector.isLabelSelector(selector)) {
-                connection.respond(
-                        ControlConnection.BAD_REQUEST,
+        for (String selector : request.selectors()) {
+            List<String> selected = select(selector);
+            if (selected.isEmpty() && MachineSelector.isLabelSelector(selector)) {
+                responder.respond(
+                        ControlResponder.BAD_REQUEST,
                         Map.of("said", "no machine is meant by " + selector));
                 return;
             }
-            machines.addAll(found.isEmpty() ? List.of(selector) : found);
+            machines.addAll(selected.isEmpty() ? List.of(selector) : selected);
         }
         propose(
-                MaintenanceStateMachine.requestLine(new MaintenanceRequest(
-                        id,
+                new MaintenanceCommand.SubmitRequest(new MaintenanceRequest(
+                        request.id(),
                         List.copyOf(machines),
-                        durationUs,
-                        startWithinUs,
-                        urgency,
-                        author,
-                        reason)),
-                json,
-                connection);
+                        request.durationUs(),
+                        request.startWithinUs(),
+                        request.urgency(),
+                        request.author(),
+                        request.reason())),
+                responder);
     }
 
     private List<String> select(String selector) {
-        return stateMachine().machines().stream()
+        return state().machines().stream()
                 .filter(machine -> MachineSelector.matches(selector, machine))
                 .map(Machine::id)
                 .toList();
--- /dev/null
+++ b/src/main/java/tinlink/maintenance/NodeProber.java
@@ -0,0 +1,102 @@
+package tinlink.maintenance;
+
+import tinlink.maintenance.scheduling.MachineFailureDetector;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
+import tinlink.net.RingBuffer;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * Probes data nodes: a connection that comes up and stays up for a while. Danger: proxies accept connections
+ * for a node that is gone, and close them a moment later. Belongs to the event loop's thread.
+ */
+final class NodeProber implements MachineFailureDetector.Prober {
+    /** Is told how each probe has ended. */
+    interface ResultListener {
+        void onProbeResult(String machine, boolean answered);
+    }
+
+    private final EventLoop loop;
+    private final Network network;
+    private final long intervalUs;
+    private final ResultListener listener;
+    /** By id; as many as are on this router's list. */
+    private Map<String, InetSocketAddress> addresses = Map.of();
+
+    /** @param intervalUs between two probes of one node, microseconds; each ends well before */
+    NodeProber(EventLoop loop, Network network, long intervalUs, ResultListener listener) {
+        this.loop = loop;
+        this.network = network;
+        this.intervalUs = intervalUs;
+        this.listener = listener;
+    }
+
+    /** Where data nodes are reached from now on. */
+    void setAddresses(Map<String, InetSocketAddress> byNode) {
+        addresses = new TreeMap<>(byNode);
+    }
+
+    @Override
+    public void probe(String machine) {
+        InetSocketAddress address = addresses.get(machine);
+        if (address == null) {
+            return;
+        }
+        Probe probe = new Probe(machine);
+        try {
+            probe.start(network.connect(address, probe));
+        } catch (IOException | RuntimeException e) {
+            probe.finish(false);
+        }
+    }
+
+    private final class Probe implements Connection.Listener {
+        private final String machine;
+        private Connection connection;
+        private EventLoop.Timer timeout;
+        private boolean finished;
+
+        Probe(String machine) {
+            this.machine = machine;
+        }
+
+        void start(Connection started) {
+            connection = started;
+            timeout = loop.schedule(
+                    loop.nowUs() + intervalUs / 2, () -> connection.close(CloseReason.NOT_UP));
+        }
+
+        @Override
+        public void connected() {
+            loop.cancel(timeout);
+            timeout = loop.schedule(loop.nowUs() + intervalUs / 4, () -> {
+                finish(true);
+                connection.close(CloseReason.DONE);
+            });
+        }
+
+        @Override
+        public void bytesReceived(RingBuffer in) {
+            // Nothing is asked.
+        }
+
+        @Override
+        public void connectionClosed(CloseReason closeReason) {
+            finish(false);
+        }
+
+        void finish(boolean answered) {
+            loop.cancel(timeout);
+            if (!finished) {
+                finished = true;
+                listener.onProbeResult(machine, answered);
+            }
+        }
+    }
+}
--- a/src/main/java/tinlink/maintenance/ReplicatedMaintenance.java
+++ b/src/main/java/tinlink/maintenance/ReplicatedMaintenance.java
@@ -2,11 +2,13 @@
 
 import tinlink.cluster.ReplicatedStateMachine;
 import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
+import tinlink.maintenance.scheduling.MaintenanceState;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
 import java.util.List;
 
-/** The order of work, as that which is agreed on. */
+/** The state machine of maintenance behind the agreed log's lines. */
 public final class ReplicatedMaintenance implements ReplicatedStateMachine {
     private MaintenanceStateMachine stateMachine;
 
@@ -20,13 +22,14 @@
         stateMachine = new MaintenanceStateMachine(limits);
     }
 
-    public MaintenanceStateMachine stateMachine() {
-        return stateMachine;
+    /** What is agreed on now; another object after a {@link #restore}. */
+    public MaintenanceState state() {
+        return stateMachine.state();
     }
 
     @Override
     public String apply(String line) {
-        return stateMachine.apply(line);
+        return stateMachine.apply(MaintenanceCommandCodec.decode(line)).message();
     }
 
     @Override
--- a/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * The data nodes that all routers have agreed on, and a digest of them by which two routers find
- * out that they mean the same set. Immutable.
+ * The data nodes that all routers have agreed on, and a digest of them by which two routers find out that they
+ * mean the same set. Immutable.
  */
 public final class AgreedNodes {
     private final TreeMap<String, Machine> byId = new TreeMap<>();
@@ -22,9 +22,7 @@
         digest = sum;
     }
 
-    /**
-     * @param machines all that are agreed on; routers among them are passed over
-     */
+    /** @param machines all that are agreed on; routers among them are skipped */
     public static AgreedNodes of(Collection<Machine> machines) {
         return new AgreedNodes(machines);
     }
@@ -45,6 +43,7 @@
     }
 
     private static long hash(Machine machine) {
-        return StableHash.finish(StableHash.append(StableHash.START, machine.encode()));
+        return StableHash.finish(
+                StableHash.append(StableHash.START, MaintenanceCommandCodec.machine(machine)));
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
@@ -3,9 +3,10 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Predicate;
 
-/** How many machines count in each place now, against what each has to keep. */
+/** How many machines of each failure domain are available now, against how many have to be. */
 final class DisruptionBudget {
     private static final class Count {
         int total;
@@ -16,42 +17,39 @@
     /** As many as there are blocks, zones and sites. */
     private final Map<FailureDomain, Count> counts = new LinkedHashMap<>();
 
+    /** @param isAvailable whether a machine counts */
     DisruptionBudget(
             DisruptionLimits limits, Collection<Machine> machines, Predicate<Machine> isAvailable) {
         this.limits = limits;
         for (Machine machine : machines) {
-            boolean available = isAvailable.test(machine);
+            int available = isAvailable.test(machine) ? 1 : 0;
             for (FailureDomain domain : FailureDomain.of(machine)) {
-                Count count = counts.computeIfAbsent(domain, x -> new Count());
+                Count count = counts.computeIfAbsent(domain, d -> new Count());
                 count.total++;
-                count.available += available ? 1 : 0;
+                count.available += available;
             }
         }
     }
 
-    /** The first bound that is broken as things stand; null where all hold. */
-    String violation() {
-        for (Map.Entry<FailureDomain, Count> entry : counts.entrySet()) {
-            // Voters with none to spare are no reason to stop work elsewhere.
-            if (entry.getKey().kind() != FailureDomain.Kind.VOTERS
-                    && entry.getValue().available < minimum(entry.getKey())) {
-                return describe(entry.getKey());
-            }
-        }
-        return null;
+    /** The first limit that is violated as it is, for operators; empty where all hold. */
+    Optional<String> violation() {
+        return counts.keySet().stream()
+                // Voters with none to spare are no reason to stop maintenance elsewhere.
+                .filter(domain -> domain.kind() != FailureDomain.Kind.VOTERS)
+                .filter(domain -> counts.get(domain).available < minimum(domain))
+                .findFirst()
+                .map(this::describe);
     }
 
-    /** The bound that would be broken without this one, which counts now; null where it may go. */
-    String violationWithout(Machine machine) {
-        for (FailureDomain domain : FailureDomain.of(machine)) {
-            if (counts.get(domain).available - 1 < minimum(domain)) {
-                return describe(domain);
-            }
-        }
-        return null;
+    /** The first limit that would be violated without this machine, which counts now. */
+    Optional<String> violationWithout(Machine machine) {
+        return FailureDomain.of(machine).stream()
+                .filter(domain -> counts.get(domain).available - 1 < minimum(domain))
+                .findFirst()
+                .map(this::describe);
     }
 
-    /** It is away from now on. */
+    /** The machine, which counted, is not available from now on. */
     void remove(Machine machine) {
         FailureDomain.of(machine).forEach(domain -> counts.get(domain).available--);
     }
--- a/src/main/java/tinlink/maintenance/scheduling/DisruptionLimits.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DisruptionLimits.java
@@ -1,19 +1,16 @@
 package tinlink.maintenance.scheduling;
 
-import tinlink.cluster.membership.LineCodec;
-
-import java.util.List;
-
 /**
- * What has to be left while machines are away.
+ * What has to stay available while machines are out, and how large the state of maintenance may grow.
  *
- * @param minReplicas sound holders that each card block keeps
- * @param minZoneShare share of its data nodes, and of its routers, that each zone keeps; and each site
- * @param warmUpUs how long a machine that came back has to have been sound before it counts
- * @param grantTimeoutUs how long a grant may wait to be begun
- * @param agingStepUs after so long a request counts as one step more urgent
- * @param maxTasks ended pieces that are remembered
- * @param maxEntries pieces in hand
+ * @param minReplicas healthy data nodes that each card block keeps
+ * @param minZoneShare share of its data nodes, and of its routers, that each zone keeps
+ * @param minSiteShare the same for each site
+ * @param warmUpUs how long a machine that came back has to have been healthy before it counts
+ * @param grantTimeoutUs how long a grant may wait to be started
+ * @param agingStepUs after so long a task counts as one step more urgent
+ * @param maxTasks tasks above which finished requests are forgotten, the oldest first
+ * @param maxEntries open tasks, machines and routers, each
  */
 public record DisruptionLimits(
         int minReplicas,
@@ -24,45 +21,23 @@
         long agingStepUs,
         int maxTasks,
         int maxEntries) {
-    /** Before any have been agreed on: machines may become known, nothing else. */
+    /** Before any have been agreed on: machines may become known, nothing else. Compared by identity. */
     static final DisruptionLimits UNSET = new DisruptionLimits(0, 0, 0, 1, 1, 1, 0, 1 << 14);
 
-    String encode() {
-        return LineCodec.encode(
-                "bounds",
-                minReplicas,
-                minZoneShare,
-                minSiteShare,
-                warmUpUs,
-                grantTimeoutUs,
-                agingStepUs,
-                maxTasks,
-                maxEntries);
-    }
-
-    static DisruptionLimits decode(List<String> fields) {
-        return new DisruptionLimits(
-                Integer.parseInt(fields.get(1)),
-                Double.parseDouble(fields.get(2)),
-                Double.parseDouble(fields.get(3)),
-                Long.parseLong(fields.get(4)),
-                Long.parseLong(fields.get(5)),
-                Long.parseLong(fields.get(6)),
-                Integer.parseInt(fields.get(7)),
-                Integer.parseInt(fields.get(8)));
-    }
+    /** What a share of many may be off by through rounding. */
+    private static final double ROUNDING_ERROR = 1e-9;
 
-    /** A share is rounded up. Of a site one is always kept: none is lost. */
+    /** The machines of a failure domain that have to stay available. A site keeps one in any case. */
     int minimum(FailureDomain domain, int total) {
         return switch (domain.kind()) {
             case BLOCK -> minReplicas;
             case VOTERS -> total / 2 + 2; // A majority, and one to spare.
-            case ZONE_NODES, ZONE_ROUTERS -> share(minZoneShare, total);
-            case SITE_NODES, SITE_ROUTERS -> Math.max(1, share(minSiteShare, total));
+            case ZONE_NODES, ZONE_ROUTERS -> roundedUp(minZoneShare, total);
+            case SITE_NODES, SITE_ROUTERS -> Math.max(1, roundedUp(minSiteShare, total));
         };
     }
 
-    private static int share(double share, int total) {
-        return (int) Math.ceil(share * total - 1e-9);
+    private static int roundedUp(double share, int total) {
+        return (int) Math.ceil(share * total - ROUNDING_ERROR);
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
+++ b/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
@@ -2,9 +2,13 @@
 
 import java.util.List;
 
-/** Something that machines make up together, and that must not lose too many of them. */
+/**
+ * Machines of one sort that must not lose too many of them at once.
+ *
+ * @param name of the block, zone or site; empty for the voters
+ */
 record FailureDomain(Kind kind, String name) {
-    /** What it is made of. */
+    /** What the machines have in common. */
     enum Kind {
         BLOCK,
         VOTERS,
@@ -14,7 +18,7 @@
         SITE_ROUTERS
     }
 
-    /** All places that a machine is in. */
+    /** All domains that a machine belongs to. */
     static List<FailureDomain> of(Machine machine) {
         if (!machine.isRouter()) {
             return List.of(
@@ -22,13 +26,14 @@
                     new FailureDomain(Kind.ZONE_NODES, machine.zone()),
                     new FailureDomain(Kind.SITE_NODES, machine.site()));
         }
-        FailureDomain zoneRouters = new FailureDomain(Kind.ZONE_ROUTERS, machine.zone());
-        FailureDomain siteRouters = new FailureDomain(Kind.SITE_ROUTERS, machine.site());
+        FailureDomain zone = new FailureDomain(Kind.ZONE_ROUTERS, machine.zone());
+        FailureDomain site = new FailureDomain(Kind.SITE_ROUTERS, machine.site());
         return machine.voter()
-                ? List.of(zoneRouters, siteRouters, new FailureDomain(Kind.VOTERS, ""))
-                : List.of(zoneRouters, siteRouters);
+                ? List.of(zone, site, new FailureDomain(Kind.VOTERS, ""))
+                : List.of(zone, site);
     }
 
+    /** As operators read it. */
     @Override
     public String toString() {
         return switch (kind) {
--- a/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
@@ -1,25 +1,19 @@
 package tinlink.maintenance.scheduling;
 
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * Which machines this router looks after, and what it finds of them. Each machine is looked after
- * by a few routers, settled alike by all from the names alone; where one of those fails, the next
- * stands in. Free of I/O: probes are pulled, and what came of them, and of the part calls that are
- * made anyway, is told.
- *
- * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"
- * (1998), for rendezvous hashing: a router that comes or goes moves only what it looks after
- * itself.
+ * Which machines this router watches, and whether it finds them healthy. Each machine is watched by a few
+ * routers, chosen alike by all from the names alone ({@link WatcherAssignment}); where one of those fails, the
+ * next takes over. Free of I/O: probes are pulled, and their results, and those of the calls that are made
+ * anyway, are passed in. Belongs to one thread.
  */
 public final class MachineFailureDetector {
-    /** Carries out a probe; its end is told by {@link #onProbeResult}. */
+    /** Carries out a probe; its end is passed to {@link #onProbeResult}. */
     public interface Prober {
         void probe(String machine);
     }
@@ -28,10 +22,7 @@
     private static final class ProbeHistory {
         /** Probes that failed in a row; below 0 none has ended yet. */
         int failedProbes = -1;
-        /**
-         * Part calls that failed in a row, and since when; emptied by one that is answered, or by
-         * time.
-         */
+        /** Calls that failed in a row; emptied by one that is answered, or by time. */
         int failedCalls;
 
         long firstFailedCallUs;
@@ -40,21 +31,19 @@
         boolean healthy = true;
     }
 
-    /** So many part calls have to fail in a row before they count. */
+    /** So many calls have to fail in a row before they count. */
     private static final int CALL_FAILURE_THRESHOLD = 4;
-    /**
-     * Calls that failed say nothing after so many rounds with none made: nothing goes there any
-     * more.
-     */
+    /** Failed calls expire after so many rounds with none made: nothing goes there any more. */
     private static final int CALL_FAILURE_EXPIRY_ROUNDS = 8;
 
     private final String router;
     private final WatcherAssignment assignment;
     private final long probeIntervalUs;
     private final int probeFailureThreshold;
-    /** Data nodes on this router's list, and the routers that it looks after. */
+    /** By data node that this router watches. */
     private final Map<String, ProbeHistory> histories = new TreeMap<>();
 
+    /** Data nodes on this router's list. */
     private final Set<String> nodes = new HashSet<>();
     /** Other routers, as far as they are known, whether they answer or not. */
     private final Set<String> otherRouters = new HashSet<>();
@@ -62,9 +51,9 @@
     private long nowUs;
 
     /**
-     * @param watchers routers that look after one machine
-     * @param probeIntervalUs between two probes of it
-     * @param probeFailureThreshold failed probes in a row make it unsound; one good one, sound again
+     * @param watchers routers that watch one machine
+     * @param probeIntervalUs between two probes of it, microseconds
+     * @param probeFailureThreshold failed probes in a row make it unhealthy; one that succeeds, healthy again
      */
     public MachineFailureDetector(
             String router, int watchers, long probeIntervalUs, int probeFailureThreshold) {
@@ -74,14 +63,15 @@
         this.probeFailureThreshold = probeFailureThreshold;
     }
 
+    /** @param timeUs of a clock that only goes forward */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
 
     /**
-     * Sets who shares the machines out, and what there is to share.
+     * Sets who watches, and what there is to watch.
      *
-     * @param alive routers that answer; this one counts whatever it hears
+     * @param alive routers that answer; this one counts in any case
      * @param known all other routers that are known, whether they answer or not
      * @param listed data nodes on this router's list
      */
@@ -98,68 +88,27 @@
             machines.addAll(otherRouters);
             assignment.setMachines(machines);
         }
-        histories.keySet().removeIf(machine -> !nodes.contains(machine) || !watches(machine));
-        for (String machine : nodes) {
-            if (watches(machine) && !histories.containsKey(machine)) {
-                ProbeHistory history = new ProbeHistory();
-                // Danger: routers that take over together would all probe in the same instant.
-                long weight = WatcherAssignment.weight(router, machine);
-                history.nextProbeUs = nowUs + Math.floorMod(weight, Math.max(1, probeIntervalUs));
-                histories.put(machine, history);
+        histories.keySet().removeIf(node -> !nodes.contains(node) || !watches(node));
+        for (String node : nodes) {
+            if (watches(node)) {
+                histories.computeIfAbsent(node, this::newHistory);
             }
         }
     }
 
-    private static boolean sameElements(Set<String> set, Collection<String> distinct) {
-        return set.size() == distinct.size() && set.containsAll(distinct);
-    }
-
-    /**
-     * Whether that is one of those that look after this machine; all that know the same routers
-     * agree.
-     */
-    public static boolean watches(
-            String router, Collection<String> routers, String machine, int watchers) {
-        long ownWeight = WatcherAssignment.weight(router, machine);
-        int ahead = 0;
-        for (String other : routers) {
-            if (!other.equals(machine)
-                    && !other.equals(router)
-                    && WatcherAssignment.weight(other, machine) < ownWeight) {
-                ahead++;
-            }
-        }
-        return !router.equals(machine) && ahead < watchers;
+    private ProbeHistory newHistory(String node) {
+        ProbeHistory history = new ProbeHistory();
+        // Danger: routers that take over together would all probe in the same instant.
+        long weight = WatcherAssignment.weight(router, node);
+        history.nextProbeUs = nowUs + Math.floorMod(weight, Math.max(1, probeIntervalUs));
+        return history;
     }
 
-    /** All that look after this machine: those of whom {@link #watches} says so, in one pass. */
-    public static List<String> watchers(Collection<String> routers, String machine, int watchers) {
-        List<String> others = new ArrayList<>();
-        List<Long> weights = new ArrayList<>();
-        for (String other : routers) {
-            if (!other.equals(machine)) {
-                others.add(other);
-                weights.add(WatcherAssignment.weight(other, machine));
-            }
-        }
-        if (others.size() <= watchers) {
-            return others;
-        }
-        long highestWeight = weights.stream()
-                .sorted()
-                .skip(Math.max(0, watchers - 1))
-                .findFirst()
-                .orElseThrow();
-        List<String> watching = new ArrayList<>();
-        for (int i = 0; i < others.size(); i++) {
-            if (watchers > 0 && weights.get(i) <= highestWeight) {
-                watching.add(others.get(i));
-            }
-        }
-        return watching;
+    private static boolean sameElements(Set<String> set, Collection<String> distinct) {
+        return set.size() == distinct.size() && set.containsAll(distinct);
     }
 
-    /** Whether this router looks after it. */
+    /** Whether this router watches the machine. */
     public boolean watches(String machine) {
         return assignment.watches(machine);
     }
@@ -173,7 +122,7 @@
         }
     }
 
-    /** A part call has ended there; those that were never sent or were taken back say nothing. */
+    /** A call has ended there; those that were never sent or were cancelled are not passed in. */
     public void onCallResult(String machine, boolean answered) {
         ProbeHistory history = histories.get(machine);
         if (history == null) {
@@ -182,17 +131,18 @@
         if (answered) {
             history.failedCalls = 0;
         } else {
-            history.firstFailedCallUs =
-                    history.failedCalls++ == 0 ? nowUs : history.firstFailedCallUs;
+            if (history.failedCalls++ == 0) {
+                history.firstFailedCallUs = nowUs;
+            }
             history.lastFailedCallUs = nowUs;
         }
         updateHealth(history, answered);
     }
 
     /**
-     * Danger: a node whose process stands still goes on being connected to, by its machine's
-     * kernel; only the calls tell. And one slow answer is no failure: calls count once several in a
-     * row have failed for longer than a round.
+     * Danger: a node whose process stands still goes on being connected to, by its machine's kernel; only the
+     * calls show it. And one slow answer is no failure: calls count once several in a row have failed for longer
+     * than a round.
      */
     private void updateHealth(ProbeHistory history, boolean answered) {
         boolean callsFail = history.failedCalls >= CALL_FAILURE_THRESHOLD
@@ -204,7 +154,7 @@
         }
     }
 
-    /** One probe that is due; false where none is. */
+    /** Starts one probe that is due; false where none is. */
     public boolean decide(Prober prober) {
         for (Map.Entry<String, ProbeHistory> entry : histories.entrySet()) {
             ProbeHistory history = entry.getValue();
@@ -222,14 +172,14 @@
         return false;
     }
 
-    /** By data node, what is found; of those with no probe ended yet nothing is said. */
+    /** By data node, whether it is healthy; of those with no probe ended yet nothing is known. */
     public Map<String, Boolean> observations() {
-        Map<String, Boolean> healthyByMachine = new TreeMap<>();
-        histories.forEach((machine, history) -> {
+        Map<String, Boolean> healthyByNode = new TreeMap<>();
+        histories.forEach((node, history) -> {
             if (history.failedProbes >= 0) {
-                healthyByMachine.put(machine, history.healthy);
+                healthyByNode.put(node, history.healthy);
             }
         });
-        return healthyByMachine;
+        return healthyByNode;
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
@@ -1,9 +1,6 @@
 package tinlink.maintenance.scheduling;
 
-import tinlink.cluster.membership.LineCodec;
-
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,29 +8,28 @@
 import java.util.TreeMap;
 
 /**
- * What the router that leads puts to the others: the bounds, once; what routers report of machines,
- * joined; which routers there are; and what time has passed. It decides nothing by it: the order
- * does, in all routers alike. Reports get lost and come late, so they are said again and again, and
- * what is old counts for nothing.
+ * What the leader proposes: the limits, once; what routers report of machines, aggregated; which routers there
+ * are; and what time has passed. It decides nothing by it: the state machine does, in all routers alike.
+ * Reports get lost and come late, so they are repeated, and old ones expire. Belongs to one thread.
  */
 public final class MaintenanceCoordinator {
-    /** Puts a line to the vote; {@link #onProposalCompleted} is called as it has been agreed, or has not. */
+    /** Proposes a command; {@link #onProposalCompleted} is called as it has been agreed, or has not. */
     public interface Proposer {
-        void propose(String line);
+        void propose(MaintenanceCommand command);
     }
 
-    /** Lines that are put to the vote at a time; what more there is follows. */
+    /** Commands that are proposed at a time; what more there is follows. */
     private static final int MAX_PROPOSALS_PER_ROUND = 64;
-    /** An answer that has not come after so many beats won't. */
+    /** A result that has not come after so many rounds won't. */
     private static final int PROPOSAL_TIMEOUT_ROUNDS = 20;
 
     private final DisruptionLimits limits;
     private final ObservationAggregator observations;
     private final long roundIntervalUs;
     private final int maxEntries;
-    /** By name, as each says of itself; as many as there are routers. */
+    /** By name, as each reports itself; as many as there are routers. */
     private final Map<String, Machine> routers = new LinkedHashMap<>();
-    /** Lives of routers that have said that they end; emptied as that is agreed. */
+    /** Incarnations of routers that have reported that they end, by name; emptied as that is agreed. */
     private final Map<String, String> departures = new TreeMap<>();
 
     private long nowUs;
@@ -42,10 +38,14 @@
     private int pendingProposals;
     private long pendingSinceUs;
     private boolean leader;
-    /** Routers that vote, as the group stands. */
     private Set<String> voters = Set.of();
 
-    /** @param limits as the leader's file has them; the first ones agreed on hold, whoever leads */
+    /**
+     * @param limits as the leader's file has them; the first ones agreed on hold, whoever leads
+     * @param roundIntervalUs between two rounds of proposals, microseconds
+     * @param reportExpiryUs how long a report counts, microseconds
+     * @param maxEntries routers, and machines, that reports are kept of
+     */
     public MaintenanceCoordinator(
             DisruptionLimits limits, long roundIntervalUs, long reportExpiryUs, int maxEntries) {
         this.limits = limits;
@@ -54,13 +54,14 @@
         observations = new ObservationAggregator(reportExpiryUs, maxEntries);
     }
 
+    /** @param timeUs of a clock that only goes forward */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
 
     /**
-     * Whether this router leads now. Danger: time that passed under another leader, or none, must
-     * not be counted by this one: grants would end that nobody could begin.
+     * Whether this router leads now. Danger: time that passed under another leader, or none, must not be counted
+     * by this one: grants would end that nobody could start.
      */
     public void setLeader(boolean isLeader) {
         if (isLeader && !leader) {
@@ -71,137 +72,88 @@
         leader = isLeader;
     }
 
-    /** Who votes now: what a router says of itself may be behind. */
+    /** Who votes now: what a router reports of itself may be behind. */
     public void setVoters(Set<String> names) {
         voters = names;
     }
 
-    // ---- What routers report, in lines of words. ----
-
-    /** Of machines that the speaker looks after. */
-    public static String healthReportLine(Map<String, Boolean> healthyByMachine) {
-        List<Object> fields = new ArrayList<>(List.of("saw"));
-        healthyByMachine.forEach((machine, healthy) -> {
-            fields.add(machine);
-            fields.add(healthy);
-        });
-        return LineCodec.encode(fields.toArray());
-    }
-
-    /** The speaker's own list of data nodes, whole: what routers of before {@link NodeListDifference} say. */
-    public static String nodeListLine(String site, Collection<Machine> nodes) {
-        List<Object> fields = new ArrayList<>(List.of("list", site));
-        nodes.forEach(machine -> fields.add(machine.encode()));
-        return LineCodec.encode(fields.toArray());
-    }
-
-    /** The speaker itself. */
-    public static String selfReportLine(Machine router) {
-        return LineCodec.encode("self", router.encode());
-    }
-
-    /** The speaker has let its last client go, and ends. */
-    public static String departureLine(String incarnation) {
-        return LineCodec.encode("left", incarnation);
+    /** @param from proved by its key; it reports itself alone */
+    public void onReport(String from, MachineReport report) {
+        if (report instanceof MachineReport.Health health) {
+            health.healthyByMachine()
+                    .forEach((machine, healthy) ->
+                            observations.onObservation(from, machine, healthy, nowUs));
+        } else if (report instanceof MachineReport.FullNodeList list) {
+            observations.onNodeList(from, list.site(), list.nodes(), nowUs);
+        } else if (report instanceof NodeListDifference difference) {
+            observations.onDifference(from, difference, nowUs);
+        } else if (report instanceof MachineReport.Self self) {
+            onSelfReport(from, self.router());
+        } else if (report instanceof MachineReport.Departure departure
+                && departures.size() < maxEntries) {
+            departures.put(from, departure.incarnation());
+        }
     }
 
-    /**
-     * Hears a report from another router.
-     *
-     * @param from proved by its key; it speaks for itself alone
-     */
-    public void onReport(String from, String line) {
-        List<String> fields = LineCodec.decode(line);
-        try {
-            switch (fields.get(0)) {
-                case "saw" -> {
-                    for (int i = 1; i + 1 < fields.size(); i += 2) {
-                        observations.onObservation(
-                                from,
-                                fields.get(i),
-                                Boolean.parseBoolean(fields.get(i + 1)),
-                                nowUs);
-                    }
-                }
-                case "list" -> {
-                    List<Machine> all = new ArrayList<>();
-                    for (String machine : fields.subList(2, fields.size())) {
-                        all.add(Machine.decode(LineCodec.decode(machine)));
-                    }
-                    observations.onNodeList(from, fields.get(1), all, nowUs);
-                }
-                case NodeListDifference.KIND ->
-                    observations.onDifference(from, NodeListDifference.decode(fields), nowUs);
-                case "self" -> {
-                    Machine machine = Machine.decode(LineCodec.decode(fields.get(1)));
-                    if (machine.isRouter()
-                            && machine.id().equals(from)
-                            && (routers.size() < maxEntries || routers.containsKey(from))) {
-                        routers.put(from, machine);
-                    }
-                }
-                case "left" -> {
-                    if (departures.size() < maxEntries) {
-                        departures.put(from, fields.get(1));
-                    }
-                }
-                default -> {}
-            }
-        } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            // A report that can't be read is no report; its router is one that says nothing.
+    private void onSelfReport(String from, Machine router) {
+        if (router.isRouter()
+                && router.id().equals(from)
+                && (routers.size() < maxEntries || routers.containsKey(from))) {
+            routers.put(from, router);
         }
     }
 
-    /** One of its lines has come to an end, this way or that. */
+    /** One of its proposals has been agreed, or has not. */
     public void onProposalCompleted() {
         pendingProposals = Math.max(0, pendingProposals - 1);
     }
 
-    /** One beat's lines; false where there is nothing to put now. */
-    public boolean decide(MaintenanceStateMachine stateMachine, Proposer proposer) {
-        if (!leader
-                || nowUs < nextRoundUs
-                || (pendingProposals > 0
-                        && nowUs - pendingSinceUs < PROPOSAL_TIMEOUT_ROUNDS * roundIntervalUs)) {
+    /** Proposes one round's commands; false where there is nothing to propose now. */
+    public boolean decide(MaintenanceState state, Proposer proposer) {
+        boolean waits = pendingProposals > 0
+                && nowUs - pendingSinceUs < PROPOSAL_TIMEOUT_ROUNDS * roundIntervalUs;
+        if (!leader || nowUs < nextRoundUs || waits) {
             return false;
         }
         nextRoundUs = nowUs + roundIntervalUs;
-        List<String> lines = proposals(stateMachine);
-        pendingProposals = lines.size();
+        List<MaintenanceCommand> commands = proposals(state);
+        pendingProposals = commands.size();
         pendingSinceUs = nowUs;
-        lines.forEach(proposer::propose);
-        return !lines.isEmpty();
+        commands.forEach(proposer::propose);
+        return !commands.isEmpty();
     }
 
-    private List<String> proposals(MaintenanceStateMachine stateMachine) {
-        List<String> lines = new ArrayList<>();
-        if (!stateMachine.hasLimits()) {
-            lines.add(MaintenanceStateMachine.limitsLine(limits));
-            return lines; // Machines are counted against them: all else comes after.
+    private List<MaintenanceCommand> proposals(MaintenanceState state) {
+        List<MaintenanceCommand> commands = new ArrayList<>();
+        if (!state.hasLimits()) {
+            commands.add(new MaintenanceCommand.SetLimits(limits));
+            return commands; // Machines are counted against them: all else comes after.
+        }
+        observations.setAgreedNodes(state.agreedNodes());
+        addRouters(state, commands);
+        commands.addAll(observations.proposals(state, nowUs));
+        if (state.openTasks().isEmpty()) {
+            lastTickUs = nowUs; // Nothing waits for time to pass.
+        } else if (commands.size() < MAX_PROPOSALS_PER_ROUND) {
+            commands.add(new MaintenanceCommand.AdvanceTime(nowUs - lastTickUs));
+            lastTickUs = nowUs;
         }
-        observations.setAgreedNodes(stateMachine.agreedNodes());
+        return commands.size() > MAX_PROPOSALS_PER_ROUND
+                ? commands.subList(0, MAX_PROPOSALS_PER_ROUND)
+                : commands;
+    }
+
+    private void addRouters(MaintenanceState state, List<MaintenanceCommand> commands) {
         departures
                 .values()
-                .removeIf(
-                        incarnation -> stateMachine.incarnations().noneMatch(incarnation::equals));
+                .removeIf(incarnation -> state.incarnations().noneMatch(incarnation::equals));
         departures.forEach((router, incarnation) ->
-                lines.add(MaintenanceStateMachine.routerEndedLine(router, incarnation)));
-        for (Machine self : routers.values()) {
-            Machine router = self.withVoter(voters.contains(self.id()));
-            if (!router.equals(stateMachine.machine(router.id()))) {
-                lines.add(MaintenanceStateMachine.machineLine(router));
+                commands.add(new MaintenanceCommand.RemoveRouter(router, incarnation)));
+        for (Machine reported : routers.values()) {
+            Machine router = reported.withVoter(voters.contains(reported.id()));
+            if (!router.equals(state.machine(router.id()))) {
+                commands.add(new MaintenanceCommand.RegisterMachine(router));
             }
         }
-        lines.addAll(observations.proposals(stateMachine, nowUs));
-        long elapsedUs = nowUs - lastTickUs;
-        if (lines.size() < MAX_PROPOSALS_PER_ROUND && !stateMachine.openTasks().isEmpty()) {
-            lines.add(MaintenanceStateMachine.tickLine(elapsedUs));
-            lastTickUs = nowUs;
-        } else if (stateMachine.openTasks().isEmpty()) {
-            lastTickUs = nowUs; // Nothing waits by it.
-        }
-        return lines.size() > MAX_PROPOSALS_PER_ROUND
-                ? lines.subList(0, MAX_PROPOSALS_PER_ROUND)
-                : lines;
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
@@ -1,64 +1,47 @@
 package tinlink.maintenance.scheduling;
 
-import tinlink.cluster.membership.LineCodec;
-
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
-
-/** The work on one machine of a request. Nothing of it changes but by what all have agreed on. */
+/**
+ * The maintenance of one machine of a request. Nothing of it changes but by commands of the agreed log. Times
+ * are microseconds of agreed time.
+ */
 public final class MaintenanceTask {
-    final MaintenanceRequest request;
-    final String machine;
-    final long requestedAtUs;
-    /** In which order it was asked for. */
-    final long sequenceNumber;
-
-    TaskState state = TaskState.WAITING;
-    String reason = "";
-    /** Of its newest grant, 0 before; a grant with another number is over. */
-    long fencingToken;
-    /** When it came to stand so, in agreed time. */
-    long stateSinceUs;
-    /** Until when a grant may be begun, in agreed time; then what is out has to be back. */
-    long deadlineUs;
-    /**
-     * Lives of routers that have nothing open there any more, by their words; emptied at its next
-     * grant.
-     */
-    final Set<String> drainedBy = new LinkedHashSet<>();
-    /** A router's: the incarnation of it that acts by its grant. */
-    String startedBy = "";
-    /** Granted while its machine had failed. */
-    boolean grantedWhileFailed;
-    /** A router's: it has said itself that it serves again. */
-    boolean servingAgain;
-    /** Called back while it drained: it waits again once its machine is back. */
-    boolean requeueOnReturn;
-    /** Called off while it drained: it ends so once its machine is back. */
-    boolean cancelOnReturn;
-
+    /** A deadline that is never reached. */
+    static final long NEVER = Long.MAX_VALUE;
+
+    private final MaintenanceRequest request;
+    private final String machine;
+    private final long requestedAtUs;
+    private final long sequenceNumber;
+    private final Grant grant;
+    private TaskState state = TaskState.WAITING;
+    private String reason = "";
+    private long stateSinceUs;
+    private long deadlineUs;
+    private boolean requeueOnReturn;
+    private boolean cancelOnReturn;
+
+    /** @param sequenceNumber in the order in which tasks were requested */
     MaintenanceTask(
             MaintenanceRequest request, String machine, long requestedAtUs, long sequenceNumber) {
         this.request = request;
         this.machine = machine;
         this.requestedAtUs = requestedAtUs;
         this.sequenceNumber = sequenceNumber;
+        grant = new Grant();
         stateSinceUs = requestedAtUs;
     }
 
-    /** A copy that goes its own way from here. */
+    /** A copy that changes on its own from here. */
     MaintenanceTask(MaintenanceTask other) {
-        this(other.request, other.machine, other.requestedAtUs, other.sequenceNumber);
+        request = other.request;
+        machine = other.machine;
+        requestedAtUs = other.requestedAtUs;
+        sequenceNumber = other.sequenceNumber;
+        grant = new Grant(other.grant);
         state = other.state;
         reason = other.reason;
-        fencingToken = other.fencingToken;
         stateSinceUs = other.stateSinceUs;
         deadlineUs = other.deadlineUs;
-        drainedBy.addAll(other.drainedBy);
-        startedBy = other.startedBy;
-        grantedWhileFailed = other.grantedWhileFailed;
-        servingAgain = other.servingAgain;
         requeueOnReturn = other.requeueOnReturn;
         cancelOnReturn = other.cancelOnReturn;
     }
@@ -67,6 +50,7 @@
         return request;
     }
 
+    /** The machine's id; empty where the request names none. */
     public String machine() {
         return machine;
     }
@@ -75,45 +59,46 @@
         return state;
     }
 
+    /** Why it stands as it does, for operators; may be empty. */
     public String reason() {
         return reason;
     }
 
-    /** Whether that incarnation of that router has said that it has nothing open there. */
-    public boolean isDrainedBy(String router, String incarnation) {
-        return drainedBy.contains(router + " " + incarnation);
+    /** Of its newest grant; 0 where it holds none. */
+    public long fencingToken() {
+        return grant.fencingToken();
     }
 
-    public boolean isStartedBy(String incarnation) {
-        return startedBy.equals(incarnation);
+    /** Whether that incarnation of that router has nothing in flight at the machine any more. */
+    public boolean isDrainedBy(String router, String incarnation) {
+        return grant.isDrainedBy(router, incarnation);
     }
 
-    public boolean servingAgain() {
-        return servingAgain;
+    /** Whether that incarnation of the router that the task is for drains itself by its grant. */
+    public boolean isStartedBy(String incarnation) {
+        return grant.startedBy().equals(incarnation);
     }
 
-    public long fencingToken() {
-        return fencingToken;
+    /** Whether the router that the task is for has said itself that it serves again. */
+    public boolean isServingAgain() {
+        return grant.isServingAgain();
     }
 
+    /** When it came to its state. */
     public long stateSinceUs() {
         return stateSinceUs;
     }
 
-    public long deadlineUs() {
-        return deadlineUs;
-    }
-
-    /** Its machine can't be counted on. */
+    /** Whether its machine can't be counted on. */
     public boolean isActive() {
         return switch (state) {
             case GRANTED, DRAINING, OUT, RETURNING -> true;
-            case OVERDUE -> fencingToken > 0;
+            case OVERDUE -> fencingToken() > 0;
             default -> false;
         };
     }
 
-    /** No router is to send its machine anything new. */
+    /** Whether no router is to send its machine anything new. */
     public boolean isCordoned() {
         return isActive() && state != TaskState.RETURNING;
     }
@@ -122,45 +107,57 @@
         return state != TaskState.WAITING && !isActive();
     }
 
-    String encode() {
-        return LineCodec.encode(
-                "piece",
-                request.id(),
-                machine,
-                requestedAtUs,
-                sequenceNumber,
-                state,
-                reason,
-                fencingToken,
-                stateSinceUs,
-                deadlineUs,
-                cancelOnReturn,
-                servingAgain,
-                grantedWhileFailed,
-                requeueOnReturn,
-                startedBy,
-                String.join(",", drainedBy));
-    }
-
-    static MaintenanceTask decode(List<String> fields, MaintenanceRequest request) {
-        MaintenanceTask task = new MaintenanceTask(
-                request,
-                fields.get(2),
-                Long.parseLong(fields.get(3)),
-                Long.parseLong(fields.get(4)));
-        task.state = TaskState.valueOf(fields.get(5));
-        task.reason = fields.get(6);
-        task.fencingToken = Long.parseLong(fields.get(7));
-        task.stateSinceUs = Long.parseLong(fields.get(8));
-        task.deadlineUs = Long.parseLong(fields.get(9));
-        task.cancelOnReturn = Boolean.parseBoolean(fields.get(10));
-        task.servingAgain = Boolean.parseBoolean(fields.get(11));
-        task.grantedWhileFailed = Boolean.parseBoolean(fields.get(12));
-        task.requeueOnReturn = Boolean.parseBoolean(fields.get(13));
-        task.startedBy = fields.get(14);
-        if (!fields.get(15).isEmpty()) {
-            task.drainedBy.addAll(List.of(fields.get(15).split(",")));
-        }
-        return task;
+    /** Whether its operator may have the machine. */
+    public boolean isOut() {
+        return state == TaskState.OUT || state == TaskState.OVERDUE && isActive();
+    }
+
+    Grant grant() {
+        return grant;
+    }
+
+    long requestedAtUs() {
+        return requestedAtUs;
+    }
+
+    long sequenceNumber() {
+        return sequenceNumber;
+    }
+
+    /** Until when a grant may be started; of a machine that is out, until when it has to be back. */
+    long deadlineUs() {
+        return deadlineUs;
+    }
+
+    /** Whether it was called back while it drained, and waits again once its machine is back. */
+    boolean isRequeuedOnReturn() {
+        return requeueOnReturn;
+    }
+
+    /** Whether it was cancelled while it drained, which ends it once its machine is back. */
+    boolean isCancelledOnReturn() {
+        return cancelOnReturn;
+    }
+
+    void setReason(String reason) {
+        this.reason = reason;
+    }
+
+    void setDeadlineUs(long deadlineUs) {
+        this.deadlineUs = deadlineUs;
+    }
+
+    void requeueOnReturn(boolean requeue) {
+        requeueOnReturn = requeue;
+    }
+
+    void cancelOnReturn(boolean cancel) {
+        cancelOnReturn = cancel;
+    }
+
+    /** Only {@link TaskTable} calls this: it keeps an index by state. */
+    void setState(TaskState state, long sinceUs) {
+        this.state = state;
+        stateSinceUs = sinceUs;
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
@@ -6,14 +6,12 @@
 import java.util.Map;
 
 /**
- * What routers say of the list of data nodes, told as a difference to what is agreed on. A report
- * counts only if it is against a set of agreed nodes that the leader has had of late: the two are
- * told apart by digest.
+ * What routers report of the list of data nodes, as a difference to what is agreed on. A report counts only if
+ * it is against a set of agreed nodes that the leader has had of late: the two are told apart by digest.
  *
- * <p>Danger: what is agreed on changes while reports are on their way. A report says nothing of a
- * node that was agreed on after its basis, so it must not be taken for one that the node has gone.
- * For this each node has the number of the set with which it came, and each report that of its
- * basis.
+ * <p>Danger: what is agreed on changes while reports are on their way. A report says nothing of a node that was
+ * agreed on after its basis, so it must not be taken for one that the node has gone. For this each node has the
+ * number of the set with which it came, and each report that of its basis.
  */
 final class NodeListVotes {
     /** Sets of agreed nodes that a report may still be against; routers lag by a few at the most. */
@@ -23,7 +21,7 @@
 
     private final long expiryUs;
     private final int maxRouters;
-    /** By router: its newest report. Old ones leave as they are looked at. */
+    /** By router: its newest report. Expired ones leave as they are looked at. */
     private final Map<String, Report> reports = new LinkedHashMap<>();
     /** By digest: the number of a set of agreed nodes. The oldest leave past the bound. */
     private final Map<Long, Long> basisNumbers = new LinkedHashMap<>();
@@ -31,11 +29,11 @@
     private final Map<String, Long> agreedSince = new HashMap<>();
 
     private AgreedNodes agreedNodes;
-    private long basisNumber;
+    private long newestBasis;
 
     /**
-     * @param expiryUs a report counts for so long, microseconds
-     * @param maxRouters routers that are heard
+     * @param expiryUs how long a report counts, microseconds
+     * @param maxRouters routers that reports are kept of
      */
     NodeListVotes(long expiryUs, int maxRouters) {
         this.expiryUs = expiryUs;
@@ -47,16 +45,16 @@
         if (agreedNodes != null && agreedNodes.digest() == nodes.digest()) {
             return;
         }
-        basisNumber++;
+        newestBasis++;
         for (Machine node : nodes.all()) {
             if (agreedNodes == null || !node.equals(agreedNodes.node(node.id()))) {
-                agreedSince.put(node.id(), basisNumber);
+                agreedSince.put(node.id(), newestBasis);
             }
         }
         agreedSince.keySet().removeIf(id -> nodes.node(id) == null);
         agreedNodes = nodes;
         basisNumbers.remove(nodes.digest());
-        basisNumbers.put(nodes.digest(), basisNumber);
+        basisNumbers.put(nodes.digest(), newestBasis);
         if (basisNumbers.size() > MAX_BASES) {
             Iterator<Long> oldest = basisNumbers.keySet().iterator();
             oldest.next();
@@ -67,24 +65,23 @@
     /**
      * Takes a report.
      *
-     * @return false where it is against a set of nodes that is not known here, so that it counts for
-     *     nothing
+     * @return false where it is against a set of nodes that is not known here, so that it does not count
      */
     boolean onReport(String router, NodeListDifference difference, long nowUs) {
-        Long reportBasis = basisNumbers.get(difference.basisDigest());
-        if (reportBasis == null || reports.size() >= maxRouters && !reports.containsKey(router)) {
+        Long basisNumber = basisNumbers.get(difference.basisDigest());
+        if (basisNumber == null || reports.size() >= maxRouters && !reports.containsKey(router)) {
             return false;
         }
-        reports.put(router, new Report(difference, reportBasis, nowUs));
+        reports.put(router, new Report(difference, basisNumber, nowUs));
         return true;
     }
 
-    /** The router's report counts for nothing any more. */
+    /** The router's report does not count any more. */
     void forget(String router) {
         reports.remove(router);
     }
 
-    /** Drops what is too old to count. */
+    /** Drops reports that are too old to count. */
     void expire(long nowUs) {
         reports.values().removeIf(report -> nowUs - report.atUs() > expiryUs);
     }
--- a/src/main/java/tinlink/maintenance/scheduling/TaskState.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskState.java
@@ -1,28 +1,51 @@
 package tinlink.maintenance.scheduling;
 
-/** Where the work on one machine stands; the same for all routers. */
+import java.util.Arrays;
+import java.util.Locale;
+
+/** The state of the maintenance of one machine; the same for all routers. */
 public enum TaskState {
-    WAITING,
-    /** It may go; nothing has been done by it yet. */
-    GRANTED,
-    /** No router sends it anything new; for a router: it lets its clients go. */
-    DRAINING,
-    /** Its operator may take it. */
-    OUT,
+    WAITING("WAITING"),
+    /** It may start; nothing has been done by it yet. */
+    GRANTED("GRANTED"),
+    /** No router sends the machine anything new; a router lets its clients finish and go. */
+    DRAINING("DRAINING"),
+    /** Its operator may take the machine. */
+    OUT("OUT"),
+    /** Its operator has given the machine back, which counts as out until it has warmed up. */
+    RETURNING("RETURNING"),
+    COMPLETED("BACK"),
+    /** It can never be granted, or names no machine. */
+    REJECTED("REFUSED"),
+    CANCELLED("CALLED_OFF"),
+    /** It has not started in time, which ends it; or the machine is out for longer than was asked. */
+    OVERDUE("OVERDUE");
+
+    private final String storedName;
+
+    TaskState(String storedName) {
+        this.storedName = storedName;
+    }
+
+    /** As it stands in snapshots. */
+    String storedName() {
+        return storedName;
+    }
+
     /**
-     * Its operator has given it back; it counts as out until it has been sound for as long as is
-     * stated.
+     * The state with that name in snapshots.
+     *
+     * @throws IllegalArgumentException where there is none
      */
-    RETURNING,
-    BACK,
-    /** It can never be granted, or names nothing. */
-    REFUSED,
-    CALLED_OFF,
-    /** It has not started in its time, which ends it; or it is out for longer than was asked. */
-    OVERDUE;
+    static TaskState ofStoredName(String name) {
+        return Arrays.stream(values())
+                .filter(state -> state.storedName.equals(name))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException("not a state of a task: " + name));
+    }
 
     /** As operators read it. */
     public String label() {
-        return name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
+        return storedName.toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
+++ b/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
@@ -1,24 +1,26 @@
 package tinlink.maintenance.scheduling;
 
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * Which machines one router watches, by rendezvous hashing: a machine is watched by the few routers
- * with the lowest weights for it. Kept up as routers and machines come and go: one that comes costs
- * a hash for each machine (or router), not one for each pair of them.
+ * Which machines one router watches, by rendezvous hashing: a machine is watched by the few routers with the
+ * lowest weights for it, so that a router that comes or goes moves only what it watches itself. Kept up as
+ * routers and machines come and go: one that comes costs a hash for each machine (or router), not one for each
+ * pair of them. Belongs to one thread.
  *
- * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"
- * (1998).
+ * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998).
  */
-final class WatcherAssignment {
+public final class WatcherAssignment {
     /** What is known of one machine. */
     private static final class Ranking {
         final long ownWeight;
-        /** Routers that come before this one. */
+        /** Routers with a lower weight than this one. */
         int ahead;
 
         Ranking(long ownWeight) {
@@ -44,7 +46,7 @@
         ownPrefix = prefix(router);
     }
 
-    /** Sets the routers that share the machines out; this one counts whether it is named or not. */
+    /** Sets the routers that watch; this one counts whether it is named or not. */
     void setRouters(Collection<String> alive) {
         Set<String> others = new HashSet<>(alive);
         others.remove(router);
@@ -64,7 +66,7 @@
         }
     }
 
-    /** Sets the machines that are shared out. */
+    /** Sets the machines that are watched. */
     void setMachines(Set<String> machines) {
         rankings.keySet().retainAll(machines);
         for (String machine : machines) {
@@ -98,6 +100,38 @@
         });
     }
 
+    /**
+     * All routers that watch the machine, computed from scratch.
+     *
+     * @param routers all that share the machines
+     * @param watchers routers that watch one machine
+     */
+    public static List<String> watchers(Collection<String> routers, String machine, int watchers) {
+        List<String> others = new ArrayList<>();
+        List<Long> weights = new ArrayList<>();
+        for (String other : routers) {
+            if (!other.equals(machine)) {
+                others.add(other);
+                weights.add(weight(other, machine));
+            }
+        }
+        if (others.size() <= watchers) {
+            return others;
+        }
+        long highest = weights.stream()
+                .sorted()
+                .skip(Math.max(0, watchers - 1))
+                .findFirst()
+                .orElseThrow();
+        List<String> watching = new ArrayList<>();
+        for (int i = 0; i < others.size(); i++) {
+            if (watchers > 0 && weights.get(i) <= highest) {
+                watching.add(others.get(i));
+            }
+        }
+        return watching;
+    }
+
     /** The router's weight for the machine, never below 0. */
     static long weight(String router, String machine) {
         return weight(prefix(router), machine);
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -10,6 +10,7 @@
 import tinlink.decision.Outcome;
 import tinlink.maintenance.ControlServer;
 import tinlink.maintenance.MaintenanceService;
+import tinlink.maintenance.MaintenanceSettings;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.net.EventLoop;
@@ -100,9 +101,8 @@
                 clusterNode,
                 replicatedState,
                 this,
-                new MaintenanceService.Settings(
-                        clusterConfig.zone,
-                        config.siteByZone,
+                new MaintenanceSettings(
+                        new MaintenanceSettings.Location(clusterConfig.zone, config.siteByZone),
                         limits,
                         config.observerCount,
                         config.healthCheckIntervalUs,
@@ -152,7 +152,7 @@
                     config.controlTimeoutUs);
         }
         LOG.log(Level.INFO, "event=work_listens peers={0} control={1}", new Object[] {
-            maintenance.peers().address(), control == null ? "-" : control.address()
+            maintenance.cluster().address(), control == null ? "-" : control.address()
         });
     }
 
--- a/src/test/java/tinlink/experiment/simulation/SharedReplicasTest.java
+++ b/src/test/java/tinlink/experiment/simulation/SharedReplicasTest.java
@@ -9,9 +9,12 @@
 
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
-import tinlink.maintenance.scheduling.MachineFailureDetector;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
+import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.WatcherAssignment;
+import tinlink.maintenance.scheduling.WatcherDefinition;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -33,10 +36,11 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<String> lines = new ArrayList<>();
         IntStream.range(0, 12)
-                .forEach(i -> lines.add(MaintenanceStateMachine.machineLine(node(i))));
+                .forEach(i -> lines.add(MaintenanceCommandCodec.encode(
+                        new MaintenanceCommand.RegisterMachine(node(i)))));
         IntStream.range(0, 4)
-                .forEach(i ->
-                        lines.add(MaintenanceStateMachine.routerLine("r" + i, "r" + i + "/1")));
+                .forEach(i -> lines.add(MaintenanceCommandCodec.encode(
+                        new MaintenanceCommand.RegisterRouter("r" + i, "r" + i + "/1"))));
         for (int i = 0; i < 200; i++) {
             String machine = "n" + random.nextInt(12);
             String router = "r" + random.nextInt(4);
@@ -44,21 +48,30 @@
             lines.add(
                     switch (random.nextInt(7)) {
                         case 0 ->
-                            MaintenanceStateMachine.requestLine(new MaintenanceRequest(
-                                    request,
-                                    List.of(machine),
-                                    1_000_000,
-                                    Long.MAX_VALUE,
-                                    1,
-                                    "op",
-                                    "work"));
+                            MaintenanceCommandCodec.encode(
+                                    new MaintenanceCommand.SubmitRequest(new MaintenanceRequest(
+                                            request,
+                                            List.of(machine),
+                                            1_000_000,
+                                            Long.MAX_VALUE,
+                                            1,
+                                            "op",
+                                            "work")));
                         case 1, 2 ->
-                            MaintenanceStateMachine.drainedLine(
-                                    machine, 1 + random.nextInt(10), router, router + "/1");
-                        case 3 -> MaintenanceStateMachine.doneLine(request, machine, false);
-                        case 4 -> MaintenanceStateMachine.cancelLine(request, "called off");
-                        case 5 -> MaintenanceStateMachine.healthLine(machine, random.nextBoolean());
-                        default -> MaintenanceStateMachine.tickLine(random.nextInt(1_000_000));
+                            MaintenanceCommandCodec.encode(new MaintenanceCommand.ConfirmDrained(
+                                    machine, 1 + random.nextInt(10), router, router + "/1"));
+                        case 3 ->
+                            MaintenanceCommandCodec.encode(
+                                    new MaintenanceCommand.CompleteWork(request, machine, false));
+                        case 4 ->
+                            MaintenanceCommandCodec.encode(
+                                    new MaintenanceCommand.CancelRequest(request, "called off"));
+                        case 5 ->
+                            MaintenanceCommandCodec.encode(new MaintenanceCommand.SetHealth(
+                                    machine, random.nextBoolean()));
+                        default ->
+                            MaintenanceCommandCodec.encode(
+                                    new MaintenanceCommand.AdvanceTime(random.nextInt(1_000_000)));
                     });
         }
         return lines;
@@ -81,7 +94,12 @@
             int one = random.nextInt(heard.length);
             for (int n = random.nextInt(30); n > 0 && heard[one] < lines.size(); n--) {
                 String line = lines.get(heard[one]++);
-                assertEquals(alone.get(one).apply(line), replicas.get(one).apply(line), line);
+                assertEquals(
+                        alone.get(one)
+                                .apply(MaintenanceCommandCodec.decode(line))
+                                .message(),
+                        replicas.get(one).apply(line),
+                        line);
             }
             assertEquals(alone.get(one).snapshot(), replicas.get(one).state().snapshot());
         }
@@ -97,18 +115,21 @@
         SharedReplicas<MaintenanceStateMachine>.Replica one = shared.replica();
         SharedReplicas<MaintenanceStateMachine>.Replica same = shared.replica();
         SharedReplicas<MaintenanceStateMachine>.Replica other = shared.replica();
-        one.apply(MaintenanceStateMachine.machineLine(node(0)));
-        same.apply(MaintenanceStateMachine.machineLine(node(0)));
-        other.apply(MaintenanceStateMachine.machineLine(node(1)));
+        one.apply(MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterMachine(node(0))));
+        same.apply(MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterMachine(node(0))));
+        other.apply(
+                MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterMachine(node(1))));
         assertSame(one.state(), same.state());
         assertNotSame(one.state(), other.state());
-        assertEquals(1, other.state().machines().size());
+        assertEquals(1, other.state().state().machines().size());
         MaintenanceStateMachine before = one.state();
-        same.apply(MaintenanceStateMachine.machineLine(node(2)));
+        same.apply(MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterMachine(node(2))));
         assertSame(before, one.state());
         assertEquals(
-                1, one.state().machines().size(), "what another replica has heard is no news here");
-        assertEquals(2, same.state().machines().size());
+                1,
+                one.state().state().machines().size(),
+                "what another replica has heard is no news here");
+        assertEquals(2, same.state().state().machines().size());
     }
 
     @Test
@@ -134,13 +155,15 @@
                 MaintenanceStateMachine copy = stateMachine.copy();
                 assertEquals(stateMachine.snapshot(), copy.snapshot());
                 List<String> before = stateMachine.snapshot();
-                lines.subList(i, lines.size()).forEach(copy::apply);
+                lines.subList(i, lines.size())
+                        .forEach(line -> copy.apply(MaintenanceCommandCodec.decode(line)));
                 assertEquals(before, stateMachine.snapshot());
                 MaintenanceStateMachine read = MaintenanceStateMachine.restore(before);
-                lines.subList(i, lines.size()).forEach(read::apply);
+                lines.subList(i, lines.size())
+                        .forEach(line -> read.apply(MaintenanceCommandCodec.decode(line)));
                 assertEquals(read.snapshot(), copy.snapshot());
             }
-            stateMachine.apply(lines.get(i));
+            stateMachine.apply(MaintenanceCommandCodec.decode(lines.get(i)));
         }
     }
 
@@ -150,9 +173,9 @@
         for (String machine : List.of("n1", "n2", "r3", "r39")) {
             for (int count : new int[] {0, 1, 3, 39, 60}) {
                 List<String> said = routers.stream()
-                        .filter(r -> MachineFailureDetector.watches(r, routers, machine, count))
+                        .filter(r -> WatcherDefinition.watches(r, routers, machine, count))
                         .toList();
-                assertEquals(said, MachineFailureDetector.watchers(routers, machine, count));
+                assertEquals(said, WatcherAssignment.watchers(routers, machine, count));
             }
         }
     }
--- a/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 
@@ -26,12 +27,12 @@
         for (int i = 0; i < 200; i++) {
             String machine = "n" + i;
             List<String> watchers = ROUTERS.stream()
-                    .filter(router -> MachineFailureDetector.watches(router, ROUTERS, machine, 3))
+                    .filter(router -> WatcherDefinition.watches(router, ROUTERS, machine, 3))
                     .toList();
             assertEquals(3, watchers.size());
             watchers.forEach(router -> load.merge(router, 1, Integer::sum));
             List<String> watchersAfterwards = fewer.stream()
-                    .filter(router -> MachineFailureDetector.watches(router, fewer, machine, 3))
+                    .filter(router -> WatcherDefinition.watches(router, fewer, machine, 3))
                     .toList();
             assertEquals(3, watchersAfterwards.size());
             assertTrue(
@@ -40,9 +41,7 @@
                     "moved without need");
         }
         assertTrue(load.values().stream().allMatch(n -> n > 10 && n < 60), load.toString());
-        assertFalse(
-                MachineFailureDetector.watches("r1", ROUTERS, "r1", 3),
-                "nobody looks after itself");
+        assertFalse(WatcherDefinition.watches("r1", ROUTERS, "r1", 3), "nobody looks after itself");
     }
 
     private final List<String> probes = new ArrayList<>();
@@ -99,13 +98,23 @@
 
     private final List<String> proposed = new ArrayList<>();
 
+    private static String apply(MaintenanceStateMachine stateMachine, String line) {
+        return stateMachine.apply(MaintenanceCommandCodec.decode(line)).message();
+    }
+
+    private static void report(MaintenanceCoordinator coordinator, String from, String line) {
+        MachineReportCodec.decode(line).ifPresent(report -> coordinator.onReport(from, report));
+    }
+
     private void decide(MaintenanceCoordinator coordinator, MaintenanceStateMachine stateMachine) {
         proposed.clear();
-        while (coordinator.decide(stateMachine, proposed::add)) {
+        while (coordinator.decide(
+                stateMachine.state(),
+                command -> proposed.add(MaintenanceCommandCodec.encode(command)))) {
             // Each is noted.
         }
         proposed.forEach(line -> {
-            assertEquals("", stateMachine.apply(line));
+            assertEquals("", apply(stateMachine, line));
             coordinator.onProposalCompleted();
         });
     }
@@ -118,22 +127,27 @@
     void limitsAreProposedFirstAndNoRequestIsAcceptedBefore() {
         MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
         MaintenanceStateMachine stateMachine = new MaintenanceStateMachine();
-        String request = MaintenanceStateMachine.requestLine(
-                new MaintenanceRequest("q", List.of("a"), 1, Long.MAX_VALUE, 5, "op", "why"));
-        assertEquals("no bounds are agreed on yet: ask again", stateMachine.apply(request));
+        String request = MaintenanceCommandCodec.encode(new MaintenanceCommand.SubmitRequest(
+                new MaintenanceRequest("q", List.of("a"), 1, Long.MAX_VALUE, 5, "op", "why")));
+        assertEquals("no bounds are agreed on yet: ask again", apply(stateMachine, request));
         coordinator.setTime(1000);
         decide(coordinator, stateMachine);
         assertEquals(List.of(), proposed, "it does not lead");
         coordinator.setLeader(true);
         decide(coordinator, stateMachine);
-        assertEquals(List.of(MaintenanceStateMachine.limitsLine(BOUNDS)), proposed);
-        assertEquals("", stateMachine.apply(request));
+        assertEquals(
+                List.of(MaintenanceCommandCodec.encode(new MaintenanceCommand.SetLimits(BOUNDS))),
+                proposed);
+        assertEquals("", apply(stateMachine, request));
         DisruptionLimits other = new DisruptionLimits(1, 0.5, 0.5, 1, 1, 1, 100, 100);
         assertEquals(
                 "other bounds are agreed on",
-                stateMachine.apply(MaintenanceStateMachine.limitsLine(other)));
+                apply(
+                        stateMachine,
+                        MaintenanceCommandCodec.encode(new MaintenanceCommand.SetLimits(other))));
         assertEquals(
-                BOUNDS, MaintenanceStateMachine.restore(stateMachine.snapshot()).limits());
+                BOUNDS,
+                MaintenanceStateMachine.restore(stateMachine.snapshot()).state().limits());
     }
 
     @Test
@@ -142,22 +156,34 @@
         MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
         coordinator.setTime(1000);
         coordinator.setLeader(true);
-        coordinator.onReport(
-                "r1", MaintenanceCoordinator.nodeListLine("s0", List.of(node("a", "s0"))));
-        coordinator.onReport(
-                "r2", MaintenanceCoordinator.nodeListLine("s1", List.of(node("b", "s1"))));
-        coordinator.onReport(
+        report(
+                coordinator,
+                "r1",
+                MachineReportCodec.encode(
+                        new MachineReport.FullNodeList("s0", List.of(node("a", "s0")))));
+        report(
+                coordinator,
+                "r2",
+                MachineReportCodec.encode(
+                        new MachineReport.FullNodeList("s1", List.of(node("b", "s1")))));
+        report(
+                coordinator,
                 "r3",
-                MaintenanceCoordinator.nodeListLine(
-                        "s1", List.of(node("b", "s1"), node("c", "s1"))));
+                MachineReportCodec.encode(new MachineReport.FullNodeList(
+                        "s1", List.of(node("b", "s1"), node("c", "s1")))));
         decide(coordinator, stateMachine);
-        assertEquals(2, stateMachine.machines().size(), "c is on one list of two: " + proposed);
+        assertEquals(
+                2, stateMachine.state().machines().size(), "c is on one list of two: " + proposed);
         // Site s1 is not heard any more, and its machines stay known.
         coordinator.setTime(20_000);
-        coordinator.onReport("r1", MaintenanceCoordinator.nodeListLine("s0", List.of()));
+        report(
+                coordinator,
+                "r1",
+                MachineReportCodec.encode(new MachineReport.FullNodeList("s0", List.of())));
         decide(coordinator, stateMachine);
         assertEquals(
-                List.of("b"), stateMachine.machines().stream().map(Machine::id).toList());
+                List.of("b"),
+                stateMachine.state().machines().stream().map(Machine::id).toList());
     }
 
     @Test
@@ -167,32 +193,46 @@
         Machine machine = new Machine("r1", Machine.Kind.ROUTER, -1, "z", "s0", "router", true);
         coordinator.setTime(1000);
         coordinator.setLeader(true);
-        coordinator.onReport("r2", MaintenanceCoordinator.selfReportLine(machine));
-        coordinator.onReport("r2", "saw\tr1");
-        coordinator.onReport("r2", "nonsense");
+        report(coordinator, "r2", MachineReportCodec.encode(new MachineReport.Self(machine)));
+        report(coordinator, "r2", "saw\tr1");
+        report(coordinator, "r2", "nonsense");
         decide(coordinator, stateMachine);
-        assertEquals(0, stateMachine.machines().size());
-        coordinator.setVoters(java.util.Set.of("r1"));
-        coordinator.onReport("r1", MaintenanceCoordinator.selfReportLine(machine));
+        assertEquals(0, stateMachine.state().machines().size());
+        coordinator.setVoters(Set.of("r1"));
+        report(coordinator, "r1", MachineReportCodec.encode(new MachineReport.Self(machine)));
         coordinator.setTime(2000);
         decide(coordinator, stateMachine);
-        assertEquals(1, stateMachine.machines().size());
-        stateMachine.apply(MaintenanceStateMachine.routerLine("r1", "1"));
-        stateMachine.apply(MaintenanceStateMachine.machineLine(node("a", "s0")));
-        stateMachine.apply(MaintenanceStateMachine.machineLine(node("b", "s0")));
-        stateMachine.apply(MaintenanceStateMachine.machineLine(node("c", "s0")));
-        stateMachine.apply(MaintenanceStateMachine.requestLine(
-                new MaintenanceRequest("q", List.of("a"), 1000, Long.MAX_VALUE, 5, "op", "why")));
+        assertEquals(1, stateMachine.state().machines().size());
+        apply(
+                stateMachine,
+                MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterRouter("r1", "1")));
+        apply(
+                stateMachine,
+                MaintenanceCommandCodec.encode(
+                        new MaintenanceCommand.RegisterMachine(node("a", "s0"))));
+        apply(
+                stateMachine,
+                MaintenanceCommandCodec.encode(
+                        new MaintenanceCommand.RegisterMachine(node("b", "s0"))));
+        apply(
+                stateMachine,
+                MaintenanceCommandCodec.encode(
+                        new MaintenanceCommand.RegisterMachine(node("c", "s0"))));
+        apply(
+                stateMachine,
+                MaintenanceCommandCodec.encode(
+                        new MaintenanceCommand.SubmitRequest(new MaintenanceRequest(
+                                "q", List.of("a"), 1000, Long.MAX_VALUE, 5, "op", "why"))));
         coordinator.setLeader(false);
         coordinator.setTime(900_000);
         coordinator.setLeader(true);
         decide(coordinator, stateMachine);
         coordinator.setTime(900_500);
         decide(coordinator, stateMachine);
-        assertEquals(500, stateMachine.agreedTimeUs());
-        coordinator.onReport("r1", MaintenanceCoordinator.departureLine("1"));
+        assertEquals(500, stateMachine.state().agreedTimeUs());
+        report(coordinator, "r1", MachineReportCodec.encode(new MachineReport.Departure("1")));
         coordinator.setTime(901_000);
         decide(coordinator, stateMachine);
-        assertEquals(0, stateMachine.incarnations().count(), "it has said that it ends");
+        assertEquals(0, stateMachine.state().incarnations().count(), "it has said that it ends");
     }
 }
--- a/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
+++ b/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
@@ -39,43 +39,35 @@
                 stateMachine = new MaintenanceStateMachine(limits);
             }
             case "node" ->
-                apply(new Machine(
-                                words[1],
-                                Machine.Kind.NODE,
-                                Integer.parseInt(words[2]),
-                                words[3],
-                                words.length > 4 ? words[4] : "s",
-                                "n",
-                                false)
-                        .encode());
+                apply(MaintenanceCommandCodec.machine(new Machine(
+                        words[1],
+                        Machine.Kind.NODE,
+                        Integer.parseInt(words[2]),
+                        words[3],
+                        words.length > 4 ? words[4] : "s",
+                        "n",
+                        false)));
             case "router" -> {
-                apply(new Machine(
-                                words[1],
-                                Machine.Kind.ROUTER,
-                                -1,
-                                words[2],
-                                "s",
-                                "r",
-                                words.length > 3)
-                        .encode());
-                apply(MaintenanceStateMachine.routerLine(words[1], "1"));
+                apply(MaintenanceCommandCodec.machine(new Machine(
+                        words[1], Machine.Kind.ROUTER, -1, words[2], "s", "r", words.length > 3)));
+                apply(MaintenanceCommandCodec.encode(
+                        new MaintenanceCommand.RegisterRouter(words[1], "1")));
             }
             case "ask" ->
-                apply(new MaintenanceRequest(
-                                words[1],
-                                words[2].equals("-") ? List.of() : List.of(words[2].split(",")),
-                                us(words[3]),
-                                words.length > 5 ? us(words[5]) : Long.MAX_VALUE,
-                                words.length > 4 ? Integer.parseInt(words[4]) : 5,
-                                "op",
-                                "why")
-                        .encode());
+                apply(MaintenanceCommandCodec.request(new MaintenanceRequest(
+                        words[1],
+                        words[2].equals("-") ? List.of() : List.of(words[2].split(",")),
+                        us(words[3]),
+                        words.length > 5 ? us(words[5]) : Long.MAX_VALUE,
+                        words.length > 4 ? Integer.parseInt(words[4]) : 5,
+                        "op",
+                        "why")));
             case "tick" -> {
                 for (long left = words.length < 2 ? 0 : us(words[1]);
                         left > 0;
                         left -= MaintenanceStateMachine.MAX_TICK_US) {
-                    apply(MaintenanceStateMachine.tickLine(
-                            Math.min(left, MaintenanceStateMachine.MAX_TICK_US)));
+                    apply(MaintenanceCommandCodec.encode(new MaintenanceCommand.AdvanceTime(
+                            Math.min(left, MaintenanceStateMachine.MAX_TICK_US))));
                 }
                 if (words.length < 2) {
                     apply("tick");
@@ -111,7 +103,7 @@
     /** As "q1" for its one piece, or "q1/n1". */
     private MaintenanceTask task(String name) {
         String[] words = name.split("/", 0);
-        return stateMachine.tasksOf(words[0]).stream()
+        return stateMachine.state().tasksOf(words[0]).stream()
                 .filter(task -> words.length == 1 || task.machine().equals(words[1]))
                 .findFirst()
                 .orElseThrow(() -> new AssertionError("no piece " + name));
@@ -122,7 +114,7 @@
     }
 
     private void apply(String line) {
-        response = stateMachine.apply(line);
+        response = stateMachine.apply(MaintenanceCommandCodec.decode(line)).message();
         List<String> lines = stateMachine.snapshot();
         stateMachine = MaintenanceStateMachine.restore(lines);
         assertEquals(lines, stateMachine.snapshot(), "written and read again");
--- a/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
@@ -14,6 +13,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
@@ -24,11 +24,24 @@
     private static final DisruptionLimits BOUNDS =
             new DisruptionLimits(2, 0.5, 0.5, 1_000_000, 4_000_000, 20_000_000, 100, 10_000);
     private static final long OLD_US = 10_000;
+    private static final String KIND = "list-difference";
 
     private static Machine node(String id, String site, int cell) {
         return new Machine(id, Machine.Kind.NODE, cell, "z", site, "m", false);
     }
 
+    private static String apply(MaintenanceStateMachine stateMachine, String line) {
+        return stateMachine.apply(MaintenanceCommandCodec.decode(line)).message();
+    }
+
+    private static void report(MaintenanceCoordinator coordinator, String from, String line) {
+        MachineReportCodec.decode(line).ifPresent(report -> coordinator.onReport(from, report));
+    }
+
+    private static Optional<MachineReport> decode(List<String> fields) {
+        return MachineReportCodec.decode(LineCodec.encode(fields.toArray()));
+    }
+
     private static List<Machine> nodes(int count, String site) {
         return IntStream.range(0, count).mapToObj(i -> node("n" + i, site, 0)).toList();
     }
@@ -51,21 +64,23 @@
             now += 100;
             coordinator.setTime(now);
             proposed.clear();
-            while (coordinator.decide(stateMachine, proposed::add)) {
+            while (coordinator.decide(
+                    stateMachine.state(),
+                    command -> proposed.add(MaintenanceCommandCodec.encode(command)))) {
                 // Each is noted.
             }
             proposed.forEach(line -> {
-                assertEquals("", stateMachine.apply(line));
+                assertEquals("", apply(stateMachine, line));
                 coordinator.onProposalCompleted();
             });
         }
 
         NodeListDifference difference(String site, List<Machine> listed) {
-            return NodeListDifference.between(site, listed, stateMachine.agreedNodes());
+            return NodeListDifference.between(site, listed, stateMachine.state().agreedNodes());
         }
 
         void deliver(String router, NodeListDifference difference) {
-            coordinator.onReport(router, difference.encode());
+            report(coordinator, router, MachineReportCodec.encode(difference));
         }
 
         void deliverFromAll(NodeListDifference difference) {
@@ -74,7 +89,7 @@
 
         Set<String> agreedIds() {
             Set<String> all = new TreeSet<>();
-            stateMachine.machines().forEach(machine -> all.add(machine.id()));
+            stateMachine.state().machines().forEach(machine -> all.add(machine.id()));
             return all;
         }
     }
@@ -86,20 +101,22 @@
         NodeListDifference difference = NodeListDifference.between("s0", listed, agreed);
         assertEquals(List.of(node("a", "s0", 1), node("b", "s0", 2)), difference.added());
         assertEquals(Set.of("c"), difference.missing());
-        assertEquals(difference, NodeListDifference.decode(LineCodec.decode(difference.encode())));
+        assertEquals(
+                Optional.of(difference),
+                MachineReportCodec.decode(MachineReportCodec.encode(difference)));
     }
 
     @Test
     void anOversizedOrTruncatedReportIsIgnored() {
-        List<String> tooMany = new ArrayList<>(List.of(NodeListDifference.KIND, "s0", "1f", "0"));
+        List<String> tooMany = new ArrayList<>(List.of(KIND, "s0", "1f", "0"));
         IntStream.range(0, NodeListDifference.MAX_NODES + 1).forEach(i -> tooMany.add("n" + i));
-        assertThrows(IllegalArgumentException.class, () -> NodeListDifference.decode(tooMany));
-        List<String> negative = List.of(NodeListDifference.KIND, "s0", "1f", "-1");
-        assertThrows(IllegalArgumentException.class, () -> NodeListDifference.decode(negative));
+        assertEquals(Optional.empty(), decode(tooMany));
+        List<String> negative = List.of(KIND, "s0", "1f", "-1");
+        assertEquals(Optional.empty(), decode(negative));
         Fixture fixture = new Fixture();
-        fixture.coordinator.onReport("r1", NodeListDifference.KIND + "\ts0");
-        fixture.coordinator.onReport("r1", NodeListDifference.KIND + "\ts0\tnothex\t0");
-        fixture.coordinator.onReport("r1", NodeListDifference.KIND + "\ts0\t0\t5\tmachine");
+        report(fixture.coordinator, "r1", KIND + "\ts0");
+        report(fixture.coordinator, "r1", KIND + "\ts0\tnothex\t0");
+        report(fixture.coordinator, "r1", KIND + "\ts0\t0\t5\tmachine");
         fixture.runRound();
         assertEquals(Set.of(), fixture.agreedIds());
     }
@@ -114,7 +131,8 @@
 
     private static String steadyReport(int count) {
         List<Machine> all = nodes(count, "s0");
-        return NodeListDifference.between("s0", all, AgreedNodes.of(all)).encode();
+        return MachineReportCodec.encode(
+                NodeListDifference.between("s0", all, AgreedNodes.of(all)));
     }
 
     @Test
@@ -200,13 +218,18 @@
     void fullListsAndDifferencesCountAlike() {
         Fixture fixture = new Fixture();
         List<Machine> all = nodes(2, "s0");
-        fixture.coordinator.onReport("old", MaintenanceCoordinator.nodeListLine("s0", all));
+        report(
+                fixture.coordinator,
+                "old",
+                MachineReportCodec.encode(new MachineReport.FullNodeList("s0", all)));
         fixture.deliver("new", fixture.difference("s0", all));
         fixture.runRound();
         assertEquals(2, fixture.agreedIds().size());
         fixture.runRound();
-        fixture.coordinator.onReport(
-                "old", MaintenanceCoordinator.nodeListLine("s0", all.subList(0, 1)));
+        report(
+                fixture.coordinator,
+                "old",
+                MachineReportCodec.encode(new MachineReport.FullNodeList("s0", all.subList(0, 1))));
         fixture.deliver("new", fixture.difference("s0", all));
         fixture.runRound();
         assertEquals(2, fixture.agreedIds().size(), "one of two");
@@ -264,7 +287,7 @@
                 assignment.setMachines(machines);
                 for (String machine : machines) {
                     assertEquals(
-                            MachineFailureDetector.watches("r0", routers, machine, 3),
+                            WatcherDefinition.watches("r0", routers, machine, 3),
                             assignment.watches(machine),
                             machine + " at step " + step);
                 }
