--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/PeerConnections.java
@@ -4,6 +4,7 @@
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -20,7 +21,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Sealed links with other routers of a cluster, opened when there is something to say and closed
@@ -28,7 +28,7 @@
  * much waits; whoever speaks here says again what matters. Runs on the loop's thread.
  */
 public final class PeerConnections implements Network.AcceptHandler {
-    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+    private static final EventLog LOG = new EventLog("tinlink.cluster");
     /** Connections that have not proved themselves, where nothing else is stated. */
     static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
     /** What may wait for one link to come up. */
@@ -164,7 +164,7 @@
             // held here.
             if (destination.session.outboundBacklogBytes() > MAX_QUEUED_BYTES) {
                 counters.increment("peers_not_sent");
-                destination.session.close(CloseReason.SILENT);
+                destination.session.close(CloseReason.UNRESPONSIVE);
                 return;
             }
             destination.session.lastUsedUs = loop.nowUs();
@@ -193,7 +193,7 @@
         try {
             session.attach(network.connect(address(address), session), timeouts.handshakeUs());
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.FINE, "event=peer_connect_failed address=" + address, e);
+            LOG.logFailure(Level.FINE, "peer_connect_failed", e, "address", address);
             connectionFailed(destination);
         }
     }
@@ -225,7 +225,7 @@
             Destination destination = iterator.next();
             iterator.remove();
             if (destination.session != null) {
-                destination.session.close(CloseReason.IDLE);
+                destination.session.close(CloseReason.IDLE_TIMEOUT);
             }
         }
     }
@@ -234,7 +234,7 @@
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.isUp
                     && loop.nowUs() - destination.session.lastUsedUs > timeouts.idleUs()) {
-                destination.session.close(CloseReason.IDLE);
+                destination.session.close(CloseReason.IDLE_TIMEOUT);
             }
         }
         loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
@@ -243,7 +243,7 @@
     void opened(PeerSession session) {
         Destination destination = destinations.get(session.dialedAddress);
         if (destination == null || destination.session != session) {
-            session.close(CloseReason.DONE);
+            session.close(CloseReason.COMPLETED);
             return;
         }
         destination.isUp = true;
@@ -278,7 +278,7 @@
         unauthenticatedConnections.remove(session);
         inboundSessions.add(session);
         if (inboundSessions.size() > limits.connections()) {
-            inboundSessions.iterator().next().close(CloseReason.IDLE);
+            inboundSessions.iterator().next().close(CloseReason.IDLE_TIMEOUT);
         }
     }
 
@@ -300,7 +300,7 @@
         session.attach(link, timeouts.handshakeUs());
         unauthenticatedConnections.add(session);
         if (unauthenticatedConnections.size() > limits.unauthenticated()) {
-            unauthenticatedConnections.iterator().next().close(CloseReason.DONE);
+            unauthenticatedConnections.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -311,18 +311,19 @@
 
     @Override
     public void acceptFailed(Throwable failure) {
-        LOG.log(Level.WARNING, "event=accept_failed", failure);
+        LOG.logFailure(Level.WARNING, "accept_failed", failure);
         loop.schedule(loop.nowUs() + timeouts.retryDelayUs(), () -> listening.accept(this));
     }
 
     /** Ends all links. */
     public void close() {
         listening.close();
-        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.DONE));
-        Set.copyOf(unauthenticatedConnections).forEach(session -> session.close(CloseReason.DONE));
+        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.COMPLETED));
+        Set.copyOf(unauthenticatedConnections)
+                .forEach(session -> session.close(CloseReason.COMPLETED));
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.session != null) {
-                destination.session.close(CloseReason.DONE);
+                destination.session.close(CloseReason.COMPLETED);
             }
         }
     }
--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -43,7 +43,7 @@
     /** It is up, and has to be over within that time. */
     void opened(Connection accepted, long timeoutUs) {
         connection = accepted;
-        setTimeout(timeoutUs, () -> connection.close(CloseReason.IDLE));
+        setTimeout(timeoutUs, () -> connection.close(CloseReason.IDLE_TIMEOUT));
     }
 
     void close(CloseReason closeReason) {
@@ -131,7 +131,7 @@
                         + json.length + "\r\n\r\n")
                 .put(json);
         connection.scheduleWrite();
-        setTimeout(server.answerTimeoutUs(), () -> connection.close(CloseReason.DONE));
+        setTimeout(server.answerTimeoutUs(), () -> connection.close(CloseReason.COMPLETED));
     }
 
     @Override
--- a/src/main/java/tinlink/maintenance/ControlServer.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -2,6 +2,7 @@
 
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.policy.PolicyRolloutService;
@@ -14,7 +15,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Where operators ask a router, over HTTP/1.1 on loopback: one POST of a JSON object a connection, with a token.
@@ -22,7 +22,7 @@
  * then the same may be asked again, here or elsewhere. Belongs to the event loop's thread.
  */
 public final class ControlServer implements Network.AcceptHandler {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
     private static final int MAX_CONNECTIONS = 32;
 
     private final EventLoop loop;
@@ -64,7 +64,7 @@
     /** Ends it with all its connections. */
     public void close() {
         listeningSocket.close();
-        List.copyOf(connections).forEach(connection -> connection.close(CloseReason.DONE));
+        List.copyOf(connections).forEach(connection -> connection.close(CloseReason.COMPLETED));
     }
 
     EventLoop loop() {
@@ -100,7 +100,7 @@
         connections.add(accepted);
         accepted.opened(connection, 2 * answerTimeoutUs);
         if (connections.size() > MAX_CONNECTIONS) {
-            connections.iterator().next().close(CloseReason.IDLE);
+            connections.iterator().next().close(CloseReason.IDLE_TIMEOUT);
         }
     }
 
@@ -111,7 +111,7 @@
 
     @Override
     public void acceptFailed(Throwable cause) {
-        LOG.log(Level.WARNING, "event=control_accept_failed", cause);
+        LOG.logFailure(Level.WARNING, "control_accept_failed", cause);
         loop.schedule(loop.nowUs() + answerTimeoutUs, () -> listeningSocket.accept(this));
     }
 }
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -1,5 +1,6 @@
 package tinlink.maintenance;
 
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 
 import java.io.IOException;
@@ -9,7 +10,6 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Which data nodes this router cordons, persisted. Danger: started again, and with nobody to ask, it would send
@@ -18,7 +18,7 @@
  * thread; writes have a thread of their own.
  */
 final class CordonStore {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
     private final EventLoop loop;
     private final CordonFile file;
     private final ExecutorService diskExecutor;
@@ -72,7 +72,7 @@
                 loop.execute(() -> onWritten(snapshot));
             } catch (IOException e) {
                 // The cordon is never confirmed: no operator takes a machine on the strength of it.
-                LOG.log(Level.SEVERE, "event=cordons_not_persisted", e);
+                LOG.logFailure(Level.SEVERE, "cordons_not_persisted", e);
             }
         });
     }
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -11,7 +11,9 @@
 import tinlink.maintenance.scheduling.MaintenanceState;
 import tinlink.maintenance.scheduling.MaintenanceTask;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 
 import java.io.IOException;
@@ -25,7 +27,6 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 import java.util.stream.Collectors;
 
 /**
@@ -34,8 +35,8 @@
  * but once, at the start, for a bounded time.
  */
 public final class MaintenanceService
-        implements DrainController.DrainHandler, EventLoop.EventLoopParticipant {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+        implements DrainController.DrainHandler, EventLoopParticipant {
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
 
     /** A data node as this router has it on its list. */
     public record ListedNode(
@@ -137,9 +138,7 @@
         this.onRegistered = onRegistered;
         cluster.start();
         reportObservations();
-        LOG.log(Level.INFO, "event=maintenance_started router={0} incarnation={1}", new Object[] {
-            cluster.incarnation().router(), cluster.incarnation()
-        });
+        LOG.log(Level.INFO, "maintenance_started", "router", cluster.incarnation().router(), "incarnation", cluster.incarnation());
     }
 
     /** What is agreed on, as far as this router has heard. */
@@ -245,9 +244,7 @@
     public void propose(MaintenanceCommand command) {
         propose(command, (message, failure) -> {
             if (failure != null || !message.isEmpty()) {
-                LOG.log(Level.FINE, "event=proposal_rejected command={0} reason={1}", new Object[] {
-                    command, failure == null ? message : failure
-                });
+                LOG.log(Level.FINE, "proposal_rejected", "command", command, "reason", failure == null ? message : failure);
             }
         });
     }
@@ -264,9 +261,7 @@
 
     @Override
     public void setCordoned(String machine, boolean cordoned) {
-        LOG.log(Level.INFO, "event={0} machine={1}", new Object[] {
-            cordoned ? "node_cordoned" : "node_uncordoned", machine
-        });
+        LOG.log(Level.INFO, cordoned ? "node_cordoned" : "node_uncordoned", "machine", machine);
         counters.increment(cordoned ? "work_left_out" : "work_taken_again");
         dataPlane.setCordoned(machine, cordoned);
         cordonStore.setCordoned(machine, cordoned);
@@ -274,7 +269,7 @@
 
     @Override
     public void setDraining(boolean draining) {
-        LOG.log(Level.INFO, "event={0}", draining ? "drain_started" : "drain_ended");
+        LOG.log(Level.INFO, draining ? "drain_started" : "drain_ended");
         dataPlane.setDraining(draining);
     }
 
@@ -299,7 +294,7 @@
         try {
             cluster.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "event=folder_not_closed", e);
+            LOG.logFailure(Level.WARNING, "data_directory_close_failed", e);
         }
     }
 
--- a/src/main/java/tinlink/maintenance/NodeProber.java
+++ b/src/main/java/tinlink/maintenance/NodeProber.java
@@ -69,7 +69,7 @@
         void start(Connection started) {
             connection = started;
             timeout = loop.schedule(
-                    loop.nowUs() + intervalUs / 2, () -> connection.close(CloseReason.NOT_UP));
+                    loop.nowUs() + intervalUs / 2, () -> connection.close(CloseReason.CONNECT_TIMEOUT));
         }
 
         @Override
@@ -77,7 +77,7 @@
             loop.cancel(timeout);
             timeout = loop.schedule(loop.nowUs() + intervalUs / 4, () -> {
                 finish(true);
-                connection.close(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
             });
         }
 
