--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -138,7 +138,13 @@
         this.onRegistered = onRegistered;
         cluster.start();
         reportObservations();
-        LOG.log(Level.INFO, "maintenance_started", "router", cluster.incarnation().router(), "incarnation", cluster.incarnation());
+        LOG.log(
+                Level.INFO,
+                "maintenance_started",
+                "router",
+                cluster.incarnation().router(),
+                "incarnation",
+                cluster.incarnation());
     }
 
     /** What is agreed on, as far as this router has heard. */
@@ -244,7 +250,13 @@
     public void propose(MaintenanceCommand command) {
         propose(command, (message, failure) -> {
             if (failure != null || !message.isEmpty()) {
-                LOG.log(Level.FINE, "proposal_rejected", "command", command, "reason", failure == null ? message : failure);
+                LOG.log(
+                        Level.FINE,
+                        "proposal_rejected",
+                        "command",
+                        command,
+                        "reason",
+                        failure == null ? message : failure);
             }
         });
     }
--- a/src/main/java/tinlink/maintenance/NodeProber.java
+++ b/src/main/java/tinlink/maintenance/NodeProber.java
@@ -69,7 +69,8 @@
         void start(Connection started) {
             connection = started;
             timeout = loop.schedule(
-                    loop.nowUs() + intervalUs / 2, () -> connection.close(CloseReason.CONNECT_TIMEOUT));
+                    loop.nowUs() + intervalUs / 2,
+                    () -> connection.close(CloseReason.CONNECT_TIMEOUT));
         }
 
         @Override
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -103,7 +103,8 @@
                 clusterNode,
                 replicatedState,
                 this,
-                new MaintenanceSettings(new MaintenanceSettings.Location(clusterConfig.zone, config.siteByZone),
+                new MaintenanceSettings(
+                        new MaintenanceSettings.Location(clusterConfig.zone, config.siteByZone),
                         limits,
                         config.observerCount,
                         config.healthCheckIntervalUs,
--- a/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
+++ b/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-import tinlink.maintenance.scheduling.MachineReportCodec;
-import tinlink.maintenance.scheduling.MachineReport;
-import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
-import tinlink.maintenance.scheduling.MaintenanceCommand;
 import tinlink.GoldenFile;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
+import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
 import tinlink.maintenance.scheduling.MaintenanceCoordinator;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
 import tinlink.maintenance.scheduling.MaintenanceState;
@@ -100,12 +100,14 @@
     }
 
     private static String beginCommand(String router, long fencingToken, String life) {
-        return MaintenanceCommandCodec.encode(new MaintenanceCommand.StartDrain(router, fencingToken, life));
+        return MaintenanceCommandCodec.encode(
+                new MaintenanceCommand.StartDrain(router, fencingToken, life));
     }
 
     private static String drainedCommand(
             String machine, long fencingToken, String router, String life) {
-        return MaintenanceCommandCodec.encode(new MaintenanceCommand.ConfirmDrained(machine, fencingToken, router, life));
+        return MaintenanceCommandCodec.encode(
+                new MaintenanceCommand.ConfirmDrained(machine, fencingToken, router, life));
     }
 
     private static String servesCommand(String router, String life) {
@@ -113,7 +115,8 @@
     }
 
     private static String doneCommand(String request, String machine, boolean lost) {
-        return MaintenanceCommandCodec.encode(new MaintenanceCommand.CompleteWork(request, machine, lost));
+        return MaintenanceCommandCodec.encode(
+                new MaintenanceCommand.CompleteWork(request, machine, lost));
     }
 
     private static Machine node(int number, int cell, String zone) {
@@ -350,7 +353,9 @@
         Map<String, String> all = new LinkedHashMap<>();
         all.put("self", MachineReportCodec.encode(new MachineReport.Self(router(6, "b"))));
         all.put("saw", MachineReportCodec.encode(new MachineReport.Health(saw)));
-        all.put("list", MachineReportCodec.encode(new MachineReport.FullNodeList("east", listed())));
+        all.put(
+                "list",
+                MachineReportCodec.encode(new MachineReport.FullNodeList("east", listed())));
         all.put("left", MachineReportCodec.encode(new MachineReport.Departure(life(2))));
         all.put(
                 "list-difference",
@@ -364,8 +369,7 @@
     }
 
     /** What a leader proposes that has been told these. */
-    private static List<String> proposed(
-            MaintenanceState state, Map<String, String> told) {
+    private static List<String> proposed(MaintenanceState state, Map<String, String> told) {
         MaintenanceCoordinator coordinator =
                 new MaintenanceCoordinator(limits(), 1, 1000 * SECOND, 100);
         coordinator.setTime(10);
