--- a/src/test/java/tinlink/decision/DecisionTranscriptTest.java
+++ b/src/test/java/tinlink/decision/DecisionTranscriptTest.java
@@ -115,9 +115,11 @@
     }
 
     private static List<String> stored() throws IOException {
-        try (InputStream in = DecisionTranscriptTest.class.getResourceAsStream(STORED)) {
-            assertNotNull(in, STORED);
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
+        try (InputStream stream = DecisionTranscriptTest.class.getResourceAsStream(STORED)) {
+            assertNotNull(stream, STORED);
+            return new String(stream.readAllBytes(), StandardCharsets.UTF_8)
+                    .lines()
+                    .toList();
         }
     }
 
--- a/src/test/java/tinlink/decision/PlayedClasses.java
+++ b/src/test/java/tinlink/decision/PlayedClasses.java
@@ -10,18 +10,18 @@
 
     static List<LookupClass> draw(SplittableRandom random) {
         List<LookupClass> all = new ArrayList<>(List.of(
-                of(900, 1, 1, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
-                of(1800, 1, 1, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
-                of(900, 1, 1, 0.3, 0, LookupClass.Idempotency.IDEMPOTENT),
-                of(900, 0.5, 0.5, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
-                of(900, 0.5, 0.5, 0, 2, LookupClass.Idempotency.IDEMPOTENT),
-                of(900, 0.66, 0.66, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
-                of(900, 1, 0.5, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
-                of(900, 1, 1, 0, 0, LookupClass.Idempotency.ONCE_ONLY),
-                of(900, 1, 1, 0, 0, LookupClass.Idempotency.BY_KEY)));
+                lookupClass(900, 1, 1, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
+                lookupClass(1800, 1, 1, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
+                lookupClass(900, 1, 1, 0.3, 0, LookupClass.Idempotency.IDEMPOTENT),
+                lookupClass(900, 0.5, 0.5, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
+                lookupClass(900, 0.5, 0.5, 0, 2, LookupClass.Idempotency.IDEMPOTENT),
+                lookupClass(900, 0.66, 0.66, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
+                lookupClass(900, 1, 0.5, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
+                lookupClass(900, 1, 1, 0, 0, LookupClass.Idempotency.ONCE_ONLY),
+                lookupClass(900, 1, 1, 0, 0, LookupClass.Idempotency.BY_KEY)));
         for (int i = 0; i < 4; i++) {
             double need = 0.3 + 0.7 * random.nextDouble();
-            LookupClass one = of(
+            LookupClass one = lookupClass(
                     200 + random.nextInt(2500),
                     need,
                     need * random.nextDouble(),
@@ -41,7 +41,7 @@
     static void change(List<LookupClass> all, SplittableRandom random) {
         for (int i = 0; i < all.size(); i++) {
             LookupClass old = all.get(i);
-            LookupClass one = of(
+            LookupClass one = lookupClass(
                     1,
                     old.completeShare,
                     old.minimumShare,
@@ -57,7 +57,7 @@
         }
     }
 
-    private static LookupClass of(
+    private static LookupClass lookupClass(
             long softMs,
             double need,
             double floor,
--- a/src/test/java/tinlink/decision/PlayedNode.java
+++ b/src/test/java/tinlink/decision/PlayedNode.java
@@ -20,8 +20,8 @@
     /** When its connection was last used. */
     long usedAt;
 
-    PlayedNode(long id, int cores) {
-        node = new DataNode(id);
+    PlayedNode(long nodeId, int cores) {
+        node = new DataNode(nodeId);
         freeAt = new long[cores];
     }
 
@@ -36,9 +36,9 @@
     }
 
     /** Whether all cores have work for longer than this. */
-    boolean busyFor(double us, long nowUs) {
+    boolean busyFor(double workUs, long nowUs) {
         for (long free : freeAt) {
-            if (free - nowUs < us) {
+            if (free - nowUs < workUs) {
                 return false;
             }
         }
--- a/src/test/java/tinlink/decision/PlayedSettings.java
+++ b/src/test/java/tinlink/decision/PlayedSettings.java
@@ -57,8 +57,8 @@
     }
 
     private static void choice(
-            StringBuilder to, SplittableRandom random, String key, String... of) {
-        to.append(' ').append(key).append(' ').append(of[random.nextInt(of.length)]);
+            StringBuilder target, SplittableRandom random, String key, String... choices) {
+        target.append(' ').append(key).append(' ').append(choices[random.nextInt(choices.length)]);
     }
 
     private void put(String text) {
--- a/src/test/java/tinlink/decision/RecordedPlay.java
+++ b/src/test/java/tinlink/decision/RecordedPlay.java
@@ -15,10 +15,12 @@
 final class RecordedPlay implements DecisionHandler {
     private static final double MEAN_PARTS = 4.5;
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long dueAtUs, long order, Runnable what) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAtUs != other.dueAtUs
+                    ? Long.compare(dueAtUs, other.dueAtUs)
+                    : Long.compare(order, other.order);
         }
     }
 
@@ -78,21 +80,21 @@
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(newNode(i));
         }
-        at(now, () -> {
+        schedule(now, () -> {
             nodes.forEach(one -> listed(one, false));
             news(QueryCoordinator.EndpointListUpdate.FULL);
         });
-        at(now, () -> lookup(0));
-        at(now + exponential(1_000_000), this::changeFaults);
-        at(now + exponential(2_000_000), this::changeList);
-        at(now + exponential(8_000_000), this::changeSettings);
+        schedule(now, () -> lookup(0));
+        schedule(now + exponential(1_000_000), this::changeFaults);
+        schedule(now + exponential(2_000_000), this::changeList);
+        schedule(now + exponential(8_000_000), this::changeSettings);
         while (!events.isEmpty()) {
-            now = Math.max(now, events.peek().at);
+            now = Math.max(now, events.peek().dueAtUs);
             // Now and then the router itself stands still, and what is due meanwhile comes late.
             now += random.nextInt(500) == 0 ? random.nextInt(60) * stepUs : 0;
             module.advanceClock(now);
             transcript.note("t", now);
-            while (!events.isEmpty() && events.peek().at <= now) {
+            while (!events.isEmpty() && events.peek().dueAtUs <= now) {
                 events.poll().what.run();
             }
             while (module.decide(this)) {
@@ -101,8 +103,8 @@
         }
     }
 
-    private void at(long us, Runnable what) {
-        events.add(new Event((us + stepUs - 1) / stepUs * stepUs, order++, what));
+    private void schedule(long dueAtUs, Runnable what) {
+        events.add(new Event((dueAtUs + stepUs - 1) / stepUs * stepUs, order++, what));
     }
 
     private long exponential(double mean) {
@@ -132,15 +134,15 @@
                 lookup.clientDeadlineUs);
         module.onLookup(lookup);
         if (random.nextInt(30) == 0) {
-            at(now + 3 * stepUs, () -> parts(lookup, ""));
+            schedule(now + 3 * stepUs, () -> parts(lookup, ""));
         } else {
             parts(lookup, "");
         }
         long leavesUs = random.nextDouble() < impatient ? random.nextLong(patienceUs) : patienceUs;
-        at(now + leavesUs, () -> leaves(lookup));
+        schedule(now + leavesUs, () -> leaves(lookup));
         if (again == 0) {
             double meanUs = gapUs * (rough > 2 ? 1 / slowness : 1);
-            at(now + exponential(meanUs), () -> lookup(0));
+            schedule(now + exponential(meanUs), () -> lookup(0));
         }
     }
 
@@ -190,7 +192,7 @@
 
     private void asksAgain(PlayedLookup lookup, long afterUs) {
         if (lookup.again < 3 && random.nextInt(3) == 0) {
-            at(now + afterUs + random.nextInt(50_000), () -> lookup(lookup.again + 1));
+            schedule(now + afterUs + random.nextInt(50_000), () -> lookup(lookup.again + 1));
         }
     }
 
@@ -239,7 +241,7 @@
         if (random.nextInt(20) == 0) {
             impatient = impatient > 0.1 || rough == 0 ? 0.03 : 0.5;
         }
-        at(now + exponential(rough > 1 ? 400_000 : 1_200_000), this::changeFaults);
+        schedule(now + exponential(rough > 1 ? 400_000 : 1_200_000), this::changeFaults);
     }
 
     private void changeList() {
@@ -274,7 +276,7 @@
             default -> probe(one);
         }
         news(news);
-        at(now + exponential(1_500_000), this::changeList);
+        schedule(now + exponential(1_500_000), this::changeList);
     }
 
     /** Drained, gone a second later; a new one takes its place at once. */
@@ -286,7 +288,7 @@
         fresh.node.startedAtUs = now - random.nextInt(300_000);
         nodes.set(slot, fresh);
         listed(fresh, false);
-        at(now + 1_000_000, () -> {
+        schedule(now + 1_000_000, () -> {
             old.node.state = DataNode.State.GONE;
             listed(old, false);
             news(QueryCoordinator.EndpointListUpdate.CHANGES);
@@ -305,7 +307,7 @@
         }
         PlayedClasses.change(classes, random);
         transcript.note("c", classes.size());
-        at(now + exponential(8_000_000), this::changeSettings);
+        schedule(now + exponential(8_000_000), this::changeSettings);
     }
 
     // The decisions.
@@ -314,29 +316,29 @@
     public void send(Attempt attempt, long limitUs) {
         int frame = frames.computeIfAbsent(attempt.sharedCall, any -> frames.size());
         transcript.note("S", name(attempt), attempt.node.nodeId, limitUs, attempt.sentAtUs, frame);
-        at(now + limitUs, () -> ended(attempt, Outcome.NO_ANSWER));
+        schedule(now + limitUs, () -> ended(attempt, Outcome.NO_ANSWER));
         PlayedNode one = byNode.get(attempt.node);
         long idleUs = settings.whole("idle");
         if (idleUs > 0 && now - one.usedAt > idleUs) {
             // Its connection was dropped unseen; the next one is opened once the silence was
             // noticed.
-            at(now + limitUs, () -> one.usedAt = now);
+            schedule(now + limitUs, () -> one.usedAt = now);
             return;
         }
         one.usedAt = now;
         long wayUs = stepUs + attempt.node.linkRoundTripUs;
         switch (fault(attempt, one)) {
             case HUNG -> {}
-            case FAILS -> at(now + wayUs, () -> ended(attempt, Outcome.ERROR));
-            case FULL -> at(now + wayUs, () -> ended(attempt, Outcome.REJECTED));
-            case REFUSES -> at(now + wayUs, () -> ended(attempt, Outcome.NO_CONNECTION));
+            case FAILS -> schedule(now + wayUs, () -> ended(attempt, Outcome.ERROR));
+            case FULL -> schedule(now + wayUs, () -> ended(attempt, Outcome.REJECTED));
+            case REFUSES -> schedule(now + wayUs, () -> ended(attempt, Outcome.NO_CONNECTION));
             case LOSES ->
-                at(now + wayUs + workUs(1), () -> ended(attempt, Outcome.CONNECTION_LOST));
-            case NOT_SENT -> at(now + wayUs, () -> ended(attempt, Outcome.NOT_SENT));
+                schedule(now + wayUs + workUs(1), () -> ended(attempt, Outcome.CONNECTION_LOST));
+            case NOT_SENT -> schedule(now + wayUs, () -> ended(attempt, Outcome.NOT_SENT));
             case SLOW ->
-                at(one.take(now, workUs(6)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
+                schedule(one.take(now, workUs(6)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
             case NONE ->
-                at(one.take(now, workUs(1)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
+                schedule(one.take(now, workUs(1)) + wayUs, () -> ended(attempt, Outcome.SATISFIED));
         }
     }
 
@@ -371,7 +373,7 @@
     @Override
     public void cancel(Attempt attempt) {
         transcript.note("C", name(attempt));
-        at(now + random.nextInt(3) * stepUs, () -> ended(attempt, Outcome.CANCELLED));
+        schedule(now + random.nextInt(3) * stepUs, () -> ended(attempt, Outcome.CANCELLED));
     }
 
     @Override
@@ -383,12 +385,12 @@
     @Override
     public void answer(Lookup answered, boolean whole) {
         PlayedLookup lookup = (PlayedLookup) answered;
-        StringBuilder in = new StringBuilder();
-        lookup.parts.forEach(part -> in.append(part.isSatisfied ? '1' : '0'));
-        transcript.note("A", lookup.number, whole ? 1 : 0, lookup.isEnded ? 1 : 0, in);
+        StringBuilder satisfiedParts = new StringBuilder();
+        lookup.parts.forEach(part -> satisfiedParts.append(part.isSatisfied ? '1' : '0'));
+        transcript.note("A", lookup.number, whole ? 1 : 0, lookup.isEnded ? 1 : 0, satisfiedParts);
         lookup.over = lookup.isEnded;
         if (!lookup.over && random.nextInt(10) > 0) {
-            at(now + random.nextInt(2) * stepUs, () -> parts(lookup, "b"));
+            schedule(now + random.nextInt(2) * stepUs, () -> parts(lookup, "b"));
         }
     }
 
@@ -411,7 +413,7 @@
     @Override
     public void wakeAt(long atUs) {
         transcript.note("W", atUs);
-        at(atUs, () -> {
+        schedule(atUs, () -> {
             transcript.note("w", now);
             module.onTimer();
         });
@@ -420,7 +422,7 @@
     @Override
     public void subscribeToEndpointList() {
         transcript.note("F", now);
-        at(now + random.nextInt(20_000), () -> {
+        schedule(now + random.nextInt(20_000), () -> {
             boolean fails = random.nextInt(3) > 0;
             if (!fails) {
                 nodes.forEach(each -> listed(each, false));
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -26,10 +26,12 @@
     private static final int CELLS = 6;
     private static final long WARM_US = 30_000_000;
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long dueAtUs, long order, Runnable what) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return dueAtUs != other.dueAtUs
+                    ? Long.compare(dueAtUs, other.dueAtUs)
+                    : Long.compare(order, other.order);
         }
     }
 
@@ -41,8 +43,8 @@
     private long now;
     private long order;
 
-    private void at(long us, Runnable what) {
-        events.add(new Event(us, order++, what));
+    private void schedule(long dueAtUs, Runnable what) {
+        events.add(new Event(dueAtUs, order++, what));
     }
 
     private double exponential(double mean) {
@@ -81,11 +83,12 @@
                 busy++;
                 Runnable done = queue.poll();
                 // As uneven as parts are: half of it fixed.
-                at(now + (long) ((WORK_US / 2 + exponential(WORK_US / 2)) / present()), () -> {
-                    busy--;
-                    done.run();
-                    begin();
-                });
+                schedule(
+                        now + (long) ((WORK_US / 2 + exponential(WORK_US / 2)) / present()), () -> {
+                            busy--;
+                            done.run();
+                            begin();
+                        });
             }
         }
     }
@@ -131,17 +134,17 @@
 
         void told(List<Node> some) {
             turn(() -> {
-                for (Node n : some) {
-                    DataNode d = new DataNode(nodes.indexOf(n));
-                    d.cell = n.cell;
-                    d.startedAtUs = n.startedAt;
-                    known.put(d, n);
-                    module.onEndpoint(d, false);
+                for (Node simulatedNode : some) {
+                    DataNode dataNode = new DataNode(nodes.indexOf(simulatedNode));
+                    dataNode.cell = simulatedNode.cell;
+                    dataNode.startedAtUs = simulatedNode.startedAt;
+                    known.put(dataNode, simulatedNode);
+                    module.onEndpoint(dataNode, false);
                 }
                 if (some.size() == 1) {
                     // It stands for the one that had its block until now.
                     DataNode before = known.keySet().stream()
-                            .filter(d -> d.nodeId == 0)
+                            .filter(dataNode -> dataNode.nodeId == 0)
                             .findFirst()
                             .orElseThrow();
                     before.state = DataNode.State.DRAINING;
@@ -168,12 +171,12 @@
 
         @Override
         public void send(Attempt attempt, long limitUs) {
-            Node n = known.get(attempt.node);
-            if (n.startedAt != Long.MIN_VALUE) {
+            Node simulatedNode = known.get(attempt.node);
+            if (simulatedNode.startedAt != Long.MIN_VALUE) {
                 cold.add(now);
             }
-            n.take(() -> turn(() -> ended(attempt, Outcome.SATISFIED)));
-            at(now + limitUs, () -> turn(() -> ended(attempt, Outcome.NO_ANSWER)));
+            simulatedNode.take(() -> turn(() -> ended(attempt, Outcome.SATISFIED)));
+            schedule(now + limitUs, () -> turn(() -> ended(attempt, Outcome.NO_ANSWER)));
         }
 
         private void ended(Attempt attempt, Outcome outcome) {
@@ -184,12 +187,12 @@
 
         @Override
         public void cancel(Attempt attempt) {
-            at(now, () -> turn(() -> ended(attempt, Outcome.CANCELLED)));
+            schedule(now, () -> turn(() -> ended(attempt, Outcome.CANCELLED)));
         }
 
         @Override
         public void wakeAt(long atUs) {
-            at(atUs, () -> turn(module::onTimer));
+            schedule(atUs, () -> turn(module::onTimer));
         }
 
         @Override
@@ -241,10 +244,10 @@
         "100, 4, 0.6, 2900, true"
     })
     void theSumOfAllRoutersIsWithinTheBudget(
-            int of, int cores, double load, long lateMs, boolean uneven) {
+            int routerCount, int cores, double load, long lateMs, boolean uneven) {
         for (long seed = 1; seed <= 6; seed++) {
             SlowStartFleetTest play = new SlowStartFleetTest();
-            double worst = play.worst(seed, of, COLD_US, cores, load, lateMs, uneven);
+            double worst = play.worst(seed, routerCount, COLD_US, cores, load, lateMs, uneven);
             assertTrue(
                     worst <= 0, "seed " + seed + ": " + worst + " too many within one fall time");
             assertTrue(play.cold.size() >= 5, "seed " + seed + ": it was sent " + play.cold.size());
@@ -260,7 +263,13 @@
 
     /** By how many the worst fall time is over its budget and chance. */
     private double worst(
-            long seed, int of, long coldUs, int cores, double load, long lateMs, boolean uneven) {
+            long seed,
+            int routerCount,
+            long coldUs,
+            int cores,
+            double load,
+            long lateMs,
+            boolean uneven) {
         random = new SplittableRandom(seed);
         for (int cell = 0; cell < CELLS; cell++) {
             nodes.add(new Node(cell, cores, Long.MIN_VALUE));
@@ -268,19 +277,21 @@
         List<Node> warm = List.copyOf(nodes);
         Node starts = new Node(0, cores, WARM_US);
         nodes.add(starts);
-        for (int i = 0; i < of; i++) {
+        for (int i = 0; i < routerCount; i++) {
             One one = new One(coldUs);
             routers.add(one);
-            at(0, () -> one.told(warm));
+            schedule(0, () -> one.told(warm));
             // Lists reach routers one after the other.
-            at(WARM_US + 1000 * lateMs + random.nextLong(400_000), () -> one.told(List.of(starts)));
+            schedule(
+                    WARM_US + 1000 * lateMs + random.nextLong(400_000),
+                    () -> one.told(List.of(starts)));
         }
         double gapUs = WORK_US / (load * cores * CELLS);
-        at((long) exponential(gapUs), () -> asks(gapUs, uneven));
-        while (!events.isEmpty() && events.peek().at < WARM_US + COLD_US) {
-            Event e = events.poll();
-            now = e.at;
-            e.what.run();
+        schedule((long) exponential(gapUs), () -> asks(gapUs, uneven));
+        while (!events.isEmpty() && events.peek().dueAtUs < WARM_US + COLD_US) {
+            Event event = events.poll();
+            now = event.dueAtUs;
+            event.what.run();
         }
         double worst = Double.NEGATIVE_INFINITY;
         for (int last = 0, first = 0; last < cold.size(); last++) {
@@ -297,6 +308,6 @@
     private void asks(double gapUs, boolean uneven) {
         boolean few = uneven && random.nextBoolean();
         routers.get(random.nextInt(few ? routers.size() / 4 : routers.size())).asked();
-        at(now + (long) exponential(gapUs), () -> asks(gapUs, uneven));
+        schedule(now + (long) exponential(gapUs), () -> asks(gapUs, uneven));
     }
 }
