--- a/src/test/java/tinlink/decision/RecordedPlay.java
+++ b/src/test/java/tinlink/decision/RecordedPlay.java
@@ -1,29 +1,14 @@
 package tinlink.decision;
 
-import java.util.ArrayList;
 import java.util.IdentityHashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.SplittableRandom;
 
 /**
  * One module, a small fleet of data nodes and their clients, played from one seed. Each input and
  * each decision goes into a transcript, a line each, under codes of its own, so that names in the
  * code can change.
  */
-final class RecordedPlay implements DecisionHandler {
-    private static final double MEAN_PARTS = 4.5;
-
-    private record Event(long dueAtUs, long order, Runnable what) implements Comparable<Event> {
-        @Override
-        public int compareTo(Event other) {
-            return dueAtUs != other.dueAtUs
-                    ? Long.compare(dueAtUs, other.dueAtUs)
-                    : Long.compare(order, other.order);
-        }
-    }
-
+final class RecordedPlay extends PlayedWorld implements DecisionHandler {
     private static final class PlayedLookup extends Lookup {
         long number;
         boolean over;
@@ -35,43 +20,12 @@
         String name;
     }
 
-    private final PlayedSettings settings;
-    private final SplittableRandom random;
-    private final Transcript transcript;
-    private final QueryCoordinator module;
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<LookupClass> classes;
-    private final List<PlayedNode> nodes = new ArrayList<>();
-    private final Map<DataNode, PlayedNode> byNode = new IdentityHashMap<>();
     private final Map<Attempt.SharedCall, Integer> frames = new IdentityHashMap<>();
-    private final long stepUs;
-    private final double serviceUs;
-    private final long rough;
-    private final long nodeCount;
-    /** Between two lookups, for the load that the settings say. */
-    private final double gapUs;
-
-    private double slowness = 1;
-    private double impatient = 0.03;
     private long lookups;
     private long taken;
-    private long nextNode;
-    private long order;
-    private long now = 100_000_000;
 
     RecordedPlay(PlayedSettings settings, long seed, Transcript transcript) {
-        this.settings = settings;
-        this.transcript = transcript;
-        random = new SplittableRandom(seed);
-        stepUs = settings.whole("step");
-        serviceUs = settings.whole("service");
-        rough = settings.whole("rough");
-        nodeCount = Math.max(settings.whole("nodes"), settings.whole("cells"));
-        double coreUs = MEAN_PARTS * serviceUs / (nodeCount * settings.whole("cores"));
-        gapUs = coreUs / settings.number("load");
-        classes = PlayedClasses.draw(random);
-        module = settings.module(
-                classes.stream().mapToLong(one -> one.latencyObjectiveUs).max().orElse(1));
+        super(settings, seed, transcript);
     }
 
     /** Plays until so many lookups were taken and all of them are over. */
@@ -89,13 +43,13 @@
         schedule(now + exponential(2_000_000), this::changeList);
         schedule(now + exponential(8_000_000), this::changeSettings);
         while (!events.isEmpty()) {
-            now = Math.max(now, events.peek().dueAtUs);
+            now = Math.max(now, events.peek().dueAtUs());
             // Now and then the router itself stands still, and what is due meanwhile comes late.
             now += random.nextInt(500) == 0 ? random.nextInt(60) * stepUs : 0;
             module.advanceClock(now);
             transcript.note("t", now);
-            while (!events.isEmpty() && events.peek().dueAtUs <= now) {
-                events.poll().what.run();
+            while (!events.isEmpty() && events.peek().dueAtUs() <= now) {
+                events.poll().what().run();
             }
             while (module.decide(this)) {
                 // Each decision is noted as it leaves.
@@ -103,15 +57,8 @@
         }
     }
 
-    private void schedule(long dueAtUs, Runnable what) {
-        events.add(new Event((dueAtUs + stepUs - 1) / stepUs * stepUs, order++, what));
-    }
-
-    private long exponential(double mean) {
-        return (long) (-mean * StrictMath.log(1 - random.nextDouble()));
-    }
-
-    private boolean ends() {
+    @Override
+    boolean ends() {
         return taken >= lookups;
     }
 
@@ -196,110 +143,6 @@
         }
     }
 
-    // The data nodes, and what is told of them.
-
-    private PlayedNode newNode(int slot) {
-        PlayedNode one = new PlayedNode(nextNode++, (int) settings.whole("cores"));
-        one.node.cell = slot;
-        one.node.zone = random.nextInt(3);
-        one.node.kind = random.nextInt(2);
-        one.node.linkRoundTripUs = random.nextInt(8) == 0 ? 40_000 : 0;
-        one.usedAt = now;
-        byNode.put(one.node, one);
-        return one;
-    }
-
-    private void listed(PlayedNode one, boolean restarted) {
-        DataNode node = one.node;
-        transcript.note(
-                "n",
-                node.nodeId,
-                node.state.ordinal(),
-                node.cell,
-                node.startedAtUs,
-                node.linkRoundTripUs,
-                restarted ? 1 : 0);
-        module.onEndpoint(node, restarted);
-    }
-
-    private void news(QueryCoordinator.EndpointListUpdate news) {
-        transcript.note("u", news.ordinal());
-        module.onEndpointListUpdate(news);
-    }
-
-    private void changeFaults() {
-        if (ends()) {
-            return;
-        }
-        PlayedNode one = nodes.get(random.nextInt(nodes.size()));
-        boolean well = rough == 0 || random.nextInt(6) >= rough;
-        PlayedNode.Fault[] all = PlayedNode.Fault.values();
-        one.fault = well ? PlayedNode.Fault.NONE : all[random.nextInt(all.length)];
-        if (random.nextInt(12) == 0) {
-            slowness = slowness > 1 || rough == 0 ? 1 : 2 + random.nextInt(8);
-        }
-        if (random.nextInt(20) == 0) {
-            impatient = impatient > 0.1 || rough == 0 ? 0.03 : 0.5;
-        }
-        schedule(now + exponential(rough > 1 ? 400_000 : 1_200_000), this::changeFaults);
-    }
-
-    private void changeList() {
-        if (ends()) {
-            return;
-        }
-        int slot = random.nextInt(nodes.size());
-        PlayedNode one = nodes.get(slot);
-        QueryCoordinator.EndpointListUpdate news = QueryCoordinator.EndpointListUpdate.CHANGES;
-        switch (random.nextInt(8)) {
-            case 0 -> replace(slot);
-            case 1 -> {
-                one.node.startedAtUs = now - random.nextInt(500_000);
-                listed(one, true);
-            }
-            case 2 -> {
-                one.node.cell++;
-                listed(one, false);
-            }
-            case 3 -> {
-                one.node.state = one.node.state == DataNode.State.READY
-                        ? DataNode.State.DRAINING
-                        : DataNode.State.READY;
-                listed(one, false);
-            }
-            case 4 -> news = QueryCoordinator.EndpointListUpdate.CACHED;
-            case 5 -> news = QueryCoordinator.EndpointListUpdate.FAILED;
-            case 6 -> {
-                news = QueryCoordinator.EndpointListUpdate.FULL;
-                nodes.forEach(each -> listed(each, false));
-            }
-            default -> probe(one);
-        }
-        news(news);
-        schedule(now + exponential(1_500_000), this::changeList);
-    }
-
-    /** Drained, gone a second later; a new one takes its place at once. */
-    private void replace(int slot) {
-        PlayedNode old = nodes.get(slot);
-        old.node.state = DataNode.State.DRAINING;
-        listed(old, false);
-        PlayedNode fresh = newNode(slot);
-        fresh.node.startedAtUs = now - random.nextInt(300_000);
-        nodes.set(slot, fresh);
-        listed(fresh, false);
-        schedule(now + 1_000_000, () -> {
-            old.node.state = DataNode.State.GONE;
-            listed(old, false);
-            news(QueryCoordinator.EndpointListUpdate.CHANGES);
-        });
-    }
-
-    private void probe(PlayedNode one) {
-        transcript.note("h", one.node.nodeId);
-        module.onHealthCheck(one.node, Outcome.SATISFIED, 2000, 1000);
-    }
-
     /** New figures of the classes, for the lookups that come from now on. */
     private void changeSettings() {
         if (ends()) {
