--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -4,6 +4,7 @@
 import tinlink.decision.LookupClass;
 import tinlink.decision.Part;
 import tinlink.gateway.IncomingPart;
+import tinlink.gateway.PartContent;
 import tinlink.net.JsonReader;
 import tinlink.net.MessageRejectedException;
 
@@ -73,23 +74,24 @@
      */
     Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener)
             throws MessageRejectedException {
-        LookupClass lookupClass = settings.lookupClasses().get(part.index);
-        if (lookupClass == null || part.shard < 0 || part.shard >= settings.shardCount()) {
+        PartContent content = part.content;
+        LookupClass lookupClass = settings.lookupClasses().get(content.lookupClass());
+        if (lookupClass == null || content.shard() < 0 || content.shard() >= settings.shardCount()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
         boolean needsKey = lookupClass.idempotency == LookupClass.Idempotency.BY_KEY;
-        if (!PART_ID.matcher(part.id).matches()
+        if (!PART_ID.matcher(content.id()).matches()
                 || (needsKey
-                        && (part.idempotencyKey == null
-                                || !KEY.matcher(part.idempotencyKey).matches()))) {
+                        && (content.idempotencyKey() == null
+                                || !KEY.matcher(content.idempotencyKey()).matches()))) {
             throw new MessageRejectedException(400, "id or key: not of its form");
         }
-        Query query = new Query(id, part.text, needsKey ? part.idempotencyKey : null, listener);
+        Query query = new Query(id, content.text(), needsKey ? content.idempotencyKey() : null, listener);
         query.lookupClass = lookupClass;
-        query.isClientRetry = part.clientRetry;
+        query.isClientRetry = content.clientRetry();
         query.isForwarded = true;
         query.clientDeadlineUs = part.arrivedAt + part.remainingUs;
-        query.parts.add(new QueryPart(query, part.shard, 1, part.id));
+        query.parts.add(new QueryPart(query, content.shard(), 1, content.id()));
         query.announcedParts = 1;
         return query;
     }
