--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -2,1244 +2,338 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
-import java.util.function.Predicate;
 
 /**
- * The decision module: every decision, table and tuned value of a query router.
+ * The life cycle of lookups in one query router, after the fastest-valid setting of the design page: all
+ * parts leave together, the n-th valid part answers, what is silent after a round is hedged once, and what
+ * comes short of n at the end is aborted, rejected or answered in part.
  *
- * <p>Callers use it through the interface in {@code Aggregator.java}: build one instance for each router from
- * the parts below, each from its few settings; tell it each input; then pull decisions through {@code decide}
- * until it says false. Decisions leave by the calls in {@code Host.java}. docs/design.md says why.
+ * <p>Callers use it through {@link QueryCoordinator}: build one instance for each router, from parts that
+ * each take their few settings; tell it each input; then pull decisions through {@link #decide} until it says
+ * false. It is used by one thread. {@code docs/design.md} says why it decides as it does.
  */
 public final class FastestValidCoordinator implements QueryCoordinator {
     private static final long NEVER = Long.MAX_VALUE;
-    /** Sums of part weights may be this much short. */
-    private static final double SLACK = 1e-4;
 
-    private final AttemptTiming rounds;
-    private final ReplicaSelector replicas;
-    private final OutlierDetector health;
-    private final SlowStart cold;
+    private final AttemptTiming timing;
+    private final RepeatGuard guard;
+    private final ReplicaSelector selector;
+    private final ReplicaDirectory replicas;
+    private final ReplicaHealth health;
     private final RetryBudget budget;
     private final AdmissionController admission;
-    private final EndpointListPoller list;
-    /** Lookups in hand; each leaves with its final answer or its client. */
+    private final EndpointListPoller poller;
+    private final AttemptDispatcher dispatcher;
+    private final RetryPlanner retries;
+    /** Lookups in flight; each leaves with its final answer or its client. */
     private final ArrayList<Lookup> open = new ArrayList<>();
-    /** Lookups with news, part calls to send, calls that serve nobody: all emptied within the turn. */
-    private final ArrayDeque<Lookup> touched = new ArrayDeque<>();
+    /** Lookups that may have a decision to make; emptied within the turn. */
+    private final ArrayDeque<Lookup> queue = new ArrayDeque<>();
 
-    private final ArrayDeque<Attempt> outbox = new ArrayDeque<>();
-    private final ArrayDeque<Attempt> surplus = new ArrayDeque<>();
     private long now;
-    private long armed = NEVER;
-    private long stalledAt = NEVER;
+    private long wakesAtUs = NEVER;
+    private long stalledAtUs = NEVER;
 
     public FastestValidCoordinator(
-            AttemptTiming rounds,
-            ReplicaSelector replicas,
-            OutlierDetector health,
-            SlowStart cold,
+            AttemptTiming timing,
+            RepeatGuard guard,
+            ReplicaSelector selector,
+            ReplicaHealth health,
             RetryBudget budget,
             AdmissionController admission,
-            EndpointListPoller list) {
-        this.rounds = rounds;
-        this.replicas = replicas;
+            EndpointListPoller poller) {
+        this.timing = timing;
+        this.guard = guard;
+        this.selector = selector;
         this.health = health;
-        this.cold = cold;
         this.budget = budget;
         this.admission = admission;
-        this.list = list;
+        this.poller = poller;
+        replicas = selector.replicas();
+        dispatcher = new AttemptDispatcher(guard, selector, health, budget);
+        retries = new RetryPlanner(guard, budget, replicas, health.outliers(), dispatcher);
     }
 
-    // ---- Inputs: they only update what is known. ----
-
     /**
-     * Danger: a router that itself stood still takes its own delay for slow nodes, and nacks. Its timers
-     * tell: one that comes late by many steps of the clock means that what came with it was seen late too.
+     * A router that itself stood still takes its own delay for slow nodes, and rejects. Its timers tell: one
+     * that comes late by many steps of the clock means that what came with it was seen late too.
      */
     @Override
     public void advanceClock(long nowUs) {
         now = nowUs;
-        if (now - armed > rounds.stallUs()) {
-            armed = NEVER;
-            stalledAt = now;
+        if (now - wakesAtUs > timing.stallUs()) {
+            wakesAtUs = NEVER;
+            stalledAtUs = now;
         }
     }
 
     @Override
     public void onLookup(Lookup lookup) {
         lookup.arrivedAtUs = now;
-        rounds.begin(lookup, now);
+        timing.begin(lookup, now);
         open.add(lookup);
-        budget.took(lookup, now, false);
-        touch(lookup);
+        budget.onLookup(lookup, now);
+        enqueue(lookup);
     }
 
     @Override
     public void onPart(Part part) {
         part.lookup.parts.add(part);
-        budget.took(part.lookup, now, true);
-        touch(part.lookup);
+        budget.onPart(part.lookup, now);
+        enqueue(part.lookup);
     }
 
     @Override
-    public void onOutcome(Attempt c, Outcome outcome, long tookUs, long reportedLatencyUs) {
-        c.outcome = outcome;
-        Part part = c.part;
+    public void onOutcome(Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs) {
+        attempt.outcome = outcome;
+        Part part = attempt.part;
         part.attemptsInFlight--;
-        ReplicaStats s = replicas.seen(c.node);
-        if (--c.sharedCall.open == 0) {
-            s.calls--;
-        }
-        health.outcome(s, c, outcome, now == stalledAt ? -1 : tookUs, part.lookup.roundUs, now);
-        replicas.forgetIfGone(s);
-        if (part.lookup.isEnded) {
+        ReplicaStats stats = replicas.stats(attempt.node);
+        stats.onAttemptEnded(attempt.sharedCall);
+        health.onOutcome(stats, attempt, outcome, now == stalledAtUs ? -1 : tookUs, now);
+        replicas.forgetIfGone(stats);
+        Lookup lookup = part.lookup;
+        if (lookup.isEnded) {
             return;
         }
         if (outcome == Outcome.CONNECTION_LOST) {
-            part.lookup.suspect |= part.lookup.lostAt != null && part.lookup.lostAt != c.node;
-            part.lookup.lostAt = c.node;
+            lookup.recordLostNode(attempt.node);
         }
         if (outcome == Outcome.SATISFIED && !part.isSatisfied) {
             part.isSatisfied = true;
-            cancelOut(part);
+            dispatcher.cancelInFlight(part);
         }
-        touch(part.lookup);
+        enqueue(lookup);
     }
 
     @Override
     public void onEndpoint(DataNode node, boolean restarted) {
-        replicas.listed(node, restarted);
+        replicas.onEndpoint(node, restarted);
     }
 
     @Override
-    public void onEndpointListUpdate(EndpointListUpdate news) {
-        list.news(news, now);
-        open.forEach(this::touch);
+    public void onEndpointListUpdate(EndpointListUpdate update) {
+        poller.onUpdate(update, now);
+        open.forEach(this::enqueue);
     }
 
     @Override
     public void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
-        // A probe proves that a process runs, not that it answers: nothing here rests on one.
+        // A health check proves that a process runs, not that it answers: nothing here rests on
+        // one.
     }
 
     @Override
     public void onTimer() {
-        armed = now >= armed ? NEVER : armed;
-        open.stream().filter(lookup -> lookup.nextCheckAtUs <= now).forEach(this::touch);
+        wakesAtUs = now >= wakesAtUs ? NEVER : wakesAtUs;
+        for (Lookup lookup : open) {
+            if (lookup.nextCheckAtUs <= now) {
+                enqueue(lookup);
+            }
+        }
     }
 
     @Override
     public void onClientGone(Lookup lookup) {
-        rounds.left(lookup, true, now);
+        timing.recordEnd(lookup, true, now);
         end(lookup);
     }
 
-    private void touch(Lookup lookup) {
+    private void enqueue(Lookup lookup) {
         if (!lookup.isQueued) {
             lookup.isQueued = true;
-            touched.add(lookup);
+            queue.add(lookup);
         }
     }
 
-    private void cancelOut(Part part) {
-        part.attempts.stream()
-                .filter(c -> c.outcome == null && !c.isCancelled)
-                .forEach(surplus::add);
-    }
-
     private void end(Lookup lookup) {
         if (lookup.isStarted && !lookup.isFirstRoundOver && lookup.isSilenceConclusive) {
-            health.round(lookup.parts.size(), 0);
+            health.outliers().recordRound(lookup.parts.size(), 0);
         }
         lookup.isEnded = true;
         open.remove(lookup);
-        lookup.parts.forEach(this::cancelOut);
+        lookup.parts.forEach(dispatcher::cancelInFlight);
     }
 
-    // ---- Decisions: one a call. ----
-
     @Override
-    public boolean decide(DecisionHandler h) {
-        if (!outbox.isEmpty()) {
-            Attempt c = outbox.peek();
-            if (c.reconnectFirst) {
-                c.reconnectFirst = false;
-                h.closeIdleConnections(c.node);
-            } else {
-                h.send(outbox.poll(), Math.max(1, c.part.lookup.endsAtUs - now));
-            }
+    public boolean decide(DecisionHandler handler) {
+        if (dispatcher.send(handler, now) || dispatcher.cancel(handler)) {
             return true;
         }
-        while (!surplus.isEmpty()) {
-            Attempt c = surplus.poll();
-            if (rounds.mayCancel && c.outcome == null && !c.isCancelled) {
-                c.isCancelled = true;
-                h.cancel(c);
-                return true;
-            }
-        }
-        if (list.due(now)) {
-            h.subscribeToEndpointList();
+        if (poller.takeDuePoll(now)) {
+            handler.subscribeToEndpointList();
             return true;
         }
-        while (!touched.isEmpty()) {
-            Lookup lookup = touched.peek();
-            if (!lookup.isEnded && step(lookup, h)) {
+        while (!queue.isEmpty()) {
+            Lookup lookup = queue.peek();
+            if (!lookup.isEnded && step(lookup, handler)) {
                 return true;
             }
             lookup.isQueued = false;
-            touched.poll();
+            queue.poll();
         }
-        long next = open.stream()
-                .mapToLong(lookup -> lookup.nextCheckAtUs)
-                .reduce(list.nextAt, Math::min);
-        if (next < armed) {
-            armed = next;
-            h.wakeAt(next);
-            return true;
+        return wake(handler);
+    }
+
+    private boolean wake(DecisionHandler handler) {
+        long nextUs = poller.nextPollAtUs();
+        for (Lookup lookup : open) {
+            nextUs = Math.min(nextUs, lookup.nextCheckAtUs);
         }
-        return false;
+        if (nextUs >= wakesAtUs) {
+            return false;
+        }
+        wakesAtUs = nextUs;
+        handler.wakeAt(nextUs);
+        return true;
     }
 
-    /** The next decision for one lookup; false when it only has to wait, until lookAt at the latest. */
-    private boolean step(Lookup lookup, DecisionHandler h) {
-        double in = weight(lookup, part -> part.isSatisfied);
-        boolean allThere = lookup.parts.size() >= lookup.announcedParts;
-        // The n-th valid part ends the query (design page); a second step needs all of its parts.
-        if (allThere && in >= needed(lookup) - SLACK) {
-            return answer(lookup, h, !lookup.isSecondStep || lookup.isFirstStepComplete);
+    /**
+     * The next decision for one lookup; false when it only has to wait, until its next check at the latest.
+     */
+    private boolean step(Lookup lookup, DecisionHandler handler) {
+        double satisfied = lookup.satisfiedWeight();
+        boolean hasAllParts = lookup.hasAllParts();
+        // The n-th valid part ends the lookup (design page); a second step needs all of its parts.
+        if (hasAllParts && lookup.isComplete(satisfied)) {
+            return answer(lookup, handler, !lookup.isSecondStep || lookup.isFirstStepComplete);
         }
-        // Danger: lookups that bring down every node that begins a part of theirs. One that has
-        // lost two
-        // nodes and satisfied no part is not sent again; may hurt where well nodes lose many
-        // connections.
-        if (now >= lookup.endsAtUs
-                || (allThere && (lookup.suspect && in == 0 || hopeless(lookup, in)))) {
-            return giveUp(lookup, h, in);
+        if (now >= lookup.endsAtUs || hasAllParts && isLost(lookup, satisfied)) {
+            return giveUp(lookup, handler, satisfied);
         }
         lookup.nextCheckAtUs = lookup.endsAtUs;
-        if (!allThere) {
+        if (!hasAllParts) {
             return false;
         }
         if (!lookup.isStarted) {
-            if (admission.refuses(lookup, replicas, cold, now) && rounds.mayNack(lookup)) {
-                end(lookup);
-                h.reject(lookup, admission.comeBack(lookup));
-                return true;
-            }
-            lookup.isStarted = true;
-            lookup.roundStartedAtUs = now;
-            // All k parts leave together; while nodes die around us one goes first, to see whether
-            // it kills.
-            lookup.awaitsCanary =
-                    lookup.parts.size() > 1 && health.nodesDie(lookup.isClientRetry, now);
-            if (lookup.awaitsCanary) {
-                lookup.awaitsCanary =
-                        lookup.parts.stream().anyMatch(part -> place(List.of(part), false));
-            } else {
-                place(lookup.parts, false);
-            }
-            // Silence means nothing before the line to another site could have brought an answer.
-            lookup.roundStartedAtUs +=
-                    outbox.stream().mapToLong(c -> c.node.linkRoundTripUs).max().orElse(0);
-            lookup.nextCheckAtUs =
-                    Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
-            return !outbox.isEmpty() || step(lookup, h);
+            return start(lookup, handler);
         }
-        if (lookup.awaitsCanary && (in > 0 || now >= lookup.roundStartedAtUs + lookup.roundUs)) {
-            lookup.awaitsCanary = false;
-            lookup.roundStartedAtUs = now;
-            place(lookup.parts.stream().filter(part -> part.attempts.isEmpty()).toList(), false);
-        }
-        if (!lookup.isFirstRoundOver && now >= lookup.roundStartedAtUs + lookup.roundUs) {
-            lookup.isFirstRoundOver = true;
-            judge(lookup);
-            replay(lookup, in);
-        }
-        sendAgain(lookup, in);
-        if (!lookup.isFirstRoundOver) {
-            lookup.nextCheckAtUs =
-                    Math.min(lookup.nextCheckAtUs, lookup.roundStartedAtUs + lookup.roundUs);
-        }
-        return !outbox.isEmpty() || !surplus.isEmpty();
+        goOn(lookup, satisfied);
+        return dispatcher.hasSendsOrCancels();
     }
 
-    private static double weight(Lookup lookup, Predicate<Part> which) {
-        return lookup.parts.stream()
-                .filter(which)
-                .mapToDouble(part -> part.weight)
-                .sum();
-    }
-
-    private static boolean awaited(Part part) {
-        return !part.isSatisfied && part.attemptsInFlight > 0;
-    }
-
-    private double needed(Lookup lookup) {
-        return lookup.isSecondStep ? 1 : lookup.lookupClass.completeShare;
-    }
-
-    /** Too few parts are in, out or still to be sent; where a partial answer may do, out ones are awaited. */
-    private boolean hopeless(Lookup lookup, double in) {
-        double may = in;
-        boolean out = false;
-        for (Part part : lookup.parts) {
-            if (!part.isSatisfied
-                    && (part.attemptsInFlight > 0
-                            || rounds.mayCall(part, now) && replicas.held(part, now))) {
-                may += part.weight;
-                out |= part.attemptsInFlight > 0;
-            }
-        }
-        return may < needed(lookup) - SLACK
-                && !(out && lookup.lookupClass.minimumShare < lookup.lookupClass.completeShare);
+    /**
+     * Guards against lookups that bring down every node that begins a part of theirs: one that has lost two
+     * nodes and satisfied no part is not sent again. May hurt where good nodes lose many connections.
+     */
+    private boolean isLost(Lookup lookup, double satisfied) {
+        return lookup.isSuspect() && satisfied == 0 || retries.isHopeless(lookup, satisfied, now);
     }
 
-    private boolean answer(Lookup lookup, DecisionHandler h, boolean whole) {
-        if (lookup.lookupClass.secondStepParts > 0 && !lookup.isSecondStep) {
-            int satisfied =
-                    (int) lookup.parts.stream().filter(part -> part.isSatisfied).count();
-            lookup.parts.forEach(this::cancelOut);
-            lookup.isSecondStep = true;
-            lookup.isFirstStepComplete = whole;
-            lookup.announcedParts = Math.min(lookup.lookupClass.secondStepParts, satisfied);
-            lookup.parts = new ArrayList<>();
-            rounds.begin(lookup, now);
-        } else {
-            rounds.left(lookup, false, now);
+    /** Rejects the lookup, or sends its parts. */
+    private boolean start(Lookup lookup, DecisionHandler handler) {
+        if (admission.isOverloaded(lookup, selector, health.latency(), now)
+                && guard.mayReject(lookup)) {
             end(lookup);
+            handler.reject(lookup, admission.retryAfterUs(lookup));
+            return true;
         }
-        h.answer(lookup, whole);
-        return true;
-    }
-
-    /** Short of n: a partial answer above the floor, a nack where nothing forbids it, else an abort. */
-    private boolean giveUp(Lookup lookup, DecisionHandler h, double in) {
-        double floor = lookup.isSecondStep
-                        && lookup.lookupClass.minimumShare >= lookup.lookupClass.completeShare
-                ? 1
-                : lookup.lookupClass.minimumShare;
-        if (lookup.parts.size() >= lookup.announcedParts && in > 0 && in >= floor - SLACK) {
-            return answer(lookup, h, false);
-        }
-        boolean nack = now < lookup.endsAtUs && rounds.mayNack(lookup);
-        end(lookup);
-        if (nack) {
-            h.reject(lookup, admission.comeBack(lookup));
+        lookup.isStarted = true;
+        if (lookup.parts.size() > 1
+                && health.outliers().areNodesGoingDown(lookup.isClientRetry, now)) {
+            lookup.awaitsCanary = sendCanary(lookup);
         } else {
-            h.abort(lookup);
-        }
-        return true;
-    }
-
-    /** What the silence of its round says of the nodes; with less than a full round it says nothing. */
-    private void judge(Lookup lookup) {
-        if (lookup.isSilenceConclusive) {
-            lookup.parts.forEach(part -> part.attempts.stream()
-                    .filter(c -> c.outcome == null)
-                    .forEach(c -> health.silent(replicas.seen(c.node), c, now)));
-            health.round(lookup.parts.size(), (int) lookup.parts.stream()
-                    .filter(FastestValidCoordinator::awaited)
-                    .count());
-        }
-    }
-
-    /** After the silent first round: missing parts still short of n go once more, to another replica. */
-    private void replay(Lookup lookup, double in) {
-        List<Part> silent = new ArrayList<>(
-                lookup.parts.stream().filter(FastestValidCoordinator::awaited).toList());
-        // When most nodes look bad the cause is shared, and a second copy only adds to it; but a
-        // part that
-        // later ones have overtaken at its node is stuck, not slow.
-        if (health.sharedTrouble()) {
-            silent.removeIf(part -> lastNode(part).newestAnswered <= lastCall(part).sentAtUs);
-        }
-        silent.sort((a, b) -> Long.compare(lastNode(a).lastGoodAt, lastNode(b).lastGoodAt));
-        double missing = needed(lookup) - SLACK - in;
-        for (Part part : silent) {
-            if (missing <= 0) {
-                break;
-            }
-            if (rounds.mayCall(part, now) && budget.may(true, now)) {
-                if (place(List.of(part), true)) {
-                    missing -= part.weight;
-                }
-            } else if (rounds.mayGiveUpSilent(part)
-                    && lastNode(part).lastGoodAt < part.attempts.get(0).sentAtUs
-                    && budget.may(true, now)) {
-                // No second copies here: a node that has answered nothing since loses the part
-                // (departure).
-                budget.spent(true, now);
-                part.isHedgePaid = true;
-                cancelOut(part);
-                missing -= part.weight;
-            }
+            lookup.awaitsCanary = false;
+            sendUnsent(lookup);
         }
+        // Silence means nothing before the link to another site could have brought an answer.
+        lookup.roundStartedAtUs = now + dispatcher.longestLinkUs();
+        lookup.nextCheckAtUs = Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
+        return dispatcher.hasSends() || step(lookup, handler);
     }
 
-    private static Attempt lastCall(Part part) {
-        return part.attempts.get(part.attempts.size() - 1);
-    }
-
-    private ReplicaStats lastNode(Part part) {
-        return replicas.seen(lastCall(part).node);
-    }
-
-    /** Parts that were never sent, or whose part calls all ended without an answer. */
-    private void sendAgain(Lookup lookup, double in) {
-        double may = in + weight(lookup, FastestValidCoordinator::awaited);
+    /** While nodes die around us one part goes first, to see whether the lookup kills. */
+    private boolean sendCanary(Lookup lookup) {
         for (Part part : lookup.parts) {
-            // What has lost its node waits for a sign that the lookup is not what killed it.
-            boolean wait = part.attempts.isEmpty()
-                    ? lookup.awaitsCanary
-                    : in == 0 && may > 0 && lastCall(part).outcome == Outcome.CONNECTION_LOST;
-            if (part.isSatisfied
-                    || part.attemptsInFlight > 0
-                    || wait
-                    || !rounds.mayCall(part, now)
-                    || may >= needed(lookup) - SLACK) {
-                continue;
-            }
-            if (now >= part.notBeforeUs
-                    && (part.attempts.isEmpty() || part.isHedgePaid || budget.may(false, now))
-                    && place(List.of(part), false)) {
-                may += part.weight;
-                part.isHedgePaid = false;
-            } else {
-                // No node may take it now: look again within the round, not on every input.
-                part.notBeforeUs = Math.max(part.notBeforeUs, now + lookup.roundUs / 4);
-                lookup.nextCheckAtUs = Math.min(lookup.nextCheckAtUs, part.notBeforeUs);
-            }
-        }
-    }
-
-    /** Picks a replica for each part by the companion and puts the part calls into the outbox. */
-    private boolean place(List<Part> parts, boolean replay) {
-        boolean any = false;
-        for (Part part : parts) {
-            ReplicaStats s = replicas.pick(part, cold, replay, now);
-            // Danger: a full node turns away what comes again at once; all tries would be gone in a
-            // moment.
-            if (s == null
-                    || replicas.tried(s, part)
-                            && lastCall(part).outcome == Outcome.TURNED_AWAY
-                            && now < lastCall(part).sentAtUs + part.lookup.roundUs / 4) {
-                continue;
-            }
-            any = true;
-            if (replay || !part.attempts.isEmpty() && !part.isHedgePaid) {
-                budget.spent(replay, now);
-            }
-            cold.sent(s, now);
-            Attempt c = new Attempt();
-            c.part = part;
-            c.node = s.node;
-            c.number = part.attempts.size();
-            c.sentAtUs = now;
-            c.callsInFlightBefore = s.calls;
-            int age = s.calls == 0 ? health.age(now - s.usedAt) : 0;
-            // Lookups that can spare a part try one old connection, so that the suspicion is
-            // renewed or ends.
-            boolean tries =
-                    part.lookup.lookupClass.completeShare < 1 && part == part.lookup.parts.get(0);
-            c.reconnectFirst = health.dropped(age, replay ? 0 : OutlierDetector.SURE, now)
-                    && (replay || !tries);
-            c.idleStep = c.reconnectFirst ? 0 : age;
-            s.usedAt = now;
-            c.sharedCall = replicas.share(s, now);
-            part.attempts.add(c);
-            part.attemptsInFlight++;
-            outbox.add(c);
-        }
-        return any;
-    }
-
-    /** What this router knows of a data node; dropped when the list says it is gone and no call is out. */
-    static final class ReplicaStats {
-        final DataNode node;
-        /** Below 0 once it has been forgotten. */
-        int cell;
-        /** Its last connection failed. */
-        boolean down;
-
-        double smoothedUs;
-        long heardAt = Long.MIN_VALUE / 2;
-        long lastGoodAt = Long.MIN_VALUE / 2;
-        /** When something was last sent to it or came from it. */
-        long usedAt = NEVER;
-        /** When the newest part call that it has answered was sent. */
-        long newestAnswered = Long.MIN_VALUE;
-        /** Calls out; shared ones count once. */
-        int calls;
-
-        Attempt.SharedCall current;
-        long currentAt = Long.MIN_VALUE;
-        /** Share of recent part calls that went bad, smoothed; fades with the time since. */
-        double bad;
-        /** Calls that were out when its answered ones were sent, smoothed. */
-        double usualCalls;
-        /** Parts satisfied of late, decaying; and sends within the fall time while cold. */
-        double done;
-
-        long doneAt;
-        final ArrayDeque<Long> coldSends = new ArrayDeque<>();
-        long coldTurn = -1;
-        double coldChance;
-        double likeRate;
-
-        ReplicaStats(DataNode node, int cell) {
-            this.node = node;
-            this.cell = cell;
-        }
-    }
-
-    /** The rounds of a lookup, and the guard against repeated effects. */
-    public static final class AttemptTiming {
-        private static final double LEAVE_STEP = 0.05;
-        private static final double LEAVING = 0.1;
-        private static final long STALL_STEPS = 20;
-        private final long stepUs;
-        private final int tryLimit;
-        private final boolean secondCopies;
-        private final boolean mayCancel;
-        /** Share of lookups, smoothed, whose clients left early, and how long after asking. */
-        private double leaving;
-
-        private double leaveUs;
-
-        public AttemptTiming(long stepUs, int tryLimit, boolean secondCopies, boolean mayCancel) {
-            this.stepUs = stepUs;
-            this.tryLimit = tryLimit;
-            this.secondCopies = secondCopies;
-            this.mayCancel = mayCancel;
-        }
-
-        /** A round is a third of the aim; round, replay round and receive-only round end the lookup. */
-        void begin(Lookup lookup, long now) {
-            // Two steps of the clock early: a timer fires up to one late, and the client's end is
-            // final.
-            long last = Math.max(now, lookup.clientDeadlineUs - 2 * stepUs);
-            // Danger: one tenant's clients that give short times would make well nodes look silent
-            // to all.
-            lookup.isSilenceConclusive =
-                    last - now >= patience(lookup.lookupClass.latencyObjectiveUs);
-            lookup.roundUs = Math.max(
-                    stepUs,
-                    Math.min(patience(lookup.lookupClass.latencyObjectiveUs), last - now) / 3);
-            lookup.endsAtUs = endsAt(lookup, last, now);
-            lookup.nextCheckAtUs = now;
-            lookup.isStarted = false;
-            lookup.isFirstRoundOver = false;
-        }
-
-        /** The last moment for a final answer to this step. */
-        private long endsAt(Lookup lookup, long last, long now) {
-            LookupClass lookupClass = lookup.lookupClass;
-            // Danger: a partial answer that leaves at the aim reaches its client after it, and
-            // earns nothing.
-            long inTime = lookup.arrivedAtUs + lookupClass.latencyObjectiveUs - 2 * stepUs;
-            if (lookupClass.minimumShare < lookupClass.completeShare
-                    && lookupClass.lateAnswerWeight <= lookupClass.partialAnswerWeight
-                    && inTime > now) {
-                return Math.min(last, inTime);
-            }
-            // Departure: where all parts are needed and a late answer still has gain, an abort at
-            // the aim would only make the client ask for all of it again.
-            if (lookupClass.completeShare >= 1 && lookupClass.lateAnswerWeight > 0) {
-                return last;
-            }
-            return Math.min(
-                    last,
-                    Math.max(
-                            lookup.arrivedAtUs + lookupClass.latencyObjectiveUs,
-                            now + 3 * lookup.roundUs));
-        }
-
-        /**
-         * Danger: clients that leave long before the time they state, and ask again: all that was sent for
-         * them is lost. While over one in ten leaves, a round is a third of the time after which they do.
-         * May hurt where one kind of client alone is impatient.
-         */
-        private long patience(long softUs) {
-            return leaving > LEAVING ? Math.min(softUs, (long) leaveUs) : softUs;
-        }
-
-        void left(Lookup lookup, boolean client, long now) {
-            // Danger: who is gone at once, or before a late router has read it, did not wait: no
-            // patience.
-            boolean early =
-                    client && !lookup.isForwarded && now < lookup.clientDeadlineUs - lookup.roundUs;
-            double step =
-                    early && now - lookup.arrivedAtUs < lookup.lookupClass.latencyObjectiveUs / 16
-                            ? 0
-                            : LEAVE_STEP;
-            leaving += step * ((early ? 1 : 0) - leaving);
-            if (early && step > 0) {
-                leaveUs +=
-                        (leaveUs == 0 ? 1 : 4 * LEAVE_STEP) * (now - lookup.arrivedAtUs - leaveUs);
-            }
-        }
-
-        long stallUs() {
-            return STALL_STEPS * stepUs;
-        }
-
-        /** Danger: an effect that happens twice. */
-        boolean mayCall(Part part, long now) {
-            if (part.attempts.size() >= (part.lookup.isForwarded ? 1 : tryLimit)
-                    || part.attemptsInFlight > 0 && !secondCopies) {
-                return false;
+            if (dispatcher.dispatch(part, false, now)) {
+                return true;
             }
-            // Danger: a window that passes while it is on its way. What it may wait for in a turn
-            // of ours has
-            // to fit in.
-            LookupClass lookupClass = part.lookup.lookupClass;
-            return lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
-                    || part.attempts.stream()
-                            .allMatch(c -> neverRan(c)
-                                    || lookupClass.idempotency
-                                                    == LookupClass.Idempotency.FINGERPRINTED
-                                            && now + stallUs()
-                                                    <= c.sentAtUs
-                                                            + lookupClass.deduplicationWindowUs);
-        }
-
-        boolean mayGiveUpSilent(Part part) {
-            return !secondCopies
-                    && mayCancel
-                    && part.lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
-                    && part.attempts.size() < tryLimit;
-        }
-
-        /** A nack says that trying again is harmless: not so once a part of the others may have run. */
-        boolean mayNack(Lookup lookup) {
-            return !lookup.isSecondStep
-                    && (lookup.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT
-                            || lookup.parts.stream()
-                                    .allMatch(part -> part.attempts.stream()
-                                            .allMatch(AttemptTiming::neverRan)));
-        }
-
-        private static boolean neverRan(Attempt c) {
-            return c.outcome != null && c.outcome.neverRan;
         }
+        return false;
     }
 
-    /** The companion: which replica serves a part. */
-    public static final class ReplicaSelector {
-        private static final double FAR = 10;
-        private static final double SITE =
-                10; // At another site: goes when near ones are out, or as bad.
-        private final int cells;
-        private final int reach;
-        private final int bundleMax;
-        private final long callUs;
-        private final int zone;
-        /** What a node in another zone counts slower, where crossing has a price. */
-        private final double far;
-
-        private final Map<DataNode, ReplicaStats> known = new LinkedHashMap<>();
-        /** The same nodes by cell: the cost of a part goes with its holders, not with the fleet. */
-        private final List<List<ReplicaStats>> byCell = new ArrayList<>();
-
-        private final OutlierDetector health;
-
-        public ReplicaSelector(
-                int cells,
-                int reach,
-                int bundleMax,
-                long callUs,
-                int zone,
-                double crossPrice,
-                OutlierDetector health) {
-            this.zone = zone;
-            far = 1 + FAR * crossPrice;
-            this.cells = cells;
-            this.health = health;
-            for (int i = 0; i < cells; i++) {
-                byCell.add(new ArrayList<>());
-            }
-            this.reach = reach;
-            this.bundleMax = Math.max(1, bundleMax);
-            this.callUs = callUs;
-        }
-
-        void listed(DataNode n, boolean restarted) {
-            ReplicaStats s = known.get(n);
-            if (s == null || restarted || s.cell != Math.floorMod(n.cell, cells)) {
-                ReplicaStats fresh = new ReplicaStats(n, Math.floorMod(n.cell, cells));
-                fresh.calls = s == null ? 0 : s.calls;
-                forget(s);
-                known.put(n, fresh);
-                byCell.get(fresh.cell).add(fresh);
-                s = fresh;
-            }
-            forgetIfGone(s);
-        }
-
-        void forgetIfGone(ReplicaStats s) {
-            if (s.node.state == DataNode.State.GONE && s.calls == 0 && known.get(s.node) == s) {
-                forget(s);
-            }
-        }
-
-        private void forget(ReplicaStats s) {
-            if (s != null) {
-                known.remove(s.node);
-                byCell.get(s.cell).remove(s);
-                health.forget(s);
-            }
-        }
-
-        /** Never null: a call may end after its node was forgotten. */
-        ReplicaStats seen(DataNode n) {
-            ReplicaStats s = known.get(n);
-            return s == null ? new ReplicaStats(n, -1) : s;
-        }
-
-        boolean held(Part part, long now) {
-            return !holders(part, now).isEmpty();
-        }
-
-        boolean heldWithRoom(
-                Part part, AdmissionController admission, double luck, SlowStart cold, long now) {
-            return holders(part, now).stream()
-                    .anyMatch(s -> cold.admits(s, known.values(), now)
-                            && admission.room(
-                                    s,
-                                    health.latency(s, part.lookup.roundUs, now),
-                                    luck,
-                                    part.lookup.roundUs));
-        }
-
-        /**
-         * Drains: once told that a node drains or is gone, nothing new goes there; nor over too long a line.
-         */
-        private List<ReplicaStats> holders(Part part, long now) {
-            List<ReplicaStats> ready = new ArrayList<>();
-            for (int j = 0; j < Math.min(reach, cells); j++) {
-                for (ReplicaStats s : byCell.get(Math.floorMod(part.shard + j, cells))) {
-                    if (s.node.state == DataNode.State.READY
-                            && (s.node.linkRoundTripUs == 0
-                                    || !part.lookup.isForwarded
-                                            && part.lookup.endsAtUs - now
-                                                    > s.node.linkRoundTripUs)) {
-                        ready.add(s);
-                    }
-                }
-            }
-            return ready;
-        }
-
-        private boolean tried(ReplicaStats s, Part part) {
-            return part.attempts.stream().anyMatch(c -> c.node == s.node);
-        }
-
-        Attempt.SharedCall share(ReplicaStats s, long now) {
-            if (s.currentAt != now || s.current.size >= bundleMax) {
-                s.current = new Attempt.SharedCall();
-                s.currentAt = now;
-                s.calls++;
-            }
-            s.current.size++;
-            s.current.open++;
-            return s.current;
-        }
-
-        /**
-         * The holder with the least smoothed latency times its own outstanding calls plus one; one whose call
-         * leaves in this turn costs no call of its own. Nodes that this part has tried go last.
-         */
-        ReplicaStats pick(Part part, SlowStart cold, boolean replay, long now) {
-            double callShare =
-                    Math.min(0.9, callUs / Math.max(1, health.average(part.lookup.roundUs)));
-            ReplicaStats best = null;
-            double least = Double.MAX_VALUE;
-            boolean bestTried = true;
-            for (ReplicaStats s : holders(part, now)) {
-                boolean tried = tried(s, part);
-                if (replay && tried || !cold.admits(s, known.values(), now)) {
-                    continue;
-                }
-                boolean joins = s.currentAt == now && s.current.size < bundleMax;
-                // A call that goes bad costs its lookup the rounds; without this, failing fast
-                // looks quick.
-                // Lookups that can spare a part are the trials by which a node finds its way back.
-                double toll =
-                        (part.lookup.lookupClass.completeShare < 1 ? 3 : 9) * part.lookup.roundUs;
-                double doubt = health.badness(s, now) * toll;
-                double cost = (health.latency(s, part.lookup.roundUs, now) * (s.calls + 1) + doubt)
-                        / cold.present(s, now)
-                        * (joins ? 1 - callShare : 1)
-                        // Departure: crossing zones has a price, so a near node may be a little
-                        // slower.
-                        * (s.node.linkRoundTripUs > 0 ? SITE : s.node.zone == zone ? 1 : far);
-                if (best == null
-                        || (tried != bestTried
-                                ? bestTried
-                                : cost < least || cost == least && older(s, best))) {
-                    best = s;
-                    bestTried = tried;
-                    least = cost;
-                }
+    /** All parts that have not been sent leave together. */
+    private void sendUnsent(Lookup lookup) {
+        for (Part part : lookup.parts) {
+            if (part.attempts.isEmpty()) {
+                dispatcher.dispatch(part, false, now);
             }
-            return best;
-        }
-
-        private static boolean older(ReplicaStats a, ReplicaStats b) {
-            return a.node.startedAtUs != b.node.startedAtUs
-                    ? a.node.startedAtUs < b.node.startedAtUs
-                    : a.node.id < b.node.id;
         }
     }
 
-    /** How a node is judged, by this router's own part calls alone. */
-    public static final class OutlierDetector {
-        /** Smoothing weight of the companion: the one figure the design leaves open. */
-        private static final double SMOOTHING = 0.2;
-
-        private static final double BAD_STEP = 0.35;
-        private static final double QUIET_STEP = 0.05;
-        private static final double SHARED = 0.3;
-        private static final double DYING = 1.5;
-        private static final double DROPS = 0.08;
-        private static final double OFTENER = 1.2;
-        /** So many standard errors between two shares are no chance. */
-        private static final double SURE = 2.5;
-
-        private static final int AGES = 8;
-        /** What connections show is forgotten so many times slower than what nodes do. */
-        private static final double AGES_FADE = 0.25;
-
-        private final long memoryUs;
-        private final long roundUs;
-        /** Share of parts, smoothed, that were still out after a round. */
-        private double quiet;
-        /** Part calls, and silent ones, by the age of what they went on; fading. */
-        private final double[] calls = new double[AGES];
-
-        private final double[] silent = new double[AGES];
-        private long callsAt;
-        /** The smoothed latencies of all nodes heard, kept up as samples come. */
-        private double sumUs;
-
-        private int heard;
-        /** Nodes that were found down of late, fading. */
-        private double dying;
-
-        private long diedAt;
-
-        /** @param softUs the longest soft deadline of any index; what was seen fades over a few of these */
-        public OutlierDetector(long softUs) {
-            memoryUs = 4 * softUs;
-            roundUs = softUs / 3;
-        }
-
-        /** @param tookUs below 0 where the router can't tell */
-        void outcome(
-                ReplicaStats s, Attempt c, Outcome outcome, long tookUs, long roundUs, long now) {
-            switch (outcome) {
-                case SATISFIED -> {
-                    sample(s, c, tookUs, now);
-                    connection(c, 0, now);
-                    s.lastGoodAt = now;
-                    s.usedAt = now;
-                    s.down = false;
-                    s.newestAnswered = Math.max(s.newestAnswered, c.sentAtUs);
-                    s.bad -= BAD_STEP * s.bad;
-                    s.done = doneNow(s, now) + 1;
-                    s.doneAt = now;
-                }
-                // A full node ends calls fast; without this it would look like the fastest one.
-                case TURNED_AWAY -> sample(s, c, Math.max(2 * roundUs, s.smoothedUs), now);
-                case ERROR -> bad(s, now);
-                case CONNECTION_LOST, NO_CONNECTION -> {
-                    bad(s, now);
-                    if (!s.down) {
-                        s.down = true;
-                        dying = dying * fade(diedAt, now) + 1;
-                        diedAt = now;
-                    }
-                }
-                case NO_ANSWER -> sample(s, c, tookUs, now);
-                default -> {}
-            }
-        }
-
-        /** Danger: a node that takes parts and answers none costs every lookup a round. */
-        void silent(ReplicaStats s, Attempt c, long now) {
-            sample(s, c, Math.max(now - c.sentAtUs, s.smoothedUs), now);
-            connection(c, 1, now);
-            if (s.lastGoodAt < c.sentAtUs && !dropped(c.idleStep, SURE, now)) {
-                bad(s, now);
-            }
-        }
-
-        /** For how long a connection was not used: 0 up to half a round, then one more for each doubling. */
-        int age(long unusedUs) {
-            return unusedUs <= roundUs / 2
-                    ? 0
-                    : Math.min(
-                            AGES - 1,
-                            Long.SIZE - Long.numberOfLeadingZeros(2 * unusedUs / roundUs));
-        }
-
-        /**
-         * Danger: connections that are dropped unseen after a while without use: what is sent on one is never
-         * answered, and a well node looks hung. What drops them goes by their age: so past some age, up to
-         * this one, calls go silent more often than on younger ones, and by more than chance. Slow calls do
-         * so at any age; to a router of many, which uses each connection seldom, they are no sign, and new
-         * connections from all routers would load the nodes more. Catches full or restarted middle boxes too.
-         *
-         * @param errors how many standard errors the shares differ by at least
-         */
-        boolean dropped(int age, double errors, long now) {
-            double left = Math.pow(fade(callsAt, now), AGES_FADE);
-            double all = Arrays.stream(calls).sum() * left;
-            double allSilent = Arrays.stream(silent).sum() * left;
-            double both = allSilent / Math.max(1, all);
-            double young = 0;
-            double youngSilent = 0;
-            for (int from = 1; from <= age; from++) {
-                young += calls[from - 1] * left;
-                youngSilent += silent[from - 1] * left;
-                double old = all - young;
-                double error = Math.sqrt(
-                        both * (1 - both) * (1 / Math.max(1, old) + 1 / Math.max(1, young)));
-                double oldSilent = allSilent - youngSilent;
-                // One slow call is no sign, whatever it is compared with.
-                if (oldSilent > 1
-                        && oldSilent / Math.max(1, old)
-                                > Math.max(
-                                        DROPS,
-                                        OFTENER * youngSilent / Math.max(1, young)
-                                                + errors * error)) {
-                    return true;
-                }
-            }
-            return false;
-        }
-
-        private void connection(Attempt c, double wasSilent, long now) {
-            double left = Math.pow(fade(callsAt, now), AGES_FADE);
-            callsAt = now;
-            for (int i = 0; i < AGES; i++) {
-                calls[i] *= left;
-                silent[i] *= left;
-            }
-            calls[c.idleStep]++;
-            silent[c.idleStep] += wasSilent;
-        }
-
-        /** A lookup's parts count together: one by one its silent ones, judged last, would pass for all. */
-        void round(int parts, int silent) {
-            quiet += (1 - Math.pow(1 - QUIET_STEP, parts)) * ((double) silent / parts - quiet);
-        }
-
-        private void bad(ReplicaStats s, long now) {
-            s.bad = badness(s, now) + BAD_STEP * (1 - badness(s, now));
-            s.heardAt = now;
-        }
-
-        private void sample(ReplicaStats s, Attempt c, double us, long now) {
-            if (us < 0) {
-                return;
-            }
-            s.usualCalls += SMOOTHING * (c.callsInFlightBefore - s.usualCalls);
-            double before = s.smoothedUs;
-            // Danger: a router of many hears of a node once in a second, and its node is full
-            // before the
-            // figure has moved. So a word that comes a round after the last one counts for many.
-            double weight =
-                    Math.max(SMOOTHING, 1 - Math.exp(-(double) (now - s.heardAt) / roundUs));
-            s.smoothedUs = before == 0 ? us : before + weight * (us - before);
-            if (s.cell >= 0) {
-                heard += before == 0 ? 1 : 0;
-                sumUs += s.smoothedUs - before;
-            }
-            s.heardAt = now;
-        }
-
-        /** What is left of evidence from that time. */
-        private double fade(long at, long now) {
-            return Math.exp(-(double) (now - at) / memoryUs);
-        }
-
-        double badness(ReplicaStats s, long now) {
-            return s.bad * fade(s.heardAt, now);
-        }
-
-        /** Unheard nodes count as average, or a round at the start; old verdicts fade to the average. */
-        double latency(ReplicaStats s, long roundUs, long now) {
-            return s.smoothedUs == 0
-                    ? average(roundUs)
-                    : average(roundUs) + (s.smoothedUs - average(roundUs)) * fade(s.heardAt, now);
-        }
-
-        double average(long roundUs) {
-            return heard == 0 ? roundUs : sumUs / heard;
-        }
-
-        void forget(ReplicaStats s) {
-            heard -= s.smoothedUs > 0 ? 1 : 0;
-            sumUs = heard == 0 ? 0 : sumUs - s.smoothedUs;
-            s.cell = -1;
-        }
-
-        /**
-         * Danger: replays for what all nodes are slow at only add to it. Catches overload, bursts and
-         * whatever the nodes share; may hurt where a third of them hang at once.
-         */
-        boolean sharedTrouble() {
-            return quiet > SHARED;
-        }
-
-        /** A client's repeat is the likelier one to have killed them. */
-        boolean nodesDie(boolean repeat, long now) {
-            return dying * fade(diedAt, now) >= (repeat ? DYING / 4 : DYING);
+    /** What a started lookup does as time passes and attempts end. */
+    private void goOn(Lookup lookup, double satisfied) {
+        if (lookup.awaitsCanary && (satisfied > 0 || lookup.isRoundOver(now))) {
+            lookup.awaitsCanary = false;
+            lookup.roundStartedAtUs = now;
+            sendUnsent(lookup);
         }
-
-        double doneNow(ReplicaStats s, long now) {
-            return s.done * fade(s.doneAt, now);
+        if (!lookup.isFirstRoundOver && lookup.isRoundOver(now)) {
+            lookup.isFirstRoundOver = true;
+            judgeSilence(lookup);
+            retries.hedge(lookup, satisfied, now);
         }
-
-        /** Parts a microsecond that this router has had from the node of late. */
-        double rate(ReplicaStats s, long now) {
-            return doneNow(s, now) / memoryUs;
+        retries.retry(lookup, satisfied, now);
+        if (!lookup.isFirstRoundOver) {
+            lookup.checkBy(lookup.roundStartedAtUs + lookup.roundUs);
         }
     }
 
-    /** Danger: a node that has just started is sent more than it can do, falls over and stays down. */
-    public static final class SlowStart {
-        /** Like nodes do what they are asked, which is less than they could. */
-        private static final double ASKED = 1.2;
-
-        private final int groupSize;
-        private final double startShare;
-        private final long coldUs;
-        private final double fallMultiple;
-        private final long fallUs;
-        private final OutlierDetector health;
-        private final SplittableRandom random;
-
-        public SlowStart(
-                long seed,
-                int groupSize,
-                double startShare,
-                long coldUs,
-                double fallMultiple,
-                long fallUs,
-                OutlierDetector health) {
-            random = new SplittableRandom(seed);
-            this.groupSize = Math.max(1, groupSize);
-            this.startShare = startShare;
-            this.coldUs = coldUs;
-            this.fallMultiple = fallMultiple;
-            this.fallUs = fallUs;
-            this.health = health;
-        }
-
-        /** The least share of its capacity that the node can have now. */
-        double present(ReplicaStats s, long now) {
-            if (s.node.startedAtUs == Long.MIN_VALUE
-                    || fallUs <= 0
-                    || now - s.node.startedAtUs >= coldUs) {
-                return 1;
-            }
-            double warmed = Math.max(0, (double) (now - s.node.startedAtUs) / coldUs);
-            return Math.max(0.01, startShare + (1 - startShare) * warmed);
-        }
-
-        /**
-         * Our share of what may be sent within the fall time, judged by what warm like nodes do for us.
-         * Danger: one part call each adds up over many routers. Where the share is no whole call, chance from
-         * the seed says within which fall times, counted from the node's start, this router may make one.
-         */
-        boolean admits(ReplicaStats s, Iterable<ReplicaStats> nodes, long now) {
-            double present = present(s, now);
-            if (present >= 1) {
-                s.coldSends.clear();
-                return true;
-            }
-            while (!s.coldSends.isEmpty() && s.coldSends.peek() <= now - fallUs) {
-                s.coldSends.poll();
-            }
-            long turn = (now - s.node.startedAtUs) / fallUs;
-            if (s.coldTurn != turn) {
-                s.coldTurn = turn;
-                s.coldChance = random.nextDouble();
-                s.likeRate = likeRate(s, nodes, now);
-            }
-            double usual = fallUs * s.likeRate;
-            double may = ASKED * fallMultiple * present * usual;
-            // A chance counts for those fall times alone in which a part comes up for it.
-            may = may < 1 ? Math.min(1, may / -Math.expm1(-usual)) : may;
-            return s.coldSends.size() + s.coldChance < may;
+    /** What the silence of its round says of the nodes; with less than a full round it says nothing. */
+    private void judgeSilence(Lookup lookup) {
+        if (!lookup.isSilenceConclusive) {
+            return;
         }
-
-        /**
-         * Parts a microsecond that this router may count on a warm node of its kind to do for it. Danger:
-         * where each router allows itself a part of a node by their stated number, and they are more, the sum
-         * is more; by what nodes do for it, the sum is what they do. Who knows nothing goes by the number.
-         */
-        private double likeRate(ReplicaStats s, Iterable<ReplicaStats> nodes, long now) {
-            double rate = 0;
-            int like = 0;
-            for (ReplicaStats w : nodes) {
-                if (w.node.kind == s.node.kind && present(w, now) >= 1) {
-                    rate += health.rate(w, now);
-                    like++;
+        int silentParts = 0;
+        for (Part part : lookup.parts) {
+            for (Attempt attempt : part.attempts) {
+                if (attempt.isInFlight()) {
+                    health.onSilence(replicas.stats(attempt.node), attempt, now);
                 }
             }
-            return rate == 0 ? 1 / (health.average(health.roundUs) * groupSize) : rate / like;
-        }
-
-        void sent(ReplicaStats s, long now) {
-            if (present(s, now) < 1) {
-                s.coldSends.add(now);
-            }
+            silentParts += part.isAwaited() ? 1 : 0;
         }
+        health.outliers().recordRound(lookup.parts.size(), silentParts);
     }
 
-    /** Further part calls: replays under a tenth of parts, resends under a fifth, and the stated budget. */
-    public static final class RetryBudget {
-        private static final double REPLAYS = 0.1;
-        private static final double RESENDS = 0.2;
-        private final long lookBackUs;
-        private final double free;
-        private final double share;
-        private final double cap;
-        private double replays;
-        private double resends;
-        /** Times of what was taken and of further part calls; emptied as the look-back time passes. */
-        private final ArrayDeque<Long> taken = new ArrayDeque<>();
-
-        private final ArrayDeque<Long> further = new ArrayDeque<>();
-
-        /** @param lookBackUs 0 where no budget is stated; @param openCap lookups and parts held at most */
-        public RetryBudget(long lookBackUs, double free, double share, int openCap) {
-            this.lookBackUs = lookBackUs;
-            this.free = free;
-            this.share = share;
-            cap = openCap;
-            resends = RESENDS * cap / 2;
-        }
-
-        /**
-         * Danger: what another site passes on is counted there; counted twice it would be over the budget.
-         */
-        void took(Lookup lookup, long now, boolean part) {
-            replays = Math.min(cap, replays + (part && !lookup.isForwarded ? REPLAYS : 0));
-            resends = Math.min(cap, resends + (part && !lookup.isForwarded ? RESENDS : 0));
-            if (lookBackUs > 0 && !lookup.isForwarded) {
-                taken.add(now);
-            }
-        }
-
-        /** Danger: the stated budget, which holds in any window: what is taken now may soon leave it. */
-        boolean may(boolean replay, long now) {
-            while (!taken.isEmpty() && taken.peek() <= now - lookBackUs) {
-                taken.poll();
-            }
-            while (!further.isEmpty() && further.peek() < now - lookBackUs) {
-                further.poll();
-            }
-            return (replay ? replays : resends) >= 1
-                    && (lookBackUs <= 0 || further.size() + 1 <= free + share * taken.size());
-        }
-
-        void spent(boolean replay, long now) {
-            replays -= replay ? 1 : 0;
-            resends -= replay ? 0 : 1;
-            if (lookBackUs > 0) {
-                further.add(now);
-            }
+    private boolean answer(Lookup lookup, DecisionHandler handler, boolean isComplete) {
+        if (lookup.lookupClass.secondStepParts > 0 && !lookup.isSecondStep) {
+            beginSecondStep(lookup, isComplete);
+        } else {
+            timing.recordEnd(lookup, false, now);
+            end(lookup);
         }
+        handler.answer(lookup, isComplete);
+        return true;
     }
 
-    /**
-     * Which lookups to nack at the door: those with too few parts that some holder can be expected to answer
-     * within a round or two, judged by how long it took of late and how many calls were out then. Of nodes
-     * with no call out that look slow, a lookup still takes some by chance, fewer the slower they look: a
-     * router of many seldom has a call out there, and so the judgement is renewed. Danger: under overload
-     * all parts are sent, all end too late, clients ask again, and the service stays down after its cause
-     * has gone. Catches bursts, retry storms, lost capacity, slowness shared by all, and shards too popular
-     * for their holders; may hurt where calls are too few to tell a slow call from a slow node.
-     */
-    public static final class AdmissionController {
-        /** A nack costs little where clients are told when to come back, and the lookup's gain where not. */
-        private static final double ROUNDS_TOLD = 1.2;
-
-        private static final double ROUNDS_UNTOLD = 2;
-        private final long maxComeBackUs;
-        private final SplittableRandom random;
-
-        /** @param maxComeBackUs 0 where clients are told no time */
-        public AdmissionController(long seed, long maxComeBackUs) {
-            random = new SplittableRandom(seed);
-            this.maxComeBackUs = maxComeBackUs;
-        }
-
-        /** @param luck one draw for all parts of the lookup at the door */
-        boolean room(ReplicaStats s, double latency, double luck, long roundUs) {
-            double expected = latency * (s.calls + 1) / (s.usualCalls + 1);
-            return s.smoothedUs == 0
-                    || expected * (s.calls == 0 ? luck : 1)
-                            <= (maxComeBackUs > 0 ? ROUNDS_TOLD : ROUNDS_UNTOLD) * roundUs;
-        }
-
-        /** Too few of its parts have a holder with room. */
-        boolean refuses(Lookup lookup, ReplicaSelector replicas, SlowStart cold, long now) {
-            double luck = random.nextDouble();
-            return weight(lookup, part -> replicas.heldWithRoom(part, this, luck, cold, now))
-                    < lookup.lookupClass.completeShare - SLACK;
-        }
-
-        long comeBack(Lookup lookup) {
-            return Math.min(maxComeBackUs, lookup.roundUs);
+    private void beginSecondStep(Lookup lookup, boolean isFirstStepComplete) {
+        int satisfiedParts = 0;
+        for (Part part : lookup.parts) {
+            satisfiedParts += part.isSatisfied ? 1 : 0;
+            dispatcher.cancelInFlight(part);
         }
+        lookup.isSecondStep = true;
+        lookup.isFirstStepComplete = isFirstStepComplete;
+        lookup.announcedParts = Math.min(lookup.lookupClass.secondStepParts, satisfiedParts);
+        lookup.parts = new ArrayList<>();
+        timing.begin(lookup, now);
     }
 
-    /** Keeps the subscription to the list open where the list must be asked. */
-    public static final class EndpointListPoller {
-        private final SplittableRandom random;
-        private final boolean asks;
-        private final long mustAskUs;
-        private long nextAt = NEVER;
-        private long backoffUs;
-
-        public EndpointListPoller(long seed, boolean asks, long mustAskUs) {
-            random = new SplittableRandom(seed);
-            this.asks = asks;
-            this.mustAskUs = mustAskUs;
-            backoffUs = mustAskUs / 16;
+    /** Short of n: a partial answer above the floor, a rejection where nothing forbids it, else an abort. */
+    private boolean giveUp(Lookup lookup, DecisionHandler handler, double satisfied) {
+        if (lookup.hasAllParts()
+                && satisfied > 0
+                && satisfied >= lookup.minimumWeight() - Lookup.WEIGHT_TOLERANCE) {
+            return answer(lookup, handler, false);
         }
-
-        /** Danger: many routers that restart together and overrun the list; each waits a time of its own. */
-        void news(EndpointListUpdate news, long now) {
-            if (!asks) {
-                return;
-            }
-            if (news == EndpointListUpdate.CACHED) {
-                nextAt = now + random.nextLong(Math.max(1, mustAskUs / 16));
-            } else if (news == EndpointListUpdate.FAILED) {
-                nextAt = now + backoffUs / 2 + random.nextLong(Math.max(1, backoffUs));
-                backoffUs = Math.min(mustAskUs / 2, 2 * backoffUs);
-            } else {
-                backoffUs = mustAskUs / 16;
-            }
-        }
-
-        boolean due(long now) {
-            boolean due = now >= nextAt;
-            nextAt = due ? NEVER : nextAt;
-            return due;
+        boolean isRejected = now < lookup.endsAtUs && guard.mayReject(lookup);
+        end(lookup);
+        if (isRejected) {
+            handler.reject(lookup, admission.retryAfterUs(lookup));
+        } else {
+            handler.abort(lookup);
         }
+        return true;
     }
 }
--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -7,7 +7,9 @@
 import tinlink.decision.Outcome;
 import tinlink.decision.Part;
 import tinlink.decision.QueryCoordinator;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -20,14 +22,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Drives the decision module in each turn: its clock, its inputs, its decisions, and then the actions that
  * these ask for.
  */
-final class DecisionDriver implements DecisionHandler, EventLoop.EventLoopParticipant {
-    private static final Logger LOG = Logger.getLogger("tinlink.turn");
+final class DecisionDriver implements DecisionHandler, EventLoopParticipant {
+    private static final EventLog LOG = new EventLog("tinlink.decisions");
     private final EventLoop loop;
     private final QueryCoordinator module;
     /** Queries in flight; each leaves with its response or its client. */
@@ -50,9 +51,9 @@
     private AttemptDispatcher dispatcher;
     private Runnable followEndpointList;
     /** What else decides in each turn, beside the module; null where nothing does. */
-    private EventLoop.EventLoopParticipant beside;
+    private EventLoopParticipant beside;
     /** Work on machines; null where it is off. */
-    private EventLoop.EventLoopParticipant also;
+    private EventLoopParticipant also;
 
     /** @param maxRetryAfterUs the longest Retry-After that clients are given */
     DecisionDriver(
@@ -68,11 +69,11 @@
         this.followEndpointList = followEndpointList;
     }
 
-    void beside(EventLoop.EventLoopParticipant participant) {
+    void beside(EventLoopParticipant participant) {
         beside = participant;
     }
 
-    void also(EventLoop.EventLoopParticipant participant) {
+    void also(EventLoopParticipant participant) {
         also = participant;
     }
 
@@ -124,7 +125,7 @@
                 module.onClientGone(query);
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault in the module as a client left", e);
+            LOG.logFailure(Level.SEVERE, "decision_failed", e, "step", "client_gone");
         }
     }
 
@@ -171,7 +172,7 @@
             try {
                 pendingActions.get(i).run();
             } catch (RuntimeException e) {
-                LOG.log(Level.SEVERE, "a decision could not be carried out", e);
+                LOG.logFailure(Level.SEVERE, "action_failed", e);
             }
         }
         pendingActions.clear();
@@ -188,7 +189,7 @@
                 beside.turnEnding();
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault beside the module", e);
+            LOG.logFailure(Level.SEVERE, "participant_failed", e);
         }
     }
 
@@ -199,7 +200,7 @@
                 also.turnEnding();
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault in work on machines", e);
+            LOG.logFailure(Level.SEVERE, "participant_failed", e);
         }
     }
 
@@ -214,7 +215,14 @@
             }
             return true;
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a fault in the module ends " + affected.size() + " lookups", e);
+            LOG.logFailure(
+                    Level.SEVERE,
+                    "decision_failed",
+                    e,
+                    "step",
+                    "decide",
+                    "lookups",
+                    affected.size());
             for (Query query : List.copyOf(affected)) {
                 clientGone(query);
                 query.listener.onFailure(query);
--- a/src/main/java/tinlink/securechannel/SecureSession.java
+++ b/src/main/java/tinlink/securechannel/SecureSession.java
@@ -64,7 +64,7 @@
 
     /** The next message of the handshake has to come within that time, microseconds from now. */
     protected void restartHandshakeDeadline(long handshakeTimeoutUs) {
-        closeAfter(handshakeTimeoutUs, CloseReason.NOT_UP);
+        closeAfter(handshakeTimeoutUs, CloseReason.CONNECT_TIMEOUT);
     }
 
     private void closeAfter(long timeoutUs, CloseReason closeReason) {
@@ -130,7 +130,7 @@
                             "event=malformed_message peer={0} reason=\"{1}\"",
                             new Object[] {peerName(), e.getMessage()});
             incrementCounter("spoilt");
-            connection.close(CloseReason.BAD_INPUT);
+            connection.close(CloseReason.PROTOCOL_ERROR);
         }
         if (isAuthenticated() && frameReader.isAtFrameBoundary() != (deadline == null)) {
             if (frameReader.isAtFrameBoundary()) {
@@ -138,7 +138,7 @@
             } else {
                 // Danger: a frame that stops in its middle, or whose length was changed on the way,
                 // holds up all behind it.
-                closeAfter(messageTimeoutUs, CloseReason.BAD_INPUT);
+                closeAfter(messageTimeoutUs, CloseReason.PROTOCOL_ERROR);
             }
         }
     }
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -14,6 +14,7 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.FrameAuthenticator;
 import tinlink.securechannel.FrameFormat;
 import tinlink.securechannel.MessageCodec;
 
@@ -77,7 +78,7 @@
                         startedParts.incrementAndGet();
                         gateway.partEnded(
                                 part,
-                                PartStatus.DONE,
+                                PartStatus.COMPLETED,
                                 ("v" + part.shard).getBytes(StandardCharsets.UTF_8),
                                 0);
                     }
@@ -123,8 +124,8 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        tinlink.securechannel.FrameAuthenticator outboundSeal;
-        tinlink.securechannel.FrameAuthenticator inboundSeal;
+        FrameAuthenticator outboundSeal;
+        FrameAuthenticator inboundSeal;
         int version = GatewayProtocol.VERSION;
         long incarnation = 5;
         long connectCount = 1;
@@ -195,10 +196,8 @@
             exchangeHello();
             send(GatewayProtocol.PROOF, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new tinlink.securechannel.FrameAuthenticator(
-                    GatewayKeys.mac(secret, "to the far side"));
-            inboundSeal = new tinlink.securechannel.FrameAuthenticator(
-                    GatewayKeys.mac(secret, "to the near side"));
+            outboundSeal = new FrameAuthenticator(GatewayKeys.mac(secret, "to the far side"));
+            inboundSeal = new FrameAuthenticator(GatewayKeys.mac(secret, "to the near side"));
             awaitMessage(GatewayProtocol.CREDIT_WINDOW);
         }
 
@@ -253,7 +252,7 @@
             PartStatus status = PartStatus.values()[b.get()];
             b.getLong();
             b.getLong();
-            return status == PartStatus.DONE
+            return status == PartStatus.COMPLETED
                     ? StandardCharsets.UTF_8.decode(b).toString()
                     : status.name();
         }
@@ -402,9 +401,9 @@
         Thread.sleep(120);
         wellBehavedPeer.sendPart(
                 1, 3, 100_000, 1); // It has had its heartbeat's answer for no time at all, it says.
-        assertEquals("REFUSED", wellBehavedPeer.awaitValue(1));
+        assertEquals("REJECTED", wellBehavedPeer.awaitValue(1));
         wellBehavedPeer.sendPart(2, 3, 1_000_000, 12_345); // An answer that never was.
-        assertEquals("REFUSED", wellBehavedPeer.awaitValue(2));
+        assertEquals("REJECTED", wellBehavedPeer.awaitValue(2));
         assertEquals(0, startedParts.get());
     }
 
