--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -65,7 +65,7 @@
         long leftUs = line.micros("leftMs");
         line.expectEnd();
         if (profile < 0 || profile >= lookupClasses.length) {
-            throw new InvalidInputException("job_in: no such profile: " + profile);
+            throw new WireFormatException("job_in", "no such profile: " + profile);
         }
         if (shard < 0) {
             WireLookup lookup = new WireLookup();
@@ -131,7 +131,7 @@
             case "connection_lost" -> Outcome.CONNECTION_LOST;
             case "called_off" -> Outcome.CANCELLED;
             case "not_sent" -> Outcome.NOT_SENT;
-            default -> throw new InvalidInputException(line.name() + ": no such outcome: " + code);
+            default -> throw new WireFormatException(line.name(), "no such outcome: " + code);
         };
     }
 
@@ -199,9 +199,9 @@
     /** A full list: what it does not name is gone. */
     void applyFullList(WireEndpointList endpointList) {
         for (DataNode node : new ArrayList<>(nodes.values())) {
-            if (!endpointList.contains(node.id)) {
+            if (!endpointList.contains(node.nodeId)) {
                 node.state = DataNode.State.GONE;
-                nodes.remove(node.id);
+                nodes.remove(node.nodeId);
                 module.onEndpoint(node, false);
             }
         }
@@ -227,7 +227,7 @@
         out.append("transmit ")
                 .append(wireId)
                 .append(' ')
-                .append(attempt.node.id)
+                .append(attempt.node.nodeId)
                 .append(' ');
         appendMillis(limitUs);
     }
@@ -244,7 +244,7 @@
 
     @Override
     public void closeIdleConnections(DataNode node) {
-        out.append("release ").append(node.id).append('\n');
+        out.append("release ").append(node.nodeId).append('\n');
     }
 
     @Override
