--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -10,6 +10,7 @@
 import tinlink.decision.Outcome;
 import tinlink.maintenance.ControlServer;
 import tinlink.maintenance.MaintenanceService;
+import tinlink.maintenance.MaintenanceSettings;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.net.EventLog;
@@ -102,9 +103,8 @@
                 clusterNode,
                 replicatedState,
                 this,
-                new MaintenanceService.Settings(
-                        clusterConfig.zone,
-                        config.siteByZone,
+                new MaintenanceSettings(
+                        new MaintenanceSettings.Location(clusterConfig.zone, config.siteByZone),
                         limits,
                         config.observerCount,
                         config.healthCheckIntervalUs,
@@ -156,7 +156,7 @@
                 Level.INFO,
                 "maintenance_listening",
                 "cluster",
-                maintenance.peers().address(),
+                maintenance.cluster().address(),
                 "control",
                 control == null ? "-" : control.address());
     }
