--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -2,13 +2,24 @@
 
 import io.microraft.model.message.RaftMessage;
 
+import tinlink.cluster.consensus.DiskRecordLog;
+import tinlink.cluster.consensus.LearnerLog;
+import tinlink.cluster.consensus.RaftCodec;
+import tinlink.cluster.consensus.RaftExecutor;
+import tinlink.cluster.consensus.RaftReplica;
+import tinlink.cluster.consensus.RaftStateStore;
+import tinlink.cluster.consensus.RecoveryFloor;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
+import tinlink.cluster.consensus.Voter;
+import tinlink.cluster.consensus.VoterAdmission;
+import tinlink.cluster.consensus.VoterReplacement;
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.Membership;
-import tinlink.cluster.membership.RecoveryFloor;
 import tinlink.cluster.membership.Rumor;
-import tinlink.cluster.membership.VoterAdmission;
-import tinlink.cluster.membership.VoterReplacement;
+import tinlink.cluster.transport.PeerConnections;
+import tinlink.cluster.transport.PeerProtocol;
+import tinlink.cluster.transport.TrafficCounters;
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
@@ -79,6 +90,8 @@
             long idleTimeoutUs) {}
 
     /**
+     * Bounds.
+     *
      * @param maxRouters routers that are known
      * @param maxUnauthenticatedConnections connections that have not proved themselves, at a time
      * @param maxDiskBytes of the log
--- a/src/main/java/tinlink/cluster/DiskRecordLog.java
+++ b/src/main/java/tinlink/cluster/consensus/DiskRecordLog.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import tinlink.storage.DurableLog;
 
@@ -6,15 +6,16 @@
 import java.nio.file.Path;
 
 /** What a voter keeps, on a disk. */
-final class DiskRecordLog implements RaftStateStore.RecordLog, java.io.Closeable {
+public final class DiskRecordLog implements RaftStateStore.RecordLog, java.io.Closeable {
     private final DurableLog durableLog;
 
-    DiskRecordLog(Path folder, long maxBytes) throws IOException {
+    /** Opens the folder\'s log, and makes it where there is none. */
+    public DiskRecordLog(Path folder, long maxBytes) throws IOException {
         durableLog = new DurableLog(folder.resolve("agreement"), maxBytes);
     }
 
     /** As it was found. */
-    RaftStateStore openStateStore() throws IOException {
+    public RaftStateStore openStateStore() throws IOException {
         RaftStateStore stateStore =
                 new RaftStateStore(this, durableLog.snapshot(), durableLog.records());
         durableLog.releaseRecovered();
--- a/src/main/java/tinlink/cluster/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftCodec.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -36,7 +36,7 @@
     static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
     static final Object GROUP_ID = "tinlink";
     /** One operation is no longer, nor is a piece of a snapshot. */
-    static final int MAX_TEXT_BYTES = 1 << 20;
+    public static final int MAX_TEXT_BYTES = 1 << 20;
 
     private static final int MAX_ENTRIES = 4096;
     private static final int MAX_VOTERS = 64;
@@ -263,7 +263,8 @@
 
     // ---- What they are made of. ----
 
-    static Voter voter(ByteBuffer in) throws MessageRejectedException {
+    /** The voter that stands next in a message. */
+    public static Voter voter(ByteBuffer in) throws MessageRejectedException {
         String text = MessageCodec.readText(in);
         try {
             return Voter.parse(text);
--- a/src/main/java/tinlink/cluster/RaftExecutor.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftExecutor.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import io.microraft.executor.RaftNodeExecutor;
 
@@ -14,13 +14,13 @@
  * The agreement's own thread and clock. The library counts in whole seconds; here one of its
  * seconds is as long as is stated. The clock only goes on, whatever the wall clock does.
  */
-final class RaftExecutor extends Clock implements RaftNodeExecutor {
+public final class RaftExecutor extends Clock implements RaftNodeExecutor {
     private final double secondScale;
     private final ScheduledThreadPoolExecutor executor;
     private final long startNanos = System.nanoTime();
 
     /** @param librarySecondUs how long one of the library's seconds is */
-    RaftExecutor(long librarySecondUs) {
+    public RaftExecutor(long librarySecondUs) {
         secondScale = librarySecondUs / 1e6;
         executor = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreement");
@@ -57,7 +57,7 @@
     }
 
     /** What runs now is waited for, since it may be writing; a second at most. */
-    void shutdown() {
+    public void shutdown() {
         executor.shutdown();
         try {
             executor.awaitTermination(1, TimeUnit.SECONDS);
--- a/src/main/java/tinlink/cluster/RaftReplica.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftReplica.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.QueryPolicy;
@@ -23,9 +23,6 @@
 import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 
-import tinlink.cluster.membership.RecoveryFloor;
-import tinlink.cluster.membership.VoterAdmission;
-
 import java.time.Clock;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/tinlink/cluster/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import io.microraft.RaftEndpoint;
 import io.microraft.model.log.LogEntry;
@@ -10,7 +10,6 @@
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
 
-import tinlink.cluster.membership.RecoveryFloor;
 import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 
@@ -81,7 +80,7 @@
     }
 
     /** Null where nothing was kept yet. */
-    RestoredRaftState restoredState() {
+    public RestoredRaftState restoredState() {
         if (endpoint == null || group == null || term == null) {
             return null;
         }
@@ -129,7 +128,7 @@
     }
 
     /** As whom this disk has voted; null where it never has. */
-    Voter localVoter() {
+    public Voter localVoter() {
         return endpoint == null ? null : (Voter) endpoint.getLocalEndpoint();
     }
 
--- a/src/main/java/tinlink/cluster/ReplicatedStateMachine.java
+++ b/src/main/java/tinlink/cluster/consensus/ReplicatedStateMachine.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import java.util.List;
 
--- a/src/main/java/tinlink/cluster/membership/VoterAdmission.java
+++ b/src/main/java/tinlink/cluster/consensus/VoterAdmission.java
@@ -1,4 +1,6 @@
-package tinlink.cluster.membership;
+package tinlink.cluster.consensus;
+
+import tinlink.cluster.membership.Incarnation;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/tinlink/cluster/membership/VoterReplacement.java
+++ b/src/main/java/tinlink/cluster/consensus/VoterReplacement.java
@@ -1,4 +1,4 @@
-package tinlink.cluster.membership;
+package tinlink.cluster.consensus;
 
 import java.util.Collection;
 import java.util.Map;
--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/transport/PeerConnections.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import tinlink.cluster.membership.Incarnation;
 import tinlink.net.CloseReason;
@@ -30,7 +30,7 @@
 public final class PeerConnections implements Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
     /** Connections that have not proved themselves, where nothing else is stated. */
-    static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
+    public static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
     /** What may wait for one link to come up. */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
@@ -45,6 +45,8 @@
     public record Timeouts(long handshakeUs, long idleUs, long retryDelayUs) {}
 
     /**
+     * Bounds.
+     *
      * @param connections out, and as many in
      * @param unauthenticated that have called and not proved themselves; the oldest gives way
      */
--- a/src/main/java/tinlink/cluster/PeerProtocol.java
+++ b/src/main/java/tinlink/cluster/transport/PeerProtocol.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.MemberState;
@@ -11,35 +11,35 @@
 import java.util.List;
 
 /** The messages between routers that know each other. */
-final class PeerProtocol extends MessageCodec {
-    static final int VERSION = 1;
-    static final byte HELLO = 1;
-    static final byte CHALLENGE = 2;
-    static final byte PROOF = 3;
+public final class PeerProtocol extends MessageCodec {
+    public static final int VERSION = 1;
+    public static final byte HELLO = 1;
+    public static final byte CHALLENGE = 2;
+    public static final byte PROOF = 3;
     /** Of the membership: probes and their answers, with rumors. */
-    static final byte MEMBERSHIP = 4;
+    public static final byte MEMBERSHIP = 4;
     /** Of the agreement. */
-    static final byte RAFT = 5;
+    public static final byte RAFT = 5;
     /** A subsystem's own; it says what it is. */
-    static final byte NODE = 6;
+    public static final byte NODE = 6;
 
-    static final int NONCE_BYTES = 32;
-    static final int PROOF_BYTES = 32;
-    static final int MAX_HANDSHAKE_BYTES = 1 << 10;
-    /** A piece of a snapshot, or the lines that a router lacks, with what goes with them. */
-    static final int MAX_FRAME_BYTES = 2 * RaftCodec.MAX_TEXT_BYTES;
+    public static final int NONCE_BYTES = 32;
+    public static final int PROOF_BYTES = 32;
+    public static final int MAX_HANDSHAKE_BYTES = 1 << 10;
+    /** A chunk of a snapshot, or the lines that a router lacks, with what goes with them: twice the longest text. */
+    public static final int MAX_FRAME_BYTES = 2 << 20;
 
     private static final int MAX_RUMORS = 64;
 
     private PeerProtocol() {}
 
-    static void incarnation(Builder out, Incarnation incarnation) {
+    public static void incarnation(Builder out, Incarnation incarnation) {
         out.putText(incarnation.router())
                 .putLong(incarnation.startCount())
                 .putLong(incarnation.nonce());
     }
 
-    static Incarnation incarnation(ByteBuffer in) throws MessageRejectedException {
+    public static Incarnation incarnation(ByteBuffer in) throws MessageRejectedException {
         String name = readText(in);
         if (name.isEmpty()) {
             throw malformed("a router without a name");
@@ -48,7 +48,7 @@
     }
 
     @SuppressWarnings("EnumOrdinal") // Standings are numbered in their order.
-    static void rumors(Builder out, List<Rumor> rumors) {
+    public static void rumors(Builder out, List<Rumor> rumors) {
         out.putByte(rumors.size());
         for (Rumor rumor : rumors) {
             incarnation(out, rumor.incarnation());
@@ -60,7 +60,7 @@
     }
 
     @SuppressWarnings("EnumOrdinal") // As above.
-    static List<Rumor> rumors(ByteBuffer in) throws MessageRejectedException {
+    public static List<Rumor> rumors(ByteBuffer in) throws MessageRejectedException {
         int count = in.get();
         if (count < 0 || count > MAX_RUMORS) {
             throw malformed(count + " rumours");
--- a/src/main/java/tinlink/cluster/PeerSession.java
+++ b/src/main/java/tinlink/cluster/transport/PeerSession.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import tinlink.cluster.membership.Incarnation;
 import tinlink.net.CloseReason;
--- a/src/main/java/tinlink/cluster/TrafficCounters.java
+++ b/src/main/java/tinlink/cluster/transport/TrafficCounters.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -1,8 +1,8 @@
 package tinlink.experiment.scale;
 
 import tinlink.cluster.ClusterNode;
-import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.PeerKeys;
+import tinlink.cluster.consensus.CompositeStateMachine;
 import tinlink.cluster.membership.MemberState;
 import tinlink.config.ClusterConfig;
 import tinlink.config.InvalidInputException;
--- a/src/main/java/tinlink/experiment/simulation/ConsensusGroup.java
+++ b/src/main/java/tinlink/experiment/simulation/ConsensusGroup.java
@@ -1,6 +1,6 @@
 package tinlink.experiment.simulation;
 
-import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/tinlink/experiment/simulation/ControlFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlFleet.java
@@ -3,7 +3,7 @@
 import static tinlink.experiment.simulation.Simulation.MS;
 import static tinlink.experiment.simulation.Simulation.SEC;
 
-import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
 import tinlink.cluster.membership.Incarnation;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
--- a/src/main/java/tinlink/experiment/simulation/ControlSimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlSimulation.java
@@ -3,7 +3,7 @@
 import static tinlink.experiment.simulation.Simulation.MS;
 import static tinlink.experiment.simulation.Simulation.SEC;
 
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyChange;
 import tinlink.policy.rollout.PolicyCommand;
--- a/src/main/java/tinlink/experiment/simulation/SharedPolicyStateMachine.java
+++ b/src/main/java/tinlink/experiment/simulation/SharedPolicyStateMachine.java
@@ -1,6 +1,6 @@
 package tinlink.experiment.simulation;
 
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.PolicyCommandCodec;
--- a/src/main/java/tinlink/experiment/simulation/SimulatedDisk.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedDisk.java
@@ -1,6 +1,6 @@
 package tinlink.experiment.simulation;
 
-import tinlink.cluster.RaftStateStore;
+import tinlink.cluster.consensus.RaftStateStore;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
@@ -3,15 +3,15 @@
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.RaftMessage;
 
-import tinlink.cluster.LearnerLog;
-import tinlink.cluster.RaftCodec;
-import tinlink.cluster.RaftReplica;
-import tinlink.cluster.RaftStateStore;
-import tinlink.cluster.ReplicatedStateMachine;
-import tinlink.cluster.Voter;
+import tinlink.cluster.consensus.LearnerLog;
+import tinlink.cluster.consensus.RaftCodec;
+import tinlink.cluster.consensus.RaftReplica;
+import tinlink.cluster.consensus.RaftStateStore;
+import tinlink.cluster.consensus.RecoveryFloor;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
+import tinlink.cluster.consensus.Voter;
+import tinlink.cluster.consensus.VoterAdmission;
 import tinlink.cluster.membership.Incarnation;
-import tinlink.cluster.membership.RecoveryFloor;
-import tinlink.cluster.membership.VoterAdmission;
 import tinlink.net.MessageRejectedException;
 
 import java.io.IOException;
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -1,6 +1,6 @@
 package tinlink.maintenance;
 
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 import tinlink.net.EventLoop;
 
 import java.io.IOException;
--- a/src/main/java/tinlink/maintenance/ReplicatedMaintenance.java
+++ b/src/main/java/tinlink/maintenance/ReplicatedMaintenance.java
@@ -1,6 +1,6 @@
 package tinlink.maintenance;
 
-import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.MaintenanceStateMachine;
 
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
@@ -1,6 +1,6 @@
 package tinlink.maintenance.scheduling;
 
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/tinlink/policy/PolicyStateMachine.java
+++ b/src/main/java/tinlink/policy/PolicyStateMachine.java
@@ -1,7 +1,7 @@
 package tinlink.policy;
 
-import tinlink.cluster.ReplicatedStateMachine;
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyChanges;
 import tinlink.policy.rollout.PolicyCommand;
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -1,9 +1,9 @@
 package tinlink.router;
 
 import tinlink.cluster.ClusterNode;
-import tinlink.cluster.CompositeStateMachine;
 import tinlink.cluster.PeerKeys;
-import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.consensus.CompositeStateMachine;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
 import tinlink.config.ClusterConfig;
 import tinlink.config.MaintenanceConfig;
 import tinlink.config.RouterConfig;
--- a/src/test/java/tinlink/ArchitectureTest.java
+++ b/src/test/java/tinlink/ArchitectureTest.java
@@ -4,6 +4,8 @@
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
@@ -51,6 +53,10 @@
                 .definedBy("tinlink.cluster")
                 .layer("cluster membership")
                 .definedBy("tinlink.cluster.membership")
+                .layer("cluster consensus")
+                .definedBy("tinlink.cluster.consensus")
+                .layer("cluster transport")
+                .definedBy("tinlink.cluster.transport")
                 .layer("maintenance")
                 .definedBy("tinlink.maintenance")
                 .layer("maintenance scheduling")
@@ -92,10 +98,13 @@
                 .whereLayer("http2 pool")
                 .mayOnlyBeAccessedByLayers("http2", "router")
                 .whereLayer("securechannel")
-                .mayOnlyBeAccessedByLayers("gateway", "cluster")
+                .mayOnlyBeAccessedByLayers(
+                        "gateway", "cluster", "cluster consensus", "cluster transport")
                 .whereLayer("cluster")
-                .mayOnlyBeAccessedByLayers("maintenance", "policy", "router", "simulation")
-                .whereLayer("cluster membership")
+                .mayOnlyBeAccessedByLayers("maintenance", "policy", "router")
+                .whereLayer("cluster transport")
+                .mayOnlyBeAccessedByLayers("cluster")
+                .whereLayer("cluster consensus")
                 .mayOnlyBeAccessedByLayers(
                         "cluster",
                         "maintenance",
@@ -103,6 +112,16 @@
                         "policy",
                         "router",
                         "simulation")
+                .whereLayer("cluster membership")
+                .mayOnlyBeAccessedByLayers(
+                        "cluster",
+                        "maintenance",
+                        "maintenance scheduling",
+                        "policy",
+                        "router",
+                        "simulation",
+                        "cluster consensus",
+                        "cluster transport")
                 .whereLayer("maintenance")
                 .mayOnlyBeAccessedByLayers("router", "simulation")
                 .whereLayer("maintenance scheduling")
@@ -112,13 +131,14 @@
                 .whereLayer("policy")
                 .mayOnlyBeAccessedByLayers("router", "maintenance", "cli")
                 .whereLayer("storage")
-                .mayOnlyBeAccessedByLayers("cluster", "router")
+                .mayOnlyBeAccessedByLayers("cluster", "cluster consensus", "router")
                 .whereLayer("simulation")
                 .mayOnlyBeAccessedByLayers("experiment")
                 .whereLayer("decision")
                 .mayNotAccessAnyLayer()
                 .check(ALL);
         slices().matching("tinlink.(*)..").should().beFreeOfCycles().check(ALL);
+        slices().matching("tinlink.cluster.(*)..").should().beFreeOfCycles().check(ALL);
     }
 
     /** Experiments, in whichever package of theirs, know neither the command line nor the program's entry. */
@@ -171,4 +191,42 @@
                         "tinlink.net..")
                 .check(ALL);
     }
+
+    /** What decides in the cluster stands beside adapters: held to the same as packages that decide. */
+    @Test
+    void clusterDecisionsDoNoInputOrOutput() {
+        for (String name : new String[] {
+            "RecoveryFloor", "VoterAdmission", "VoterReplacement", "LineCodec"
+        }) {
+            noClasses()
+                    .that()
+                    .haveNameMatching("tinlink\\.cluster\\.consensus\\." + name + "(\\$.*)?")
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage(
+                            "java.io..",
+                            "java.nio..",
+                            "java.net..",
+                            "java.util.logging..",
+                            "java.util.concurrent..",
+                            "java.time..",
+                            "tinlink.net..")
+                    .check(ALL);
+        }
+    }
+
+    /** Of consensus, what schedules maintenance knows the form of a line alone. */
+    @Test
+    void schedulingKnowsOfConsensusOnlyTheLineForm() {
+        noClasses()
+                .that()
+                .resideInAPackage("tinlink.maintenance.scheduling")
+                .should()
+                .dependOnClassesThat(JavaClass.Predicates.resideInAPackage(
+                                "tinlink.cluster.consensus")
+                        .and(DescribedPredicate.not(JavaClass.Predicates.simpleName("LineCodec")))
+                        .and(DescribedPredicate.not(
+                                JavaClass.Predicates.simpleName("FieldReader"))))
+                .check(ALL);
+    }
 }
--- a/src/test/java/tinlink/cluster/ClusterNodeTest.java
+++ b/src/test/java/tinlink/cluster/ClusterNodeTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+import tinlink.cluster.consensus.ReplicatedStateMachine;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.MemberState;
 import tinlink.net.EventLoop;
--- a/src/test/java/tinlink/cluster/membership/RecoveryFloorTest.java
+++ b/src/test/java/tinlink/cluster/consensus/RecoveryFloorTest.java
@@ -1,4 +1,4 @@
-package tinlink.cluster.membership;
+package tinlink.cluster.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/tinlink/cluster/membership/VoterReplacementTest.java
+++ b/src/test/java/tinlink/cluster/consensus/VoterReplacementTest.java
@@ -1,4 +1,4 @@
-package tinlink.cluster.membership;
+package tinlink.cluster.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,8 +6,9 @@
 
 import org.junit.jupiter.api.Test;
 
-import tinlink.cluster.membership.VoterAdmission.Decision;
-import tinlink.cluster.membership.VoterAdmission.LogPosition;
+import tinlink.cluster.consensus.VoterAdmission.Decision;
+import tinlink.cluster.consensus.VoterAdmission.LogPosition;
+import tinlink.cluster.membership.Incarnation;
 
 import java.util.Map;
 import java.util.Set;
--- a/src/test/java/tinlink/cluster/TrafficCountersTest.java
+++ b/src/test/java/tinlink/cluster/transport/TrafficCountersTest.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
+++ b/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import tinlink.Scenarios;
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 import tinlink.cluster.ClusterNode;
-import tinlink.cluster.CompositeStateMachine;
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.CompositeStateMachine;
+import tinlink.cluster.consensus.LineCodec;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
