--- /dev/null
+++ b/src/main/java/tinlink/cluster/MembershipTransport.java
@@ -0,0 +1,125 @@
+package tinlink.cluster;
+
+import tinlink.cluster.membership.Incarnation;
+import tinlink.cluster.membership.Member;
+import tinlink.cluster.membership.Membership;
+import tinlink.cluster.membership.Rumor;
+import tinlink.cluster.transport.MessageKind;
+import tinlink.cluster.transport.PeerConnections;
+import tinlink.cluster.transport.PeerProtocol;
+import tinlink.net.EventLoop;
+import tinlink.net.MessageRejectedException;
+import tinlink.securechannel.MessageCodec;
+
+import java.nio.ByteBuffer;
+import java.util.List;
+import java.util.Locale;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * Carries out the decisions of {@link Membership} over the connections, and feeds it what comes in. Event
+ * loop's thread only.
+ */
+final class MembershipTransport implements Membership.Handler {
+    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+
+    private final EventLoop loop;
+    private final Membership membership;
+    private final PeerConnections connections;
+    private final RouterAddresses addresses;
+    private final Incarnation self;
+    private final Runnable onSelfConflict;
+
+    /** @param onSelfConflict runs where another process of this router is found */
+    MembershipTransport(
+            EventLoop loop,
+            Membership membership,
+            PeerConnections connections,
+            RouterAddresses addresses,
+            Incarnation self,
+            Runnable onSelfConflict) {
+        this.loop = loop;
+        this.membership = membership;
+        this.connections = connections;
+        this.addresses = addresses;
+        this.self = self;
+        this.onSelfConflict = onSelfConflict;
+    }
+
+    /** @throws MessageRejectedException where it is malformed, or its kind is not known here */
+    void onMessage(ByteBuffer payload) throws MessageRejectedException {
+        MembershipMessage message = MembershipMessageCodec.decode(payload);
+        String sender = message.rumors().get(0).address();
+        membership.onRumors(message.rumors());
+        switch (message.kind()) {
+            case PROBE -> membership.onProbe(sender, message.sequenceNumber());
+            case PROBE_ACK -> membership.onAck(message.sequenceNumber());
+            case PROBE_REQUEST ->
+                membership.onProbeRequest(sender, message.sequenceNumber(), message.target());
+            case PROBE_NACK -> membership.onNack(message.sequenceNumber());
+            default -> throw MessageCodec.malformed("a membership message of an unknown kind");
+        }
+    }
+
+    private void send(String address, MembershipMessage message) {
+        connections.send(
+                addresses.resolve(address),
+                PeerProtocol.MEMBERSHIP,
+                MembershipMessageCodec.encode(message));
+    }
+
+    @Override
+    public void sendProbe(String address, long sequenceNumber, List<Rumor> rumors) {
+        send(address, new MembershipMessage(MessageKind.PROBE, sequenceNumber, "", rumors));
+    }
+
+    @Override
+    public void sendAck(String address, long sequenceNumber, List<Rumor> rumors) {
+        send(address, new MembershipMessage(MessageKind.PROBE_ACK, sequenceNumber, "", rumors));
+    }
+
+    @Override
+    public void sendProbeRequest(
+            String address, long sequenceNumber, String target, List<Rumor> rumors) {
+        send(
+                address,
+                new MembershipMessage(MessageKind.PROBE_REQUEST, sequenceNumber, target, rumors));
+    }
+
+    @Override
+    public void sendNack(String address, long sequenceNumber, List<Rumor> rumors) {
+        send(address, new MembershipMessage(MessageKind.PROBE_NACK, sequenceNumber, "", rumors));
+    }
+
+    @Override
+    public void onMemberChanged(Member member) {
+        LOG.log(
+                Level.INFO,
+                "event=member_changed router={0} incarnation={1} state={2}{3}",
+                new Object[] {
+                    member.router(),
+                    member.incarnation(),
+                    member.state(),
+                    member.duplicate() == null ? "" : " duplicate=" + member.duplicate()
+                });
+        connections.counters().increment("peers_" + member.state().name().toLowerCase(Locale.ROOT));
+    }
+
+    @Override
+    public void onSelfConflict(Incarnation.Relation relation, Incarnation other) {
+        boolean isDuplicate = relation == Incarnation.Relation.DUPLICATE;
+        connections.counters().increment(isDuplicate ? "peers_self_twin" : "peers_self_later");
+        LOG.log(
+                Level.SEVERE,
+                "event=duplicate_router relation={0} other={1} own={2}",
+                new Object[] {relation, other, self});
+        onSelfConflict.run();
+    }
+
+    /** The turn in which it is due pulls decisions. */
+    @Override
+    public void scheduleWakeUp(long atUs) {
+        loop.schedule(atUs, () -> {});
+    }
+}
