--- a/src/main/java/tinlink/cluster/consensus/CompositeStateMachine.java
+++ b/src/main/java/tinlink/cluster/consensus/CompositeStateMachine.java
@@ -7,14 +7,19 @@
 import java.util.TreeMap;
 
 /**
- * Several things that are agreed on in one order of lines, told apart by the first word of a line.
- * All routers of a cluster have the same ones, whether they make use of them or not.
+ * Several state machines that share one order of lines, told apart by the first field of a line. All routers of a
+ * cluster have the same ones, whether they make use of them or not.
  */
 public final class CompositeStateMachine implements ReplicatedStateMachine {
     private final ReplicatedStateMachine defaultStateMachine;
     private final Map<String, ReplicatedStateMachine> byPrefix;
 
-    /** @param defaultStateMachine has all lines whose first word is none of the others' */
+    /**
+     * Puts them together.
+     *
+     * @param defaultStateMachine has all lines whose first field is none of the others'
+     * @param byPrefix the others by that field
+     */
     public CompositeStateMachine(
             ReplicatedStateMachine defaultStateMachine,
             Map<String, ReplicatedStateMachine> byPrefix) {
@@ -41,11 +46,10 @@
 
     @Override
     public void restore(List<String> lines) {
-        Map<ReplicatedStateMachine, List<String>> linesByStateMachine = new LinkedHashMap<>();
-        linesByStateMachine.put(defaultStateMachine, new ArrayList<>());
-        byPrefix.values()
-                .forEach(stateMachine -> linesByStateMachine.put(stateMachine, new ArrayList<>()));
-        lines.forEach(line -> linesByStateMachine.get(stateMachineFor(line)).add(line));
-        linesByStateMachine.forEach(ReplicatedStateMachine::restore);
+        Map<ReplicatedStateMachine, List<String>> linesOf = new LinkedHashMap<>();
+        linesOf.put(defaultStateMachine, new ArrayList<>());
+        byPrefix.values().forEach(stateMachine -> linesOf.put(stateMachine, new ArrayList<>()));
+        lines.forEach(line -> linesOf.get(stateMachineFor(line)).add(line));
+        linesOf.forEach(ReplicatedStateMachine::restore);
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/LearnerLog.java
+++ b/src/main/java/tinlink/cluster/consensus/LearnerLog.java
@@ -5,11 +5,16 @@
 import java.util.List;
 
 /**
- * What was agreed, as far as this router has heard of it, for itself and for routers that don't
- * vote: the newest lines one by one, and what stands after them as a whole.
+ * What was agreed on, as far as this router has learned it, for itself and for routers that don't vote: the newest
+ * lines one by one, and the state after them. Event loop's thread only.
  */
 public final class LearnerLog {
-    /** A line and its place in the order; as a whole the lines of what stands after that place. */
+    /**
+     * What a router lacks.
+     *
+     * @param index up to which all is in it
+     * @param isSnapshot the lines are the state as of that index, instead of those that lead up to it
+     */
     public record Batch(long index, boolean isSnapshot, List<String> lines) {}
 
     private record LogLine(long index, String text) {}
@@ -20,20 +25,29 @@
     private final ArrayDeque<LogLine> lines = new ArrayDeque<>();
 
     private long index;
-    /** Lines from here on are all there. */
+    /** Lines after this index are all there. */
     private long completeAfter;
 
-    /** @param maxLines lines that are kept one by one */
+    /**
+     * Begins before the first line.
+     *
+     * @param maxLines lines that are kept one by one
+     */
     public LearnerLog(ReplicatedStateMachine stateMachine, int maxLines) {
         this.stateMachine = stateMachine;
         this.maxLines = maxLines;
     }
 
+    /** Up to which all has been applied. */
     public long index() {
         return index;
     }
 
-    /** The same place may come twice; what is not new is passed over. @return whether it was new */
+    /**
+     * Applies a line; the same one may come twice.
+     *
+     * @return whether it was new
+     */
     public boolean append(long newIndex, String line) {
         if (newIndex <= index) {
             return false;
@@ -49,6 +63,11 @@
         return true;
     }
 
+    /**
+     * Takes up a state.
+     *
+     * @return whether it was new
+     */
     public boolean restore(long newIndex, List<String> snapshot) {
         if (newIndex <= index) {
             return false;
@@ -60,7 +79,7 @@
         return true;
     }
 
-    /** What somebody lacks who has heard up to that place; null where it is nothing. */
+    /** What a router lacks that has learned all up to that index; null where it is nothing. */
     public Batch batchAfter(long learnedIndex) {
         if (learnedIndex >= index) {
             return null;
@@ -69,16 +88,19 @@
             return new Batch(index, true, stateMachine.snapshot());
         }
         List<String> texts = new ArrayList<>();
-        lines.stream()
-                .filter(logLine -> logLine.index() > learnedIndex)
-                .forEach(logLine -> texts.add(logLine.text()));
+        for (LogLine line : lines) {
+            if (line.index() > learnedIndex) {
+                texts.add(line.text());
+            }
+        }
         return new Batch(index, false, texts);
     }
 
     /**
-     * What a voter has told a router that does not vote.
+     * Applies what a voter has sent to a router that does not vote.
      *
-     * @param requestedAfter what was asked for: a piece that does not begin there is passed over
+     * @param requestedAfter the index that was asked for: lines that don't begin there are passed over
+     * @return whether something was new
      */
     public boolean appendBatch(long requestedAfter, Batch batch) {
         if (batch.isSnapshot()) {
@@ -88,8 +110,8 @@
             return false;
         }
         batch.lines().forEach(stateMachine::apply);
-        // Danger: which line has which place was not told; passed on from here some would be played
-        // twice.
+        // Danger: which line has which index is not in it; passed on from here some would be
+        // applied twice.
         lines.clear();
         completeAfter = batch.index();
         index = batch.index();
--- a/src/main/java/tinlink/cluster/consensus/RaftExecutor.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftExecutor.java
@@ -11,15 +11,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The agreement's own thread and clock. The library counts in whole seconds; here one of its
- * seconds is as long as is stated. The clock only goes on, whatever the wall clock does.
+ * The thread and the clock of Raft. The library counts in whole seconds; here one of its seconds is as long as is
+ * configured. The clock only goes on, whatever the wall clock does.
  */
 public final class RaftExecutor extends Clock implements RaftNodeExecutor {
+    private static final int SHUTDOWN_TIMEOUT_S = 1;
+
+    /** Real seconds in one of the library's. */
     private final double secondScale;
+
     private final ScheduledThreadPoolExecutor executor;
     private final long startNanos = System.nanoTime();
 
-    /** @param librarySecondUs how long one of the library's seconds is */
+    /**
+     * Has its thread from the first task on.
+     *
+     * @param librarySecondUs how long one of the library's seconds is
+     */
     public RaftExecutor(long librarySecondUs) {
         secondScale = librarySecondUs / 1e6;
         executor = new ScheduledThreadPoolExecutor(1, task -> {
@@ -41,11 +49,11 @@
         try {
             executor.execute(task);
         } catch (RejectedExecutionException e) {
-            // It has ended; nothing of it matters any more.
+            // It is shut down; nothing of the replica matters any more.
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // A task that is scheduled is never taken back.
+    @SuppressWarnings("FutureReturnValueIgnored") // A task that is scheduled is never cancelled.
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
@@ -56,11 +64,11 @@
         }
     }
 
-    /** What runs now is waited for, since it may be writing; a second at most. */
+    /** Takes no further task; the one that runs is waited for, since it may be writing, a second at most. */
     public void shutdown() {
         executor.shutdown();
         try {
-            executor.awaitTermination(1, TimeUnit.SECONDS);
+            executor.awaitTermination(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/tinlink/cluster/consensus/RaftReplica.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftReplica.java
@@ -192,15 +192,14 @@
      * How far a message shows its sender's disk to be; null where it shows nothing. Asking whether
      * one would be voted for names a term that is not on any disk yet.
      */
-    public static VoterAdmission.LogPosition confirmedPosition(RaftMessage message) {
+    public static LogPosition confirmedPosition(RaftMessage message) {
         if (message instanceof AppendEntriesSuccessResponse appendResponse) {
-            return new VoterAdmission.LogPosition(
-                    message.getTerm(), appendResponse.getLastLogIndex());
+            return new LogPosition(message.getTerm(), appendResponse.getLastLogIndex());
         }
         boolean isPersisted = message instanceof VoteRequest
                 || (message instanceof VoteResponse voteResponse && voteResponse.isGranted())
                 || message instanceof AppendEntriesRequest;
-        return isPersisted ? new VoterAdmission.LogPosition(message.getTerm(), 0) : null;
+        return isPersisted ? new LogPosition(message.getTerm(), 0) : null;
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // What a node reports is looked at by tend.
--- a/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
@@ -135,9 +135,9 @@
     /**
      * The highest term, and the end of the log: what others may have heard of before this process.
      */
-    public long[] lastPosition() {
+    public LogPosition lastPosition() {
         long lastIndex = log.isEmpty() ? chunks.isEmpty() ? 0 : chunks.lastKey() : log.lastKey();
-        return new long[] {term == null ? 0 : term.getTerm(), lastIndex};
+        return new LogPosition(term == null ? 0 : term.getTerm(), lastIndex);
     }
 
     private void replay(ByteBuffer in) throws MessageRejectedException {
--- a/src/main/java/tinlink/cluster/consensus/ReplicatedStateMachine.java
+++ b/src/main/java/tinlink/cluster/consensus/ReplicatedStateMachine.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * What is agreed on: lines in one order, the same for all. What stands after them is the same for
- * all too, and can be written as lines of its own.
+ * What is agreed on: lines in one order, the same for all replicas. The state after them is the same for all too,
+ * and can be written as lines of its own. Belongs to the thread that its replica runs on.
  */
 public interface ReplicatedStateMachine {
     /**
-     * Plays one line. @return what is said to whoever proposed it; empty where there is nothing to
-     * say
+     * Applies one line.
+     *
+     * @return the reply to whoever proposed it; empty where there is none
      */
     String apply(String line);
 
-    /** All of it, for who starts from here. */
+    /** All of the state, for {@link #restore}. */
     List<String> snapshot();
 
-    /** Starts from there. */
+    /** Takes this state in place of its own; no lines mean the state before the first one. */
     void restore(List<String> lines);
 }
--- a/src/main/java/tinlink/cluster/consensus/Voter.java
+++ b/src/main/java/tinlink/cluster/consensus/Voter.java
@@ -3,13 +3,14 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * Who takes part in agreeing: a router together with one disk of its. A router that has lost its
- * disk, or came back with an old copy of it, gets another number, so what it said before is not
- * held against it, nor for it.
+ * Who takes part in agreeing: a router together with one disk of its. A router that has lost its disk, or came back
+ * with an old copy of it, gets another number, so what the disk before it has said is not held against it, nor for it.
  *
- * @param diskId made by chance as the folder was first used
+ * @param diskId drawn by chance as the folder was first used; 0 for a disk of the cluster's first start
  */
 public record Voter(String router, long diskId) implements RaftEndpoint, Comparable<Voter> {
+    private static final int HEX = 16;
+
     @Override
     public Object getId() {
         return toString();
@@ -33,9 +34,10 @@
         }
         return new Voter(
                 text.substring(0, separator),
-                Long.parseUnsignedLong(text.substring(separator + 1), 16));
+                Long.parseUnsignedLong(text.substring(separator + 1), HEX));
     }
 
+    /** The router's name, a slash, and the disk's number in hex: as it goes to others and to disks. */
     @Override
     public String toString() {
         return router + "/" + Long.toHexString(diskId);
--- a/src/main/java/tinlink/cluster/consensus/VoterAdmission.java
+++ b/src/main/java/tinlink/cluster/consensus/VoterAdmission.java
@@ -5,50 +5,36 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 
 /**
- * Whether a disk that was found at the start may vote, and what it holds to if it does. Danger: a
- * folder restored from an old copy has forgotten votes that it gave and lines that it confirmed;
- * voting by it, the same term gets two leaders. So the others are asked first how far they have
- * heard this disk to be, which incarnation of its router they know, and where their own disks are.
+ * Whether a disk that was found at the start may vote, and what it keeps to if it does. Danger: a folder restored
+ * from an old copy has forgotten votes that it gave and entries that it confirmed; voting by it, the same term gets
+ * two leaders. So the others are asked first how far they know this disk to have been, which incarnation of its
+ * router they know, and where their own disks are.
  *
- * <p>It may vote once no other voter that answers knows of anything later and more than half of the
- * others have answered; from then on it holds to their {@link RecoveryFloor}. With half of the others away
- * for long it votes without one, as soon as a majority of the group, this one counted, has
- * answered: then what is not found out is an old copy whose missing votes and confirmations only
- * those who are away know of.
+ * <p>It may vote once no other voter that answers knows of anything later and more than half of the others have
+ * answered; from then on it keeps to their {@link RecoveryFloor}. With half of the others away for long it votes
+ * without one, as soon as a majority of the group, this one counted, has answered: then what is not found out is an
+ * old copy whose missing votes and confirmations only those who are away know of.
+ *
+ * <p>Free of I/O; times are microseconds of one clock. One thread at a time.
  */
 public final class VoterAdmission {
-    /** What is known of this disk so far. */
+    /** What has been found out of this disk so far. */
     public enum Decision {
+        /** Others are still asked. */
         UNDECIDED,
+        /** It may vote. */
         ADMITTED,
+        /** Others know of something later: it is an old copy, or stands for a disk that was lost. */
         STALE_DISK,
+        /** Another process runs as the same start of the same router. */
         DUPLICATE_PROCESS
     }
 
-    /**
-     * How far a disk has been heard to be.
-     *
-     * @param term the highest in which it said something
-     * @param confirmedIndex the end of the log that
-     *     it confirmed in that term
-     */
-    public record LogPosition(int term, long confirmedIndex) {
-        /** Whether a disk that is there can have said this. */
-        boolean isWithin(LogPosition diskPosition) {
-            return term < diskPosition.term
-                    || (term == diskPosition.term && confirmedIndex <= diskPosition.confirmedIndex);
-        }
-
-        /** Both heard. */
-        public LogPosition max(LogPosition other) {
-            return other.term > term
-                            || (other.term == term && other.confirmedIndex > confirmedIndex)
-                    ? other
-                    : this;
-        }
-    }
+    /** Where it has to vote without a floor, others are waited for so many times as long. */
+    private static final int GRACE_FACTOR_WITHOUT_FLOOR = 5;
 
     private final Incarnation self;
     private final LogPosition diskPosition;
@@ -56,22 +42,24 @@
     private final Set<String> otherVoters;
     private final boolean isDiskEmpty;
     /** By router, where its disk was as it answered last. */
-    private final Map<String, RecoveryFloor> answered = new HashMap<>();
+    private final Map<String, RecoveryFloor> answers = new HashMap<>();
 
     private Decision decision;
     private long quorumSinceUs = Long.MIN_VALUE;
-
-    /** What is heard of this router's later incarnation, where its disk is found to be lost; 0 before. */
     private long knownStartCount;
 
+    /** Of a disk that is not empty. */
     public VoterAdmission(Incarnation self, LogPosition diskPosition, Set<String> otherVoters) {
         this(self, diskPosition, otherVoters, false);
     }
 
     /**
+     * Begins undecided, unless there is nobody to ask.
+     *
+     * @param self this process
+     * @param diskPosition where its disk is
      * @param otherVoters names of the routers of the other voters
-     * @param isDiskEmpty nothing is on the disk: it may be the first start, or the disk before it was
-     *     lost
+     * @param isDiskEmpty it may be the first start, or the disk before it was lost
      */
     public VoterAdmission(
             Incarnation self,
@@ -86,37 +74,36 @@
         decision = otherVoters.isEmpty() ? Decision.ADMITTED : Decision.UNDECIDED;
     }
 
+    /** As {@link #decide} or an answer has last left it. */
     public Decision decision() {
         return decision;
     }
 
-    /**
-     * The disk was empty and its router has been known before: this one may stand for the one lost.
-     */
+    /** The disk was empty and its router has been known before: it may take the place of the one lost. */
     public boolean isLostDisk() {
         return decision == Decision.STALE_DISK && isDiskEmpty;
     }
 
-    /** So often its router has been started as far as others know, where {@link #isLostDisk}. */
+    /** So often its router has been started as far as others know, where {@link #isLostDisk}; else 0. */
     public long knownStartCount() {
         return knownStartCount;
     }
 
     /**
-     * What another voter has said.
+     * Another voter has answered.
      *
-     * @param knownIncarnation the newest incarnation of this router that it has heard of; null for none
-     * @param knownPosition how far it has heard this disk to be; null for nothing
+     * @param knownIncarnation the newest incarnation of this router that it knows; null for none
+     * @param knownPosition how far it knows this disk to have been; null where it does not
      * @param voterPosition where its own disk is
      */
-    public void answered(
+    public void onAnswer(
             String router,
             Incarnation knownIncarnation,
             LogPosition knownPosition,
             RecoveryFloor voterPosition,
             long nowUs) {
-        if (decision == Decision.ADMITTED && answered.containsKey(router)) {
-            answered.put(
+        if (decision == Decision.ADMITTED && answers.containsKey(router)) {
+            answers.put(
                     router,
                     voterPosition); // It has voted since; what binds it may have become less.
         }
@@ -126,7 +113,7 @@
         Incarnation.Relation relation = knownIncarnation == null
                 ? Incarnation.Relation.EARLIER
                 : self.relationTo(knownIncarnation);
-        if (relation == Incarnation.Relation.TWIN && !isDiskEmpty) {
+        if (relation == Incarnation.Relation.DUPLICATE && !isDiskEmpty) {
             decision = Decision.DUPLICATE_PROCESS;
         } else if (relation == Incarnation.Relation.LATER
                 || (isDiskEmpty
@@ -136,8 +123,8 @@
             decision = Decision.STALE_DISK;
             knownStartCount = knownIncarnation == null ? 1 : knownIncarnation.startCount();
         } else {
-            answered.put(router, voterPosition);
-            quorumSinceUs = answered.size() == groupSize / 2 ? nowUs : quorumSinceUs;
+            answers.put(router, voterPosition);
+            quorumSinceUs = answers.size() == groupSize / 2 ? nowUs : quorumSinceUs;
         }
     }
 
@@ -147,35 +134,34 @@
     }
 
     /**
-     * Those that have not answered are waited for a while past the majority: each may be the one
-     * that knows.
+     * Decides as far as can be. Those that have not answered are waited for a while past the majority: each may be
+     * the one that knows of something later.
      *
      * @param graceUs how long; five times as long where it has to vote without a floor
      */
     public Decision decide(long nowUs, long graceUs) {
-        boolean hasQuorum = answered.size() >= quorum();
+        long withoutFloorUs = GRACE_FACTOR_WITHOUT_FLOOR * graceUs;
+        boolean hasQuorum = answers.size() >= quorum();
+        boolean hasMajority = answers.size() >= groupSize / 2;
         if (decision == Decision.UNDECIDED
-                && (answered.size() == otherVoters.size()
+                && (answers.size() == otherVoters.size()
                         || (hasQuorum && nowUs >= quorumSinceUs + graceUs)
-                        || (answered.size() >= groupSize / 2
-                                && nowUs >= quorumSinceUs + 5 * graceUs))) {
+                        || (hasMajority && nowUs >= quorumSinceUs + withoutFloorUs))) {
             decision = Decision.ADMITTED;
         }
         return decision;
     }
 
-    /** What this voter holds to, by the newest answers. */
+    /** What this voter keeps to, by the newest answers. */
     public RecoveryFloor floor() {
-        return RecoveryFloor.fromAnswers(answered.values(), quorum());
+        return RecoveryFloor.fromAnswers(answers.values(), quorum());
     }
 
-    /**
-     * Whom to ask, again and again until it is known; and after that for as long as nobody leads.
-     */
+    /** Whom to ask, again and again until it is decided; and after that for as long as nobody leads. */
     public Set<String> votersToAsk() {
-        Set<String> pending = new java.util.TreeSet<>(otherVoters);
+        Set<String> pending = new TreeSet<>(otherVoters);
         if (decision == Decision.UNDECIDED) {
-            pending.removeAll(answered.keySet());
+            pending.removeAll(answers.keySet());
         }
         return pending;
     }
--- a/src/main/java/tinlink/cluster/membership/Membership.java
+++ b/src/main/java/tinlink/cluster/membership/Membership.java
@@ -1,274 +1,160 @@
 package tinlink.cluster.membership;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 
 /**
- * Which routers there are, and which of them answer, as this one knows it. Inputs only update what
- * is known; decisions are pulled until there is none. Times are microseconds of one clock that
- * never goes back.
+ * Which routers there are, and which of them answer, as this one knows it. Inputs only update what is known;
+ * decisions are pulled until there is none. Times are microseconds of one clock that never goes back.
  *
- * <p>Source: A. Das, I. Gupta and A. Motivala, "SWIM" (DSN 2002): one member is probed a round,
- * through others where it is silent, and what is found travels with probes and answers. A. Dadgar,
- * J. Phillips and J. Currey, "Lifeguard" (2018): who finds many silent doubts itself first, a
- * suspicion ends the sooner the more have confirmed it, and a suspect is told at the next word with
- * it. Own: the incarnations of one router, told apart ({@link Incarnation}), and a bound on all tables.
+ * <p>Source: A. Das, I. Gupta and A. Motivala, "SWIM" (DSN 2002): one member is probed a round, through others
+ * where it is silent, and what is found travels with probes and their answers. A. Dadgar, J. Phillips and
+ * J. Currey, "Lifeguard" (2018): a router that finds many silent doubts itself first, a suspicion ends the
+ * sooner the more have confirmed it, and a suspect is told with the next message to it. Own: the incarnations of
+ * one router are told apart ({@link Incarnation}), and all tables are bounded.
  */
 public final class Membership {
-    /** A rumor is told so many times the logarithm of the members. */
-    private static final int RETRANSMIT_FACTOR = 3;
-
-    private static final int MAX_RUMORS_PER_MESSAGE = 8;
-    private static final int MAX_LOCAL_HEALTH_MULTIPLIER = 8;
-    /**
-     * A suspicion lasts so many rounds, times the logarithm of the members, once it has been
-     * confirmed.
-     */
-    private static final double MIN_SUSPICION_ROUNDS = 4;
-    /** And so many times longer before. */
-    private static final double MAX_SUSPICION_FACTOR = 4;
-
-    private static final int MAX_CONFIRMATIONS = 3;
-    /**
-     * Who is dead or has left is known for so many suspicions more, so that old rumors don't bring
-     * it back.
-     */
-    private static final int RETENTION_SUSPICIONS = 20;
-    /**
-     * Danger: a rumor can't have been of an refutation count that its incarnation has not reached; a liar's
-     * may be.
-     */
+    /** Danger: a rumor can't be of a refutation that its incarnation has not reached; a liar's may be. */
     private static final long MAX_REFUTATION_COUNT = 1L << 40;
-    /** Named routers that never answer are asked again, in turn with the members. */
-    private static final int SEED_PROBE_INTERVAL = 4;
 
     /**
-     * The pace of probes.
+     * Pace and bounds.
      *
      * @param probeIntervalUs between two probes; an answer is awaited for half of it, then others are asked
-     * @param indirectProbes who are asked to probe a silent one
-     * @param maxMembers members that are known at a time
+     * @param indirectProbes members that are asked to probe a silent one
+     * @param maxMembers that are known at a time
      */
     public record Settings(long probeIntervalUs, int indirectProbes, int maxMembers) {}
 
-    /** What becomes of decisions. */
+    /** Carries decisions out; called within {@link #decide} alone. */
     public interface Handler {
         /**
          * Sends a probe.
          *
-         * @param address where it is reached; the word goes there whoever answers
+         * @param address where the message goes, whoever answers there
          */
         void sendProbe(String address, long sequenceNumber, List<Rumor> rumors);
 
+        /** Answers a probe. */
         void sendAck(String address, long sequenceNumber, List<Rumor> rumors);
 
-        /** Asks the first to probe the second. */
-        void sendProbeRequest(
-                String address, long sequenceNumber, String target, List<Rumor> rumors);
+        /** Asks the router at the first address to probe the one at the second. */
+        void sendProbeRequest(String address, long sequenceNumber, String target, List<Rumor> rumors);
 
-        /** It was asked to probe another one, which is silent; so the helper at least is heard. */
+        /** Answers a probe request whose target is silent, so that this router at least is known to answer. */
         void sendNack(String address, long sequenceNumber, List<Rumor> rumors);
 
-        /** A member's incarnation or state has changed, or it has shown a twin. */
+        /** A member's incarnation or state has changed, or a duplicate of it was found. */
         void onMemberChanged(Member member);
 
-        /** Of this process: another incarnation of this router is about. */
+        /** Another incarnation of this router is running. */
         void onSelfConflict(Incarnation.Relation relation, Incarnation other);
 
+        /** {@link #decide} is to be called at that time. */
         void scheduleWakeUp(long atUs);
     }
 
-    private static final class Probe {
-        final Member target;
-        final String address;
-        final long sequenceNumber;
-        final long indirectAtUs;
-        final long deadlineUs;
-        boolean indirectSent;
-        int missingNacks;
-
-        Probe(
-                Member target,
-                String address,
-                long sequenceNumber,
-                long indirectAtUs,
-                long deadlineUs) {
-            this.target = target;
-            this.address = address;
-            this.sequenceNumber = sequenceNumber;
-            this.indirectAtUs = indirectAtUs;
-            this.deadlineUs = deadlineUs;
-        }
-    }
-
-    /** A probe made for another router. */
-    private record IndirectProbe(String requester, long requesterSequenceNumber, long deadlineUs) {}
-
-    private static final class PendingRumor {
-        final Rumor rumor;
-        int transmissions;
-
-        PendingRumor(Rumor rumor) {
-            this.rumor = rumor;
-        }
-    }
-
-    private record OutgoingMessage(int type, String address, long sequenceNumber, String target) {}
-
-    private static final int PROBE = 0;
-    private static final int ACK = 1;
-    private static final int PROBE_REQUEST = 2;
-    private static final int NACK = 3;
-
     private final Settings settings;
-    private final SplittableRandom random;
     private final Incarnation self;
     private final String selfAddress;
-    private final List<String> seeds;
-    private long refutationCount = 1;
-    /**
-     * By name; dead ones and those that left go after a time, and first where there are too many.
-     */
-    private final Map<String, Member> members = new LinkedHashMap<>();
-    /** Emptied as they have been told often enough; one a member. */
-    private final Map<String, PendingRumor> pendingRumors = new LinkedHashMap<>();
-    /** Whom the rounds go through; filled anew once it is empty. */
-    private final ArrayDeque<String> probeOrder = new ArrayDeque<>();
-
-    private int seedCursor;
-    private int roundCount;
-    /** Probes under way, by number; each ends with its answer or its time. */
-    private final Map<Long, Probe> pendingProbes = new LinkedHashMap<>();
-    /** Each ends with its answer or its time. */
-    private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
+    private final MemberTable members;
+    private final RumorQueue rumors;
+    private final LocalHealth health = new LocalHealth();
+    private final SuspicionTimers timers;
+    private final Prober prober;
     /** Emptied as they are pulled. */
     private final ArrayDeque<OutgoingMessage> outbox = new ArrayDeque<>();
 
-    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-    private Handler eventHandler;
-    private long lastSequenceNumber;
+    /** Emptied as they are pulled. */
+    private final ArrayDeque<Consumer<Handler>> events = new ArrayDeque<>();
+
+    private long refutationCount = 1;
     private long clockUs;
-    private long nextRoundUs = Long.MIN_VALUE;
     private long wakeUpAtUs = Long.MAX_VALUE;
-    /** How much this router doubts itself: it stretches its own patience so many times more. */
-    private int localHealthMultiplier;
-
     private boolean leaving;
 
-    /** @param seeds addresses of some routers to begin with; this one's own may be among them */
+    /**
+     * Knows no member yet; begins with {@link #advanceClock}.
+     *
+     * @param selfAddress where others reach this router
+     * @param seeds addresses of some routers to begin with; this one's own may be among them
+     * @param random draws whom to probe and when to begin
+     */
     public Membership(
-            Incarnation self,
-            String selfAddress,
-            List<String> seeds,
-            Settings settings,
-            SplittableRandom random) {
+            Incarnation self, String selfAddress, List<String> seeds, Settings settings, SplittableRandom random) {
         this.self = self;
         this.selfAddress = selfAddress;
-        this.seeds = seeds.stream().filter(seed -> !seed.equals(selfAddress)).toList();
         this.settings = settings;
-        this.random = random;
+        members = new MemberTable(settings.maxMembers());
+        rumors = new RumorQueue(members);
+        timers = new SuspicionTimers(members, health, settings.probeIntervalUs());
+        List<String> others = seeds.stream().filter(s -> !s.equals(selfAddress)).toList();
+        prober = new Prober(settings, members, health, outbox, others, random);
     }
 
-    // ---- What is known. ----
-
+    /** The other routers that are known; changes as decisions and inputs do. */
     public Collection<Member> members() {
-        return members.values();
+        return members.all();
     }
 
-    public Member member(String name) {
-        return members.get(name);
+    /** Null where it is not known. */
+    public Member member(String router) {
+        return members.get(router);
     }
 
+    /** How much this router doubts its own view; 0 where nothing speaks against it. */
     public int localHealthMultiplier() {
-        return localHealthMultiplier;
+        return health.multiplier();
     }
 
-    /** Routers that serve as far as is known, this one counted. */
+    /** Routers that are serving as far as is known, this one counted. */
     public int servingCount() {
-        return 1
-                + (int) members.values().stream()
-                        .filter(member -> member.state.isServing())
-                        .count();
-    }
-
-    public Rumor self() {
-        return new Rumor(
-                self,
-                refutationCount,
-                leaving ? MemberState.LEFT : MemberState.ALIVE,
-                selfAddress,
-                "");
+        return members.servingCount();
     }
 
-    private int logClusterSize() {
-        return Math.max(1, (int) Math.ceil(Math.log(members.size() + 2) / Math.log(2)));
+    /** What this router says of itself. */
+    public Rumor selfRumor() {
+        MemberState state = leaving ? MemberState.LEFT : MemberState.ALIVE;
+        return new Rumor(self, refutationCount, state, selfAddress, "");
     }
 
-    // ---- Inputs. ----
-
+    /** To be called before the inputs of a turn. */
     public void advanceClock(long nowUs) {
         clockUs = nowUs;
-        if (nextRoundUs == Long.MIN_VALUE) {
-            nextRoundUs = clockUs + random.nextLong(Math.max(1, settings.probeIntervalUs()));
-        }
+        prober.start(nowUs);
     }
 
-    /** Somebody there probes us; what travelled with it is told before. */
-    public void onProbe(String requester, long requesterSequenceNumber) {
-        enqueue(new OutgoingMessage(ACK, requester, requesterSequenceNumber, null));
+    /** The router at that address probes this one; the rumors that came along are given before. */
+    public void onProbe(String requester, long sequenceNumber) {
+        prober.onProbe(requester, sequenceNumber);
     }
 
-    public void onProbeRequest(String requester, long requesterSequenceNumber, String target) {
-        if (indirectProbes.size() < settings.maxMembers()) {
-            long sequenceNumber = ++lastSequenceNumber;
-            indirectProbes.put(
-                    sequenceNumber,
-                    new IndirectProbe(
-                            requester,
-                            requesterSequenceNumber,
-                            clockUs + settings.probeIntervalUs() / 2));
-            enqueue(new OutgoingMessage(PROBE, target, sequenceNumber, null));
-        }
+    /** The router at the first address asks this one to probe the one at the second. */
+    public void onProbeRequest(String requester, long sequenceNumber, String target) {
+        prober.onProbeRequest(requester, sequenceNumber, target, clockUs);
     }
 
+    /** A probe of this router, also one made for another, was answered. */
     public void onAck(long sequenceNumber) {
-        IndirectProbe indirectProbe = indirectProbes.remove(sequenceNumber);
-        if (indirectProbe != null) {
-            enqueue(new OutgoingMessage(
-                    ACK, indirectProbe.requester(), indirectProbe.requesterSequenceNumber(), null));
-            return;
-        }
-        Probe probe = pendingProbes.remove(sequenceNumber);
-        if (probe != null) {
-            localHealthMultiplier = Math.max(0, localHealthMultiplier - 1);
-            if (probe.target != null && members.get(probe.target.router()) == probe.target) {
-                probe.target.suspectedBy.clear();
-            }
-        }
+        prober.onAck(sequenceNumber);
     }
 
-    /** A helper has found it silent too: the helper is heard, so this router hears. */
+    /** A member that was asked to probe another one has found it silent too. */
     public void onNack(long sequenceNumber) {
-        Probe probe = pendingProbes.get(sequenceNumber);
-        if (probe != null && probe.missingNacks > 0) {
-            probe.missingNacks--;
-        }
+        prober.onNack(sequenceNumber);
     }
 
-    public void onRumors(List<Rumor> rumors) {
-        rumors.forEach(this::onRumors);
+    /** What came along with a message. */
+    public void onRumors(List<Rumor> received) {
+        received.forEach(this::onRumor);
     }
 
-    /** What a rumor says is taken in where it outdoes what is held. */
-    public void onRumors(Rumor rumor) {
+    /** What a rumor says is believed where it supersedes what is known. */
+    public void onRumor(Rumor rumor) {
         if (rumor.refutationCount() < 0 || rumor.refutationCount() > MAX_REFUTATION_COUNT) {
             return;
         }
@@ -278,18 +164,7 @@
         }
         Member member = members.get(rumor.incarnation().router());
         if (member == null) {
-            if (rumor.state().isServing() && ensureCapacity()) {
-                Member newMember = new Member(
-                        rumor.incarnation(),
-                        rumor.refutationCount(),
-                        rumor.state(),
-                        rumor.address(),
-                        clockUs);
-                members.put(newMember.router(), newMember);
-                recordSuspicion(newMember, rumor);
-                disseminate(newMember.rumor(rumor.suspectedBy()));
-                notifyChanged(newMember);
-            }
+            addMember(rumor);
             return;
         }
         switch (member.incarnation.relationTo(rumor.incarnation())) {
@@ -297,44 +172,51 @@
                 member.incarnation = rumor.incarnation();
                 member.duplicate = null;
                 member.suspectedBy.clear();
-                applyRumor(member, rumor);
+                apply(rumor, member);
             }
-            case SAME -> {
-                boolean supersedes = rumor.refutationCount() > member.refutationCount
-                        || (rumor.refutationCount() == member.refutationCount
-                                && rumor.state().compareTo(member.state) > 0);
-                // Danger: a dead incarnation stays dead; what returns says a higher refutation
-                // count of its
-                // own.
-                if (supersedes
-                        && (member.state != MemberState.LEFT
-                                || rumor.refutationCount() > member.refutationCount)) {
-                    applyRumor(member, rumor);
-                } else if (rumor.refutationCount() == member.refutationCount
-                        && rumor.state() == MemberState.SUSPECT
-                        && member.state == MemberState.SUSPECT
-                        && recordSuspicion(member, rumor)) {
-                    disseminate(rumor);
-                }
-            }
-            case TWIN -> {
+            case SAME -> onRumorOfSameIncarnation(rumor, member);
+            case DUPLICATE -> {
                 // Neither is believed more than the other; whoever asks is told of both.
                 if (!rumor.incarnation().equals(member.duplicate)) {
                     member.duplicate = rumor.incarnation();
-                    disseminate(rumor);
+                    rumors.add(rumor);
                     notifyChanged(member);
                 }
             }
-            default -> {
-                // An earlier incarnation: what is said of it is over. The one that says so is told
-                // what is
-                // held.
-                disseminate(member.rumor(""));
-            }
+            case EARLIER ->
+                // What is said of an earlier incarnation is over; the router that says so is told what is known.
+                rumors.add(member.rumor(""));
+        }
+    }
+
+    private void addMember(Rumor rumor) {
+        if (rumor.state().isServing() && members.ensureCapacity()) {
+            Member member = new Member(
+                    rumor.incarnation(), rumor.refutationCount(), rumor.state(), rumor.address(), clockUs);
+            members.add(member);
+            recordSuspicion(member, rumor);
+            rumors.add(member.rumor(rumor.suspectedBy()));
+            notifyChanged(member);
         }
     }
 
-    private void applyRumor(Member member, Rumor rumor) {
+    private void onRumorOfSameIncarnation(Rumor rumor, Member member) {
+        boolean isRefuted = rumor.refutationCount() > member.refutationCount;
+        boolean supersedes = isRefuted
+                || (rumor.refutationCount() == member.refutationCount
+                        && rumor.state().compareTo(member.state) > 0);
+        // Danger: an incarnation that has left stays so, but for what it refutes itself.
+        if (supersedes && (member.state != MemberState.LEFT || isRefuted)) {
+            apply(rumor, member);
+        } else if (rumor.refutationCount() == member.refutationCount
+                && rumor.state() == MemberState.SUSPECT
+                && member.state == MemberState.SUSPECT
+                && recordSuspicion(member, rumor)) {
+            rumors.add(rumor);
+        }
+    }
+
+    private void apply(Rumor rumor, Member member) {
         boolean stateChanged = member.state != rumor.state() || member.refutationCount == 0;
         member.refutationCount = rumor.refutationCount();
         member.state = rumor.state();
@@ -344,103 +226,80 @@
         }
         recordSuspicion(member, rumor);
         member.stateSinceUs = stateChanged ? clockUs : member.stateSinceUs;
-        disseminate(member.rumor(rumor.suspectedBy()));
+        rumors.add(member.rumor(rumor.suspectedBy()));
         notifyChanged(member);
     }
 
+    /** Whether the rumor is of a router that was not known to have found the member silent. */
     private static boolean recordSuspicion(Member member, Rumor rumor) {
         return rumor.state() == MemberState.SUSPECT
                 && !rumor.suspectedBy().isEmpty()
-                && member.suspectedBy.size() < MAX_CONFIRMATIONS + 1
+                && member.suspectedBy.size() < SuspicionTimers.MAX_CONFIRMATIONS + 1
                 && member.suspectedBy.add(rumor.suspectedBy());
     }
 
-    /** Danger: names made up by a liar, or a fleet larger than was meant, would fill the heap. */
-    private boolean ensureCapacity() {
-        if (members.size() < settings.maxMembers()) {
-            return true;
-        }
-        Member evicted = members.values().stream()
-                .filter(member -> !member.state.isServing())
-                .min(Comparator.comparingLong(member -> member.stateSinceUs))
-                .orElse(null);
-        if (evicted != null) {
-            members.remove(evicted.router());
-        }
-        return evicted != null;
-    }
-
     private void onRumorAboutSelf(Rumor rumor) {
         Incarnation.Relation relation = self.relationTo(rumor.incarnation());
         if (relation != Incarnation.Relation.SAME) {
             if (relation != Incarnation.Relation.EARLIER) {
-                events.add(() -> eventHandler.onSelfConflict(relation, rumor.incarnation()));
+                events.add(handler -> handler.onSelfConflict(relation, rumor.incarnation()));
             }
-            disseminate(self());
+            rumors.add(selfRumor());
             return;
         }
-        if (rumor.state() != MemberState.ALIVE
-                && rumor.refutationCount() >= refutationCount
-                && !leaving) {
-            refutationCount = rumor.refutationCount() + 1;
+        if (rumor.state() != MemberState.ALIVE && rumor.refutationCount() >= refutationCount && !leaving) {
             // Somebody found this router silent: it may be slow itself.
-            localHealthMultiplier =
-                    Math.min(MAX_LOCAL_HEALTH_MULTIPLIER, localHealthMultiplier + 1);
-            disseminate(self());
+            health.worsen();
+            refute(rumor);
         } else if (rumor.refutationCount() > refutationCount) {
-            refutationCount = rumor.refutationCount() + 1;
-            disseminate(self());
+            refute(rumor);
         }
     }
 
-    /** Says to all that this process ends. */
+    private void refute(Rumor rumor) {
+        refutationCount = rumor.refutationCount() + 1;
+        rumors.add(selfRumor());
+    }
+
+    /** Notifies others that this process ends. */
     public void leave() {
         leaving = true;
         refutationCount++;
-        disseminate(self());
+        rumors.add(selfRumor());
         int notified = 0;
-        for (Member member : members.values()) {
+        for (Member member : members.all()) {
             if (member.state.isServing()
-                    && notified++ < settings.indirectProbes() + logClusterSize()) {
-                enqueue(new OutgoingMessage(PROBE, member.address, ++lastSequenceNumber, null));
+                    && notified++ < settings.indirectProbes() + members.logClusterSize()) {
+                prober.announce(member.address);
             }
         }
     }
 
     private void notifyChanged(Member member) {
-        events.add(() -> eventHandler.onMemberChanged(member));
-    }
-
-    private void disseminate(Rumor rumor) {
-        pendingRumors.remove(rumor.incarnation().router());
-        pendingRumors.put(rumor.incarnation().router(), new PendingRumor(rumor));
+        events.add(handler -> handler.onMemberChanged(member));
     }
 
-    private void enqueue(OutgoingMessage message) {
-        outbox.add(message);
-    }
-
-    // ---- Decisions. ----
-
-    /** One decision; false when there is none until the time that was last woken for. */
+    /** One decision; false where there is none until the time that a wake-up was last scheduled for. */
     public boolean decide(Handler handler) {
-        eventHandler = handler;
         if (!events.isEmpty()) {
-            events.poll().run();
+            events.poll().accept(handler);
             return true;
         }
         if (!outbox.isEmpty()) {
-            deliver(outbox.poll(), handler);
+            OutgoingMessage message = outbox.poll();
+            message.sendBy(handler, rumors.take(message.address(), selfRumor()));
             return true;
         }
-        if (expireProbes() || expireStates() || expireIndirectProbes()) {
+        if (prober.expireProbes(clockUs, this::suspect)
+                || expireStates()
+                || prober.expireIndirectProbes(clockUs)) {
             return true;
         }
-        if (clockUs >= nextRoundUs && !leaving) {
-            startProbeRound();
+        if (!leaving && prober.isRoundDue(clockUs)) {
+            prober.startRound(clockUs);
             return true;
         }
-        long dueUs = nextWakeUpUs();
+        long dueUs = nextDueUs();
         if (dueUs < wakeUpAtUs || wakeUpAtUs <= clockUs) {
             wakeUpAtUs = dueUs;
             handler.scheduleWakeUp(dueUs);
@@ -448,57 +307,28 @@
         return false;
     }
 
-    private long nextWakeUpUs() {
-        long dueUs = leaving ? Long.MAX_VALUE : nextRoundUs;
-        for (Probe probe : pendingProbes.values()) {
-            dueUs = Math.min(dueUs, probe.indirectSent ? probe.deadlineUs : probe.indirectAtUs);
-        }
-        for (Member member : members.values()) {
-            dueUs = member.state == MemberState.ALIVE
-                    ? dueUs
-                    : Math.min(dueUs, stateExpiresAtUs(member));
-        }
-        for (IndirectProbe indirectProbe : indirectProbes.values()) {
-            dueUs = Math.min(dueUs, indirectProbe.deadlineUs());
+    private long nextDueUs() {
+        long dueUs = leaving ? Long.MAX_VALUE : prober.nextRoundUs();
+        dueUs = Math.min(dueUs, prober.nextProbeDueUs());
+        for (Member member : members.all()) {
+            if (member.state != MemberState.ALIVE) {
+                dueUs = Math.min(dueUs, timers.expiresAtUs(member));
+            }
         }
         return Math.max(dueUs, clockUs + 1);
     }
 
-    private long stateExpiresAtUs(Member member) {
-        return member.stateSinceUs
-                + (member.state == MemberState.SUSPECT
-                        ? suspicionTimeoutUs(member)
-                        : (long) (RETENTION_SUSPICIONS
-                                * MAX_SUSPICION_FACTOR
-                                * MIN_SUSPICION_ROUNDS
-                                * logClusterSize()
-                                * settings.probeIntervalUs()));
-    }
-
-    /** Shorter the more have found it silent; longer the more this router doubts itself. */
-    private long suspicionTimeoutUs(Member member) {
-        double minUs = MIN_SUSPICION_ROUNDS * logClusterSize() * settings.probeIntervalUs();
-        int expectedConfirmations = Math.min(MAX_CONFIRMATIONS, Math.max(0, servingCount() - 3));
-        double confirmedFraction = expectedConfirmations == 0
-                ? 1
-                : Math.log(Math.max(0, member.suspectedBy.size() - 1) + 1.0)
-                        / Math.log(expectedConfirmations + 1.0);
-        double maxUs = MAX_SUSPICION_FACTOR * minUs;
-        return ((long) Math.max(minUs, maxUs - (maxUs - minUs) * confirmedFraction))
-                * (1 + localHealthMultiplier);
-    }
-
     private boolean expireStates() {
-        for (Iterator<Member> iterator = members.values().iterator(); iterator.hasNext(); ) {
+        for (Iterator<Member> iterator = members.iterator(); iterator.hasNext(); ) {
             Member member = iterator.next();
-            if (member.state == MemberState.ALIVE || clockUs < stateExpiresAtUs(member)) {
+            if (member.state == MemberState.ALIVE || clockUs < timers.expiresAtUs(member)) {
                 continue;
             }
             if (member.state == MemberState.SUSPECT) {
                 changeState(member, MemberState.DEAD);
             } else {
                 iterator.remove();
-                pendingRumors.remove(member.router());
+                rumors.forget(member.router());
             }
             return true;
         }
@@ -512,200 +342,18 @@
             member.suspectedBy.clear();
             member.suspectedBy.add(self.router());
         }
-        disseminate(member.rumor(self.router()));
+        rumors.add(member.rumor(self.router()));
         notifyChanged(member);
     }
 
-    private boolean expireProbes() {
-        for (Iterator<Probe> iterator = pendingProbes.values().iterator(); iterator.hasNext(); ) {
-            Probe probe = iterator.next();
-            if (!probe.indirectSent && clockUs >= probe.indirectAtUs) {
-                probe.indirectSent = true;
-                if (probe.target != null) {
-                    for (Member helper :
-                            randomAliveMembers(settings.indirectProbes(), probe.target)) {
-                        probe.missingNacks++;
-                        outbox.add(new OutgoingMessage(
-                                PROBE_REQUEST,
-                                helper.address,
-                                probe.sequenceNumber,
-                                probe.address));
-                    }
-                }
-                return true;
-            }
-            if (clockUs >= probe.deadlineUs) {
-                iterator.remove();
-                probeFailed(probe);
-                return true;
-            }
-        }
-        return false;
-    }
-
-    /**
-     * Danger: a router that hears nobody takes all others for dead. Helpers that are silent too
-     * tell it so.
-     */
-    private void probeFailed(Probe probe) {
-        if (probe.target == null) {
-            return; // A named router that has never been heard.
-        }
-        localHealthMultiplier = Math.min(
-                MAX_LOCAL_HEALTH_MULTIPLIER,
-                localHealthMultiplier + (probe.missingNacks > 0 ? 1 : 0));
-        Member member = members.get(probe.target.router());
-        if (member == probe.target && member.state == MemberState.ALIVE) {
+    /** Neither this router nor those that it asked have reached the member. */
+    private void suspect(Member member) {
+        if (member.state == MemberState.ALIVE) {
             changeState(member, MemberState.SUSPECT);
-        } else if (member == probe.target
-                && member.state == MemberState.SUSPECT
-                && member.suspectedBy.size() <= MAX_CONFIRMATIONS
+        } else if (member.state == MemberState.SUSPECT
+                && member.suspectedBy.size() <= SuspicionTimers.MAX_CONFIRMATIONS
                 && member.suspectedBy.add(self.router())) {
-            disseminate(member.rumor(self.router()));
-        }
-    }
-
-    private boolean expireIndirectProbes() {
-        for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator();
-                iterator.hasNext(); ) {
-            IndirectProbe indirectProbe = iterator.next();
-            if (clockUs >= indirectProbe.deadlineUs()) {
-                iterator.remove();
-                enqueue(new OutgoingMessage(
-                        NACK,
-                        indirectProbe.requester(),
-                        indirectProbe.requesterSequenceNumber(),
-                        null));
-                return true;
-            }
-        }
-        return false;
-    }
-
-    private List<Member> randomAliveMembers(int count, Member excluded) {
-        List<Member> candidates = new ArrayList<>();
-        for (Member member : members.values()) {
-            if (member != excluded && member.state == MemberState.ALIVE) {
-                candidates.add(member);
-            }
-        }
-        List<Member> selected = new ArrayList<>();
-        while (selected.size() < count && !candidates.isEmpty()) {
-            selected.add(candidates.remove(random.nextInt(candidates.size())));
-        }
-        return selected;
-    }
-
-    /**
-     * One member is probed; now and then a named router that is no member, or one held for dead.
-     */
-    private void startProbeRound() {
-        long roundUs = settings.probeIntervalUs() * (1 + localHealthMultiplier);
-        nextRoundUs = clockUs + roundUs;
-        roundCount++;
-        String address = null;
-        Member target = null;
-        if (roundCount % SEED_PROBE_INTERVAL == 0 || members.isEmpty()) {
-            address = nextUnconnectedAddress();
-        }
-        while (address == null) {
-            if (probeOrder.isEmpty()) {
-                refillProbeOrder();
-                if (probeOrder.isEmpty()) {
-                    address = nextUnconnectedAddress();
-                    if (address == null) {
-                        return;
-                    }
-                    break;
-                }
-            }
-            Member member = members.get(probeOrder.poll());
-            if (member != null && member.state.isServing()) {
-                target = member;
-                address = member.address;
-            }
-        }
-        Probe probe = new Probe(
-                target, address, ++lastSequenceNumber, clockUs + roundUs / 2, nextRoundUs);
-        pendingProbes.put(probe.sequenceNumber, probe);
-        outbox.add(new OutgoingMessage(PROBE, address, probe.sequenceNumber, null));
-    }
-
-    /**
-     * A named router that is no member as far as is known, or a member that is held for dead: a cut
-     * may heal.
-     */
-    private String nextUnconnectedAddress() {
-        List<String> addresses = new ArrayList<>();
-        for (String seed : seeds) {
-            if (members.values().stream()
-                    .noneMatch(member -> member.address.equals(seed) && member.state.isServing())) {
-                addresses.add(seed);
-            }
-        }
-        for (Member member : members.values()) {
-            if (member.state == MemberState.DEAD && !addresses.contains(member.address)) {
-                addresses.add(member.address);
-            }
-        }
-        return addresses.isEmpty()
-                ? null
-                : addresses.get(Math.floorMod(seedCursor++, addresses.size()));
-    }
-
-    private void refillProbeOrder() {
-        List<String> routers = new ArrayList<>();
-        for (Member member : members.values()) {
-            if (member.state.isServing()) {
-                routers.add(member.router());
-            }
-        }
-        for (int i = routers.size() - 1; i > 0; i--) {
-            int j = random.nextInt(i + 1);
-            String swapped = routers.get(i);
-            routers.set(i, routers.get(j));
-            routers.set(j, swapped);
-        }
-        probeOrder.addAll(routers);
-    }
-
-    private void deliver(OutgoingMessage message, Handler handler) {
-        List<Rumor> rumors = rumorsFor(message.address);
-        switch (message.type) {
-            case PROBE -> handler.sendProbe(message.address, message.sequenceNumber, rumors);
-            case ACK -> handler.sendAck(message.address, message.sequenceNumber, rumors);
-            case PROBE_REQUEST ->
-                handler.sendProbeRequest(
-                        message.address, message.sequenceNumber, message.target, rumors);
-            default -> handler.sendNack(message.address, message.sequenceNumber, rumors);
-        }
-    }
-
-    /**
-     * What travels along: who we are; what is held of the receiver, where it stands ill; the least
-     * told rest.
-     */
-    private List<Rumor> rumorsFor(String address) {
-        List<Rumor> selected = new ArrayList<>();
-        selected.add(self());
-        for (Member member : members.values()) {
-            if (member.address.equals(address) && member.state != MemberState.ALIVE) {
-                selected.add(member.rumor(
-                        member.suspectedBy.isEmpty()
-                                ? ""
-                                : member.suspectedBy.iterator().next()));
-            }
-        }
-        List<PendingRumor> candidates = new ArrayList<>(pendingRumors.values());
-        candidates.sort(Comparator.comparingInt(candidate -> candidate.transmissions));
-        int maxTransmissions = RETRANSMIT_FACTOR * logClusterSize();
-        for (int i = 0; i < candidates.size() && selected.size() < MAX_RUMORS_PER_MESSAGE; i++) {
-            PendingRumor candidate = candidates.get(i);
-            selected.add(candidate.rumor);
-            if (++candidate.transmissions >= maxTransmissions) {
-                pendingRumors.remove(candidate.rumor.incarnation().router(), candidate);
-            }
+            rumors.add(member.rumor(self.router()));
         }
-        return selected;
     }
 }
--- a/src/main/java/tinlink/cluster/transport/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/transport/PeerConnections.java
@@ -36,6 +36,9 @@
 
     private static final long MAX_QUEUED_BYTES = 4L << 20;
 
+    /** Which cluster this router belongs to, and which process of it this is. */
+    public record Self(String cluster, Incarnation incarnation) {}
+
     /**
      * The times of links, in microseconds.
      *
@@ -79,8 +82,7 @@
     }
 
     final EventLoop loop;
-    final String cluster;
-    final Incarnation self;
+    final Self self;
     final Timeouts timeouts;
     final Counters counters = new Counters();
     final TrafficCounters traffic = new TrafficCounters();
@@ -100,15 +102,13 @@
     public PeerConnections(
             EventLoop loop,
             Network network,
-            String cluster,
-            Incarnation self,
+            Self self,
             KeyRing keys,
             Timeouts timeouts,
             Limits limits,
             MessageHandler handler) {
         this.loop = loop;
         this.network = network;
-        this.cluster = cluster;
         this.self = self;
         this.keys = keys;
         this.timeouts = timeouts;
@@ -143,7 +143,7 @@
     }
 
     /** From now on these are the keys; links that are up stay. */
-    public void keys(KeyRing newKeys) {
+    public void setKeys(KeyRing newKeys) {
         keys = newKeys;
     }
 
--- a/src/main/java/tinlink/cluster/transport/PeerProtocol.java
+++ b/src/main/java/tinlink/cluster/transport/PeerProtocol.java
@@ -10,48 +10,62 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The messages between routers that know each other. */
-public final class PeerProtocol extends MessageCodec {
+/**
+ * The frames between routers of a cluster, and what their bodies share. The handshake carries the version, for all
+ * messages of its connection.
+ */
+public final class PeerProtocol {
+    /** Of the handshake, and of all that follows it. */
     public static final int VERSION = 1;
+    /** Of the router that has connected, first: its cluster, key and incarnation. */
     public static final byte HELLO = 1;
+    /** Answers {@link #HELLO}, and proves the key. */
     public static final byte CHALLENGE = 2;
+    /** Answers {@link #CHALLENGE}, and proves the key. */
     public static final byte PROOF = 3;
-    /** Of the membership: probes and their answers, with rumors. */
+    /** Probes and their answers, with rumors. */
     public static final byte MEMBERSHIP = 4;
-    /** Of the agreement. */
+    /** A voter and a message of Raft for it. */
     public static final byte RAFT = 5;
-    /** A subsystem's own; it says what it is. */
+    /** A message of one node to another; its first byte is its kind. */
     public static final byte NODE = 6;
 
-    public static final int NONCE_BYTES = 32;
-    public static final int PROOF_BYTES = 32;
-    public static final int MAX_HANDSHAKE_BYTES = 1 << 10;
+    static final int NONCE_BYTES = 32;
+    static final int PROOF_BYTES = 32;
+    static final int MAX_HANDSHAKE_BYTES = 1 << 10;
     /** A chunk of a snapshot, or the lines that a router lacks, with what goes with them: twice the longest text. */
-    public static final int MAX_FRAME_BYTES = 2 << 20;
+    static final int MAX_FRAME_BYTES = 2 << 20;
 
     private static final int MAX_RUMORS = 64;
 
     private PeerProtocol() {}
 
-    public static void incarnation(Builder out, Incarnation incarnation) {
+    /** Writes which process of a router it is. */
+    public static void encodeIncarnation(MessageCodec.Builder out, Incarnation incarnation) {
         out.putText(incarnation.router())
                 .putLong(incarnation.startCount())
                 .putLong(incarnation.nonce());
     }
 
-    public static Incarnation incarnation(ByteBuffer in) throws MessageRejectedException {
-        String name = readText(in);
+    /**
+     * Reads which process of a router it is.
+     *
+     * @throws MessageRejectedException where it is malformed
+     */
+    public static Incarnation decodeIncarnation(ByteBuffer buffer) throws MessageRejectedException {
+        String name = MessageCodec.readText(buffer);
         if (name.isEmpty()) {
-            throw malformed("a router without a name");
+            throw MessageCodec.malformed("a router without a name");
         }
-        return new Incarnation(name, in.getLong(), in.getLong());
+        return new Incarnation(name, buffer.getLong(), buffer.getLong());
     }
 
-    @SuppressWarnings("EnumOrdinal") // Standings are numbered in their order.
-    public static void rumors(Builder out, List<Rumor> rumors) {
+    /** Writes rumors; states are numbered in their order. */
+    @SuppressWarnings("EnumOrdinal")
+    public static void encodeRumors(MessageCodec.Builder out, List<Rumor> rumors) {
         out.putByte(rumors.size());
         for (Rumor rumor : rumors) {
-            incarnation(out, rumor.incarnation());
+            encodeIncarnation(out, rumor.incarnation());
             out.putLong(rumor.refutationCount())
                     .putByte(rumor.state().ordinal())
                     .putText(rumor.address())
@@ -59,26 +73,31 @@
         }
     }
 
-    @SuppressWarnings("EnumOrdinal") // As above.
-    public static List<Rumor> rumors(ByteBuffer in) throws MessageRejectedException {
-        int count = in.get();
+    /**
+     * Reads rumors.
+     *
+     * @throws MessageRejectedException where they are malformed or too many
+     */
+    @SuppressWarnings("EnumOrdinal")
+    public static List<Rumor> decodeRumors(ByteBuffer buffer) throws MessageRejectedException {
+        int count = buffer.get();
         if (count < 0 || count > MAX_RUMORS) {
-            throw malformed(count + " rumours");
+            throw MessageCodec.malformed(count + " rumors");
         }
         List<Rumor> rumors = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Incarnation incarnation = incarnation(in);
-            long refutationCount = in.getLong();
-            int state = in.get();
+            Incarnation incarnation = decodeIncarnation(buffer);
+            long refutationCount = buffer.getLong();
+            int state = buffer.get();
             if (state < 0 || state >= MemberState.values().length) {
-                throw malformed("a standing of " + state);
+                throw MessageCodec.malformed("a member state of " + state);
             }
             rumors.add(new Rumor(
                     incarnation,
                     refutationCount,
                     MemberState.values()[state],
-                    readText(in),
-                    readText(in)));
+                    MessageCodec.readText(buffer),
+                    MessageCodec.readText(buffer)));
         }
         return rumors;
     }
--- a/src/main/java/tinlink/cluster/transport/PeerSession.java
+++ b/src/main/java/tinlink/cluster/transport/PeerSession.java
@@ -52,8 +52,8 @@
         MessageCodec.Builder out = new MessageCodec.Builder()
                 .putShort(PeerProtocol.VERSION)
                 .putText(keyId)
-                .putText(connections.cluster);
-        PeerProtocol.incarnation(out, connections.self);
+                .putText(connections.self.cluster());
+        PeerProtocol.encodeIncarnation(out, connections.self.incarnation());
         hello = out.putBytes(connections.nonce()).build();
         send(PeerProtocol.HELLO, hello);
     }
@@ -98,17 +98,17 @@
         }
         keyId = MessageCodec.readText(in);
         String cluster = MessageCodec.readText(in);
-        peerIncarnation = PeerProtocol.incarnation(in);
+        peerIncarnation = PeerProtocol.decodeIncarnation(in);
         MessageCodec.readBytes(in, PeerProtocol.NONCE_BYTES);
-        if (!connections.keys.contains(keyId) || !cluster.equals(connections.cluster)) {
+        if (!connections.keys.contains(keyId) || !cluster.equals(connections.self.cluster())) {
             throw MessageCodec.malformed(
                     "another cluster, or a key that is not known here: " + cluster + ", " + keyId);
         }
         hello = Arrays.copyOfRange(whole, 1, in.position());
         MessageCodec.Builder out = new MessageCodec.Builder()
                 .putShort(PeerProtocol.VERSION)
-                .putText(connections.cluster);
-        PeerProtocol.incarnation(out, connections.self);
+                .putText(connections.self.cluster());
+        PeerProtocol.encodeIncarnation(out, connections.self.incarnation());
         challenge = out.putBytes(connections.nonce()).build();
         restartHandshakeDeadline(connections.timeouts.handshakeUs());
         send(
@@ -125,19 +125,19 @@
             throw MessageCodec.malformed("no challenge of this version");
         }
         String cluster = MessageCodec.readText(in);
-        peerIncarnation = PeerProtocol.incarnation(in);
+        peerIncarnation = PeerProtocol.decodeIncarnation(in);
         MessageCodec.readBytes(in, PeerProtocol.NONCE_BYTES);
         int signedEnd = in.position();
         byte[] proof = MessageCodec.readBytes(in, PeerProtocol.PROOF_BYTES);
         challenge = Arrays.copyOfRange(whole, 1, signedEnd);
-        if (!cluster.equals(connections.cluster)
+        if (!cluster.equals(connections.self.cluster())
                 || !connections.keys.contains(keyId)
                 || !KeyRing.constantTimeEquals(
                         proof, connections.keys.proof(keyId, "called proof", hello, challenge))) {
             connections.counters.increment("peers_wrong_proof");
             throw MessageCodec.malformed("a wrong proof");
         }
-        if (peerIncarnation.equals(connections.self)) {
+        if (peerIncarnation.equals(connections.self.incarnation())) {
             throw MessageCodec.malformed("this router itself");
         }
         send(PeerProtocol.PROOF, connections.keys.proof(keyId, "caller proof", hello, challenge));
--- a/src/main/java/tinlink/cluster/transport/TrafficCounters.java
+++ b/src/main/java/tinlink/cluster/transport/TrafficCounters.java
@@ -5,110 +5,57 @@
 import java.util.TreeMap;
 
 /**
- * Messages and bytes that have gone over the links with other routers, by kind and direction. Bytes
- * are those of whole frames, length and seal counted, without TCP's own. One entry a kind, so the
- * table is bounded; it belongs to the loop's thread.
+ * Messages and bytes that have gone over the connections with other routers, by kind and direction. Bytes are
+ * those of complete frames, length and authentication tag counted, without TCP's own. One entry a kind, so the
+ * table is bounded; it belongs to the event loop's thread.
  */
 public final class TrafficCounters {
-    /** What a message is for; each is named in {@code docs/protocol-peers.md}. */
-    public enum Kind {
-        HANDSHAKE,
-        PROBE,
-        PROBE_ANSWER,
-        PROBE_REQUEST,
-        PROBE_FAILURE,
-        APPEND,
-        APPEND_ANSWER,
-        SNAPSHOT,
-        ELECTION,
-        LEARN,
-        LEARNED,
-        PROPOSE,
-        PROPOSED,
-        ENTRY,
-        ENTRY_ANSWER,
-        NEWS,
-        SEAT,
-        REPLACE,
-        CONFIRM,
-        CONFIRMED,
-        OTHER
-    }
-
-    private static final Kind[] MEMBERSHIP_KINDS = {
-        Kind.OTHER, Kind.PROBE, Kind.PROBE_ANSWER, Kind.PROBE_REQUEST, Kind.PROBE_FAILURE
-    };
-    private static final Kind[] RAFT_KINDS = {
-        Kind.OTHER,
-        Kind.APPEND,
-        Kind.APPEND_ANSWER,
-        Kind.APPEND_ANSWER,
-        Kind.SNAPSHOT,
-        Kind.SNAPSHOT,
-        Kind.ELECTION,
-        Kind.ELECTION,
-        Kind.ELECTION,
-        Kind.ELECTION,
-        Kind.ELECTION
-    };
-    private static final Kind[] NODE_KINDS = {
-        Kind.OTHER,
-        Kind.LEARN,
-        Kind.LEARNED,
-        Kind.PROPOSE,
-        Kind.PROPOSED,
-        Kind.ENTRY,
-        Kind.ENTRY_ANSWER,
-        Kind.NEWS,
-        Kind.SEAT,
-        Kind.REPLACE,
-        Kind.CONFIRM,
-        Kind.CONFIRMED
-    };
+    private static final int COLUMNS = 4;
+    private static final int RECEIVED = 0;
+    private static final int SENT = 2;
 
     /** Messages in, bytes in, messages out, bytes out. */
-    private final Map<Kind, long[]> counts = new EnumMap<>(Kind.class);
+    private final Map<MessageKind, long[]> counts = new EnumMap<>(MessageKind.class);
 
-    /** @param body of the message, from that place on */
-    void countReceived(byte type, byte[] body, int offset, int frameBytes) {
-        add(kind(type, body, offset), 0, frameBytes);
+    /** @param offset in the frame at which the message's body begins */
+    void countReceived(byte type, byte[] frame, int offset, int frameBytes) {
+        add(kind(type, frame, offset), RECEIVED, frameBytes);
     }
 
     void countSent(byte type, byte[] body, int frameBytes) {
-        add(kind(type, body, 0), 2, frameBytes);
+        add(kind(type, body, 0), SENT, frameBytes);
     }
 
-    private void add(Kind kind, int column, int frameBytes) {
-        long[] count = counts.computeIfAbsent(kind, k -> new long[4]);
+    private void add(MessageKind kind, int column, int frameBytes) {
+        long[] count = counts.computeIfAbsent(kind, k -> new long[COLUMNS]);
         count[column]++;
         count[column + 1] += frameBytes;
     }
 
-    private static Kind kind(byte type, byte[] body, int offset) {
+    private static MessageKind kind(byte type, byte[] body, int offset) {
         return switch (type) {
-            case PeerProtocol.HELLO, PeerProtocol.CHALLENGE, PeerProtocol.PROOF -> Kind.HANDSHAKE;
-            case PeerProtocol.MEMBERSHIP -> kindAt(MEMBERSHIP_KINDS, body, offset);
+            case PeerProtocol.HELLO, PeerProtocol.CHALLENGE, PeerProtocol.PROOF ->
+                MessageKind.HANDSHAKE;
+            case PeerProtocol.MEMBERSHIP -> MessageKind.ofMembership(codeAt(body, offset));
             // The voter that it is for comes first, as a text of up to 255 bytes.
             case PeerProtocol.RAFT ->
                 offset < body.length
-                        ? kindAt(RAFT_KINDS, body, offset + 1 + (body[offset] & 0xff))
-                        : Kind.OTHER;
-            case PeerProtocol.NODE -> kindAt(NODE_KINDS, body, offset);
-            default -> Kind.OTHER;
+                        ? MessageKind.ofRaft(codeAt(body, offset + 1 + (body[offset] & 0xff)))
+                        : MessageKind.OTHER;
+            case PeerProtocol.NODE -> MessageKind.ofNode(codeAt(body, offset));
+            default -> MessageKind.OTHER;
         };
     }
 
-    /** Danger: this is read before the message is; a spoilt one may hold any number, or end before it. */
-    private static Kind kindAt(Kind[] kinds, byte[] body, int offset) {
-        int code = offset < body.length ? body[offset] : 0;
-        return code > 0 && code < kinds.length ? kinds[code] : Kind.OTHER;
+    /** Messages are counted before they are decoded, so a malformed one may end before its code. */
+    private static int codeAt(byte[] body, int offset) {
+        return offset < body.length ? body[offset] : 0;
     }
 
     /** By kind: messages in, bytes in, messages out, bytes out, since the start. */
     public Map<String, long[]> byKind() {
         Map<String, long[]> copy = new TreeMap<>();
-        counts.forEach((kind, count) ->
-                copy.put(kind.name().toLowerCase(java.util.Locale.ROOT), count.clone()));
+        counts.forEach((kind, count) -> copy.put(kind.label(), count.clone()));
         return copy;
     }
 }
--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -1,6 +1,7 @@
 package tinlink.experiment.scale;
 
 import tinlink.cluster.ClusterNode;
+import tinlink.cluster.ClusterSettings;
 import tinlink.cluster.PeerKeys;
 import tinlink.cluster.consensus.CompositeStateMachine;
 import tinlink.cluster.membership.MemberState;
@@ -101,26 +102,27 @@
         clusterNode = new ClusterNode(
                 loop,
                 network.withoutServer(),
-                new ClusterNode.LocalRouter(
-                        clusterConfig.cluster,
-                        clusterConfig.router,
-                        clusterConfig.listen,
-                        clusterConfig.advertisedAddress),
-                new ClusterNode.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                new ClusterSettings(
+                        new ClusterSettings.LocalRouter(
+                                clusterConfig.cluster,
+                                clusterConfig.router,
+                                clusterConfig.listen,
+                                clusterConfig.advertisedAddress),
+                        new ClusterSettings.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                        new ClusterSettings.Timing(
+                                clusterConfig.probeIntervalUs,
+                                clusterConfig.indirectProbeCount,
+                                clusterConfig.heartbeatUs,
+                                clusterConfig.handshakeUs,
+                                clusterConfig.idleUs),
+                        new ClusterSettings.Limits(
+                                clusterConfig.maxMembers,
+                                clusterConfig.maxUnauthenticatedConnections,
+                                clusterConfig.maxDiskBytes,
+                                clusterConfig.snapshotInterval),
+                        config.seed),
                 new PeerKeys(clusterConfig.keys, clusterConfig.activeKeyId),
-                new ClusterNode.Timing(
-                        clusterConfig.probeIntervalUs,
-                        clusterConfig.indirectProbeCount,
-                        clusterConfig.heartbeatUs,
-                        clusterConfig.handshakeUs,
-                        clusterConfig.idleUs),
-                new ClusterNode.Limits(
-                        clusterConfig.maxMembers,
-                        clusterConfig.maxUnauthenticatedConnections,
-                        clusterConfig.maxDiskBytes,
-                        clusterConfig.snapshotInterval),
                 clusterConfig.dataDirectory,
-                config.seed,
                 new CompositeStateMachine(
                         replicatedState, Map.of(PolicyStateMachine.SUBJECT, policyStateMachine)),
                 new CompositeStateMachine(
--- a/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
+++ b/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
@@ -363,10 +363,10 @@
             seen.start(seen.starts + 1);
             simulation.run(simulation.now() + 60 * ROUND);
         }
-        seen.deliver(() -> seen.membership.onRumors(
+        seen.deliver(() -> seen.membership.onRumor(
                 new Rumor(twin.incarnation, 1, MemberState.ALIVE, "r0", "")));
         simulation.run(simulation.now() + 60 * ROUND);
-        if (r.toldOfSelf.stream().noneMatch(s -> s.startsWith("TWIN"))) {
+        if (r.toldOfSelf.stream().noneMatch(s -> s.startsWith("DUPLICATE"))) {
             violations.add("r0 was not told of its twin");
         }
         if (seen.membership.member("r0").duplicate() == null) {
--- a/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
@@ -4,6 +4,7 @@
 import io.microraft.model.message.RaftMessage;
 
 import tinlink.cluster.consensus.LearnerLog;
+import tinlink.cluster.consensus.LogPosition;
 import tinlink.cluster.consensus.RaftCodec;
 import tinlink.cluster.consensus.RaftReplica;
 import tinlink.cluster.consensus.RaftStateStore;
@@ -54,7 +55,7 @@
     private VoterAdmission voterAdmission;
     private RaftStateStore stateStore;
     /** How far others' disks have been heard to be; lost with the process. */
-    private final Map<Voter, VoterAdmission.LogPosition> heard = new HashMap<>();
+    private final Map<Voter, LogPosition> heard = new HashMap<>();
 
     SimulatedMember(ConsensusGroup group, String name, boolean voter) {
         super(group.simulation, name, MOST_WAITING);
@@ -100,11 +101,8 @@
         if (disk.isEmpty()) {
             startVoting();
         } else {
-            long[] reached = stateStore.lastPosition();
             voterAdmission = new VoterAdmission(
-                    incarnation,
-                    new VoterAdmission.LogPosition((int) reached[0], reached[1]),
-                    group.otherVoters(name));
+                    incarnation, stateStore.lastPosition(), group.otherVoters(name));
         }
     }
 
@@ -165,9 +163,9 @@
         }
         try {
             RaftMessage message = RaftCodec.decode(ByteBuffer.wrap(bytes));
-            VoterAdmission.LogPosition position = RaftReplica.confirmedPosition(message);
+            LogPosition position = RaftReplica.confirmedPosition(message);
             if (position != null) {
-                heard.merge(from, position, VoterAdmission.LogPosition::max);
+                heard.merge(from, position, LogPosition::max);
             }
             raft.receive(message);
         } catch (MessageRejectedException e) {
@@ -240,7 +238,7 @@
     }
 
     private void answerAdmissionQuery(SimulatedMember asker, Voter disk) {
-        VoterAdmission.LogPosition position = heard.get(disk);
+        LogPosition position = heard.get(disk);
         Incarnation knownIncarnation = livesKnown.get(asker.name);
         RecoveryFloor logEnd = stateStore == null ? RecoveryFloor.NONE : stateStore.logEnd();
         group.network.send(
@@ -251,12 +249,9 @@
     }
 
     private void onAdmissionAnswer(
-            String from,
-            Incarnation knownIncarnation,
-            VoterAdmission.LogPosition position,
-            RecoveryFloor logEnd) {
+            String from, Incarnation knownIncarnation, LogPosition position, RecoveryFloor logEnd) {
         if (voterAdmission != null) {
-            voterAdmission.answered(from, knownIncarnation, position, logEnd, simulation.now());
+            voterAdmission.onAnswer(from, knownIncarnation, position, logEnd, simulation.now());
         }
     }
 
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -1,6 +1,7 @@
 package tinlink.router;
 
 import tinlink.cluster.ClusterNode;
+import tinlink.cluster.ClusterSettings;
 import tinlink.cluster.PeerKeys;
 import tinlink.cluster.consensus.CompositeStateMachine;
 import tinlink.cluster.consensus.ReplicatedStateMachine;
@@ -72,26 +73,27 @@
         ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network.withoutServer(),
-                new ClusterNode.LocalRouter(
-                        clusterConfig.cluster,
-                        clusterConfig.router,
-                        clusterConfig.listen,
-                        clusterConfig.advertisedAddress),
-                new ClusterNode.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                new ClusterSettings(
+                        new ClusterSettings.LocalRouter(
+                                clusterConfig.cluster,
+                                clusterConfig.router,
+                                clusterConfig.listen,
+                                clusterConfig.advertisedAddress),
+                        new ClusterSettings.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                        new ClusterSettings.Timing(
+                                clusterConfig.probeIntervalUs,
+                                clusterConfig.indirectProbeCount,
+                                clusterConfig.heartbeatUs,
+                                clusterConfig.handshakeUs,
+                                clusterConfig.idleUs),
+                        new ClusterSettings.Limits(
+                                clusterConfig.maxMembers,
+                                clusterConfig.maxUnauthenticatedConnections,
+                                clusterConfig.maxDiskBytes,
+                                clusterConfig.snapshotInterval),
+                        routerConfig.seed),
                 new PeerKeys(clusterConfig.keys, clusterConfig.activeKeyId),
-                new ClusterNode.Timing(
-                        clusterConfig.probeIntervalUs,
-                        clusterConfig.indirectProbeCount,
-                        clusterConfig.heartbeatUs,
-                        clusterConfig.handshakeUs,
-                        clusterConfig.idleUs),
-                new ClusterNode.Limits(
-                        clusterConfig.maxMembers,
-                        clusterConfig.maxUnauthenticatedConnections,
-                        clusterConfig.maxDiskBytes,
-                        clusterConfig.snapshotInterval),
                 clusterConfig.dataDirectory,
-                routerConfig.seed,
                 stateMachines(replicatedState, policyStateMachine),
                 stateMachines(new ReplicatedMaintenance(), new PolicyStateMachine()));
         maintenance = new MaintenanceService(
--- a/src/test/java/tinlink/ArchitectureTest.java
+++ b/src/test/java/tinlink/ArchitectureTest.java
@@ -196,7 +196,7 @@
     @Test
     void clusterDecisionsDoNoInputOrOutput() {
         for (String name : new String[] {
-            "RecoveryFloor", "VoterAdmission", "VoterReplacement", "LineCodec"
+            "LogPosition", "RecoveryFloor", "VoterAdmission", "VoterReplacement", "LineCodec"
         }) {
             noClasses()
                     .that()
--- a/src/test/java/tinlink/cluster/ClusterNodeTest.java
+++ b/src/test/java/tinlink/cluster/ClusterNodeTest.java
@@ -84,20 +84,22 @@
             clusterNode = new ClusterNode(
                     loop,
                     network,
-                    new ClusterNode.LocalRouter(
-                            "test",
-                            name,
-                            new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                            addresses.get(name)),
-                    new ClusterNode.KnownRouters(
-                            addresses,
-                            new TreeSet<>(
-                                    addresses.keySet().stream().limit(voters).toList())),
+                    new ClusterSettings(
+                            new ClusterSettings.LocalRouter(
+                                    "test",
+                                    name,
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                                    addresses.get(name)),
+                            new ClusterSettings.KnownRouters(
+                                    addresses,
+                                    new TreeSet<>(addresses.keySet().stream()
+                                            .limit(voters)
+                                            .toList())),
+                            new ClusterSettings.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
+                            new ClusterSettings.Limits(64, 8 << 20, 20),
+                            name.hashCode()),
                     keys,
-                    new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
-                    new ClusterNode.Limits(64, 8 << 20, 20),
                     where,
-                    name.hashCode(),
                     stateMachine,
                     new RecordingStateMachine());
             thread = new Thread(() -> loop.run(clusterNode), name);
@@ -282,7 +284,7 @@
                         1,
                         folder.resolve("r2")));
         waitUntil(
-                "it was refused",
+                "a wrong key is rejected",
                 () -> wrongProofs(nodes.get("r0")) + wrongProofs(nodes.get("r2")) > 0);
         assertNull(stateOf(nodes.get("r0"), "r2"));
         assertEquals(List.of(), nodes.get("r2").stateMachine.snapshot());
--- a/src/test/java/tinlink/cluster/consensus/VoterReplacementTest.java
+++ b/src/test/java/tinlink/cluster/consensus/VoterReplacementTest.java
@@ -7,7 +7,6 @@
 import org.junit.jupiter.api.Test;
 
 import tinlink.cluster.consensus.VoterAdmission.Decision;
-import tinlink.cluster.consensus.VoterAdmission.LogPosition;
 import tinlink.cluster.membership.Incarnation;
 
 import java.util.Map;
@@ -75,10 +74,10 @@
     @Test
     void aDiskIsAdmittedOnceAMajorityKnowsNothingLater() {
         VoterAdmission admission = admission();
-        admission.answered(
+        admission.onAnswer(
                 "r2", new Incarnation("r1", 3, 1), new LogPosition(3, 50), RecoveryFloor.NONE, 0);
         assertEquals(Decision.UNDECIDED, admission.decide(10_000, 100));
-        admission.answered("r3", null, null, RecoveryFloor.NONE, 10_000);
+        admission.onAnswer("r3", null, null, RecoveryFloor.NONE, 10_000);
         assertEquals(
                 Decision.UNDECIDED,
                 admission.decide(10_099, 100),
@@ -94,9 +93,9 @@
                 "half of the others stay away: it votes without a floor");
         assertEquals(RecoveryFloor.NONE, admission.floor());
         VoterAdmission withLaterPositions = admission();
-        withLaterPositions.answered("r2", null, null, new RecoveryFloor(3, 3, 40), 0);
-        withLaterPositions.answered("r3", null, null, new RecoveryFloor(4, 3, 60), 0);
-        withLaterPositions.answered("r4", null, null, new RecoveryFloor(3, 3, 50), 0);
+        withLaterPositions.onAnswer("r2", null, null, new RecoveryFloor(3, 3, 40), 0);
+        withLaterPositions.onAnswer("r3", null, null, new RecoveryFloor(4, 3, 60), 0);
+        withLaterPositions.onAnswer("r4", null, null, new RecoveryFloor(3, 3, 50), 0);
         assertEquals(
                 Decision.UNDECIDED,
                 withLaterPositions.decide(99, 100),
@@ -108,18 +107,18 @@
     @Test
     void oneLaterAnswerPreventsAdmission() {
         VoterAdmission admission = admission();
-        admission.answered("r2", null, null, RecoveryFloor.NONE, 0);
-        admission.answered("r3", null, null, RecoveryFloor.NONE, 0);
-        admission.answered("r4", null, new LogPosition(3, 51), RecoveryFloor.NONE, 0);
+        admission.onAnswer("r2", null, null, RecoveryFloor.NONE, 0);
+        admission.onAnswer("r3", null, null, RecoveryFloor.NONE, 0);
+        admission.onAnswer("r4", null, new LogPosition(3, 51), RecoveryFloor.NONE, 0);
         assertEquals(Decision.STALE_DISK, admission.decide(1000, 100));
         VoterAdmission term = admission();
-        term.answered("r2", null, new LogPosition(4, 0), RecoveryFloor.NONE, 0);
+        term.onAnswer("r2", null, new LogPosition(4, 0), RecoveryFloor.NONE, 0);
         assertEquals(Decision.STALE_DISK, term.decision());
         VoterAdmission later = admission();
-        later.answered("r2", new Incarnation("r1", 5, 1), null, RecoveryFloor.NONE, 0);
+        later.onAnswer("r2", new Incarnation("r1", 5, 1), null, RecoveryFloor.NONE, 0);
         assertEquals(Decision.STALE_DISK, later.decision());
         VoterAdmission duplicate = admission();
-        duplicate.answered("r2", new Incarnation("r1", 4, 8), null, RecoveryFloor.NONE, 0);
+        duplicate.onAnswer("r2", new Incarnation("r1", 4, 8), null, RecoveryFloor.NONE, 0);
         assertEquals(Decision.DUPLICATE_PROCESS, duplicate.decision());
     }
 
@@ -130,22 +129,22 @@
         }) {
             VoterAdmission admission =
                     new VoterAdmission(SELF, new LogPosition(0, 0), Set.of("r2", "r3"), true);
-            admission.answered("r2", knownIncarnation, null, RecoveryFloor.NONE, 0);
+            admission.onAnswer("r2", knownIncarnation, null, RecoveryFloor.NONE, 0);
             assertEquals(Decision.STALE_DISK, admission.decision(), knownIncarnation.toString());
             assertTrue(admission.isLostDisk());
             assertEquals(knownIncarnation.startCount(), admission.knownStartCount());
         }
         VoterAdmission first =
                 new VoterAdmission(SELF, new LogPosition(0, 0), Set.of("r2", "r3"), true);
-        first.answered("r2", SELF, null, RecoveryFloor.NONE, 0);
-        first.answered("r3", null, null, RecoveryFloor.NONE, 0);
+        first.onAnswer("r2", SELF, null, RecoveryFloor.NONE, 0);
+        first.onAnswer("r3", null, null, RecoveryFloor.NONE, 0);
         assertEquals(Decision.ADMITTED, first.decide(0, 100), "the first start of all");
     }
 
     @Test
     void answersOfNonVotersAreIgnored() {
         VoterAdmission admission = admission();
-        admission.answered("r9", new Incarnation("r1", 5, 1), null, RecoveryFloor.NONE, 0);
+        admission.onAnswer("r9", new Incarnation("r1", 5, 1), null, RecoveryFloor.NONE, 0);
         assertEquals(Decision.UNDECIDED, admission.decision());
         assertEquals(Decision.ADMITTED, new VoterAdmission(SELF, DISK, Set.of()).decision());
     }
--- a/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -7,6 +7,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 import tinlink.cluster.ClusterNode;
+import tinlink.cluster.ClusterSettings;
 import tinlink.cluster.consensus.CompositeStateMachine;
 import tinlink.cluster.consensus.LineCodec;
 import tinlink.maintenance.ReplicatedMaintenance;
@@ -88,18 +89,19 @@
         ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network,
-                new ClusterNode.LocalRouter(
-                        "test",
-                        "r0",
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        ""),
-                new ClusterNode.KnownRouters(Map.of(), Set.of("r0")),
+                new ClusterSettings(
+                        new ClusterSettings.LocalRouter(
+                                "test",
+                                "r0",
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                ""),
+                        new ClusterSettings.KnownRouters(Map.of(), Set.of("r0")),
+                        new ClusterSettings.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
+                        new ClusterSettings.Limits(64, 8 << 20, 20),
+                        1),
                 new KeyRing(
                         Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
-                new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
-                new ClusterNode.Limits(64, 8 << 20, 20),
                 directory,
-                1,
                 books,
                 books());
         CompletableFuture<List<String>> restoredLines = new CompletableFuture<>();
