--- a/src/main/java/tinlink/cluster/consensus/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftCodec.java
@@ -1,10 +1,8 @@
 package tinlink.cluster.consensus;
 
-import io.microraft.MembershipChangeMode;
+import static tinlink.cluster.consensus.RaftModelCodec.MODEL_FACTORY;
+
 import io.microraft.RaftEndpoint;
-import io.microraft.model.RaftModelFactory;
-import io.microraft.model.groupop.UpdateRaftGroupMembersOp;
-import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
@@ -25,358 +23,282 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.List;
 
 /**
- * The messages and records of the agreement, as bytes. Operations are texts, or a change of who
- * votes. The group is not written: a link between two routers is of one cluster.
+ * The messages of Raft as bytes: type, sender, term, then the fields of the library's message. The group is not
+ * written, since a connection between two routers belongs to one cluster; the version is that of its handshake.
  */
 public final class RaftCodec {
-    static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
+    /** One operation is no longer, nor is a chunk of a snapshot; UTF-8. */
+    public static final int MAX_TEXT_BYTES = RaftModelCodec.MAX_TEXT_BYTES;
+
     static final Object GROUP_ID = "tinlink";
-    /** One operation is no longer, nor is a piece of a snapshot. */
-    public static final int MAX_TEXT_BYTES = 1 << 20;
 
     private static final int MAX_ENTRIES = 4096;
-    private static final int MAX_VOTERS = 64;
 
     private RaftCodec() {}
 
-    // ---- Messages. ----
+    /** The voter that a message is for, as it stands before it. */
+    public static Voter voter(ByteBuffer buffer) throws MessageRejectedException {
+        return RaftModelCodec.decodeVoter(buffer);
+    }
 
+    /**
+     * Writes a message.
+     *
+     * @throws IllegalArgumentException where the library has a message that is not known here
+     */
     public static byte[] encode(RaftMessage message) {
         MessageCodec.Builder out = new MessageCodec.Builder();
         if (message instanceof AppendEntriesRequest request) {
-            header(out, 1, request)
-                    .putInt(request.getPreviousLogTerm())
-                    .putLong(request.getPreviousLogIndex())
-                    .putLong(request.getCommitIndex())
-                    .putLong(request.getQuerySequenceNumber())
-                    .putLong(request.getFlowControlSequenceNumber())
-                    .putInt(request.getLogEntries().size());
-            request.getLogEntries().forEach(entry -> entry(out, entry));
+            encode(out, request);
         } else if (message instanceof AppendEntriesSuccessResponse response) {
-            header(out, 2, response)
+            header(out, RaftMessageType.APPEND_SUCCESS, response)
                     .putLong(response.getLastLogIndex())
                     .putLong(response.getQuerySequenceNumber())
                     .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse response) {
-            header(out, 3, response)
+            header(out, RaftMessageType.APPEND_FAILURE, response)
                     .putLong(response.getExpectedNextIndex())
                     .putLong(response.getQuerySequenceNumber())
                     .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest request) {
-            header(out, 4, request)
-                    .putByte(request.isSenderLeader() ? 1 : 0)
-                    .putInt(request.getSnapshotTerm())
-                    .putLong(request.getSnapshotIndex())
-                    .putInt(request.getTotalSnapshotChunkCount())
-                    .putLong(request.getQuerySequenceNumber())
-                    .putLong(request.getFlowControlSequenceNumber());
-            voters(out, request.getSnapshottedMembers());
-            view(out, request.getGroupMembersView());
-            out.putByte(request.getSnapshotChunk() == null ? 0 : 1);
-            if (request.getSnapshotChunk() != null) {
-                chunk(out, request.getSnapshotChunk());
-            }
+            encode(out, request);
         } else if (message instanceof InstallSnapshotResponse response) {
-            header(out, 5, response)
+            header(out, RaftMessageType.INSTALL_SNAPSHOT_RESPONSE, response)
                     .putLong(response.getSnapshotIndex())
                     .putInt(response.getRequestedSnapshotChunkIndex())
                     .putLong(response.getQuerySequenceNumber())
                     .putLong(response.getFlowControlSequenceNumber());
-        } else if (message instanceof PreVoteRequest request) {
-            header(out, 6, request)
+        } else {
+            encodeElection(out, message);
+        }
+        return out.build();
+    }
+
+    private static void encodeElection(MessageCodec.Builder out, RaftMessage message) {
+        if (message instanceof PreVoteRequest request) {
+            header(out, RaftMessageType.PRE_VOTE_REQUEST, request)
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
-            header(out, 7, response).putByte(response.isGranted() ? 1 : 0);
+            header(out, RaftMessageType.PRE_VOTE_RESPONSE, response).putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof VoteRequest request) {
-            header(out, 8, request)
+            header(out, RaftMessageType.VOTE_REQUEST, request)
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex())
                     .putByte(request.isSticky() ? 1 : 0);
         } else if (message instanceof VoteResponse response) {
-            header(out, 9, response).putByte(response.isGranted() ? 1 : 0);
+            header(out, RaftMessageType.VOTE_RESPONSE, response).putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof TriggerLeaderElectionRequest request) {
-            header(out, 10, request)
+            header(out, RaftMessageType.TRIGGER_ELECTION, request)
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException("a message of another kind: " + message);
+            throw new IllegalArgumentException("a Raft message of an unknown type: " + message);
         }
-        return out.build();
     }
 
     private static MessageCodec.Builder header(
-            MessageCodec.Builder out, int type, RaftMessage message) {
-        return out.putByte(type).putText(message.getSender().toString()).putInt(message.getTerm());
+            MessageCodec.Builder out, RaftMessageType type, RaftMessage message) {
+        return out.putByte(type.code)
+                .putText(message.getSender().toString())
+                .putInt(message.getTerm());
+    }
+
+    private static void encode(MessageCodec.Builder out, AppendEntriesRequest request) {
+        header(out, RaftMessageType.APPEND_REQUEST, request)
+                .putInt(request.getPreviousLogTerm())
+                .putLong(request.getPreviousLogIndex())
+                .putLong(request.getCommitIndex())
+                .putLong(request.getQuerySequenceNumber())
+                .putLong(request.getFlowControlSequenceNumber())
+                .putInt(request.getLogEntries().size());
+        request.getLogEntries().forEach(entry -> RaftModelCodec.encodeEntry(out, entry));
+    }
+
+    private static void encode(MessageCodec.Builder out, InstallSnapshotRequest request) {
+        header(out, RaftMessageType.INSTALL_SNAPSHOT_REQUEST, request)
+                .putByte(request.isSenderLeader() ? 1 : 0)
+                .putInt(request.getSnapshotTerm())
+                .putLong(request.getSnapshotIndex())
+                .putInt(request.getTotalSnapshotChunkCount())
+                .putLong(request.getQuerySequenceNumber())
+                .putLong(request.getFlowControlSequenceNumber());
+        RaftModelCodec.encodeVoters(out, request.getSnapshottedMembers());
+        RaftModelCodec.encodeView(out, request.getGroupMembersView());
+        out.putByte(request.getSnapshotChunk() == null ? 0 : 1);
+        if (request.getSnapshotChunk() != null) {
+            RaftModelCodec.encodeChunk(out, request.getSnapshotChunk());
+        }
     }
 
     /**
      * Reads a message.
      *
-     * @throws MessageRejectedException where it is none; a buffer that is too short throws its own
+     * @throws MessageRejectedException where it is malformed; a buffer that is too short throws its own
      */
-    public static RaftMessage decode(ByteBuffer in) throws MessageRejectedException {
-        int type = in.get();
-        Voter sender = voter(in);
-        int term = in.getInt();
-        return switch (type) {
-            case 1 -> {
-                int previousLogTerm = in.getInt();
-                long previousLogIndex = in.getLong();
-                long commitIndex = in.getLong();
-                long querySequenceNumber = in.getLong();
-                long flowControlSequenceNumber = in.getLong();
-                int count = count(in, MAX_ENTRIES);
-                List<LogEntry> entries = new ArrayList<>();
-                for (int i = 0; i < count; i++) {
-                    entries.add(entry(in));
-                }
-                yield MODEL_FACTORY
-                        .createAppendEntriesRequestBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setPreviousLogTerm(previousLogTerm)
-                        .setPreviousLogIndex(previousLogIndex)
-                        .setCommitIndex(commitIndex)
-                        .setLogEntries(entries)
-                        .setQuerySequenceNumber(querySequenceNumber)
-                        .setFlowControlSequenceNumber(flowControlSequenceNumber)
-                        .build();
-            }
-            case 2 ->
-                MODEL_FACTORY
-                        .createAppendEntriesSuccessResponseBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setLastLogIndex(in.getLong())
-                        .setQuerySequenceNumber(in.getLong())
-                        .setFlowControlSequenceNumber(in.getLong())
-                        .build();
-            case 3 ->
-                MODEL_FACTORY
-                        .createAppendEntriesFailureResponseBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setExpectedNextIndex(in.getLong())
-                        .setQuerySequenceNumber(in.getLong())
-                        .setFlowControlSequenceNumber(in.getLong())
-                        .build();
-            case 4 -> {
-                boolean isSenderLeader = in.get() == 1;
-                int snapshotTerm = in.getInt();
-                long index = in.getLong();
-                int chunkCount = in.getInt();
-                long querySequenceNumber = in.getLong();
-                long flowControlSequenceNumber = in.getLong();
-                List<RaftEndpoint> members = voters(in);
-                RaftGroupMembersView view = view(in);
-                SnapshotChunk chunk = in.get() == 0 ? null : chunk(in);
-                yield MODEL_FACTORY
-                        .createInstallSnapshotRequestBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setSenderLeader(isSenderLeader)
-                        .setSnapshotTerm(snapshotTerm)
-                        .setSnapshotIndex(index)
-                        .setTotalSnapshotChunkCount(chunkCount)
-                        .setSnapshotChunk(chunk)
-                        .setSnapshottedMembers(members)
-                        .setGroupMembersView(view)
-                        .setQuerySequenceNumber(querySequenceNumber)
-                        .setFlowControlSequenceNumber(flowControlSequenceNumber)
-                        .build();
-            }
-            case 5 ->
-                MODEL_FACTORY
-                        .createInstallSnapshotResponseBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setSnapshotIndex(in.getLong())
-                        .setRequestedSnapshotChunkIndex(in.getInt())
-                        .setQuerySequenceNumber(in.getLong())
-                        .setFlowControlSequenceNumber(in.getLong())
-                        .build();
-            case 6 ->
-                MODEL_FACTORY
-                        .createPreVoteRequestBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setLastLogTerm(in.getInt())
-                        .setLastLogIndex(in.getLong())
-                        .build();
-            case 7 ->
-                MODEL_FACTORY
-                        .createPreVoteResponseBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setGranted(in.get() == 1)
-                        .build();
-            case 8 ->
-                MODEL_FACTORY
-                        .createVoteRequestBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setLastLogTerm(in.getInt())
-                        .setLastLogIndex(in.getLong())
-                        .setSticky(in.get() == 1)
-                        .build();
-            case 9 ->
-                MODEL_FACTORY
-                        .createVoteResponseBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setGranted(in.get() == 1)
-                        .build();
-            case 10 ->
-                MODEL_FACTORY
-                        .createTriggerLeaderElectionRequestBuilder()
-                        .setGroupId(GROUP_ID)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setLastLogTerm(in.getInt())
-                        .setLastLogIndex(in.getLong())
-                        .build();
-            default -> throw MessageCodec.malformed("a word of type " + type);
+    public static RaftMessage decode(ByteBuffer buffer) throws MessageRejectedException {
+        int code = buffer.get();
+        Voter sender = voter(buffer);
+        int term = buffer.getInt();
+        return switch (RaftMessageType.withCode(code)) {
+            case APPEND_REQUEST -> appendRequest(buffer, sender, term);
+            case APPEND_SUCCESS -> appendSuccess(buffer, sender, term);
+            case APPEND_FAILURE -> appendFailure(buffer, sender, term);
+            case INSTALL_SNAPSHOT_REQUEST -> installSnapshotRequest(buffer, sender, term);
+            case INSTALL_SNAPSHOT_RESPONSE -> installSnapshotResponse(buffer, sender, term);
+            case PRE_VOTE_REQUEST -> preVoteRequest(buffer, sender, term);
+            case PRE_VOTE_RESPONSE -> preVoteResponse(buffer, sender, term);
+            case VOTE_REQUEST -> voteRequest(buffer, sender, term);
+            case VOTE_RESPONSE -> voteResponse(buffer, sender, term);
+            case TRIGGER_ELECTION -> triggerElection(buffer, sender, term);
         };
     }
 
-    private static int count(ByteBuffer in, int max) throws MessageRejectedException {
-        int count = in.getInt();
-        if (count < 0 || count > max) {
-            throw MessageCodec.malformed("a list of " + count);
-        }
-        return count;
-    }
-
-    // ---- What they are made of. ----
-
-    /** The voter that stands next in a message. */
-    public static Voter voter(ByteBuffer in) throws MessageRejectedException {
-        String text = MessageCodec.readText(in);
-        try {
-            return Voter.parse(text);
-        } catch (IllegalArgumentException invalid) {
-            throw MessageCodec.malformed(invalid.getMessage());
+    private static RaftMessage appendRequest(ByteBuffer buffer, Voter sender, int term)
+            throws MessageRejectedException {
+        int previousLogTerm = buffer.getInt();
+        long previousLogIndex = buffer.getLong();
+        long commitIndex = buffer.getLong();
+        long querySequenceNumber = buffer.getLong();
+        long flowControlSequenceNumber = buffer.getLong();
+        int count = RaftModelCodec.decodeCount(buffer, MAX_ENTRIES);
+        List<LogEntry> entries = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            entries.add(RaftModelCodec.decodeEntry(buffer));
         }
+        return MODEL_FACTORY
+                .createAppendEntriesRequestBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setPreviousLogTerm(previousLogTerm)
+                .setPreviousLogIndex(previousLogIndex)
+                .setCommitIndex(commitIndex)
+                .setLogEntries(entries)
+                .setQuerySequenceNumber(querySequenceNumber)
+                .setFlowControlSequenceNumber(flowControlSequenceNumber)
+                .build();
     }
 
-    static void voters(MessageCodec.Builder out, Collection<RaftEndpoint> voters) {
-        out.putInt(voters.size());
-        voters.forEach(voter -> out.putText(voter.toString()));
-    }
-
-    static List<RaftEndpoint> voters(ByteBuffer in) throws MessageRejectedException {
-        int count = count(in, MAX_VOTERS);
-        List<RaftEndpoint> voters = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            voters.add(voter(in));
-        }
-        return voters;
+    private static RaftMessage appendSuccess(ByteBuffer buffer, Voter sender, int term) {
+        return MODEL_FACTORY
+                .createAppendEntriesSuccessResponseBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setLastLogIndex(buffer.getLong())
+                .setQuerySequenceNumber(buffer.getLong())
+                .setFlowControlSequenceNumber(buffer.getLong())
+                .build();
     }
 
-    static void view(MessageCodec.Builder out, RaftGroupMembersView view) {
-        out.putLong(view.getLogIndex());
-        voters(out, view.getMembers());
-        voters(out, view.getVotingMembers());
+    private static RaftMessage appendFailure(ByteBuffer buffer, Voter sender, int term) {
+        return MODEL_FACTORY
+                .createAppendEntriesFailureResponseBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setExpectedNextIndex(buffer.getLong())
+                .setQuerySequenceNumber(buffer.getLong())
+                .setFlowControlSequenceNumber(buffer.getLong())
+                .build();
     }
 
-    static RaftGroupMembersView view(ByteBuffer in) throws MessageRejectedException {
-        long index = in.getLong();
-        List<RaftEndpoint> members = voters(in);
+    private static RaftMessage installSnapshotRequest(ByteBuffer buffer, Voter sender, int term)
+            throws MessageRejectedException {
+        boolean isSenderLeader = buffer.get() == 1;
+        int snapshotTerm = buffer.getInt();
+        long snapshotIndex = buffer.getLong();
+        int chunkCount = buffer.getInt();
+        long querySequenceNumber = buffer.getLong();
+        long flowControlSequenceNumber = buffer.getLong();
+        List<RaftEndpoint> members = RaftModelCodec.decodeVoters(buffer);
+        RaftGroupMembersView view = RaftModelCodec.decodeView(buffer);
+        SnapshotChunk chunk = buffer.get() == 0 ? null : RaftModelCodec.decodeChunk(buffer);
         return MODEL_FACTORY
-                .createRaftGroupMembersViewBuilder()
-                .setLogIndex(index)
-                .setMembers(members)
-                .setVotingMembers(voters(in))
+                .createInstallSnapshotRequestBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setSenderLeader(isSenderLeader)
+                .setSnapshotTerm(snapshotTerm)
+                .setSnapshotIndex(snapshotIndex)
+                .setTotalSnapshotChunkCount(chunkCount)
+                .setSnapshotChunk(chunk)
+                .setSnapshottedMembers(members)
+                .setGroupMembersView(view)
+                .setQuerySequenceNumber(querySequenceNumber)
+                .setFlowControlSequenceNumber(flowControlSequenceNumber)
                 .build();
     }
 
-    static void entry(MessageCodec.Builder out, LogEntry entry) {
-        out.putLong(entry.getIndex()).putInt(entry.getTerm());
-        operation(out, entry.getOperation());
+    private static RaftMessage installSnapshotResponse(ByteBuffer buffer, Voter sender, int term) {
+        return MODEL_FACTORY
+                .createInstallSnapshotResponseBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setSnapshotIndex(buffer.getLong())
+                .setRequestedSnapshotChunkIndex(buffer.getInt())
+                .setQuerySequenceNumber(buffer.getLong())
+                .setFlowControlSequenceNumber(buffer.getLong())
+                .build();
     }
 
-    static LogEntry entry(ByteBuffer in) throws MessageRejectedException {
-        long index = in.getLong();
-        int term = in.getInt();
+    private static RaftMessage preVoteRequest(ByteBuffer buffer, Voter sender, int term) {
         return MODEL_FACTORY
-                .createLogEntryBuilder()
-                .setIndex(index)
+                .createPreVoteRequestBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
                 .setTerm(term)
-                .setOperation(operation(in))
+                .setLastLogTerm(buffer.getInt())
+                .setLastLogIndex(buffer.getLong())
                 .build();
     }
 
-    @SuppressWarnings("EnumOrdinal") // Modes are numbered in their order.
-    private static void operation(MessageCodec.Builder out, Object operation) {
-        if (operation instanceof UpdateRaftGroupMembersOp update) {
-            out.putByte(1);
-            voters(out, update.getMembers());
-            voters(out, update.getVotingMembers());
-            out.putText(update.getEndpoint().toString())
-                    .putByte(update.getMode().ordinal());
-        } else {
-            out.putByte(0).putLongText((String) operation);
-        }
+    private static RaftMessage preVoteResponse(ByteBuffer buffer, Voter sender, int term) {
+        return MODEL_FACTORY
+                .createPreVoteResponseBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setGranted(buffer.get() == 1)
+                .build();
     }
 
-    @SuppressWarnings("EnumOrdinal") // As above.
-    private static Object operation(ByteBuffer in) throws MessageRejectedException {
-        if (in.get() == 0) {
-            return MessageCodec.readLongText(in, MAX_TEXT_BYTES);
-        }
-        List<RaftEndpoint> members = voters(in);
-        List<RaftEndpoint> voting = voters(in);
-        Voter voter = voter(in);
-        int mode = in.get();
-        if (mode < 0 || mode >= MembershipChangeMode.values().length) {
-            throw MessageCodec.malformed("a change of kind " + mode);
-        }
+    private static RaftMessage voteRequest(ByteBuffer buffer, Voter sender, int term) {
         return MODEL_FACTORY
-                .createUpdateRaftGroupMembersOpBuilder()
-                .setMembers(members)
-                .setVotingMembers(voting)
-                .setEndpoint(voter)
-                .setMode(MembershipChangeMode.values()[mode])
+                .createVoteRequestBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setLastLogTerm(buffer.getInt())
+                .setLastLogIndex(buffer.getLong())
+                .setSticky(buffer.get() == 1)
                 .build();
     }
 
-    static void chunk(MessageCodec.Builder out, SnapshotChunk chunk) {
-        out.putLong(chunk.getIndex())
-                .putInt(chunk.getTerm())
-                .putInt(chunk.getSnapshotChunkIndex())
-                .putInt(chunk.getSnapshotChunkCount());
-        view(out, chunk.getGroupMembersView());
-        out.putLongText((String) chunk.getOperation());
+    private static RaftMessage voteResponse(ByteBuffer buffer, Voter sender, int term) {
+        return MODEL_FACTORY
+                .createVoteResponseBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
+                .setTerm(term)
+                .setGranted(buffer.get() == 1)
+                .build();
     }
 
-    static SnapshotChunk chunk(ByteBuffer in) throws MessageRejectedException {
-        long index = in.getLong();
-        int term = in.getInt();
-        int chunkIndex = in.getInt();
-        int chunkCount = in.getInt();
-        RaftGroupMembersView view = view(in);
+    private static RaftMessage triggerElection(ByteBuffer buffer, Voter sender, int term) {
         return MODEL_FACTORY
-                .createSnapshotChunkBuilder()
-                .setIndex(index)
+                .createTriggerLeaderElectionRequestBuilder()
+                .setGroupId(GROUP_ID)
+                .setSender(sender)
                 .setTerm(term)
-                .setSnapshotChunkIndex(chunkIndex)
-                .setSnapshotChunkCount(chunkCount)
-                .setGroupMembersView(view)
-                .setOperation(MessageCodec.readLongText(in, MAX_TEXT_BYTES))
+                .setLastLogTerm(buffer.getInt())
+                .setLastLogIndex(buffer.getLong())
                 .build();
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/RaftReplica.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftReplica.java
@@ -11,16 +11,12 @@
 import io.microraft.model.message.AppendEntriesFailureResponse;
 import io.microraft.model.message.AppendEntriesRequest;
 import io.microraft.model.message.AppendEntriesSuccessResponse;
-import io.microraft.model.message.InstallSnapshotRequest;
-import io.microraft.model.message.PreVoteRequest;
 import io.microraft.model.message.RaftMessage;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
 import io.microraft.persistence.RestoredRaftState;
 import io.microraft.report.RaftGroupMembers;
 import io.microraft.report.RaftNodeReport;
-import io.microraft.report.RaftTerm;
-import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 
 import java.time.Clock;
@@ -31,20 +27,22 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.function.BiConsumer;
-import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
 /**
- * One voter's part in agreeing, on the library's implementation of Raft. Time, chance, the thread
- * and the way to others come from outside: in service a thread of its own and the peers' links, in
- * a play the simulated ones.
+ * One voter's replica of the agreed log, on the library's implementation of Raft. Time, chance, the thread and
+ * the way to others come from outside: in service a thread of its own and the connections between routers, in a
+ * simulation the simulated ones. Methods may be called from any thread, results come on the executor's.
  *
- * <p>Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm"
- * (2014).
+ * <p>Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014).
  */
 public final class RaftReplica {
-    /** What an agreement runs on. */
+    /**
+     * What a replica runs on.
+     *
+     * @param sender sends a message to a voter, on the executor's thread; it may get lost
+     */
     public record Environment(
             RaftNodeExecutor executor,
             Clock clock,
@@ -52,48 +50,44 @@
             BiConsumer<Voter, RaftMessage> sender,
             Predicate<Voter> reachable) {}
 
-    /** What hears of what was agreed: on the executor's thread, in order. */
+    /** Is notified of what was agreed on, on the executor's thread, in order. */
     public interface Listener {
-        void onApplied(long index, String line);
-
         /**
-         * What stands is these lines, as of that index; lines that were not heard one by one are in
-         * it.
+         * A line has been applied.
+         *
+         * @param line empty where a leader has begun its term
          */
+        void onApplied(long index, String line);
+
+        /** The state is these lines, as of that index; lines that were not applied one by one are in it. */
         void onRestored(long index, List<String> lines);
     }
 
-    /** A snapshot is passed on in pieces of about so many characters. */
-    private static final int SNAPSHOT_CHUNK_CHARS = 1 << 18;
-    /**
-     * One of the library's heartbeats, and how long a leader may be silent, in its milliseconds.
-     */
+    private static final int ELECTION_TIMEOUT_MS = 1000;
     private static final int HEARTBEAT_PERIOD_S = 1;
-
     private static final int HEARTBEAT_TIMEOUT_S = 4;
-    /** A follower that has not missed its leader after so many times as long won't. */
+    /** A follower that does not miss a leader that is silent for so many timeouts never will. */
     private static final int STUCK_AFTER_TIMEOUTS = 3;
-
-    private volatile RaftNode node;
-    /** As often in a row has it refused to go on from the same place; on the Raft thread. */
+    /** So often in a row it may refuse to go on from the same index. */
     private static final int MAX_REPEATED_APPEND_FAILURES = 10;
 
-    private int repeatedAppendFailures;
-    private long failedNextIndex;
-    private volatile boolean restarting;
-    private volatile boolean terminated;
     private final Environment environment;
-    private final Supplier<RaftNode> createNode;
     private final ReplicatedStateMachine stateMachine;
-    private final Listener listener;
-    private final RaftStateStore stateStore;
-    /** What this voter holds to; read by both threads. */
-    private volatile RecoveryFloor floor = RecoveryFloor.NONE;
+    private final RecoveryFilter recoveryFilter;
+    private final Supplier<RaftNode> nodeFactory;
+    private volatile RaftNode node;
+    private volatile boolean restarting;
+    private volatile boolean terminated;
+    /** On the executor's thread. */
+    private int repeatedAppendFailures;
+
+    private long failedNextIndex;
 
     /**
-     * @param initialVoters who votes at the very first start of the group; of no account where something
-     *     was kept
-     * @param snapshotEvery lines between two snapshots
+     * Takes up what is stored; begins with {@link #start}.
+     *
+     * @param initialVoters who votes at the very first start of the group; without effect where something is stored
+     * @param snapshotIntervalLines lines between two snapshots
      */
     public RaftReplica(
             Voter self,
@@ -102,36 +96,44 @@
             ReplicatedStateMachine stateMachine,
             Listener listener,
             Environment environment,
-            int snapshotEvery) {
-        this.stateMachine = stateMachine;
-        this.listener = listener;
-        this.stateStore = stateStore;
+            int snapshotIntervalLines) {
         this.environment = environment;
+        this.stateMachine = stateMachine;
+        recoveryFilter = new RecoveryFilter(stateStore);
         RaftConfig config = RaftConfig.newBuilder()
-                .setLeaderElectionTimeoutMillis(1000)
+                .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MS)
                 .setLeaderHeartbeatPeriodSecs(HEARTBEAT_PERIOD_S)
                 .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_S)
-                .setCommitCountToTakeSnapshot(snapshotEvery)
+                .setCommitCountToTakeSnapshot(snapshotIntervalLines)
                 .setTransferSnapshotsFromFollowersEnabled(false)
                 .build();
-        createNode = () -> createNode(self, initialVoters, config);
-        node = createNode.get();
+        nodeFactory = () -> {
+            RaftNode.RaftNodeBuilder builder = newBuilder(config, stateStore, listener);
+            RestoredRaftState restored = stateStore.restoredState();
+            return restored != null
+                    ? builder.setRestoredState(restored).build()
+                    : builder.setLocalEndpoint(self)
+                            .setInitialGroupMembers(new ArrayList<RaftEndpoint>(initialVoters))
+                            .build();
+        };
+        node = nodeFactory.get();
     }
 
-    private RaftNode createNode(Voter self, Collection<Voter> initialVoters, RaftConfig config) {
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
+    private RaftNode.RaftNodeBuilder newBuilder(
+            RaftConfig config, RaftStateStore stateStore, Listener listener) {
+        return RaftNode.newBuilder()
                 .setGroupId(RaftCodec.GROUP_ID)
                 .setConfig(config)
                 .setExecutor(environment.executor())
                 .setClock(environment.clock())
                 .setRandom(environment.random())
                 .setStore(stateStore)
-                .setStateMachine(new StateMachineAdapter())
+                .setStateMachine(new StateMachineAdapter(stateMachine, listener))
                 .setTransport(new Transport() {
                     @Override
                     public void send(RaftEndpoint recipient, RaftMessage message) {
                         countAppendFailures(message);
-                        if (maySend(message)) {
+                        if (recoveryFilter.maySend(message)) {
                             environment.sender().accept((Voter) recipient, message);
                         }
                     }
@@ -141,72 +143,29 @@
                         return environment.reachable().test((Voter) recipient);
                     }
                 });
-        RestoredRaftState restored = stateStore.restoredState();
-        return (restored != null
-                        ? builder.setRestoredState(restored)
-                        : builder.setLocalEndpoint(self)
-                                .setInitialGroupMembers(new ArrayList<RaftEndpoint>(initialVoters)))
-                .build();
-    }
-
-    private final class StateMachineAdapter implements StateMachine {
-        @Override
-        public Object runOperation(long index, Object operation) {
-            String line = (String) operation;
-            String reply = line.isEmpty() ? "" : stateMachine.apply(line);
-            listener.onApplied(index, line);
-            return reply;
-        }
-
-        @Override
-        public void takeSnapshot(long index, Consumer<Object> chunks) {
-            StringBuilder chunk = new StringBuilder();
-            for (String line : stateMachine.snapshot()) {
-                if (chunk.length() + line.length() > SNAPSHOT_CHUNK_CHARS && chunk.length() > 0) {
-                    chunks.accept(chunk.toString());
-                    chunk.setLength(0);
-                }
-                chunk.append(line).append('\n');
-            }
-            chunks.accept(chunk.toString());
-        }
-
-        @Override
-        public void installSnapshot(long index, List<Object> chunks) {
-            List<String> lines = new ArrayList<>();
-            for (Object chunk : chunks) {
-                lines.addAll(((String) chunk).lines().toList());
-            }
-            stateMachine.restore(lines);
-            listener.onRestored(index, lines);
-        }
-
-        /** A new leader begins with an empty line: what was before it is settled by it. */
-        @Override
-        public Object getNewTermOperation() {
-            return "";
-        }
     }
 
     /**
-     * How far a message shows its sender's disk to be; null where it shows nothing. Asking whether
-     * one would be voted for names a term that is not on any disk yet.
+     * How far a message shows its sender's disk to be; null where it shows nothing. A request for a pre-vote names
+     * a term that is not on any disk yet.
      */
     public static LogPosition confirmedPosition(RaftMessage message) {
-        if (message instanceof AppendEntriesSuccessResponse appendResponse) {
-            return new LogPosition(message.getTerm(), appendResponse.getLastLogIndex());
+        if (message instanceof AppendEntriesSuccessResponse response) {
+            return new LogPosition(message.getTerm(), response.getLastLogIndex());
         }
-        boolean isPersisted = message instanceof VoteRequest
-                || (message instanceof VoteResponse voteResponse && voteResponse.isGranted())
+        boolean isTermPersisted = message instanceof VoteRequest
+                || (message instanceof VoteResponse response && response.isGranted())
                 || message instanceof AppendEntriesRequest;
-        return isPersisted ? new LogPosition(message.getTerm(), 0) : null;
+        return isTermPersisted ? new LogPosition(message.getTerm(), 0) : null;
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // What a node reports is looked at by tend.
+    /** Begins to take part; once, on any thread. */
+    @SuppressWarnings("FutureReturnValueIgnored") // Its state is looked at by restartIfStuck.
     public void start() {
         node.start();
     }
 
+    /** Takes no part any more; what runs on the executor may still end. */
     @SuppressWarnings("FutureReturnValueIgnored") // Nothing follows its end.
     public void terminate() {
         terminated = true;
@@ -219,12 +178,12 @@
     }
 
     /**
-     * Looks whether this voter still notices that its leader is silent; to be called now and then.
-     * Danger: after it has taken a snapshot the library's follower may stop to look (seen in a
-     * seeded play: no vote was asked for in thirty seconds without a leader), and a group of such
-     * followers never gets another leader. Such a one is made anew from what is kept.
+     * Looks whether this voter still notices that its leader is silent; to be called periodically. Danger: after
+     * it has taken a snapshot the library's follower may stop to look (seen in a seeded simulation: no vote was
+     * asked for in thirty seconds without a leader), and a group of such followers never gets another leader. Such
+     * a one is restarted from what is stored.
      */
-    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void restartIfStuck() {
         RaftNode current = node;
         if (restarting || terminated || RaftNodeStatus.isTerminal(current.getStatus())) {
@@ -237,21 +196,25 @@
         });
     }
 
+    private boolean isStuck(RaftNodeReport report) {
+        long silentMs = environment.clock().millis()
+                - report.getLeaderHeartbeatTimestamp().orElse(Long.MAX_VALUE);
+        return report.getRole() != RaftRole.LEADER
+                && report.getTerm().getLeaderEndpoint() != null
+                && silentMs > STUCK_AFTER_TIMEOUTS * 1000L * HEARTBEAT_TIMEOUT_S;
+    }
+
     /**
-     * Danger: a follower that took a snapshot of another while lines of a leader that did not get
-     * through stood behind it in its log may refuse what follows the snapshot for ever (seen in a
-     * seeded play: a voter that confirmed nothing any more). What is kept has no such lines, so it
-     * is made anew from that.
+     * Danger: a follower that took a snapshot of another voter while entries of a leader without a majority followed
+     * it in its log may refuse what follows the snapshot for ever (seen in a seeded simulation: a voter that
+     * confirmed nothing any more). What is stored has no such entries, so it is restarted from that.
      */
     private void countAppendFailures(RaftMessage message) {
         if (message instanceof AppendEntriesFailureResponse failure) {
-            repeatedAppendFailures = failure.getExpectedNextIndex() == failedNextIndex
-                    ? repeatedAppendFailures + 1
-                    : 0;
+            repeatedAppendFailures =
+                    failure.getExpectedNextIndex() == failedNextIndex ? repeatedAppendFailures + 1 : 0;
             failedNextIndex = failure.getExpectedNextIndex();
-            if (repeatedAppendFailures >= MAX_REPEATED_APPEND_FAILURES
-                    && !restarting
-                    && !terminated) {
+            if (repeatedAppendFailures >= MAX_REPEATED_APPEND_FAILURES && !restarting && !terminated) {
                 repeatedAppendFailures = 0;
                 RaftNode current = node;
                 environment.executor().submit(() -> restart(current));
@@ -261,17 +224,7 @@
         }
     }
 
-    private boolean isStuck(RaftNodeReport report) {
-        long silentMs = environment.clock().millis()
-                - report.getLeaderHeartbeatTimestamp().orElse(Long.MAX_VALUE);
-        return report.getRole() != RaftRole.LEADER
-                && report.getTerm().getLeaderEndpoint() != null
-                && silentMs > STUCK_AFTER_TIMEOUTS * 1000L * HEARTBEAT_TIMEOUT_S;
-    }
-
-    @SuppressWarnings(
-            "FutureReturnValueIgnored") // The callback hears of failures; tend looks after the new
-    // one.
+    @SuppressWarnings("FutureReturnValueIgnored") // The new node is looked at by restartIfStuck.
     private void restart(RaftNode current) {
         if (restarting || terminated || current != node) {
             return;
@@ -279,47 +232,27 @@
         restarting = true;
         current.terminate().whenComplete((result, failure) -> {
             if (!terminated) {
-                stateMachine.restore(
-                        List.of()); // What is kept is played through from its beginning.
-                node = createNode.get();
+                stateMachine.restore(List.of()); // What is stored is replayed from its beginning.
+                node = nodeFactory.get();
                 restarting = false;
                 node.start();
             }
         });
     }
 
-    /** From any thread: what this voter holds to from now on. */
+    /** What this voter keeps to from now on. */
     public void setFloor(RecoveryFloor newFloor) {
-        floor = newFloor;
+        recoveryFilter.setFloor(newFloor);
     }
 
-    /** Whether its log is as far as what it holds to. */
+    /** Whether its log is as far as what it keeps to. */
     public boolean hasReachedFloor() {
-        RecoveryFloor logEnd = stateStore.logEnd();
-        return floor.mayCampaign(logEnd.lastTerm(), logEnd.lastIndex());
-    }
-
-    /** It asks nobody for a vote before it is as far as others were. */
-    private boolean maySend(RaftMessage message) {
-        return !(message instanceof PreVoteRequest || message instanceof VoteRequest)
-                || hasReachedFloor();
+        return recoveryFilter.hasReachedFloor();
     }
 
-    /** From any thread. */
+    /** Takes in a message of another voter, unless what this one keeps to forbids it. */
     public void receive(RaftMessage message) {
-        RecoveryFloor currentFloor = floor;
-        boolean isAllowed = message instanceof VoteRequest voteRequest
-                ? currentFloor.mayGrant(
-                        voteRequest.getTerm(),
-                        voteRequest.getLastLogTerm(),
-                        voteRequest.getLastLogIndex())
-                : message instanceof PreVoteRequest preVoteRequest
-                        ? currentFloor.mayAnswerPreVote(
-                                preVoteRequest.getLastLogTerm(), preVoteRequest.getLastLogIndex())
-                        : !(message instanceof AppendEntriesRequest
-                                        || message instanceof InstallSnapshotRequest)
-                                || currentFloor.mayFollow(message.getTerm());
-        if (isAllowed) {
+        if (recoveryFilter.mayReceive(message)) {
             node.handle(message);
         }
     }
@@ -327,10 +260,10 @@
     /**
      * Proposes a line.
      *
-     * @param onResult what is said to it once it is agreed, with null for why; or why it is not known
-     *     whether it is, or that it is not. On the executor's thread
+     * @param onResult the state machine's reply once the line is agreed on, with null; else null with why it is
+     *     not, or is not known to be. On the executor's thread
      */
-    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void propose(String line, BiConsumer<String, Throwable> onResult) {
         node.<String>replicate(line)
                 .whenComplete((result, failure) ->
@@ -338,9 +271,12 @@
     }
 
     /**
-     * Once all that was agreed before this call has been played here; only the leader can say so.
+     * Confirms with a majority up to which index all was agreed on before this call, and applies it here; only
+     * the leader can.
+     *
+     * @param onResult the index with null, or null with why it is not confirmed. On the executor's thread
      */
-    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void confirmCommitIndex(BiConsumer<Long, Throwable> onResult) {
         node.query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.<Duration>empty())
                 .whenComplete((result, failure) ->
@@ -349,37 +285,41 @@
 
     /** Null where none is known. */
     public Voter leader() {
-        RaftTerm term = node.getTerm();
-        return (Voter) term.getLeaderEndpoint();
+        return (Voter) node.getTerm().getLeaderEndpoint();
     }
 
+    /** The term that it is in. */
     public int term() {
         return node.getTerm().getTerm();
     }
 
+    /** As which voter it takes part. */
     public Voter self() {
         return (Voter) node.getLocalEndpoint();
     }
 
+    /** Whether it leads, as far as it knows. */
     public boolean isLeader() {
         return self().equals(leader());
     }
 
+    /** Who votes, by the last change that was agreed on. */
     public RaftGroupMembers committedMembers() {
         return node.getCommittedMembers();
     }
 
-    /** One change at a time; on the leader. */
-    @SuppressWarnings("FutureReturnValueIgnored") // The callback hears of failures.
-    public void changeMembership(
-            Voter voter, boolean adding, BiConsumer<String, Throwable> onResult) {
-        node.changeMembership(
-                        voter,
-                        adding
-                                ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
-                                : MembershipChangeMode.REMOVE_MEMBER,
-                        committedMembers().getLogIndex())
-                .whenComplete(
-                        (result, failure) -> onResult.accept(result == null ? null : "", failure));
+    /**
+     * Adds or removes a voter; one change at a time, on the leader.
+     *
+     * @param onResult empty with null, or null with why the change is not known to be agreed on. On the
+     *     executor's thread
+     */
+    @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
+    public void changeMembership(Voter voter, boolean adding, BiConsumer<String, Throwable> onResult) {
+        MembershipChangeMode mode = adding
+                ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
+                : MembershipChangeMode.REMOVE_MEMBER;
+        node.changeMembership(voter, mode, committedMembers().getLogIndex())
+                .whenComplete((result, failure) -> onResult.accept(result == null ? null : "", failure));
     }
 }
