--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -17,6 +17,7 @@
 import tinlink.cluster.transport.TrafficCounters;
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
@@ -38,7 +39,7 @@
  * state belongs to the event loop's thread; Raft has a thread of its own, for its disk blocks. Nothing that
  * serves clients waits for any of it.
  */
-public final class ClusterNode implements RaftReplica.Listener, EventLoop.EventLoopParticipant {
+public final class ClusterNode implements RaftReplica.Listener, EventLoopParticipant {
     private final EventLoop loop;
     private final ClusterSettings settings;
     private final Identity identity;
@@ -316,11 +317,16 @@
 
     @Override
     public void turnEnding() {
-        while (!closed && membership.decide(membershipTransport)) {
+        while (!closed && membership.decide(membershipHandler())) {
             // Each decision has been carried out.
         }
     }
 
+    /** What carries out the decisions of membership. */
+    Membership.Handler membershipHandler() {
+        return membershipTransport;
+    }
+
     // Messages.
 
     private void send(String router, NodeMessage message) {
--- a/src/main/java/tinlink/cluster/MembershipTransport.java
+++ b/src/main/java/tinlink/cluster/MembershipTransport.java
@@ -7,6 +7,7 @@
 import tinlink.cluster.transport.MessageKind;
 import tinlink.cluster.transport.PeerConnections;
 import tinlink.cluster.transport.PeerProtocol;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
@@ -15,14 +16,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Carries out the decisions of {@link Membership} over the connections, and feeds it what comes in. Event
  * loop's thread only.
  */
 final class MembershipTransport implements Membership.Handler {
-    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+    private static final EventLog LOG = new EventLog("tinlink.cluster");
 
     private final EventLoop loop;
     private final Membership membership;
@@ -96,13 +96,15 @@
     public void onMemberChanged(Member member) {
         LOG.log(
                 Level.INFO,
-                "event=member_changed router={0} incarnation={1} state={2}{3}",
-                new Object[] {
-                    member.router(),
-                    member.incarnation(),
-                    member.state(),
-                    member.duplicate() == null ? "" : " duplicate=" + member.duplicate()
-                });
+                "member_changed",
+                "router",
+                member.router(),
+                "incarnation",
+                member.incarnation(),
+                "state",
+                member.state(),
+                "duplicate",
+                member.duplicate());
         connections.counters().increment("peers_" + member.state().name().toLowerCase(Locale.ROOT));
     }
 
@@ -112,8 +114,13 @@
         connections.counters().increment(isDuplicate ? "peers_self_twin" : "peers_self_later");
         LOG.log(
                 Level.SEVERE,
-                "event=duplicate_router relation={0} other={1} own={2}",
-                new Object[] {relation, other, self});
+                "duplicate_router",
+                "relation",
+                relation,
+                "other",
+                other,
+                "own",
+                self);
         onSelfConflict.run();
     }
 
--- a/src/main/java/tinlink/cluster/VoterLifecycle.java
+++ b/src/main/java/tinlink/cluster/VoterLifecycle.java
@@ -8,6 +8,7 @@
 import tinlink.cluster.consensus.RaftStateStore;
 import tinlink.cluster.consensus.Voter;
 import tinlink.cluster.consensus.VoterAdmission;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 
 import java.io.IOException;
@@ -15,14 +16,13 @@
 import java.util.TreeSet;
 import java.util.function.Function;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * This router's life as a voter: its disk is admitted or found to be an old copy, its replica runs, and it ends
  * as the voter slot goes to another disk. Event loop's thread only.
  */
 final class VoterLifecycle {
-    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+    private static final EventLog LOG = new EventLog("tinlink.cluster");
     /** Seconds of the Raft library that voters are waited for once a majority has answered. */
     private static final int ADMISSION_GRACE_SECONDS = 8;
 
@@ -97,9 +97,13 @@
             leader.set(current == null ? "" : current.router());
         }
         if (replica != null && replica.isTerminated()) {
-            LOG.log(Level.WARNING, "event=voter_removed router={0} as={1}", new Object[] {
-                settings.local().router(), localVoter
-            });
+            LOG.log(
+                    Level.WARNING,
+                    "voter_removed",
+                    "router",
+                    settings.local().router(),
+                    "voter",
+                    localVoter);
             replica = null;
             removedFromGroup = true;
         }
@@ -146,9 +150,11 @@
         } else {
             LOG.log(
                     Level.SEVERE,
-                    "event=voter_not_admitted router={0} why=\"its folder is an old copy, or another process "
-                            + "runs with it: start it with an empty one\"",
-                    settings.local().router());
+                    "voter_not_admitted",
+                    "router",
+                    settings.local().router(),
+                    "reason",
+                    "its folder is an old copy, or another process runs with it: start it with an empty one");
         }
     }
 
@@ -158,11 +164,14 @@
             identity.replaceLostDisk(pendingAdmission.knownStartCount());
             LOG.log(
                     Level.SEVERE,
-                    "event=voter_not_admitted router={0} why=\"its folder is empty, and the router was known "
-                            + "before: start it once more, and it gets its voter slot back\"",
-                    settings.local().router());
+                    "voter_not_admitted",
+                    "router",
+                    settings.local().router(),
+                    "reason",
+                    "its folder is empty, and the router was known before: "
+                            + "start it once more, and it gets its voter slot back");
         } catch (IOException e) {
-            LOG.log(Level.SEVERE, "event=identity_not_written", e);
+            LOG.logFailure(Level.SEVERE, "identity_not_written", e);
         }
     }
 
@@ -180,9 +189,15 @@
             replica.setFloor(grantedAdmission.floor());
         }
         replica.start();
-        LOG.log(Level.INFO, "event=voter_started router={0} incarnation={1} as={2}", new Object[] {
-            settings.local().router(), identity.incarnation, localVoter
-        });
+        LOG.log(
+                Level.INFO,
+                "voter_started",
+                "router",
+                settings.local().router(),
+                "incarnation",
+                identity.incarnation,
+                "voter",
+                localVoter);
     }
 
     /** @param recipient the voter that it was sent to; for another disk of this router it is passed over */
--- a/src/main/java/tinlink/cluster/VoterSlots.java
+++ b/src/main/java/tinlink/cluster/VoterSlots.java
@@ -5,6 +5,7 @@
 import tinlink.cluster.consensus.Voter;
 import tinlink.cluster.consensus.VoterReplacement;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 
 import java.util.Map;
@@ -12,14 +13,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Which disks vote. Each router says with which disk it runs; the leader gives the voter slots of lost disks to
  * the new ones, and of routers to others where an operator says so. Event loop's thread only.
  */
 final class VoterSlots {
-    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
+    private static final EventLog LOG = new EventLog("tinlink.cluster");
     /** Seconds of the Raft library after which a router that does not say that its disk is there is not counted on. */
     private static final int PRESENCE_TIMEOUT_SECONDS = 16;
 
@@ -140,9 +140,13 @@
 
     private void change(Voter changed, boolean adding) {
         changeInProgress = true;
-        LOG.log(Level.WARNING, "event=voter_change {0}={1}", new Object[] {
-            adding ? "added" : "removed", changed
-        });
+        LOG.log(
+                Level.WARNING,
+                "voter_change",
+                "change",
+                adding ? "add" : "remove",
+                "voter",
+                changed);
         voter.replica()
                 .changeMembership(
                         changed,
--- a/src/main/java/tinlink/cluster/consensus/DiskRecordLog.java
+++ b/src/main/java/tinlink/cluster/consensus/DiskRecordLog.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** What a voter keeps, on a disk. */
+/** The records of a {@link RaftStateStore} on a disk, in the folder's log {@code agreement}. */
 public final class DiskRecordLog implements RaftStateStore.RecordLog, java.io.Closeable {
     private final DurableLog durableLog;
 
@@ -14,10 +14,10 @@
         durableLog = new DurableLog(folder.resolve("agreement"), maxBytes);
     }
 
-    /** As it was found. */
+    /** What was found on the disk; once. */
     public RaftStateStore openStateStore() throws IOException {
-        RaftStateStore stateStore =
-                new RaftStateStore(this, durableLog.snapshot(), durableLog.records());
+        RaftStateStore stateStore = new RaftStateStore(
+                this, durableLog.recoveredSnapshot(), durableLog.recoveredRecords());
         durableLog.releaseRecovered();
         return stateStore;
     }
@@ -34,7 +34,7 @@
 
     @Override
     public void compactTo(byte[] state) throws IOException {
-        durableLog.snapshot(state);
+        durableLog.writeSnapshot(state);
     }
 
     @Override
--- a/src/main/java/tinlink/cluster/consensus/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftCodec.java
@@ -83,14 +83,16 @@
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
-            header(out, RaftMessageType.PRE_VOTE_RESPONSE, response).putByte(response.isGranted() ? 1 : 0);
+            header(out, RaftMessageType.PRE_VOTE_RESPONSE, response)
+                    .putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof VoteRequest request) {
             header(out, RaftMessageType.VOTE_REQUEST, request)
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex())
                     .putByte(request.isSticky() ? 1 : 0);
         } else if (message instanceof VoteResponse response) {
-            header(out, RaftMessageType.VOTE_RESPONSE, response).putByte(response.isGranted() ? 1 : 0);
+            header(out, RaftMessageType.VOTE_RESPONSE, response)
+                    .putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof TriggerLeaderElectionRequest request) {
             header(out, RaftMessageType.TRIGGER_ELECTION, request)
                     .putInt(request.getLastLogTerm())
--- a/src/main/java/tinlink/cluster/consensus/RaftModelCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftModelCodec.java
@@ -104,7 +104,8 @@
             out.putByte(MEMBERSHIP_OPERATION);
             encodeVoters(out, update.getMembers());
             encodeVoters(out, update.getVotingMembers());
-            out.putText(update.getEndpoint().toString()).putByte(update.getMode().ordinal());
+            out.putText(update.getEndpoint().toString())
+                    .putByte(update.getMode().ordinal());
         } else {
             out.putByte(TEXT_OPERATION).putLongText((String) operation);
         }
--- a/src/main/java/tinlink/cluster/consensus/RaftRecordCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftRecordCodec.java
@@ -28,7 +28,8 @@
                 .build();
     }
 
-    static RaftEndpointPersistentState decodeEndpoint(ByteBuffer buffer) throws MessageRejectedException {
+    static RaftEndpointPersistentState decodeEndpoint(ByteBuffer buffer)
+            throws MessageRejectedException {
         Voter voter = RaftModelCodec.decodeVoter(buffer);
         return RaftModelCodec.MODEL_FACTORY
                 .createRaftEndpointPersistentStateBuilder()
@@ -47,7 +48,10 @@
         MessageCodec.Builder out = record(RaftRecordType.TERM)
                 .putInt(term.getTerm())
                 .putByte(term.getVotedFor() == null ? 0 : 1);
-        return (term.getVotedFor() == null ? out : out.putText(term.getVotedFor().toString())).build();
+        return (term.getVotedFor() == null
+                        ? out
+                        : out.putText(term.getVotedFor().toString()))
+                .build();
     }
 
     static RaftTermPersistentState decodeTerm(ByteBuffer buffer) throws MessageRejectedException {
--- a/src/main/java/tinlink/cluster/consensus/RaftReplica.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftReplica.java
@@ -211,10 +211,13 @@
      */
     private void countAppendFailures(RaftMessage message) {
         if (message instanceof AppendEntriesFailureResponse failure) {
-            repeatedAppendFailures =
-                    failure.getExpectedNextIndex() == failedNextIndex ? repeatedAppendFailures + 1 : 0;
+            repeatedAppendFailures = failure.getExpectedNextIndex() == failedNextIndex
+                    ? repeatedAppendFailures + 1
+                    : 0;
             failedNextIndex = failure.getExpectedNextIndex();
-            if (repeatedAppendFailures >= MAX_REPEATED_APPEND_FAILURES && !restarting && !terminated) {
+            if (repeatedAppendFailures >= MAX_REPEATED_APPEND_FAILURES
+                    && !restarting
+                    && !terminated) {
                 repeatedAppendFailures = 0;
                 RaftNode current = node;
                 environment.executor().submit(() -> restart(current));
@@ -315,11 +318,13 @@
      *     executor's thread
      */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
-    public void changeMembership(Voter voter, boolean adding, BiConsumer<String, Throwable> onResult) {
+    public void changeMembership(
+            Voter voter, boolean adding, BiConsumer<String, Throwable> onResult) {
         MembershipChangeMode mode = adding
                 ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
                 : MembershipChangeMode.REMOVE_MEMBER;
         node.changeMembership(voter, mode, committedMembers().getLogIndex())
-                .whenComplete((result, failure) -> onResult.accept(result == null ? null : "", failure));
+                .whenComplete(
+                        (result, failure) -> onResult.accept(result == null ? null : "", failure));
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
@@ -46,7 +46,8 @@
      * @param recordsSince what has been appended since
      * @throws IOException where a record is not as it was written
      */
-    public RaftStateStore(RecordLog recordLog, byte[] compacted, List<byte[]> recordsSince) throws IOException {
+    public RaftStateStore(RecordLog recordLog, byte[] compacted, List<byte[]> recordsSince)
+            throws IOException {
         this.recordLog = recordLog;
         try {
             if (compacted != null) {
@@ -59,7 +60,8 @@
                 state.replay(ByteBuffer.wrap(record));
             }
         } catch (MessageRejectedException | BufferUnderflowException e) {
-            throw new IOException("a record of the agreement is not as it was written: " + e.getMessage(), e);
+            throw new IOException(
+                    "a record of the agreement is not as it was written: " + e.getMessage(), e);
         }
         logEnd = state.logEnd();
     }
@@ -95,7 +97,8 @@
     }
 
     @Override
-    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState localEndpoint) throws IOException {
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState localEndpoint)
+            throws IOException {
         persist(RaftRecordCodec.encodeEndpoint(localEndpoint));
         recordLog.sync();
     }
--- a/src/main/java/tinlink/cluster/consensus/RecoveryFilter.java
+++ b/src/main/java/tinlink/cluster/consensus/RecoveryFilter.java
@@ -27,19 +27,21 @@
 
     /** It asks nobody for a vote before it is as far as others were. */
     boolean maySend(RaftMessage message) {
-        return !(message instanceof PreVoteRequest || message instanceof VoteRequest) || hasReachedFloor();
+        return !(message instanceof PreVoteRequest || message instanceof VoteRequest)
+                || hasReachedFloor();
     }
 
     boolean mayReceive(RaftMessage message) {
         RecoveryFloor current = floor;
         if (message instanceof VoteRequest request) {
-            return current.mayGrant(request.getTerm(), request.getLastLogTerm(), request.getLastLogIndex());
+            return current.mayGrant(
+                    request.getTerm(), request.getLastLogTerm(), request.getLastLogIndex());
         }
         if (message instanceof PreVoteRequest request) {
             return current.mayAnswerPreVote(request.getLastLogTerm(), request.getLastLogIndex());
         }
-        boolean isFromLeader =
-                message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest;
+        boolean isFromLeader = message instanceof AppendEntriesRequest
+                || message instanceof InstallSnapshotRequest;
         return !isFromLeader || current.mayFollow(message.getTerm());
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/StoredRaftState.java
+++ b/src/main/java/tinlink/cluster/consensus/StoredRaftState.java
@@ -36,7 +36,8 @@
             case ENDPOINT -> endpoint = RaftRecordCodec.decodeEndpoint(record);
             case GROUP_MEMBERS -> groupMembers = RaftModelCodec.decodeView(record);
             case TERM -> term = RaftRecordCodec.decodeTerm(record);
-            case ENTRIES -> RaftRecordCodec.decodeEntries(record).forEach(e -> log.put(e.getIndex(), e));
+            case ENTRIES ->
+                RaftRecordCodec.decodeEntries(record).forEach(e -> log.put(e.getIndex(), e));
             case SNAPSHOT_CHUNK -> replayChunk(RaftModelCodec.decodeChunk(record));
             case TRUNCATE_FROM -> log.tailMap(record.getLong(), true).clear();
             case TRUNCATE_UNTIL -> log.headMap(record.getLong(), true).clear();
@@ -50,7 +51,8 @@
      * restart, it would be taken for what follows the snapshot.
      */
     private void replayChunk(SnapshotChunk chunk) {
-        TreeMap<Integer, SnapshotChunk> received = chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>());
+        TreeMap<Integer, SnapshotChunk> received =
+                chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>());
         received.put(chunk.getSnapshotChunkIndex(), chunk);
         LogEntry existing = log.get(chunk.getIndex());
         boolean isSameTerm = existing != null && existing.getTerm() == chunk.getTerm();
@@ -66,7 +68,8 @@
         }
         SnapshotEntry snapshot = newestCompleteSnapshot();
         long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
-        List<LogEntry> entries = new ArrayList<>(log.tailMap(snapshotIndex, false).values());
+        List<LogEntry> entries =
+                new ArrayList<>(log.tailMap(snapshotIndex, false).values());
         return new RestoredRaftState(endpoint, groupMembers, term, snapshot, entries);
     }
 
@@ -125,8 +128,9 @@
         if (term != null) {
             append(out, RaftRecordCodec.encodeTerm(term));
         }
-        chunks.values().forEach(snapshot -> snapshot.values()
-                .forEach(chunk -> append(out, RaftRecordCodec.encodeChunk(chunk))));
+        chunks.values()
+                .forEach(snapshot -> snapshot.values()
+                        .forEach(chunk -> append(out, RaftRecordCodec.encodeChunk(chunk))));
         List<LogEntry> batch = new ArrayList<>();
         long chars = 0;
         for (Iterator<LogEntry> iterator = log.values().iterator(); iterator.hasNext(); ) {
--- a/src/main/java/tinlink/cluster/membership/MemberTable.java
+++ b/src/main/java/tinlink/cluster/membership/MemberTable.java
@@ -43,7 +43,8 @@
 
     /** Routers that are serving as far as is known, this one counted. */
     int servingCount() {
-        int others = (int) members.values().stream().filter(m -> m.state.isServing()).count();
+        int others =
+                (int) members.values().stream().filter(m -> m.state.isServing()).count();
         return 1 + others;
     }
 
--- a/src/main/java/tinlink/cluster/membership/Membership.java
+++ b/src/main/java/tinlink/cluster/membership/Membership.java
@@ -43,7 +43,8 @@
         void sendAck(String address, long sequenceNumber, List<Rumor> rumors);
 
         /** Asks the router at the first address to probe the one at the second. */
-        void sendProbeRequest(String address, long sequenceNumber, String target, List<Rumor> rumors);
+        void sendProbeRequest(
+                String address, long sequenceNumber, String target, List<Rumor> rumors);
 
         /** Answers a probe request whose target is silent, so that this router at least is known to answer. */
         void sendNack(String address, long sequenceNumber, List<Rumor> rumors);
@@ -85,7 +86,11 @@
      * @param random draws whom to probe and when to begin
      */
     public Membership(
-            Incarnation self, String selfAddress, List<String> seeds, Settings settings, SplittableRandom random) {
+            Incarnation self,
+            String selfAddress,
+            List<String> seeds,
+            Settings settings,
+            SplittableRandom random) {
         this.self = self;
         this.selfAddress = selfAddress;
         this.settings = settings;
@@ -184,7 +189,8 @@
                 }
             }
             case EARLIER ->
-                // What is said of an earlier incarnation is over; the router that says so is told what is known.
+                // What is said of an earlier incarnation is over; the router that says so is told
+                // what is known.
                 rumors.add(member.rumor(""));
         }
     }
@@ -192,7 +198,11 @@
     private void addMember(Rumor rumor) {
         if (rumor.state().isServing() && members.ensureCapacity()) {
             Member member = new Member(
-                    rumor.incarnation(), rumor.refutationCount(), rumor.state(), rumor.address(), clockUs);
+                    rumor.incarnation(),
+                    rumor.refutationCount(),
+                    rumor.state(),
+                    rumor.address(),
+                    clockUs);
             members.add(member);
             recordSuspicion(member, rumor);
             rumors.add(member.rumor(rumor.suspectedBy()));
@@ -247,7 +257,9 @@
             rumors.add(selfRumor());
             return;
         }
-        if (rumor.state() != MemberState.ALIVE && rumor.refutationCount() >= refutationCount && !leaving) {
+        if (rumor.state() != MemberState.ALIVE
+                && rumor.refutationCount() >= refutationCount
+                && !leaving) {
             // Somebody found this router silent: it may be slow itself.
             health.worsen();
             refute(rumor);
--- a/src/main/java/tinlink/cluster/membership/Prober.java
+++ b/src/main/java/tinlink/cluster/membership/Prober.java
@@ -1,6 +1,5 @@
 package tinlink.cluster.membership;
 
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -31,7 +30,12 @@
         boolean indirectSent;
         int missingNacks;
 
-        PendingProbe(Member target, String address, long sequenceNumber, long indirectAtUs, long deadlineUs) {
+        PendingProbe(
+                Member target,
+                String address,
+                long sequenceNumber,
+                long indirectAtUs,
+                long deadlineUs) {
             this.target = target;
             this.address = address;
             this.sequenceNumber = sequenceNumber;
@@ -90,7 +94,8 @@
 
     /** A probe whose answer is not awaited. */
     void announce(String address) {
-        outbox.add(new OutgoingMessage(OutgoingMessage.Type.PROBE, address, ++lastSequenceNumber, null));
+        outbox.add(new OutgoingMessage(
+                OutgoingMessage.Type.PROBE, address, ++lastSequenceNumber, null));
     }
 
     void onProbe(String requester, long sequenceNumber) {
@@ -103,8 +108,11 @@
             indirectProbes.put(
                     sequenceNumber,
                     new IndirectProbe(
-                            requester, requesterSequenceNumber, nowUs + settings.probeIntervalUs() / 2));
-            outbox.add(new OutgoingMessage(OutgoingMessage.Type.PROBE, target, sequenceNumber, null));
+                            requester,
+                            requesterSequenceNumber,
+                            nowUs + settings.probeIntervalUs() / 2));
+            outbox.add(
+                    new OutgoingMessage(OutgoingMessage.Type.PROBE, target, sequenceNumber, null));
         }
     }
 
@@ -112,7 +120,10 @@
         IndirectProbe indirect = indirectProbes.remove(sequenceNumber);
         if (indirect != null) {
             outbox.add(new OutgoingMessage(
-                    OutgoingMessage.Type.ACK, indirect.requester(), indirect.requesterSequenceNumber(), null));
+                    OutgoingMessage.Type.ACK,
+                    indirect.requester(),
+                    indirect.requesterSequenceNumber(),
+                    null));
             return;
         }
         PendingProbe probe = pendingProbes.remove(sequenceNumber);
@@ -139,7 +150,8 @@
      * @return whether one probe was due
      */
     boolean expireProbes(long nowUs, Consumer<Member> onSilent) {
-        for (Iterator<PendingProbe> iterator = pendingProbes.values().iterator(); iterator.hasNext(); ) {
+        for (Iterator<PendingProbe> iterator = pendingProbes.values().iterator();
+                iterator.hasNext(); ) {
             PendingProbe probe = iterator.next();
             if (!probe.indirectSent && nowUs >= probe.indirectAtUs) {
                 probe.indirectSent = true;
@@ -161,7 +173,10 @@
         for (Member helper : randomAliveMembers(settings.indirectProbes(), probe.target)) {
             probe.missingNacks++;
             outbox.add(new OutgoingMessage(
-                    OutgoingMessage.Type.PROBE_REQUEST, helper.address, probe.sequenceNumber, probe.address));
+                    OutgoingMessage.Type.PROBE_REQUEST,
+                    helper.address,
+                    probe.sequenceNumber,
+                    probe.address));
         }
     }
 
@@ -183,12 +198,16 @@
 
     /** Gives up one probe for another router that is due; tells whether there was one. */
     boolean expireIndirectProbes(long nowUs) {
-        for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator(); iterator.hasNext(); ) {
+        for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator();
+                iterator.hasNext(); ) {
             IndirectProbe indirect = iterator.next();
             if (nowUs >= indirect.deadlineUs()) {
                 iterator.remove();
                 outbox.add(new OutgoingMessage(
-                        OutgoingMessage.Type.NACK, indirect.requester(), indirect.requesterSequenceNumber(), null));
+                        OutgoingMessage.Type.NACK,
+                        indirect.requester(),
+                        indirect.requesterSequenceNumber(),
+                        null));
                 return true;
             }
         }
@@ -225,10 +244,11 @@
         if (address == null) {
             return;
         }
-        PendingProbe probe =
-                new PendingProbe(target, address, ++lastSequenceNumber, nowUs + roundUs / 2, nextRoundUs);
+        PendingProbe probe = new PendingProbe(
+                target, address, ++lastSequenceNumber, nowUs + roundUs / 2, nextRoundUs);
         pendingProbes.put(probe.sequenceNumber, probe);
-        outbox.add(new OutgoingMessage(OutgoingMessage.Type.PROBE, address, probe.sequenceNumber, null));
+        outbox.add(new OutgoingMessage(
+                OutgoingMessage.Type.PROBE, address, probe.sequenceNumber, null));
     }
 
     /** Null where no member is serving. */
@@ -254,7 +274,8 @@
     private String nextUnconnectedAddress() {
         List<String> addresses = new ArrayList<>();
         for (String seed : seeds) {
-            if (members.all().stream().noneMatch(m -> m.address.equals(seed) && m.state.isServing())) {
+            if (members.all().stream()
+                    .noneMatch(m -> m.address.equals(seed) && m.state.isServing())) {
                 addresses.add(seed);
             }
         }
--- a/src/main/java/tinlink/cluster/membership/RumorQueue.java
+++ b/src/main/java/tinlink/cluster/membership/RumorQueue.java
@@ -50,7 +50,9 @@
         for (Member member : members.all()) {
             if (member.address.equals(receiverAddress) && member.state != MemberState.ALIVE) {
                 selected.add(member.rumor(
-                        member.suspectedBy.isEmpty() ? "" : member.suspectedBy.iterator().next()));
+                        member.suspectedBy.isEmpty()
+                                ? ""
+                                : member.suspectedBy.iterator().next()));
             }
         }
         List<PendingRumor> candidates = new ArrayList<>(pending.values());
--- a/src/main/java/tinlink/cluster/membership/SuspicionTimers.java
+++ b/src/main/java/tinlink/cluster/membership/SuspicionTimers.java
@@ -40,10 +40,12 @@
     /** Shorter the more have found it silent; longer the more this router doubts itself. */
     private long suspicionUs(Member member) {
         double minUs = MIN_SUSPICION_ROUNDS * members.logClusterSize() * probeIntervalUs;
-        int expected = Math.min(MAX_CONFIRMATIONS, Math.max(0, members.servingCount() - NOT_CONFIRMING));
+        int expected =
+                Math.min(MAX_CONFIRMATIONS, Math.max(0, members.servingCount() - NOT_CONFIRMING));
         double confirmedFraction = expected == 0
                 ? 1
-                : Math.log(Math.max(0, member.suspectedBy.size() - 1) + 1.0) / Math.log(expected + 1.0);
+                : Math.log(Math.max(0, member.suspectedBy.size() - 1) + 1.0)
+                        / Math.log(expected + 1.0);
         double maxUs = MAX_SUSPICION_FACTOR * minUs;
         return health.stretch((long) Math.max(minUs, maxUs - (maxUs - minUs) * confirmedFraction));
     }
--- a/src/main/java/tinlink/cluster/transport/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/transport/PeerConnections.java
@@ -4,6 +4,7 @@
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -20,18 +21,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
- * Sealed links with other routers of a cluster, opened when there is something to say and closed
- * when there has been nothing for a while. What is said may get lost, with its link or where too
- * much waits; whoever speaks here says again what matters. Runs on the loop's thread.
+ * Authenticated connections with other routers of a cluster, opened when there is something to send and closed when
+ * there has been nothing for a while. A message may get lost, with its connection or where too much waits; whoever
+ * sends here repeats what matters. Event loop's thread only.
  */
 public final class PeerConnections implements Network.AcceptHandler {
-    private static final Logger LOG = Logger.getLogger("tinlink.cluster");
-    /** Connections that have not proved themselves, where nothing else is stated. */
+    private static final EventLog LOG = new EventLog("tinlink.cluster");
+    /** Connections that have not authenticated themselves, at a time, where nothing else is configured. */
     public static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
-    /** What may wait for one link to come up. */
+    /** What may wait for one connection to be authenticated. */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
     private static final long MAX_QUEUED_BYTES = 4L << 20;
@@ -40,10 +40,10 @@
     public record Self(String cluster, Incarnation incarnation) {}
 
     /**
-     * The times of links, in microseconds.
+     * The times of connections, in microseconds.
      *
-     * @param idleUs a link with nothing said for so long is closed
-     * @param retryDelayUs an address where nobody answered is left alone for so long
+     * @param idleUs a connection without a message for so long is closed
+     * @param retryDelayUs an address where nobody answered is not tried again for so long
      */
     public record Timeouts(long handshakeUs, long idleUs, long retryDelayUs) {}
 
@@ -51,16 +51,17 @@
      * Bounds.
      *
      * @param connections out, and as many in
-     * @param unauthenticated that have called and not proved themselves; the oldest gives way
+     * @param unauthenticated inbound ones at a time; the oldest is closed for a further one
      */
     public record Limits(int connections, int unauthenticated) {}
 
-    /** What hears what peers say. */
+    /** Is given what other routers send. */
     public interface MessageHandler {
         /**
          * A message has come.
          *
-         * @param sender proved by its key; that it is the one router of that name is not
+         * @param sender authenticated as one that has the key; that it is the only process of its router is not
+         * @throws MessageRejectedException where the message is malformed; its connection is closed
          */
         void onMessage(Incarnation sender, byte type, ByteBuffer body)
                 throws MessageRejectedException;
@@ -70,11 +71,11 @@
             "ArrayRecordComponent") // Waits are never compared; the bytes go out as they are.
     private record QueuedMessage(byte type, byte[] body) {}
 
-    /** One address that is spoken to. */
+    /** One address that is sent to. */
     private static final class Destination {
         PeerSession session;
         boolean isUp;
-        /** Emptied as the link comes up, or does not. */
+        /** Emptied as the connection is authenticated, or fails. */
         final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
 
         long queuedBytes;
@@ -94,11 +95,16 @@
     private Network.ListeningSocket listening;
     /** Least used first, bounded. */
     private final Map<String, Destination> destinations = new LinkedHashMap<>(16, 0.75f, true);
-    /** Those who have called: not yet proved, and proved. Each leaves as its link ends. */
+    /** Inbound ones, before and after they have authenticated themselves; each leaves as it is closed. */
     private final Set<PeerSession> unauthenticatedConnections = new LinkedHashSet<>();
 
     private final Set<PeerSession> inboundSessions = new LinkedHashSet<>();
 
+    /**
+     * Accepts none yet; begins with {@link #listen}.
+     *
+     * @param handler is given messages of authenticated connections
+     */
     public PeerConnections(
             EventLoop loop,
             Network network,
@@ -116,25 +122,29 @@
         this.handler = handler;
     }
 
+    /** Accepts connections there from now on. */
     public void listen(InetSocketAddress address) throws IOException {
         listening = network.listenAt(address);
         listening.accept(this);
         loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() throws IOException {
         return listening.address();
     }
 
+    /** What has happened on connections. */
     public Counters counters() {
         return counters;
     }
 
+    /** Messages and bytes by kind. */
     public TrafficCounters traffic() {
         return traffic;
     }
 
-    /** Open at the moment: called, calling, and those that have not proved themselves yet. */
+    /** Open at the moment, either way, those counted that have not authenticated themselves yet. */
     public int connectionCount() {
         int outbound = (int) destinations.values().stream()
                 .filter(destination -> destination.session != null)
@@ -142,7 +152,7 @@
         return outbound + inboundSessions.size() + unauthenticatedConnections.size();
     }
 
-    /** From now on these are the keys; links that are up stay. */
+    /** Uses these keys from now on; connections that are open stay. */
     public void setKeys(KeyRing newKeys) {
         keys = newKeys;
     }
@@ -153,7 +163,7 @@
         return nonce;
     }
 
-    /** Says it there, if it can be said. */
+    /** Sends it there, or queues it until the connection is authenticated; it may get lost. */
     public void send(String address, byte type, byte[] body) {
         Destination destination = destinations.get(address);
         if (destination == null) {
@@ -162,11 +172,11 @@
             destinations.put(address, destination);
         }
         if (destination.isUp) {
-            // Danger: a peer that stands still reads nothing, and all that is said to it would be
+            // Danger: a router that stands still reads nothing, and all that is sent to it would be
             // held here.
             if (destination.session.outboundBacklogBytes() > MAX_QUEUED_BYTES) {
                 counters.increment("peers_not_sent");
-                destination.session.close(CloseReason.SILENT);
+                destination.session.close(CloseReason.UNRESPONSIVE);
                 return;
             }
             destination.session.lastUsedUs = loop.nowUs();
@@ -195,7 +205,7 @@
         try {
             session.attach(network.connect(address(address), session), timeouts.handshakeUs());
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.FINE, "event=peer_connect_failed address=" + address, e);
+            LOG.logFailure(Level.FINE, "peer_connect_failed", e, "address", address);
             connectionFailed(destination);
         }
     }
@@ -227,7 +237,7 @@
             Destination destination = iterator.next();
             iterator.remove();
             if (destination.session != null) {
-                destination.session.close(CloseReason.IDLE);
+                destination.session.close(CloseReason.IDLE_TIMEOUT);
             }
         }
     }
@@ -236,7 +246,7 @@
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.isUp
                     && loop.nowUs() - destination.session.lastUsedUs > timeouts.idleUs()) {
-                destination.session.close(CloseReason.IDLE);
+                destination.session.close(CloseReason.IDLE_TIMEOUT);
             }
         }
         loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
@@ -245,7 +255,7 @@
     void opened(PeerSession session) {
         Destination destination = destinations.get(session.dialedAddress);
         if (destination == null || destination.session != session) {
-            session.close(CloseReason.DONE);
+            session.close(CloseReason.COMPLETED);
             return;
         }
         destination.isUp = true;
@@ -275,12 +285,12 @@
         }
     }
 
-    /** It has proved itself. */
+    /** An inbound one. */
     void sessionAuthenticated(PeerSession session) {
         unauthenticatedConnections.remove(session);
         inboundSessions.add(session);
         if (inboundSessions.size() > limits.connections()) {
-            inboundSessions.iterator().next().close(CloseReason.IDLE);
+            inboundSessions.iterator().next().close(CloseReason.IDLE_TIMEOUT);
         }
     }
 
@@ -302,7 +312,7 @@
         session.attach(link, timeouts.handshakeUs());
         unauthenticatedConnections.add(session);
         if (unauthenticatedConnections.size() > limits.unauthenticated()) {
-            unauthenticatedConnections.iterator().next().close(CloseReason.DONE);
+            unauthenticatedConnections.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -313,18 +323,19 @@
 
     @Override
     public void acceptFailed(Throwable failure) {
-        LOG.log(Level.WARNING, "event=accept_failed", failure);
+        LOG.logFailure(Level.WARNING, "accept_failed", failure);
         loop.schedule(loop.nowUs() + timeouts.retryDelayUs(), () -> listening.accept(this));
     }
 
-    /** Ends all links. */
+    /** Closes all connections. */
     public void close() {
         listening.close();
-        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.DONE));
-        Set.copyOf(unauthenticatedConnections).forEach(session -> session.close(CloseReason.DONE));
+        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.COMPLETED));
+        Set.copyOf(unauthenticatedConnections)
+                .forEach(session -> session.close(CloseReason.COMPLETED));
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.session != null) {
-                destination.session.close(CloseReason.DONE);
+                destination.session.close(CloseReason.COMPLETED);
             }
         }
     }
--- a/src/main/java/tinlink/experiment/scale/ServingNodes.java
+++ b/src/main/java/tinlink/experiment/scale/ServingNodes.java
@@ -4,6 +4,8 @@
 import org.HdrHistogram.Recorder;
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 
+import tinlink.net.EventLog;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,7 +24,6 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.concurrent.locks.LockSupport;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Data nodes of the serving measurement: thousands in this process, each listening at a port of its
@@ -56,7 +57,7 @@
         }
     }
 
-    private static final Logger LOG = Logger.getLogger("tinlink.experiment");
+    private static final EventLog LOG = new EventLog("tinlink.experiment");
     private static final int LONGEST_FRAME = 1 << 20;
     private static final int READ_BYTES = 1 << 16;
     /** How long a thread rests while an answer is due within a millisecond. */
@@ -136,6 +137,8 @@
     }
 
     /** An answer that waits for its service time to pass. */
+    @SuppressWarnings(
+            "ArrayRecordComponent") // Never compared by the bytes, which go out as they are.
     private record Due(long atNs, long readNs, Connection connection, byte[] id)
             implements Comparable<Due> {
         @Override
@@ -181,7 +184,7 @@
                     writeAll();
                 }
             } catch (IOException e) {
-                LOG.log(Level.SEVERE, "emulated data nodes stop", e);
+                LOG.logFailure(Level.SEVERE, "emulated_nodes_stopped", e);
             } finally {
                 closeAll();
             }
@@ -214,7 +217,7 @@
                     ((Connection) key.attachment()).write();
                 }
             } catch (IOException e) {
-                LOG.log(Level.FINE, "an emulated data node loses a connection", e);
+                LOG.logFailure(Level.FINE, "emulated_connection_lost", e);
                 if (key.attachment() instanceof Connection c) {
                     c.close();
                 }
@@ -251,7 +254,7 @@
                 try {
                     c.write();
                 } catch (IOException e) {
-                    LOG.log(Level.FINE, "an emulated data node loses a connection", e);
+                    LOG.logFailure(Level.FINE, "emulated_connection_lost", e);
                     c.close();
                 }
             }
@@ -280,7 +283,7 @@
             try {
                 selector.close();
             } catch (IOException e) {
-                LOG.log(Level.FINE, "a selector did not close", e);
+                LOG.logFailure(Level.FINE, "selector_close_failed", e);
             }
         }
 
@@ -288,7 +291,7 @@
             try {
                 key.channel().close();
             } catch (IOException e) {
-                LOG.log(Level.FINE, "a channel did not close", e);
+                LOG.logFailure(Level.FINE, "channel_close_failed", e);
             }
         }
     }
@@ -361,6 +364,8 @@
         }
 
         /** One line, "id shard fields length", and the text behind it. */
+        @SuppressWarnings(
+                "ByteBufferBackingArray") // The buffer is the connection's own and starts at 0.
         private void part(ByteBuffer all, int end) throws IOException {
             byte[] bytes = all.array();
             int from = all.position();
@@ -419,7 +424,7 @@
                 try {
                     channel.close();
                 } catch (IOException e) {
-                    LOG.log(Level.FINE, "a channel did not close", e);
+                    LOG.logFailure(Level.FINE, "channel_close_failed", e);
                 }
             }
         }
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -1,5 +1,6 @@
 package tinlink.gateway;
 
+import tinlink.gateway.forwarding.ExecutionHandler;
 import tinlink.gateway.forwarding.ForwardedPartReceiver;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.ReceivedPart;
@@ -24,7 +25,7 @@
  * The far side of a gateway: takes connections from routers of other sites and carries out what {@link
  * ForwardedPartReceiver} decides about the parts that they pass on. Runs on the loop's thread.
  */
-final class GatewayServer implements ForwardedPartReceiver.ExecutionHandler, Network.AcceptHandler {
+final class GatewayServer implements ExecutionHandler, Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     /** Connections that may be here without having proved themselves. */
     private static final int MAX_UNAUTHENTICATED = 16;
@@ -112,7 +113,7 @@
         session.attach(link, gateway.timing.handshakeUs());
         unauthenticated.add(session);
         if (unauthenticated.size() > MAX_UNAUTHENTICATED) {
-            unauthenticated.iterator().next().close(CloseReason.DONE);
+            unauthenticated.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -150,7 +151,7 @@
             long silenceAt =
                     gateway.loop.nowUs() + MAX_SILENT_HEARTBEATS * gateway.timing.heartbeatUs();
             EventLoop.Timer silenceTimer =
-                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.SILENT));
+                    gateway.loop.schedule(silenceAt, () -> session.close(CloseReason.UNRESPONSIVE));
             gateway.loop.cancel(authenticated.put(session, silenceTimer));
         }
     }
@@ -209,7 +210,7 @@
 
     @Override
     public void closeSession(Object session) {
-        ((GatewayServerSession) session).close(CloseReason.GONE);
+        ((GatewayServerSession) session).close(CloseReason.ENDPOINT_REMOVED);
     }
 
     @Override
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -13,7 +13,9 @@
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.Counters;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 import tinlink.net.RingBuffer;
 
@@ -28,7 +30,6 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * Work on machines in a router that serves: carries out what {@link DrainController}, {@link
@@ -38,8 +39,8 @@
 public final class MaintenanceService
         implements DrainController.DrainHandler,
                 MachineFailureDetector.Prober,
-                EventLoop.EventLoopParticipant {
-    private static final Logger LOG = Logger.getLogger("tinlink.maintenance");
+                EventLoopParticipant {
+    private static final EventLog LOG = new EventLog("tinlink.maintenance");
 
     /** A data node as this router has it on its list. */
     public record ListedNode(
@@ -179,9 +180,13 @@
         this.onRegistered = onRegistered;
         clusterNode.start();
         reportObservations();
-        LOG.log(Level.INFO, "event=maintenance_started router={0} incarnation={1}", new Object[] {
-            clusterNode.incarnation().router(), clusterNode.incarnation()
-        });
+        LOG.log(
+                Level.INFO,
+                "maintenance_started",
+                "router",
+                clusterNode.incarnation().router(),
+                "incarnation",
+                clusterNode.incarnation());
     }
 
     public MaintenanceStateMachine stateMachine() {
@@ -318,9 +323,13 @@
     public void propose(String line) {
         clusterNode.propose(line, (said, why) -> {
             if (why != null || !said.isEmpty()) {
-                LOG.log(Level.FINE, "event=proposal_rejected command={0} reason={1}", new Object[] {
-                    line, why == null ? said : why
-                });
+                LOG.log(
+                        Level.FINE,
+                        "proposal_rejected",
+                        "command",
+                        line,
+                        "reason",
+                        why == null ? said : why);
             }
         });
     }
@@ -336,9 +345,7 @@
 
     @Override
     public void setCordoned(String machine, boolean cordoned) {
-        LOG.log(Level.INFO, "event={0} machine={1}", new Object[] {
-            cordoned ? "node_cordoned" : "node_uncordoned", machine
-        });
+        LOG.log(Level.INFO, cordoned ? "node_cordoned" : "node_uncordoned", "machine", machine);
         counters.increment(cordoned ? "work_left_out" : "work_taken_again");
         dataPlane.setCordoned(machine, cordoned);
         cordonStore.setCordoned(machine, cordoned);
@@ -346,7 +353,7 @@
 
     @Override
     public void setDraining(boolean draining) {
-        LOG.log(Level.INFO, "event={0}", draining ? "drain_started" : "drain_ended");
+        LOG.log(Level.INFO, draining ? "drain_started" : "drain_ended");
         dataPlane.setDraining(draining);
     }
 
@@ -375,7 +382,7 @@
             probe.link = network.connect(address, probe);
             probe.timeout = loop.schedule(
                     loop.nowUs() + settings.probeIntervalUs() / 2,
-                    () -> probe.link.close(CloseReason.NOT_UP));
+                    () -> probe.link.close(CloseReason.CONNECT_TIMEOUT));
         } catch (IOException | RuntimeException e) {
             probe.finish(false);
         }
@@ -396,7 +403,7 @@
             loop.cancel(timeout);
             timeout = loop.schedule(loop.nowUs() + settings.probeIntervalUs() / 4, () -> {
                 finish(true);
-                link.close(CloseReason.DONE);
+                link.close(CloseReason.COMPLETED);
             });
         }
 
@@ -435,7 +442,7 @@
         try {
             clusterNode.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "event=folder_not_closed", e);
+            LOG.logFailure(Level.WARNING, "data_directory_close_failed", e);
         }
     }
 
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -2,6 +2,7 @@
 
 import tinlink.decision.QueryCoordinator;
 import tinlink.net.CloseReason;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 import tinlink.net.ProtocolLimits;
@@ -12,11 +13,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /** Keeps the endpoint list up to date: opens watches at discovery, and follows it where it moves to. */
 final class DiscoveryWatcher implements DiscoveryConnection.Handler {
-    private static final Logger LOG = Logger.getLogger("tinlink.roster");
+    private static final EventLog LOG = new EventLog("tinlink.discovery");
 
     /** Asked for at the same time, the newest for at least half as long as each. */
     private static final int MAX_PENDING = 2;
@@ -88,14 +88,14 @@
                 loop.nowUs() + openIntervalUs - random.nextLong(openIntervalUs / 4),
                 this::openWatch);
         if (pendingWatches.size() == MAX_PENDING) {
-            pendingWatches.get(0).close(CloseReason.SILENT);
+            pendingWatches.get(0).close(CloseReason.UNRESPONSIVE);
         }
         DiscoveryConnection connection = new DiscoveryConnection(loop, this, maxObjectBytes);
         try {
             connection.attach(network.connect(discoveryAddress, connection));
             pendingWatches.add(connection);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.FINE, "discovery: no connection", e);
+            LOG.logFailure(Level.FINE, "discovery_connect_failed", e);
             watchLost(null);
         }
     }
@@ -105,10 +105,7 @@
         if (address.equals(discoveryAddress)) {
             return;
         }
-        LOG.log(
-                Level.INFO,
-                "discovery: it moves to {0}, the list of {1} nodes is kept",
-                new Object[] {address, endpointList.size()});
+        LOG.log(Level.INFO, "discovery_moved", "address", address, "nodes", endpointList.size());
         discoveryAddress = address;
         // Danger: the new place may number its lists otherwise. Changes since a number of the old
         // one's are
@@ -121,7 +118,7 @@
         // Danger: what the old place still says is old by now, and must not be taken for news.
         activeWatch = null;
         pendingWatches.clear();
-        old.forEach(watch -> watch.close(CloseReason.GONE));
+        old.forEach(watch -> watch.close(CloseReason.ENDPOINT_REMOVED));
         loop.cancel(nextOpenTimer);
         openWatch();
     }
@@ -139,7 +136,7 @@
         isDown = false;
         loop.cancel(nextOpenTimer);
         nextOpenTimer = null;
-        others.forEach(other -> other.close(CloseReason.DONE));
+        others.forEach(other -> other.close(CloseReason.COMPLETED));
     }
 
     @Override
@@ -159,8 +156,11 @@
         // Said once, until a line shows that discovery serves again.
         LOG.log(
                 isDown ? Level.FINE : Level.WARNING,
-                "discovery: the watch ended ({0}), the list of {1} nodes is kept",
-                new Object[] {closeReason, endpointList.size()});
+                "discovery_watch_ended",
+                "reason",
+                closeReason,
+                "nodes",
+                endpointList.size());
         isDown = true;
         driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FAILED));
     }
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -13,6 +13,7 @@
 import tinlink.gateway.OutgoingPart;
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.gateway.forwarding.RemoteRouter;
+import tinlink.net.EventLog;
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
@@ -24,7 +25,6 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * What a request's stages and the links with other sites have to do with each other. Far routers
@@ -32,7 +32,7 @@
  * of one part.
  */
 final class GatewayIntegration implements Gateway.PartHandler, Query.ResponseListener {
-    private static final Logger LOG = Logger.getLogger("tinlink.gateway");
+    private static final EventLog LOG = new EventLog("tinlink.gateway");
     private final EventLoop loop;
     private final RequestPipeline pipeline;
     private final Gateway gateway;
@@ -97,13 +97,15 @@
         gateway.logCounters();
         LOG.log(
                 Level.INFO,
-                "event=gateway_on site={0} router={1} far={2} listen={3}",
-                new Object[] {
-                    gatewayConfig.site,
-                    gatewayConfig.router,
-                    gatewayConfig.remoteRouters.size(),
-                    gatewayConfig.listen == null ? "-" : gateway.address()
-                });
+                "gateway_started",
+                "site",
+                gatewayConfig.site,
+                "router",
+                gatewayConfig.router,
+                "remote_routers",
+                gatewayConfig.remoteRouters.size(),
+                "address",
+                gatewayConfig.listen == null ? "-" : gateway.address());
     }
 
     /** The keys alone are taken over in service. */
@@ -193,7 +195,7 @@
     /** Danger: what comes later on a line must not be the first of its key to run. */
     private static long effectUntil(SentAttempt sent) {
         LookupClass lookupClass = sent.part().lookup.lookupClass;
-        return lookupClass.idempotency != LookupClass.Idempotency.FINGERPRINTED
+        return lookupClass.idempotency != LookupClass.Idempotency.BY_KEY
                 ? Long.MAX_VALUE
                 : Math.min(
                         sent.effectDeadlineUs(),
@@ -210,7 +212,7 @@
         Query query = sent.part().query();
         if (outcome == Outcome.SATISFIED) {
             sent.part().value = new String(part.value, StandardCharsets.UTF_8);
-        } else if (outcome == Outcome.TURNED_AWAY) {
+        } else if (outcome == Outcome.REJECTED) {
             query.remoteRetryAfterUs = Math.max(query.remoteRetryAfterUs, part.retryAfterUs);
         }
         pipeline.driver.outcome(sent, outcome, tookUs);
@@ -229,9 +231,9 @@
                 return;
             }
         } catch (MessageRejectedException e) {
-            LOG.log(Level.FINE, "event=part_not_used why=\"{0}\"", e.getMessage());
+            LOG.log(Level.FINE, "forwarded_part_rejected", "reason", e.getMessage());
         }
-        gateway.partEnded(part, PartStatus.REFUSED, null, 0);
+        gateway.partEnded(part, PartStatus.REJECTED, null, 0);
     }
 
     @Override
@@ -246,7 +248,7 @@
         String value = ((QueryPart) query.parts.get(0)).value;
         gateway.partEnded(
                 (IncomingPart) query.remoteOrigin,
-                PartStatus.DONE,
+                PartStatus.COMPLETED,
                 value.getBytes(StandardCharsets.UTF_8),
                 0);
     }
@@ -277,7 +279,7 @@
         }
         gateway.partEnded(
                 (IncomingPart) query.remoteOrigin,
-                neverRan ? PartStatus.REFUSED : PartStatus.FAILED,
+                neverRan ? PartStatus.REJECTED : PartStatus.FAILED,
                 null,
                 retryAfterUs);
     }
