--- a/src/main/java/tinlink/cluster/DiskRecordLog.java
+++ b/src/main/java/tinlink/cluster/consensus/DiskRecordLog.java
@@ -1,20 +1,21 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import tinlink.storage.DurableLog;
 
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** What a voter keeps, on a disk. */
-final class DiskRecordLog implements RaftStateStore.RecordLog, java.io.Closeable {
+/** The records of a {@link RaftStateStore} on a disk, in the folder's log {@code agreement}. */
+public final class DiskRecordLog implements RaftStateStore.RecordLog, java.io.Closeable {
     private final DurableLog durableLog;
 
-    DiskRecordLog(Path folder, long maxBytes) throws IOException {
+    /** Opens the folder\'s log, and makes it where there is none. */
+    public DiskRecordLog(Path folder, long maxBytes) throws IOException {
         durableLog = new DurableLog(folder.resolve("agreement"), maxBytes);
     }
 
-    /** As it was found. */
-    RaftStateStore openStateStore() throws IOException {
+    /** What was found on the disk; once. */
+    public RaftStateStore openStateStore() throws IOException {
         RaftStateStore stateStore = new RaftStateStore(
                 this, durableLog.recoveredSnapshot(), durableLog.recoveredRecords());
         durableLog.releaseRecovered();
--- /dev/null
+++ b/src/main/java/tinlink/cluster/transport/TrafficCounters.java
@@ -0,0 +1,61 @@
+package tinlink.cluster.transport;
+
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * Messages and bytes that have gone over the connections with other routers, by kind and direction. Bytes are
+ * those of complete frames, length and authentication tag counted, without TCP's own. One entry a kind, so the
+ * table is bounded; it belongs to the event loop's thread.
+ */
+public final class TrafficCounters {
+    private static final int COLUMNS = 4;
+    private static final int RECEIVED = 0;
+    private static final int SENT = 2;
+
+    /** Messages in, bytes in, messages out, bytes out. */
+    private final Map<MessageKind, long[]> counts = new EnumMap<>(MessageKind.class);
+
+    /** @param offset in the frame at which the message's body begins */
+    void countReceived(byte type, byte[] frame, int offset, int frameBytes) {
+        add(kind(type, frame, offset), RECEIVED, frameBytes);
+    }
+
+    void countSent(byte type, byte[] body, int frameBytes) {
+        add(kind(type, body, 0), SENT, frameBytes);
+    }
+
+    private void add(MessageKind kind, int column, int frameBytes) {
+        long[] count = counts.computeIfAbsent(kind, k -> new long[COLUMNS]);
+        count[column]++;
+        count[column + 1] += frameBytes;
+    }
+
+    private static MessageKind kind(byte type, byte[] body, int offset) {
+        return switch (type) {
+            case PeerProtocol.HELLO, PeerProtocol.CHALLENGE, PeerProtocol.PROOF ->
+                MessageKind.HANDSHAKE;
+            case PeerProtocol.MEMBERSHIP -> MessageKind.ofMembership(codeAt(body, offset));
+            // The voter that it is for comes first, as a text of up to 255 bytes.
+            case PeerProtocol.RAFT ->
+                offset < body.length
+                        ? MessageKind.ofRaft(codeAt(body, offset + 1 + (body[offset] & 0xff)))
+                        : MessageKind.OTHER;
+            case PeerProtocol.NODE -> MessageKind.ofNode(codeAt(body, offset));
+            default -> MessageKind.OTHER;
+        };
+    }
+
+    /** Messages are counted before they are decoded, so a malformed one may end before its code. */
+    private static int codeAt(byte[] body, int offset) {
+        return offset < body.length ? body[offset] : 0;
+    }
+
+    /** By kind: messages in, bytes in, messages out, bytes out, since the start. */
+    public Map<String, long[]> byKind() {
+        Map<String, long[]> copy = new TreeMap<>();
+        counts.forEach((kind, count) -> copy.put(kind.label(), count.clone()));
+        return copy;
+    }
+}
--- a/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedMember.java
@@ -3,15 +3,16 @@
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.RaftMessage;
 
-import tinlink.cluster.LearnerLog;
-import tinlink.cluster.RaftCodec;
-import tinlink.cluster.RaftReplica;
-import tinlink.cluster.RaftStateStore;
-import tinlink.cluster.ReplicatedStateMachine;
-import tinlink.cluster.Voter;
+import tinlink.cluster.consensus.LearnerLog;
+import tinlink.cluster.consensus.LogPosition;
+import tinlink.cluster.consensus.RaftCodec;
+import tinlink.cluster.consensus.RaftReplica;
+import tinlink.cluster.consensus.RaftStateStore;
+import tinlink.cluster.consensus.RecoveryFloor;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
+import tinlink.cluster.consensus.Voter;
+import tinlink.cluster.consensus.VoterAdmission;
 import tinlink.cluster.membership.Incarnation;
-import tinlink.cluster.membership.RecoveryFloor;
-import tinlink.cluster.membership.VoterAdmission;
 import tinlink.net.MessageRejectedException;
 
 import java.io.IOException;
@@ -51,7 +52,7 @@
     private VoterAdmission voterAdmission;
     private RaftStateStore stateStore;
     /** How far others' disks have been heard to be; lost with the process. */
-    private final Map<Voter, VoterAdmission.LogPosition> heard = new HashMap<>();
+    private final Map<Voter, LogPosition> heard = new HashMap<>();
 
     SimulatedMember(ConsensusGroup group, String name, boolean voter) {
         super(group.simulation, name, MOST_WAITING);
@@ -101,11 +102,8 @@
         if (disk.isEmpty()) {
             startVoting();
         } else {
-            long[] reached = stateStore.lastPosition();
             voterAdmission = new VoterAdmission(
-                    incarnation,
-                    new VoterAdmission.LogPosition((int) reached[0], reached[1]),
-                    group.otherVoters(name));
+                    incarnation, stateStore.lastPosition(), group.otherVoters(name));
         }
     }
 
@@ -166,9 +164,9 @@
         }
         try {
             RaftMessage message = RaftCodec.decode(ByteBuffer.wrap(bytes));
-            VoterAdmission.LogPosition position = RaftReplica.confirmedPosition(message);
+            LogPosition position = RaftReplica.confirmedPosition(message);
             if (position != null) {
-                heard.merge(from, position, VoterAdmission.LogPosition::max);
+                heard.merge(from, position, LogPosition::max);
             }
             raft.receive(message);
         } catch (MessageRejectedException e) {
@@ -241,7 +239,7 @@
     }
 
     private void answerAdmissionQuery(SimulatedMember asker, Voter disk) {
-        VoterAdmission.LogPosition position = heard.get(disk);
+        LogPosition position = heard.get(disk);
         Incarnation knownIncarnation = livesKnown.get(asker.name);
         RecoveryFloor logEnd = stateStore == null ? RecoveryFloor.NONE : stateStore.logEnd();
         group.network.send(
@@ -252,12 +250,9 @@
     }
 
     private void onAdmissionAnswer(
-            String from,
-            Incarnation knownIncarnation,
-            VoterAdmission.LogPosition position,
-            RecoveryFloor logEnd) {
+            String from, Incarnation knownIncarnation, LogPosition position, RecoveryFloor logEnd) {
         if (voterAdmission != null) {
-            voterAdmission.answered(from, knownIncarnation, position, logEnd, simulation.now());
+            voterAdmission.onAnswer(from, knownIncarnation, position, logEnd, simulation.now());
         }
     }
 
--- a/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
@@ -1,7 +1,7 @@
 package tinlink.maintenance.scheduling;
 
 import tinlink.cluster.consensus.FieldReader;
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
@@ -1,7 +1,7 @@
 package tinlink.maintenance.scheduling;
 
 import tinlink.cluster.consensus.FieldReader;
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 import tinlink.maintenance.scheduling.MaintenanceCommand.AdvanceTime;
 import tinlink.maintenance.scheduling.MaintenanceCommand.CancelRequest;
 import tinlink.maintenance.scheduling.MaintenanceCommand.CompleteWork;
--- a/src/test/java/tinlink/cluster/ConsensusGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/consensus/ConsensusGoldenFilesTest.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,7 +19,6 @@
 import org.junit.jupiter.api.Test;
 
 import tinlink.GoldenFile;
-import tinlink.cluster.membership.RecoveryFloor;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -314,7 +313,7 @@
     /** The entries that stand after all of {@link #written}. */
     private static void stands(RaftStateStore store) {
         assertEquals(voter("r2", 0xabcdefL), store.localVoter());
-        assertArrayEquals(new long[] {3, 9}, store.lastPosition());
+        assertEquals(new LogPosition(3, 9), store.lastPosition());
         assertEquals(new RecoveryFloor(3, 3, 9), store.logEnd());
         RestoredRaftState restored = store.restoredState();
         assertNotNull(restored);
--- a/src/test/java/tinlink/cluster/GossipGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/transport/GossipGoldenFilesTest.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -20,22 +20,22 @@
 class GossipGoldenFilesTest {
     private static byte[] encode(Incarnation incarnation) {
         MessageCodec.Builder out = new MessageCodec.Builder();
-        PeerProtocol.incarnation(out, incarnation);
+        PeerProtocol.encodeIncarnation(out, incarnation);
         return out.build();
     }
 
     private static Incarnation decodeIncarnation(byte[] bytes) throws Exception {
-        return PeerProtocol.incarnation(ByteBuffer.wrap(bytes));
+        return PeerProtocol.decodeIncarnation(ByteBuffer.wrap(bytes));
     }
 
     private static byte[] encode(List<Rumor> rumors) {
         MessageCodec.Builder out = new MessageCodec.Builder();
-        PeerProtocol.rumors(out, rumors);
+        PeerProtocol.encodeRumors(out, rumors);
         return out.build();
     }
 
     private static List<Rumor> decodeRumors(byte[] bytes) throws Exception {
-        return PeerProtocol.rumors(ByteBuffer.wrap(bytes));
+        return PeerProtocol.decodeRumors(ByteBuffer.wrap(bytes));
     }
 
     private static Map<String, List<Rumor>> rumors() {
