--- a/src/main/java/tinlink/cluster/AdmissionResponder.java
+++ b/src/main/java/tinlink/cluster/AdmissionResponder.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * Tells other voters what is known here of their disks, so that none votes by an old copy. Event loop's thread
- * only.
+ * Tells other voters what is known here of their disks, so that none votes by an old copy. Event loop's
+ * thread only.
  */
 final class AdmissionResponder {
     private final Membership membership;
--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -34,10 +34,10 @@
 import java.util.function.LongConsumer;
 
 /**
- * A router among the others of its cluster: which of them are there, what they agree on, and what is passed on
- * to the one that leads. It wires membership, consensus and transport together and decides nothing itself. All
- * state belongs to the event loop's thread; Raft has a thread of its own, for its disk blocks. Nothing that
- * serves clients waits for any of it.
+ * A router among the others of its cluster: which of them are there, what they agree on, and what is passed
+ * on to the one that leads. It wires membership, consensus and transport together and decides nothing
+ * itself. All state belongs to the event loop's thread; Raft has a thread of its own, for its disk blocks.
+ * Nothing that serves clients waits for any of it.
  */
 public final class ClusterNode implements RaftReplica.Listener, EventLoopParticipant {
     private final EventLoop loop;
--- a/src/main/java/tinlink/cluster/VoterLifecycle.java
+++ b/src/main/java/tinlink/cluster/VoterLifecycle.java
@@ -18,8 +18,8 @@
 import java.util.logging.Level;
 
 /**
- * This router's life as a voter: its disk is admitted or found to be an old copy, its replica runs, and it ends
- * as the voter slot goes to another disk. Event loop's thread only.
+ * This router's life as a voter: its disk is admitted or found to be an old copy, its replica runs, and it
+ * ends as the voter slot goes to another disk. Event loop's thread only.
  */
 final class VoterLifecycle {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
@@ -134,8 +134,8 @@
     }
 
     /**
-     * Danger: a voter that was far ahead as it was asked may be gone for good; what binds this one is what those
-     * know who are there now.
+     * Danger: a voter that was far ahead as it was asked may be gone for good; what binds this one is what
+     * those know who are there now.
      */
     private void refreshFloor() {
         if (!leader.isKnown() && !replica.hasReachedFloor()) {
--- a/src/main/java/tinlink/cluster/consensus/RaftModelCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftModelCodec.java
@@ -18,8 +18,8 @@
 import java.util.List;
 
 /**
- * What the messages of Raft and the records of a voter are made of: voters, views of the group, log entries and
- * chunks of snapshots. An operation is a text, or a change of who votes.
+ * What the messages of Raft and the records of a voter are made of: voters, views of the group, log entries
+ * and chunks of snapshots. An operation is a text, or a change of who votes.
  */
 final class RaftModelCodec {
     static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
--- a/src/main/java/tinlink/cluster/consensus/ReplicatedStateMachine.java
+++ b/src/main/java/tinlink/cluster/consensus/ReplicatedStateMachine.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What is agreed on: lines in one order, the same for all replicas. The state after them is the same for all too,
- * and can be written as lines of its own. Belongs to the thread that its replica runs on.
+ * What is agreed on: lines in one order, the same for all replicas. The state after them is the same for
+ * all too, and can be written as lines of its own. Belongs to the thread that its replica runs on.
  */
 public interface ReplicatedStateMachine {
     /**
--- a/src/main/java/tinlink/cluster/consensus/StoredRaftState.java
+++ b/src/main/java/tinlink/cluster/consensus/StoredRaftState.java
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Danger: a snapshot that another voter has taken stands for entries that this log does not have, or has
-     * otherwise. What follows it in this log is then of a leader that was not followed by a majority; found after a
-     * restart, it would be taken for what follows the snapshot.
+     * Danger: a snapshot that another voter has taken stands for entries that this log does not have, or
+     * has otherwise. What follows it in this log is then of a leader that was not followed by a majority;
+     * found after a restart, it would be taken for what follows the snapshot.
      */
     private void replayChunk(SnapshotChunk chunk) {
         TreeMap<Integer, SnapshotChunk> received =
--- a/src/main/java/tinlink/cluster/consensus/VoterAdmission.java
+++ b/src/main/java/tinlink/cluster/consensus/VoterAdmission.java
@@ -8,15 +8,15 @@
 import java.util.TreeSet;
 
 /**
- * Whether a disk that was found at the start may vote, and what it keeps to if it does. Danger: a folder restored
- * from an old copy has forgotten votes that it gave and entries that it confirmed; voting by it, the same term gets
- * two leaders. So the others are asked first how far they know this disk to have been, which incarnation of its
- * router they know, and where their own disks are.
+ * Whether a disk that was found at the start may vote, and what it keeps to if it does. Danger: a folder
+ * restored from an old copy has forgotten votes that it gave and entries that it confirmed; voting by it,
+ * the same term gets two leaders. So the others are asked first how far they know this disk to have been,
+ * which incarnation of its router they know, and where their own disks are.
  *
- * <p>It may vote once no other voter that answers knows of anything later and more than half of the others have
- * answered; from then on it keeps to their {@link RecoveryFloor}. With half of the others away for long it votes
- * without one, as soon as a majority of the group, this one counted, has answered: then what is not found out is an
- * old copy whose missing votes and confirmations only those who are away know of.
+ * <p>It may vote once no other voter that answers knows of anything later and more than half of the others
+ * have answered; from then on it keeps to their {@link RecoveryFloor}. With half of the others away for
+ * long it votes without one, as soon as a majority of the group, this one counted, has answered: then what
+ * is not found out is an old copy whose missing votes and confirmations only those who are away know of.
  *
  * <p>Free of I/O; times are microseconds of one clock. One thread at a time.
  */
@@ -134,8 +134,8 @@
     }
 
     /**
-     * Decides as far as can be. Those that have not answered are waited for a while past the majority: each may be
-     * the one that knows of something later.
+     * Decides as far as can be. Those that have not answered are waited for a while past the majority: each
+     * may be the one that knows of something later.
      *
      * @param graceUs how long; five times as long where it has to vote without a floor
      */
--- a/src/main/java/tinlink/cluster/membership/Incarnation.java
+++ b/src/main/java/tinlink/cluster/membership/Incarnation.java
@@ -16,7 +16,9 @@
         LATER,
         /** It was started before this one. */
         EARLIER,
-        /** It counts the same starts and is another process: one of the two runs with a copy of the folder. */
+        /**
+         * It counts the same starts and is another process: one of the two runs with a copy of the folder.
+         */
         DUPLICATE
     }
 
--- a/src/main/java/tinlink/cluster/membership/Member.java
+++ b/src/main/java/tinlink/cluster/membership/Member.java
@@ -11,7 +11,9 @@
     String address;
     /** Since when it has been in that state. */
     long stateSinceUs;
-    /** Who has found it silent of late; emptied as it is found alive, bounded by the confirmations awaited. */
+    /**
+     * Who has found it silent of late; emptied as it is found alive, bounded by the confirmations awaited.
+     */
     final Set<String> suspectedBy = new LinkedHashSet<>();
     /** Another process that says it is this very start; notified once for each. */
     Incarnation duplicate;
--- a/src/main/java/tinlink/cluster/transport/MessageKind.java
+++ b/src/main/java/tinlink/cluster/transport/MessageKind.java
@@ -102,20 +102,20 @@
 
     /** The kind of a membership message; {@link #OTHER} where there is none with that code. */
     public static MessageKind ofMembership(int code) {
-        return at(MEMBERSHIP_KINDS, code);
+        return withCode(MEMBERSHIP_KINDS, code);
     }
 
     /** The kind of a message in a {@link PeerProtocol#NODE} frame; {@link #OTHER} where there is none. */
     public static MessageKind ofNode(int code) {
-        return at(NODE_KINDS, code);
+        return withCode(NODE_KINDS, code);
     }
 
     /** The kind that a Raft message counts as, by the code with which it begins. */
     static MessageKind ofRaft(int code) {
-        return at(RAFT_KINDS, code);
+        return withCode(RAFT_KINDS, code);
     }
 
-    private static MessageKind at(MessageKind[] kinds, int code) {
+    private static MessageKind withCode(MessageKind[] kinds, int code) {
         MessageKind kind = code > 0 && code < kinds.length ? kinds[code] : null;
         return kind == null ? OTHER : kind;
     }
--- a/src/main/java/tinlink/cluster/transport/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/transport/PeerConnections.java
@@ -23,9 +23,9 @@
 import java.util.logging.Level;
 
 /**
- * Authenticated connections with other routers of a cluster, opened when there is something to send and closed when
- * there has been nothing for a while. A message may get lost, with its connection or where too much waits; whoever
- * sends here repeats what matters. Event loop's thread only.
+ * Authenticated connections with other routers of a cluster, opened when there is something to send and
+ * closed when there has been nothing for a while. A message may get lost, with its connection or where too
+ * much waits; whoever sends here repeats what matters. Event loop's thread only.
  */
 public final class PeerConnections implements Network.AcceptHandler {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
@@ -60,7 +60,8 @@
         /**
          * A message has come.
          *
-         * @param sender authenticated as one that has the key; that it is the only process of its router is not
+         * @param sender authenticated as one that has the key; that it is the only process of its
+         *     router is not
          * @throws MessageRejectedException where the message is malformed; its connection is closed
          */
         void onMessage(Incarnation sender, byte type, ByteBuffer body)
--- a/src/main/java/tinlink/cluster/transport/PeerProtocol.java
+++ b/src/main/java/tinlink/cluster/transport/PeerProtocol.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * The frames between routers of a cluster, and what their bodies share. The handshake carries the version, for all
- * messages of its connection.
+ * The frames between routers of a cluster, and what their bodies share. The handshake carries the version,
+ * for all messages of its connection.
  */
 public final class PeerProtocol {
     /** Of the handshake, and of all that follows it. */
@@ -33,7 +33,10 @@
     static final int NONCE_BYTES = 32;
     static final int PROOF_BYTES = 32;
     static final int MAX_HANDSHAKE_BYTES = 1 << 10;
-    /** A chunk of a snapshot, or the lines that a router lacks, with what goes with them: twice the longest text. */
+    /**
+     * A chunk of a snapshot, or the lines that a router lacks, with what goes with them: twice the longest
+     * text.
+     */
     static final int MAX_FRAME_BYTES = 2 << 20;
 
     private static final int MAX_RUMORS = 64;
--- a/src/main/java/tinlink/cluster/transport/PeerSession.java
+++ b/src/main/java/tinlink/cluster/transport/PeerSession.java
@@ -3,6 +3,7 @@
 import tinlink.cluster.membership.Incarnation;
 import tinlink.net.CloseReason;
 import tinlink.net.MessageRejectedException;
+import tinlink.securechannel.FrameFormat;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 import tinlink.securechannel.SecureSession;
@@ -13,8 +14,8 @@
 import java.util.logging.Logger;
 
 /**
- * One connection between two routers. The one that has connected sends on it, the other receives: so each way between
- * two routers is a connection of its own, and fails on its own.
+ * One connection between two routers. The one that has connected sends on it, the other receives: so each
+ * way between two routers is a connection of its own, and fails on its own.
  */
 final class PeerSession extends SecureSession {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
@@ -65,7 +66,7 @@
                 body,
                 FRAME_HEADER_BYTES
                         + body.length
-                        + (wasAuthenticated() ? MessageCodec.TAG_BYTES : 0));
+                        + (wasAuthenticated() ? FrameFormat.TAG_BYTES : 0));
         return super.send(type, body);
     }
 
--- a/src/main/java/tinlink/cluster/transport/TrafficCounters.java
+++ b/src/main/java/tinlink/cluster/transport/TrafficCounters.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * Messages and bytes that have gone over the connections with other routers, by kind and direction. Bytes are
- * those of complete frames, length and authentication tag counted, without TCP's own. One entry a kind, so the
- * table is bounded; it belongs to the event loop's thread.
+ * Messages and bytes that have gone over the connections with other routers, by kind and direction. Bytes
+ * are those of complete frames, length and authentication tag counted, without TCP's own. One entry a kind,
+ * so the table is bounded; it belongs to the event loop's thread.
  */
 public final class TrafficCounters {
     private static final int COLUMNS = 4;
