--- a/src/main/java/tinlink/cluster/Identity.java
+++ b/src/main/java/tinlink/cluster/Identity.java
@@ -13,8 +13,8 @@
 import java.util.List;
 
 /**
- * Who this process is: a router's name, how often it was started with its folder, a nonce, and the disk that the
- * folder is. Counted up and synced before anything is sent to anybody. Event loop's thread only.
+ * Who this process is: a router's name, how often it was started with its folder, a nonce, and the disk
+ * that the folder is. Counted up and synced before anything is sent to anybody. Event loop's thread only.
  */
 public final class Identity implements Closeable {
     private static final long MAX_BYTES = 1 << 16;
--- a/src/main/java/tinlink/cluster/LeaderRequests.java
+++ b/src/main/java/tinlink/cluster/LeaderRequests.java
@@ -52,7 +52,9 @@
         reportListener = listener;
     }
 
-    /** @param onResult the state machine's reply with null, or null with why it is not known to be agreed on */
+    /**
+     * @param onResult the state machine's reply with null, or null with why it is not known to be agreed on
+     */
     void propose(String line, BiConsumer<String, String> onResult) {
         if (voter.isLeader()) {
             voter.replica()
--- a/src/main/java/tinlink/cluster/MembershipMessageCodec.java
+++ b/src/main/java/tinlink/cluster/MembershipMessageCodec.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * @throws MessageRejectedException where it is malformed or does not name its sender; a buffer that is too
-     *     short throws its own
+     * @throws MessageRejectedException where it is malformed or does not name its sender; a buffer that
+     *     is too short throws its own
      */
     static MembershipMessage decode(ByteBuffer buffer) throws MessageRejectedException {
         MessageKind kind = MessageKind.ofMembership(buffer.get());
--- a/src/main/java/tinlink/cluster/NodeMessageCodec.java
+++ b/src/main/java/tinlink/cluster/NodeMessageCodec.java
@@ -95,8 +95,8 @@
 
     /**
      * @param authenticatedSender the router that the connection was authenticated for
-     * @throws MessageRejectedException where it is malformed, of an unknown kind, or speaks for another router;
-     *     a buffer that is too short throws its own
+     * @throws MessageRejectedException where it is malformed, of an unknown kind, or speaks for another
+     *     router; a buffer that is too short throws its own
      */
     static NodeMessage decode(String authenticatedSender, ByteBuffer buffer)
             throws MessageRejectedException {
--- a/src/main/java/tinlink/cluster/VoterSlots.java
+++ b/src/main/java/tinlink/cluster/VoterSlots.java
@@ -15,12 +15,15 @@
 import java.util.logging.Level;
 
 /**
- * Which disks vote. Each router says with which disk it runs; the leader gives the voter slots of lost disks to
- * the new ones, and of routers to others where an operator says so. Event loop's thread only.
+ * Which disks vote. Each router says with which disk it runs; the leader gives the voter slots of lost
+ * disks to the new ones, and of routers to others where an operator says so. Event loop's thread only.
  */
 final class VoterSlots {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
-    /** Seconds of the Raft library after which a router that does not say that its disk is there is not counted on. */
+    /**
+     * Seconds of the Raft library after which a router that does not say that its disk is there is not
+     * counted on.
+     */
     private static final int PRESENCE_TIMEOUT_SECONDS = 16;
 
     /** @param diskId in hex */
@@ -34,7 +37,9 @@
     private final Counters counters;
     /** On the leader, by router; as many as may be known. */
     private final Map<String, PresentDisk> present = new TreeMap<>();
-    /** By an operator's command, whose slot goes to whom; each leaves as it has gone, all as another leads. */
+    /**
+     * By an operator's command, whose slot goes to whom; each leaves as it has gone, all as another leads.
+     */
     private final Map<String, String> operatorReplacements = new TreeMap<>();
 
     private boolean changeInProgress;
@@ -70,7 +75,10 @@
         return disks;
     }
 
-    /** Says with which disk this router runs; on the leader, makes the next change. To be called periodically. */
+    /**
+     * Says with which disk this router runs; on the leader, makes the next change. To be called
+     * periodically.
+     */
     void tick() {
         announcePresence();
         if (!voter.isLeader()) {
@@ -160,7 +168,9 @@
                         }));
     }
 
-    /** An operator gives a router's voter slot to another; it may get lost, and is seen in {@link #voters}. */
+    /**
+     * An operator gives a router's voter slot to another; it may get lost, and is seen in {@link #voters}.
+     */
     void replace(String removedRouter, String addedRouter) {
         if (voter.isLeader()) {
             if (operatorReplacements.size() < settings.limits().maxRouters()) {
--- a/src/main/java/tinlink/cluster/consensus/CompositeStateMachine.java
+++ b/src/main/java/tinlink/cluster/consensus/CompositeStateMachine.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * Several state machines that share one order of lines, told apart by the first field of a line. All routers of a
- * cluster have the same ones, whether they make use of them or not.
+ * Several state machines that share one order of lines, told apart by the first field of a line. All
+ * routers of a cluster have the same ones, whether they make use of them or not.
  */
 public final class CompositeStateMachine implements ReplicatedStateMachine {
     private final ReplicatedStateMachine defaultStateMachine;
--- a/src/main/java/tinlink/cluster/consensus/LearnerLog.java
+++ b/src/main/java/tinlink/cluster/consensus/LearnerLog.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What was agreed on, as far as this router has learned it, for itself and for routers that don't vote: the newest
- * lines one by one, and the state after them. Event loop's thread only.
+ * What was agreed on, as far as this router has learned it, for itself and for routers that don't vote: the
+ * newest lines one by one, and the state after them. Event loop's thread only.
  */
 public final class LearnerLog {
     /**
--- a/src/main/java/tinlink/cluster/consensus/LineCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/LineCodec.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Fields in a line, as lines are agreed on and stored: separated by tabs; tabs, ends of lines and backslashes are
- * escaped by a backslash.
+ * Fields in a line, as lines are agreed on and stored: separated by tabs; tabs, ends of lines and
+ * backslashes are escaped by a backslash.
  */
 public final class LineCodec {
     private LineCodec() {}
--- a/src/main/java/tinlink/cluster/consensus/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftCodec.java
@@ -26,8 +26,9 @@
 import java.util.List;
 
 /**
- * The messages of Raft as bytes: type, sender, term, then the fields of the library's message. The group is not
- * written, since a connection between two routers belongs to one cluster; the version is that of its handshake.
+ * The messages of Raft as bytes: type, sender, term, then the fields of the library's message. The group is
+ * not written, since a connection between two routers belongs to one cluster; the version is that of its
+ * handshake.
  */
 public final class RaftCodec {
     /** One operation is no longer, nor is a chunk of a snapshot; UTF-8. */
--- a/src/main/java/tinlink/cluster/consensus/RaftExecutor.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftExecutor.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The thread and the clock of Raft. The library counts in whole seconds; here one of its seconds is as long as is
- * configured. The clock only goes on, whatever the wall clock does.
+ * The thread and the clock of Raft. The library counts in whole seconds; here one of its seconds is as long
+ * as is configured. The clock only goes on, whatever the wall clock does.
  */
 public final class RaftExecutor extends Clock implements RaftNodeExecutor {
     private static final int SHUTDOWN_TIMEOUT_S = 1;
--- a/src/main/java/tinlink/cluster/consensus/RaftReplica.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftReplica.java
@@ -31,9 +31,10 @@
 import java.util.function.Supplier;
 
 /**
- * One voter's replica of the agreed log, on the library's implementation of Raft. Time, chance, the thread and
- * the way to others come from outside: in service a thread of its own and the connections between routers, in a
- * simulation the simulated ones. Methods may be called from any thread, results come on the executor's.
+ * One voter's replica of the agreed log, on the library's implementation of Raft. Time, chance, the thread
+ * and the way to others come from outside: in service a thread of its own and the connections between
+ * routers, in a simulation the simulated ones. Methods may be called from any thread, results come on the
+ * executor's.
  *
  * <p>Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014).
  */
@@ -86,7 +87,8 @@
     /**
      * Takes up what is stored; begins with {@link #start}.
      *
-     * @param initialVoters who votes at the very first start of the group; without effect where something is stored
+     * @param initialVoters who votes at the very first start of the group; without effect where
+     *     something is stored
      * @param snapshotIntervalLines lines between two snapshots
      */
     public RaftReplica(
@@ -146,8 +148,8 @@
     }
 
     /**
-     * How far a message shows its sender's disk to be; null where it shows nothing. A request for a pre-vote names
-     * a term that is not on any disk yet.
+     * How far a message shows its sender's disk to be; null where it shows nothing. A request for a
+     * pre-vote names a term that is not on any disk yet.
      */
     public static LogPosition confirmedPosition(RaftMessage message) {
         if (message instanceof AppendEntriesSuccessResponse response) {
@@ -178,10 +180,10 @@
     }
 
     /**
-     * Looks whether this voter still notices that its leader is silent; to be called periodically. Danger: after
-     * it has taken a snapshot the library's follower may stop to look (seen in a seeded simulation: no vote was
-     * asked for in thirty seconds without a leader), and a group of such followers never gets another leader. Such
-     * a one is restarted from what is stored.
+     * Looks whether this voter still notices that its leader is silent; to be called periodically. Danger:
+     * after it has taken a snapshot the library's follower may stop to look (seen in a seeded simulation:
+     * no vote was asked for in thirty seconds without a leader), and a group of such followers never gets
+     * another leader. Such a one is restarted from what is stored.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void restartIfStuck() {
@@ -205,9 +207,10 @@
     }
 
     /**
-     * Danger: a follower that took a snapshot of another voter while entries of a leader without a majority followed
-     * it in its log may refuse what follows the snapshot for ever (seen in a seeded simulation: a voter that
-     * confirmed nothing any more). What is stored has no such entries, so it is restarted from that.
+     * Danger: a follower that took a snapshot of another voter while entries of a leader without a majority
+     * followed it in its log may refuse what follows the snapshot for ever (seen in a seeded simulation: a
+     * voter that confirmed nothing any more). What is stored has no such entries, so it is restarted from
+     * that.
      */
     private void countAppendFailures(RaftMessage message) {
         if (message instanceof AppendEntriesFailureResponse failure) {
@@ -263,8 +266,8 @@
     /**
      * Proposes a line.
      *
-     * @param onResult the state machine's reply once the line is agreed on, with null; else null with why it is
-     *     not, or is not known to be. On the executor's thread
+     * @param onResult the state machine's reply once the line is agreed on, with null; else null with
+     *     why it is not, or is not known to be. On the executor's thread
      */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void propose(String line, BiConsumer<String, Throwable> onResult) {
@@ -274,8 +277,8 @@
     }
 
     /**
-     * Confirms with a majority up to which index all was agreed on before this call, and applies it here; only
-     * the leader can.
+     * Confirms with a majority up to which index all was agreed on before this call, and applies it here;
+     * only the leader can.
      *
      * @param onResult the index with null, or null with why it is not confirmed. On the executor's thread
      */
--- a/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
@@ -17,9 +17,9 @@
 import java.util.List;
 
 /**
- * What a voter must not forget: who it is, its term and vote, the log and the last snapshot. Stored as records
- * that are replayed at the start; the log below the last snapshot goes as that is complete. Belongs to the
- * thread of Raft once the replica runs, but for {@link #logEnd}.
+ * What a voter must not forget: who it is, its term and vote, the log and the last snapshot. Stored as
+ * records that are replayed at the start; the log below the last snapshot goes as that is complete. Belongs
+ * to the thread of Raft once the replica runs, but for {@link #logEnd}.
  */
 public final class RaftStateStore implements RaftStore {
     /** Where records go: a store on disk, or one in memory in simulated time. */
@@ -81,7 +81,9 @@
         return state.localVoter();
     }
 
-    /** The highest term, and the end of the log: what others may know of this disk from before this process. */
+    /**
+     * The highest term, and the end of the log: what others may know of this disk from before this process.
+     */
     public LogPosition lastPosition() {
         return state.lastPosition();
     }
--- a/src/main/java/tinlink/cluster/consensus/Voter.java
+++ b/src/main/java/tinlink/cluster/consensus/Voter.java
@@ -3,8 +3,9 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * Who takes part in agreeing: a router together with one disk of its. A router that has lost its disk, or came back
- * with an old copy of it, gets another number, so what the disk before it has said is not held against it, nor for it.
+ * Who takes part in agreeing: a router together with one disk of its. A router that has lost its disk, or
+ * came back with an old copy of it, gets another number, so what the disk before it has said is not held
+ * against it, nor for it.
  *
  * @param diskId drawn by chance as the folder was first used; 0 for a disk of the cluster's first start
  */
--- a/src/main/java/tinlink/cluster/consensus/VoterReplacement.java
+++ b/src/main/java/tinlink/cluster/consensus/VoterReplacement.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * Which voter takes another one's place. A voter slot belongs to a router; it is given to another disk of the same
- * router once that router itself says that it runs with another one, or to another router where an operator says so.
- * One change at a time, and none that a majority of the group as it then is could not bear. Free of I/O and state.
+ * Which voter takes another one's place. A voter slot belongs to a router; it is given to another disk of
+ * the same router once that router itself says that it runs with another one, or to another router where an
+ * operator says so. One change at a time, and none that a majority of the group as it then is could not
+ * bear. Free of I/O and state.
  */
 public final class VoterReplacement {
     /**
--- a/src/main/java/tinlink/cluster/membership/LocalHealth.java
+++ b/src/main/java/tinlink/cluster/membership/LocalHealth.java
@@ -23,7 +23,7 @@
     }
 
     /** A time that others are given, stretched by the doubt in itself. */
-    long stretch(long us) {
-        return us * (1 + multiplier);
+    long stretch(long durationUs) {
+        return durationUs * (1 + multiplier);
     }
 }
--- a/src/main/java/tinlink/cluster/membership/MemberTable.java
+++ b/src/main/java/tinlink/cluster/membership/MemberTable.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The other routers that are known, by name, in the order in which they became so. Those that are dead or have
- * left go after a time, and first where there are too many.
+ * The other routers that are known, by name, in the order in which they became so. Those that are dead or
+ * have left go after a time, and first where there are too many.
  */
 final class MemberTable {
     private final Map<String, Member> members = new LinkedHashMap<>();
@@ -76,7 +76,8 @@
     /**
      * Danger: names made up by a liar, or a fleet larger than was meant, would fill the heap.
      *
-     * @return whether there is capacity for one more; the one that has been dead for longest is evicted for it
+     * @return whether there is capacity for one more; the one that has been dead for longest is evicted
+     *     for it
      */
     boolean ensureCapacity() {
         if (members.size() < maxMembers) {
--- a/src/main/java/tinlink/cluster/membership/Membership.java
+++ b/src/main/java/tinlink/cluster/membership/Membership.java
@@ -11,11 +11,11 @@
  * Which routers there are, and which of them answer, as this one knows it. Inputs only update what is known;
  * decisions are pulled until there is none. Times are microseconds of one clock that never goes back.
  *
- * <p>Source: A. Das, I. Gupta and A. Motivala, "SWIM" (DSN 2002): one member is probed a round, through others
- * where it is silent, and what is found travels with probes and their answers. A. Dadgar, J. Phillips and
- * J. Currey, "Lifeguard" (2018): a router that finds many silent doubts itself first, a suspicion ends the
- * sooner the more have confirmed it, and a suspect is told with the next message to it. Own: the incarnations of
- * one router are told apart ({@link Incarnation}), and all tables are bounded.
+ * <p>Source: A. Das, I. Gupta and A. Motivala, "SWIM" (DSN 2002): one member is probed a round, through
+ * others where it is silent, and what is found travels with probes and their answers. A. Dadgar, J.
+ * Phillips and J. Currey, "Lifeguard" (2018): a router that finds many silent doubts itself first, a
+ * suspicion ends the sooner the more have confirmed it, and a suspect is told with the next message to it.
+ * Own: the incarnations of one router are told apart ({@link Incarnation}), and all tables are bounded.
  */
 public final class Membership {
     /** Danger: a rumor can't be of a refutation that its incarnation has not reached; a liar's may be. */
@@ -46,7 +46,9 @@
         void sendProbeRequest(
                 String address, long sequenceNumber, String target, List<Rumor> rumors);
 
-        /** Answers a probe request whose target is silent, so that this router at least is known to answer. */
+        /**
+         * Answers a probe request whose target is silent, so that this router at least is known to answer.
+         */
         void sendNack(String address, long sequenceNumber, List<Rumor> rumors);
 
         /** A member's incarnation or state has changed, or a duplicate of it was found. */
--- a/src/main/java/tinlink/cluster/membership/Prober.java
+++ b/src/main/java/tinlink/cluster/membership/Prober.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * Probes: one member a round, through others where it is silent, and on behalf of others that ask for it. What
- * is to be sent goes to the outbox; times are microseconds of the clock that is given with each call.
+ * Probes: one member a round, through others where it is silent, and on behalf of others that ask for it.
+ * What is to be sent goes to the outbox; times are microseconds of the clock that is given with each call.
  */
 final class Prober {
     /** Configured routers that never answer are probed again, in turn with the members. */
@@ -227,7 +227,9 @@
         return nowUs >= nextRoundUs;
     }
 
-    /** One member is probed; now and then a configured router that is no member, or one that counts as dead. */
+    /**
+     * One member is probed; now and then a configured router that is no member, or one that counts as dead.
+     */
     void startRound(long nowUs) {
         long roundUs = health.stretch(settings.probeIntervalUs());
         nextRoundUs = nowUs + roundUs;
@@ -268,8 +270,8 @@
     }
 
     /**
-     * The next in turn of the configured routers that are no members, and the members that count as dead: a cut
-     * may heal. Null where there is none.
+     * The next in turn of the configured routers that are no members, and the members that count as dead: a
+     * cut may heal. Null where there is none.
      */
     private String nextUnconnectedAddress() {
         List<String> addresses = new ArrayList<>();
--- a/src/main/java/tinlink/cluster/membership/RumorQueue.java
+++ b/src/main/java/tinlink/cluster/membership/RumorQueue.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * What travels with a message: who this router is; what it knows of the receiver, where that is not alive, so
-     * that it can refute it; the rumors that have been sent least often.
+     * What travels with a message: who this router is; what it knows of the receiver, where that is not
+     * alive, so that it can refute it; the rumors that have been sent least often.
      */
     List<Rumor> take(String receiverAddress, Rumor self) {
         List<Rumor> selected = new ArrayList<>();
--- a/src/main/java/tinlink/cluster/transport/PeerSession.java
+++ b/src/main/java/tinlink/cluster/transport/PeerSession.java
@@ -14,8 +14,8 @@
 import java.util.logging.Logger;
 
 /**
- * One connection between two routers. The one that has connected sends on it, the other receives: so each way between
- * two routers is a connection of its own, and fails on its own.
+ * One connection between two routers. The one that has connected sends on it, the other receives: so each
+ * way between two routers is a connection of its own, and fails on its own.
  */
 final class PeerSession extends SecureSession {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
