--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -57,10 +57,10 @@
     }
 
     @Override
-    public void bytesReceived(RingBuffer in) {
+    public void bytesReceived(RingBuffer received) {
         try {
-            while (in.size() > 0 && !responseSent) {
-                reader.read(in);
+            while (received.size() > 0 && !responseSent) {
+                reader.read(received);
             }
         } catch (MessageRejectedException e) {
             respond(e.status, Map.of("said", e.getMessage()));
--- a/src/main/java/tinlink/maintenance/ControlRequest.java
+++ b/src/main/java/tinlink/maintenance/ControlRequest.java
@@ -12,7 +12,7 @@
      * @param startWithinUs each task has to have started so long after the request
      */
     record Submit(
-            String id,
+            String requestId,
             List<String> selectors,
             long durationUs,
             long startWithinUs,
@@ -25,7 +25,7 @@
     record ListRequests() implements ControlRequest {}
 
     /** Shows one request. */
-    record ShowRequest(String id) implements ControlRequest {}
+    record ShowRequest(String requestId) implements ControlRequest {}
 
     /** Lists all machines that are known. */
     record ListMachines() implements ControlRequest {}
@@ -34,10 +34,10 @@
     record ShowRouter() implements ControlRequest {}
 
     /** Work is done; of all machines of the request where the machine is empty. */
-    record Complete(String id, String machine, boolean lost) implements ControlRequest {}
+    record Complete(String requestId, String machine, boolean lost) implements ControlRequest {}
 
     /** Takes a request back. */
-    record Cancel(String id, String reason) implements ControlRequest {}
+    record Cancel(String requestId, String reason) implements ControlRequest {}
 
     /** A router's process has ended for good, by the operator's word. */
     record RemoveRouter(String router) implements ControlRequest {}
@@ -52,13 +52,13 @@
     record ListPolicyChanges() implements ControlRequest {}
 
     /** Shows one change of policy. */
-    record ShowPolicyChange(String id) implements ControlRequest {}
+    record ShowPolicyChange(String changeId) implements ControlRequest {}
 
     /** Takes a change of policy back. */
-    record WithdrawPolicyChange(String id, String reason) implements ControlRequest {}
+    record WithdrawPolicyChange(String changeId, String reason) implements ControlRequest {}
 
     /** Proposes a change of policy. @param againstEpoch the epoch that has to be in force */
     record ProposePolicyChange(
-            String id, String text, int againstEpoch, String author, String reason)
+            String changeId, String text, int againstEpoch, String author, String reason)
             implements ControlRequest {}
 }
--- a/src/main/java/tinlink/maintenance/ControlResponder.java
+++ b/src/main/java/tinlink/maintenance/ControlResponder.java
@@ -4,9 +4,13 @@
 
 /** Takes the answer to an operator's request. The first one counts; what follows it is dropped. */
 interface ControlResponder {
+    /** The request was carried out, or its outcome is known. */
     int OK = 200;
+    /** The request can't be understood. */
     int BAD_REQUEST = 400;
+    /** What it asks for is not known here. */
     int NOT_FOUND = 404;
+    /** It is not known what came of it. */
     int UNAVAILABLE = 503;
 
     /**
--- a/src/main/java/tinlink/maintenance/ControlServer.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -17,9 +17,9 @@
 import java.util.logging.Level;
 
 /**
- * Where operators ask a router, over HTTP/1.1 on loopback: one POST of a JSON object a connection, with a token.
- * What they change is proposed to all routers; the answer says what came of that, or that it is not known, and
- * then the same may be asked again, here or elsewhere. Belongs to the event loop's thread.
+ * Where operators ask a router, over HTTP/1.1 on loopback: one POST of a JSON object a connection, with a
+ * token. What they change is proposed to all routers; the answer says what came of that, or that it is not
+ * known, and then the same may be asked again, here or elsewhere. Belongs to the event loop's thread.
  */
 public final class ControlServer implements Network.AcceptHandler {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -12,10 +12,10 @@
 import java.util.logging.Level;
 
 /**
- * Which data nodes this router cordons, persisted. Danger: started again, and with nobody to ask, it would send
- * to machines that are out by its own confirmation. So a cordon is written to disk before this router confirms
- * that the node is drained, and holds from its next start on until it knows better. Belongs to the event loop's
- * thread; writes have a thread of their own.
+ * Which data nodes this router cordons, persisted. Danger: started again, and with nobody to ask, it would
+ * send to machines that are out by its own confirmation. So a cordon is written to disk before this router
+ * confirms that the node is drained, and holds from its next start on until it knows better. Belongs to the
+ * event loop's thread; writes have a thread of their own.
  */
 final class CordonStore {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
--- a/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
@@ -15,8 +15,8 @@
 
 /**
  * Carries out operators' requests about maintenance. One that reads is answered at once from what this router
- * has heard; one that changes something is proposed, and answered with what came of that. Belongs to the event
- * loop's thread.
+ * has heard; one that changes something is proposed, and answered with what came of that. Belongs to the
+ * event loop's thread.
  */
 final class MaintenanceControlCommands {
     private final MaintenanceService maintenance;
@@ -34,24 +34,29 @@
 
     /** Carries out a request about maintenance; returns whether it is one. */
     boolean execute(ControlRequest request, ControlResponder responder) {
-        if (request instanceof ControlRequest.Submit r) {
-            submit(r, responder);
+        if (request instanceof ControlRequest.Submit submit) {
+            submit(submit, responder);
         } else if (request instanceof ControlRequest.ListRequests) {
             listRequests(responder);
-        } else if (request instanceof ControlRequest.ShowRequest r) {
-            showRequest(r.id(), responder);
+        } else if (request instanceof ControlRequest.ShowRequest showRequest) {
+            showRequest(showRequest.requestId(), responder);
         } else if (request instanceof ControlRequest.ListMachines) {
             listMachines(responder);
         } else if (request instanceof ControlRequest.ShowRouter) {
             responder.respond(ControlResponder.OK, views.withLeader(maintenance.status()));
-        } else if (request instanceof ControlRequest.Complete r) {
-            propose(new MaintenanceCommand.CompleteWork(r.id(), r.machine(), r.lost()), responder);
-        } else if (request instanceof ControlRequest.Cancel r) {
-            propose(new MaintenanceCommand.CancelRequest(r.id(), r.reason()), responder);
-        } else if (request instanceof ControlRequest.RemoveRouter r) {
-            removeRouter(r.router(), responder);
-        } else if (request instanceof ControlRequest.ReplaceVoter r) {
-            replaceVoter(r, responder);
+        } else if (request instanceof ControlRequest.Complete complete) {
+            propose(
+                    new MaintenanceCommand.CompleteWork(
+                            complete.requestId(), complete.machine(), complete.lost()),
+                    responder);
+        } else if (request instanceof ControlRequest.Cancel cancel) {
+            propose(
+                    new MaintenanceCommand.CancelRequest(cancel.requestId(), cancel.reason()),
+                    responder);
+        } else if (request instanceof ControlRequest.RemoveRouter removeRouter) {
+            removeRouter(removeRouter.router(), responder);
+        } else if (request instanceof ControlRequest.ReplaceVoter replaceVoter) {
+            replaceVoter(replaceVoter, responder);
         } else {
             return false;
         }
@@ -68,8 +73,8 @@
         responder.respond(ControlResponder.OK, views.withLeader(Map.of("requests", requests)));
     }
 
-    private void showRequest(String id, ControlResponder responder) {
-        List<MaintenanceTask> tasks = state().tasksOf(id);
+    private void showRequest(String requestId, ControlResponder responder) {
+        List<MaintenanceTask> tasks = state().tasksOf(requestId);
         if (tasks.isEmpty()) {
             responder.respond(
                     ControlResponder.NOT_FOUND,
@@ -113,7 +118,7 @@
     }
 
     private void submit(ControlRequest.Submit request, ControlResponder responder) {
-        List<MaintenanceTask> known = state().tasksOf(request.id());
+        List<MaintenanceTask> known = state().tasksOf(request.requestId());
         if (!known.isEmpty()) {
             // Submitted before: what was selected then may be other machines by now, and is not
             // selected anew.
@@ -134,7 +139,7 @@
         }
         propose(
                 new MaintenanceCommand.SubmitRequest(new MaintenanceRequest(
-                        request.id(),
+                        request.requestId(),
                         List.copyOf(machines),
                         request.durationUs(),
                         request.startWithinUs(),
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -30,9 +30,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Maintenance in a router that serves: carries out what {@link DrainController}, {@link MachineFailureDetector}
- * and {@link MaintenanceCoordinator} decide. Belongs to the event loop's thread. Requests wait for none of it
- * but once, at the start, for a bounded time.
+ * Maintenance in a router that serves: carries out what {@link DrainController}, {@link
+ * MachineFailureDetector} and {@link MaintenanceCoordinator} decide. Belongs to the event loop's thread.
+ * Requests wait for none of it but once, at the start, for a bounded time.
  */
 public final class MaintenanceService
         implements DrainController.DrainHandler, EventLoopParticipant {
@@ -47,7 +47,9 @@
         /** Whether nothing new goes to this data node from now on, or again as the list says. */
         void setCordoned(String machine, boolean cordoned);
 
-        /** Whether clients are sent elsewhere and those that are here served to their end, or accepted again. */
+        /**
+         * Whether clients are sent elsewhere and those that are here served to their end, or accepted again.
+         */
         void setDraining(boolean draining);
 
         /** The list of data nodes as it is now. */
@@ -152,10 +154,12 @@
         return replicatedState.state();
     }
 
+    /** The cluster node that it proposes and reports by. */
     public ClusterNode cluster() {
         return cluster;
     }
 
+    /** What it counts, by standard names. */
     public Counters counters() {
         return counters;
     }
@@ -264,8 +268,8 @@
     /**
      * Proposes a command.
      *
-     * @param onResult gets the message of its outcome, empty where it was accepted, and why that is not known,
-     *     null where it is
+     * @param onResult gets the message of its outcome, empty where it was accepted, and why that is not
+     *     known, null where it is
      */
     public void propose(MaintenanceCommand command, BiConsumer<String, String> onResult) {
         cluster.propose(MaintenanceCommandCodec.encode(command), onResult);
--- a/src/main/java/tinlink/maintenance/NodeProber.java
+++ b/src/main/java/tinlink/maintenance/NodeProber.java
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public void bytesReceived(RingBuffer in) {
+        public void bytesReceived(RingBuffer received) {
             // Nothing is asked.
         }
 
--- a/src/main/java/tinlink/maintenance/ObservationReporter.java
+++ b/src/main/java/tinlink/maintenance/ObservationReporter.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 
 /**
- * Reports to the leader what this router knows of machines: itself, the health of those that it watches, and its
- * list of data nodes. Belongs to the event loop's thread.
+ * Reports to the leader what this router knows of machines: itself, the health of those that it watches, and
+ * its list of data nodes. Belongs to the event loop's thread.
  */
 final class ObservationReporter {
     private final ClusterNode cluster;
--- a/src/main/java/tinlink/maintenance/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -22,17 +22,20 @@
         } else if (request instanceof ControlRequest.ListPolicyChanges) {
             responder.respond(
                     ControlResponder.OK, views.withLeader(Map.of("changes", policy.history())));
-        } else if (request instanceof ControlRequest.ShowPolicyChange r) {
-            showChange(r.id(), responder);
-        } else if (request instanceof ControlRequest.WithdrawPolicyChange r) {
-            policy.withdraw(r.id(), r.reason(), responder::respondProposal);
-        } else if (request instanceof ControlRequest.ProposePolicyChange r) {
-            propose(r, responder);
+        } else if (request instanceof ControlRequest.ShowPolicyChange showPolicyChange) {
+            showChange(showPolicyChange.changeId(), responder);
+        } else if (request instanceof ControlRequest.WithdrawPolicyChange withdrawPolicyChange) {
+            policy.withdraw(
+                    withdrawPolicyChange.changeId(),
+                    withdrawPolicyChange.reason(),
+                    responder::respondProposal);
+        } else if (request instanceof ControlRequest.ProposePolicyChange proposePolicyChange) {
+            propose(proposePolicyChange, responder);
         }
     }
 
-    private void showChange(String id, ControlResponder responder) {
-        Map<String, Object> change = policy.status(id);
+    private void showChange(String changeId, ControlResponder responder) {
+        Map<String, Object> change = policy.status(changeId);
         if (change == null) {
             responder.respond(
                     ControlResponder.NOT_FOUND,
@@ -46,7 +49,7 @@
     private void propose(ControlRequest.ProposePolicyChange request, ControlResponder responder) {
         ProposalTerms terms = ProposalTerms.parse(request.text());
         policy.propose(
-                request.id(),
+                request.changeId(),
                 request.againstEpoch(),
                 terms.digest(),
                 request.text(),
--- a/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * The data nodes that all routers have agreed on, and a digest of them by which two routers find out that they
- * mean the same set. Immutable.
+ * The data nodes that all routers have agreed on, and a digest of them by which two routers find out that
+ * they mean the same set. Immutable.
  */
 public final class AgreedNodes {
     private final TreeMap<String, Machine> byId = new TreeMap<>();
@@ -23,7 +23,7 @@
     }
 
     /** @param machines all that are agreed on; routers among them are skipped */
-    public static AgreedNodes of(Collection<Machine> machines) {
+    public static AgreedNodes from(Collection<Machine> machines) {
         return new AgreedNodes(machines);
     }
 
@@ -33,8 +33,8 @@
     }
 
     /** The node with that id; null where there is none. */
-    public Machine node(String id) {
-        return byId.get(id);
+    public Machine node(String nodeId) {
+        return byId.get(nodeId);
     }
 
     /** All nodes, by their ids. */
--- a/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
@@ -23,7 +23,7 @@
         this.limits = limits;
         for (Machine machine : machines) {
             int available = isAvailable.test(machine) ? 1 : 0;
-            for (FailureDomain domain : FailureDomain.of(machine)) {
+            for (FailureDomain domain : FailureDomain.containing(machine)) {
                 Count count = counts.computeIfAbsent(domain, d -> new Count());
                 count.total++;
                 count.available += available;
@@ -43,7 +43,7 @@
 
     /** The first limit that would be violated without this machine, which counts now. */
     Optional<String> violationWithout(Machine machine) {
-        return FailureDomain.of(machine).stream()
+        return FailureDomain.containing(machine).stream()
                 .filter(domain -> counts.get(domain).available - 1 < minimum(domain))
                 .findFirst()
                 .map(this::describe);
@@ -51,7 +51,7 @@
 
     /** The machine, which counted, is not available from now on. */
     void remove(Machine machine) {
-        FailureDomain.of(machine).forEach(domain -> counts.get(domain).available--);
+        FailureDomain.containing(machine).forEach(domain -> counts.get(domain).available--);
     }
 
     private int minimum(FailureDomain domain) {
--- a/src/main/java/tinlink/maintenance/scheduling/DrainController.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DrainController.java
@@ -8,12 +8,14 @@
 import java.util.TreeSet;
 
 /**
- * What one router does by the agreed state: which data nodes it cordons, when it confirms that it has nothing in
- * flight there, and when it drains its own clients. It acts by what it knows to be agreed, never by a time.
+ * What one router does by the agreed state: which data nodes it cordons, when it confirms that it has nothing
+ * in flight there, and when it drains its own clients. It acts by what it knows to be agreed, never by a
+ * time.
  *
- * <p>What it proposes may get lost, so it proposes it again while it still follows from the state. An old copy
- * of the state does no harm: a grant that has ended is rejected as it is started, and a router that drains by a
- * task that was cancelled counts as out until it has confirmed that it serves. Belongs to one thread.
+ * <p>What it proposes may get lost, so it proposes it again while it still follows from the state. An old
+ * copy of the state does no harm: a grant that has ended is rejected as it is started, and a router that
+ * drains by a task that was cancelled counts as out until it has confirmed that it serves. Belongs to one
+ * thread.
  */
 public final class DrainController {
     /** Carries out what is decided. */
@@ -89,7 +91,8 @@
     /**
      * Danger: a router that has just started knows of no maintenance, and nobody waits for its confirmation,
      * since only its previous incarnation is known; what it sends goes to machines that are out. So it serves
-     * once its incarnation is agreed on, or has been awaited for long enough: serving never depends on consensus.
+     * once its incarnation is agreed on, or has been awaited for long enough: serving never depends on
+     * consensus.
      */
     public boolean isRegistered(MaintenanceState state) {
         return state.isCurrent(router, incarnation);
--- a/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
+++ b/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
@@ -19,7 +19,7 @@
     }
 
     /** All domains that a machine belongs to. */
-    static List<FailureDomain> of(Machine machine) {
+    static List<FailureDomain> containing(Machine machine) {
         if (!machine.isRouter()) {
             return List.of(
                     new FailureDomain(Kind.BLOCK, Integer.toString(machine.cell())),
--- a/src/main/java/tinlink/maintenance/scheduling/GrantScheduler.java
+++ b/src/main/java/tinlink/maintenance/scheduling/GrantScheduler.java
@@ -101,7 +101,8 @@
 
     /**
      * The limit that is violated without this machine as things are now, if it counts itself. Danger: a
-     * machine that has failed is granted whatever its block lacks; healthy again, it is what the block has left.
+     * machine that has failed is granted whatever its block lacks; healthy again, it is what the block has
+     * left.
      */
     Optional<String> violationWithout(Machine machine) {
         return new DisruptionBudget(
--- a/src/main/java/tinlink/maintenance/scheduling/Machine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/Machine.java
@@ -10,7 +10,9 @@
         String id, Kind kind, int cell, String zone, String site, String model, boolean voter) {
     /** What a machine does. */
     public enum Kind {
+        /** Holds a replica of a card block. */
         NODE,
+        /** Sends queries on to data nodes. */
         ROUTER
     }
 
@@ -21,6 +23,7 @@
         }
     }
 
+    /** Whether it is a router, and no data node. */
     public boolean isRouter() {
         return kind == Kind.ROUTER;
     }
--- a/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
@@ -8,13 +8,14 @@
 
 /**
  * Which machines this router watches, and whether it finds them healthy. Each machine is watched by a few
- * routers, chosen alike by all from the names alone ({@link WatcherAssignment}); where one of those fails, the
- * next takes over. Free of I/O: probes are pulled, and their results, and those of the calls that are made
- * anyway, are passed in. Belongs to one thread.
+ * routers, chosen alike by all from the names alone ({@link WatcherAssignment}); where one of those fails,
+ * the next takes over. Free of I/O: probes are pulled, and their results, and those of the calls that are
+ * made anyway, are passed in. Belongs to one thread.
  */
 public final class MachineFailureDetector {
     /** Carries out a probe; its end is passed to {@link #onProbeResult}. */
     public interface Prober {
+        /** Starts one probe of that machine. */
         void probe(String machine);
     }
 
@@ -141,8 +142,8 @@
 
     /**
      * Danger: a node whose process stands still goes on being connected to, by its machine's kernel; only the
-     * calls show it. And one slow answer is no failure: calls count once several in a row have failed for longer
-     * than a round.
+     * calls show it. And one slow answer is no failure: calls count once several in a row have failed for
+     * longer than a round.
      */
     private void updateHealth(ProbeHistory history, boolean answered) {
         boolean callsFail = history.failedCalls >= CALL_FAILURE_THRESHOLD
--- a/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 
 /**
- * The written form of {@link MachineReport}s: a line of fields, the kind first. It is sent between builds, so its
- * words stay; a kind that is not known is ignored, which leaves room for later forms.
+ * The written form of {@link MachineReport}s: a line of fields, the kind first. It is sent between builds, so
+ * its words stay; a kind that is not known is ignored, which leaves room for later forms.
  */
 public final class MachineReportCodec {
     private static final String HEALTH = "saw";
@@ -27,45 +27,47 @@
     /** Returns the line of a report; {@link #decode} makes the same report from it. */
     public static String encode(MachineReport report) {
         List<Object> fields = new ArrayList<>();
-        if (report instanceof MachineReport.Health r) {
+        if (report instanceof MachineReport.Health healthReport) {
             fields.add(HEALTH);
-            r.healthyByMachine().forEach((machine, healthy) -> {
+            healthReport.healthyByMachine().forEach((machine, healthy) -> {
                 fields.add(machine);
                 fields.add(healthy);
             });
-        } else if (report instanceof MachineReport.FullNodeList r) {
+        } else if (report instanceof MachineReport.FullNodeList fullNodeList) {
             fields.add(FULL_LIST);
-            fields.add(r.site());
-            r.nodes().forEach(node -> fields.add(MaintenanceCommandCodec.machine(node)));
-        } else if (report instanceof NodeListDifference r) {
+            fields.add(fullNodeList.site());
+            fullNodeList.nodes().forEach(node -> fields.add(MaintenanceCommandCodec.machine(node)));
+        } else if (report instanceof NodeListDifference nodeListDifference) {
             fields.add(LIST_DIFFERENCE);
-            fields.add(r.site());
-            fields.add(Long.toHexString(r.basisDigest()));
-            fields.add(r.added().size());
-            r.added().forEach(node -> fields.add(MaintenanceCommandCodec.machine(node)));
-            r.missing().stream().sorted().forEach(fields::add);
-        } else if (report instanceof MachineReport.Self r) {
+            fields.add(nodeListDifference.site());
+            fields.add(Long.toHexString(nodeListDifference.basisDigest()));
+            fields.add(nodeListDifference.added().size());
+            nodeListDifference
+                    .added()
+                    .forEach(node -> fields.add(MaintenanceCommandCodec.machine(node)));
+            nodeListDifference.missing().stream().sorted().forEach(fields::add);
+        } else if (report instanceof MachineReport.Self selfReport) {
             fields.add(SELF);
-            fields.add(MaintenanceCommandCodec.machine(r.router()));
-        } else if (report instanceof MachineReport.Departure r) {
+            fields.add(MaintenanceCommandCodec.machine(selfReport.router()));
+        } else if (report instanceof MachineReport.Departure departure) {
             fields.add(DEPARTURE);
-            fields.add(r.incarnation());
+            fields.add(departure.incarnation());
         }
         return LineCodec.encode(fields.toArray());
     }
 
     /** Reads a report; empty where it can't be read or is of a kind that this build does not know. */
     public static Optional<MachineReport> decode(String line) {
-        FieldReader in = new FieldReader(LineCodec.decode(line));
+        FieldReader fields = new FieldReader(LineCodec.decode(line));
         try {
-            return switch (in.nextText()) {
-                case HEALTH -> Optional.of(health(in.remaining()));
+            return switch (fields.nextText()) {
+                case HEALTH -> Optional.of(health(fields.remaining()));
                 case FULL_LIST ->
                     Optional.of(new MachineReport.FullNodeList(
-                            in.nextText(), machines(in.remaining())));
-                case LIST_DIFFERENCE -> Optional.of(difference(in));
-                case SELF -> Optional.of(new MachineReport.Self(machine(in.nextText())));
-                case DEPARTURE -> Optional.of(new MachineReport.Departure(in.nextText()));
+                            fields.nextText(), machines(fields.remaining())));
+                case LIST_DIFFERENCE -> Optional.of(difference(fields));
+                case SELF -> Optional.of(new MachineReport.Self(machine(fields.nextText())));
+                case DEPARTURE -> Optional.of(new MachineReport.Departure(fields.nextText()));
                 default -> Optional.empty();
             };
         } catch (IllegalArgumentException e) {
@@ -81,11 +83,11 @@
         return new MachineReport.Health(healthyByMachine);
     }
 
-    private static NodeListDifference difference(FieldReader in) {
-        String site = in.nextText();
-        long basisDigest = Long.parseUnsignedLong(in.nextText(), HEX);
-        int addedCount = in.nextInt();
-        List<String> nodes = in.remaining();
+    private static NodeListDifference difference(FieldReader fields) {
+        String site = fields.nextText();
+        long basisDigest = Long.parseUnsignedLong(fields.nextText(), HEX);
+        int addedCount = fields.nextInt();
+        List<String> nodes = fields.remaining();
         int missingCount = nodes.size() - addedCount;
         if (addedCount < 0
                 || addedCount > NodeListDifference.MAX_NODES
@@ -105,8 +107,8 @@
     }
 
     private static Machine machine(String line) {
-        FieldReader in = new FieldReader(LineCodec.decode(line));
-        in.nextText(); // The kind, which is that of a command.
-        return MaintenanceCommandCodec.machine(in);
+        FieldReader fields = new FieldReader(LineCodec.decode(line));
+        fields.nextText(); // The kind, which is that of a command.
+        return MaintenanceCommandCodec.machine(fields);
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MachineTable.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineTable.java
@@ -27,13 +27,13 @@
     }
 
     /** The machine with that id; null where there is none. */
-    Machine get(String id) {
-        return machines.get(id);
+    Machine get(String machineId) {
+        return machines.get(machineId);
     }
 
     AgreedNodes agreedNodes() {
         if (agreedNodes == null) {
-            agreedNodes = AgreedNodes.of(machines.values());
+            agreedNodes = AgreedNodes.from(machines.values());
         }
         return agreedNodes;
     }
@@ -47,34 +47,34 @@
     }
 
     /** Returns whether there was such a machine. */
-    boolean remove(String id) {
-        if (machines.remove(id) == null) {
+    boolean remove(String machineId) {
+        if (machines.remove(machineId) == null) {
             return false;
         }
         agreedNodes = null;
-        unhealthySince.remove(id);
-        healthySince.remove(id);
+        unhealthySince.remove(machineId);
+        healthySince.remove(machineId);
         return true;
     }
 
-    boolean isHealthy(String id) {
-        return !unhealthySince.containsKey(id);
+    boolean isHealthy(String machineId) {
+        return !unhealthySince.containsKey(machineId);
     }
 
     /** Since when it has been healthy; that other time where nothing is known of it. */
-    long healthySinceUs(String id, long otherwise) {
-        return healthySince.getOrDefault(id, otherwise);
+    long healthySinceUs(String machineId, long otherwise) {
+        return healthySince.getOrDefault(machineId, otherwise);
     }
 
-    void setHealth(String id, boolean healthy, long nowUs) {
-        if (!machines.containsKey(id) || healthy == isHealthy(id)) {
+    void setHealth(String machineId, boolean healthy, long nowUs) {
+        if (!machines.containsKey(machineId) || healthy == isHealthy(machineId)) {
             return;
         }
         if (healthy) {
-            unhealthySince.remove(id);
-            healthySince.put(id, nowUs);
+            unhealthySince.remove(machineId);
+            healthySince.put(machineId, nowUs);
         } else {
-            unhealthySince.put(id, nowUs);
+            unhealthySince.put(machineId, nowUs);
         }
     }
 
@@ -90,11 +90,11 @@
         machines.put(machine.id(), machine);
     }
 
-    void restoreUnhealthySince(String id, long sinceUs) {
-        unhealthySince.put(id, sinceUs);
+    void restoreUnhealthySince(String machineId, long sinceUs) {
+        unhealthySince.put(machineId, sinceUs);
     }
 
-    void restoreHealthySince(String id, long sinceUs) {
-        healthySince.put(id, sinceUs);
+    void restoreHealthySince(String machineId, long sinceUs) {
+        healthySince.put(machineId, sinceUs);
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
@@ -49,39 +49,52 @@
      * @throws IllegalArgumentException for an {@link Unknown}, which is never proposed
      */
     public static String encode(MaintenanceCommand command) {
-        if (command instanceof SetLimits c) {
-            return limits(c.limits());
-        } else if (command instanceof AdvanceTime c) {
-            return LineCodec.encode(ADVANCE_TIME, c.elapsedUs());
-        } else if (command instanceof RegisterMachine c) {
-            return machine(c.machine());
-        } else if (command instanceof RemoveMachine c) {
-            return LineCodec.encode(REMOVE_MACHINE, c.machine());
-        } else if (command instanceof SetHealth c) {
-            return LineCodec.encode(HEALTH, c.machine(), c.healthy());
-        } else if (command instanceof RegisterRouter c) {
-            return LineCodec.encode(ROUTER, c.router(), c.incarnation());
-        } else if (command instanceof RemoveRouter c) {
-            return LineCodec.encode(REMOVE_ROUTER, c.router(), c.incarnation());
-        } else if (command instanceof SubmitRequest c) {
-            return request(c.request());
-        } else if (command instanceof CancelRequest c) {
-            return LineCodec.encode(CANCEL, c.request(), c.reason());
-        } else if (command instanceof CompleteWork c) {
-            return LineCodec.encode(COMPLETE, c.request(), c.machine(), c.lost() ? LOST : RETURNED);
+        if (command instanceof SetLimits setLimits) {
+            return limits(setLimits.limits());
+        } else if (command instanceof AdvanceTime advanceTime) {
+            return LineCodec.encode(ADVANCE_TIME, advanceTime.elapsedUs());
+        } else if (command instanceof RegisterMachine registerMachine) {
+            return machine(registerMachine.machine());
+        } else if (command instanceof RemoveMachine removeMachine) {
+            return LineCodec.encode(REMOVE_MACHINE, removeMachine.machine());
+        } else if (command instanceof SetHealth setHealth) {
+            return LineCodec.encode(HEALTH, setHealth.machine(), setHealth.healthy());
+        } else if (command instanceof RegisterRouter registerRouter) {
+            return LineCodec.encode(ROUTER, registerRouter.router(), registerRouter.incarnation());
+        } else if (command instanceof RemoveRouter removeRouter) {
+            return LineCodec.encode(
+                    REMOVE_ROUTER, removeRouter.router(), removeRouter.incarnation());
+        } else if (command instanceof SubmitRequest submitRequest) {
+            return request(submitRequest.request());
+        } else if (command instanceof CancelRequest cancelRequest) {
+            return LineCodec.encode(CANCEL, cancelRequest.request(), cancelRequest.reason());
+        } else if (command instanceof CompleteWork completeWork) {
+            return LineCodec.encode(
+                    COMPLETE,
+                    completeWork.request(),
+                    completeWork.machine(),
+                    completeWork.lost() ? LOST : RETURNED);
         }
         return encodeProgress(command);
     }
 
     /** What routers say of a drain. */
     private static String encodeProgress(MaintenanceCommand command) {
-        if (command instanceof StartDrain c) {
-            return LineCodec.encode(START_DRAIN, c.router(), c.fencingToken(), c.incarnation());
-        } else if (command instanceof ConfirmDrained c) {
+        if (command instanceof StartDrain startDrain) {
+            return LineCodec.encode(
+                    START_DRAIN,
+                    startDrain.router(),
+                    startDrain.fencingToken(),
+                    startDrain.incarnation());
+        } else if (command instanceof ConfirmDrained confirmDrained) {
             return LineCodec.encode(
-                    DRAINED, c.machine(), c.fencingToken(), c.router(), c.incarnation());
-        } else if (command instanceof ConfirmServing c) {
-            return LineCodec.encode(SERVING, c.router(), c.incarnation());
+                    DRAINED,
+                    confirmDrained.machine(),
+                    confirmDrained.fencingToken(),
+                    confirmDrained.router(),
+                    confirmDrained.incarnation());
+        } else if (command instanceof ConfirmServing confirmServing) {
+            return LineCodec.encode(SERVING, confirmServing.router(), confirmServing.incarnation());
         }
         throw new IllegalArgumentException("not a command that is written: " + command);
     }
@@ -97,23 +110,26 @@
         }
     }
 
-    private static MaintenanceCommand decode(String kind, FieldReader in) {
+    private static MaintenanceCommand decode(String kind, FieldReader fields) {
         return switch (kind) {
-            case LIMITS -> new SetLimits(limits(in));
-            case ADVANCE_TIME -> new AdvanceTime(in.nextLong());
-            case MACHINE -> new RegisterMachine(machine(in));
-            case REMOVE_MACHINE -> new RemoveMachine(in.nextText());
-            case HEALTH -> new SetHealth(in.nextText(), in.nextBoolean());
-            case ROUTER -> new RegisterRouter(in.nextText(), in.nextText());
-            case REMOVE_ROUTER -> new RemoveRouter(in.nextText(), in.nextText());
-            case REQUEST -> new SubmitRequest(request(in));
-            case CANCEL -> new CancelRequest(in.nextText(), in.nextText());
-            case START_DRAIN -> new StartDrain(in.nextText(), in.nextLong(), in.nextText());
+            case LIMITS -> new SetLimits(limits(fields));
+            case ADVANCE_TIME -> new AdvanceTime(fields.nextLong());
+            case MACHINE -> new RegisterMachine(machine(fields));
+            case REMOVE_MACHINE -> new RemoveMachine(fields.nextText());
+            case HEALTH -> new SetHealth(fields.nextText(), fields.nextBoolean());
+            case ROUTER -> new RegisterRouter(fields.nextText(), fields.nextText());
+            case REMOVE_ROUTER -> new RemoveRouter(fields.nextText(), fields.nextText());
+            case REQUEST -> new SubmitRequest(request(fields));
+            case CANCEL -> new CancelRequest(fields.nextText(), fields.nextText());
+            case START_DRAIN ->
+                new StartDrain(fields.nextText(), fields.nextLong(), fields.nextText());
             case DRAINED ->
-                new ConfirmDrained(in.nextText(), in.nextLong(), in.nextText(), in.nextText());
-            case SERVING -> new ConfirmServing(in.nextText(), in.nextText());
+                new ConfirmDrained(
+                        fields.nextText(), fields.nextLong(), fields.nextText(), fields.nextText());
+            case SERVING -> new ConfirmServing(fields.nextText(), fields.nextText());
             case COMPLETE ->
-                new CompleteWork(in.nextText(), in.nextText(), in.nextText().equals(LOST));
+                new CompleteWork(
+                        fields.nextText(), fields.nextText(), fields.nextText().equals(LOST));
             default -> new Unknown(kind);
         };
     }
@@ -132,15 +148,15 @@
     }
 
     /** Reads a machine from the fields after the kind. */
-    static Machine machine(FieldReader in) {
+    static Machine machine(FieldReader fields) {
         return new Machine(
-                in.nextText(),
-                Machine.Kind.valueOf(in.nextText()),
-                in.nextInt(),
-                in.nextText(),
-                in.nextText(),
-                in.nextText(),
-                in.nextBoolean());
+                fields.nextText(),
+                Machine.Kind.valueOf(fields.nextText()),
+                fields.nextInt(),
+                fields.nextText(),
+                fields.nextText(),
+                fields.nextText(),
+                fields.nextBoolean());
     }
 
     /** The line of a request: of its command, and of a snapshot. */
@@ -157,17 +173,17 @@
     }
 
     /** Reads a request from the fields after the kind. */
-    static MaintenanceRequest request(FieldReader in) {
-        String id = in.nextText();
-        String machines = in.nextText();
+    static MaintenanceRequest request(FieldReader fields) {
+        String requestId = fields.nextText();
+        String machines = fields.nextText();
         return new MaintenanceRequest(
-                id,
+                requestId,
                 machines.isEmpty() ? List.of() : List.of(machines.split(",")),
-                in.nextLong(),
-                in.nextLong(),
-                in.nextInt(),
-                in.nextText(),
-                in.nextText());
+                fields.nextLong(),
+                fields.nextLong(),
+                fields.nextInt(),
+                fields.nextText(),
+                fields.nextText());
     }
 
     /** The line of the limits: of their command, and of a snapshot. */
@@ -185,15 +201,15 @@
     }
 
     /** Reads limits from the fields after the kind. */
-    static DisruptionLimits limits(FieldReader in) {
+    static DisruptionLimits limits(FieldReader fields) {
         return new DisruptionLimits(
-                in.nextInt(),
-                in.nextDouble(),
-                in.nextDouble(),
-                in.nextLong(),
-                in.nextLong(),
-                in.nextLong(),
-                in.nextInt(),
-                in.nextInt());
+                fields.nextInt(),
+                fields.nextDouble(),
+                fields.nextDouble(),
+                fields.nextLong(),
+                fields.nextLong(),
+                fields.nextLong(),
+                fields.nextInt(),
+                fields.nextInt());
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
@@ -8,13 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * What the leader proposes: the limits, once; what routers report of machines, aggregated; which routers there
- * are; and what time has passed. It decides nothing by it: the state machine does, in all routers alike.
- * Reports get lost and come late, so they are repeated, and old ones expire. Belongs to one thread.
+ * What the leader proposes: the limits, once; what routers report of machines, aggregated; which routers
+ * there are; and what time has passed. It decides nothing by it: the state machine does, in all routers
+ * alike. Reports get lost and come late, so they are repeated, and old ones expire. Belongs to one thread.
  */
 public final class MaintenanceCoordinator {
     /** Proposes a command; {@link #onProposalCompleted} is called as it has been agreed, or has not. */
     public interface Proposer {
+        /** Proposes one command. */
         void propose(MaintenanceCommand command);
     }
 
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Whether this router leads now. Danger: time that passed under another leader, or none, must not be counted
-     * by this one: grants would end that nobody could start.
+     * Whether this router leads now. Danger: time that passed under another leader, or none, must not be
+     * counted by this one: grants would end that nobody could start.
      */
     public void setLeader(boolean isLeader) {
         if (isLeader && !leader) {
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceRequest.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceRequest.java
@@ -19,6 +19,7 @@
         int urgency,
         String author,
         String reason) {
+    /** The most urgent. */
     public static final int MAX_URGENCY = 9;
 
     /** @throws IllegalArgumentException where something is out of range */
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceSnapshotCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceSnapshotCodec.java
@@ -84,55 +84,57 @@
         private long nextSequenceNumber;
 
         void read(String line) {
-            FieldReader in = new FieldReader(LineCodec.decode(line));
+            FieldReader fields = new FieldReader(LineCodec.decode(line));
             MachineTable machines = state.machineTable();
-            switch (in.nextText()) {
-                case COUNTERS -> readCounters(in);
+            switch (fields.nextText()) {
+                case COUNTERS -> readCounters(fields);
                 case MaintenanceCommandCodec.LIMITS ->
-                    state.setLimits(MaintenanceCommandCodec.limits(in));
+                    state.setLimits(MaintenanceCommandCodec.limits(fields));
                 case MaintenanceCommandCodec.MACHINE ->
-                    machines.restore(MaintenanceCommandCodec.machine(in));
+                    machines.restore(MaintenanceCommandCodec.machine(fields));
                 case UNHEALTHY_SINCE ->
-                    machines.restoreUnhealthySince(in.nextText(), in.nextLong());
-                case HEALTHY_SINCE -> machines.restoreHealthySince(in.nextText(), in.nextLong());
+                    machines.restoreUnhealthySince(fields.nextText(), fields.nextLong());
+                case HEALTHY_SINCE ->
+                    machines.restoreHealthySince(fields.nextText(), fields.nextLong());
                 case MaintenanceCommandCodec.ROUTER ->
-                    state.routers().put(in.nextText(), in.nextText());
+                    state.routers().put(fields.nextText(), fields.nextText());
                 case MaintenanceCommandCodec.REQUEST ->
-                    request = MaintenanceCommandCodec.request(in);
-                case TASK -> state.taskTable().restore(task(in, request));
+                    request = MaintenanceCommandCodec.request(fields);
+                case TASK -> state.taskTable().restore(task(fields, request));
                 default -> throw new IllegalArgumentException("not a line of a snapshot: " + line);
             }
         }
 
-        private void readCounters(FieldReader in) {
-            String version = in.nextText();
+        private void readCounters(FieldReader fields) {
+            String version = fields.nextText();
             if (!version.equals(VERSION)) {
                 throw new IllegalArgumentException("a snapshot of version " + version);
             }
-            state.restoreCounters(in.nextLong(), in.nextLong());
-            nextSequenceNumber = in.nextLong();
+            state.restoreCounters(fields.nextLong(), fields.nextLong());
+            nextSequenceNumber = fields.nextLong();
         }
     }
 
     /** @param request that the task has to belong to; null where there is none */
-    private static MaintenanceTask task(FieldReader in, MaintenanceRequest request) {
-        String requestId = in.nextText();
+    private static MaintenanceTask task(FieldReader fields, MaintenanceRequest request) {
+        String requestId = fields.nextText();
         if (request == null || !request.id().equals(requestId)) {
             throw new IllegalArgumentException("a task without its request: " + requestId);
         }
-        String machine = in.nextText();
-        long requestedAtUs = in.nextLong();
-        MaintenanceTask task = new MaintenanceTask(request, machine, requestedAtUs, in.nextLong());
-        TaskState taskState = TaskState.ofStoredName(in.nextText());
-        task.setReason(in.nextText());
-        long fencingToken = in.nextLong();
-        task.setState(taskState, in.nextLong());
-        task.setDeadlineUs(in.nextLong());
-        task.cancelOnReturn(in.nextBoolean());
-        boolean servingAgain = in.nextBoolean();
-        task.grant().renew(fencingToken, in.nextBoolean());
-        task.requeueOnReturn(in.nextBoolean());
-        task.grant().restore(servingAgain, in.nextText(), in.nextText());
+        String machine = fields.nextText();
+        long requestedAtUs = fields.nextLong();
+        MaintenanceTask task =
+                new MaintenanceTask(request, machine, requestedAtUs, fields.nextLong());
+        TaskState taskState = TaskState.ofStoredName(fields.nextText());
+        task.setReason(fields.nextText());
+        long fencingToken = fields.nextLong();
+        task.setState(taskState, fields.nextLong());
+        task.setDeadlineUs(fields.nextLong());
+        task.cancelOnReturn(fields.nextBoolean());
+        boolean servingAgain = fields.nextBoolean();
+        task.grant().renew(fencingToken, fields.nextBoolean());
+        task.requeueOnReturn(fields.nextBoolean());
+        task.grant().restore(servingAgain, fields.nextText(), fields.nextText());
         return task;
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
@@ -7,8 +7,9 @@
 import java.util.stream.Stream;
 
 /**
- * What all routers have agreed on about maintenance: limits, machines, routers, requests with their tasks, and
- * agreed time. It changes only through {@link MaintenanceStateMachine}; others read it. Belongs to one thread.
+ * What all routers have agreed on about maintenance: limits, machines, routers, requests with their tasks,
+ * and agreed time. It changes only through {@link MaintenanceStateMachine}; others read it. Belongs to one
+ * thread.
  */
 public final class MaintenanceState {
     private DisruptionLimits limits;
@@ -80,8 +81,8 @@
     }
 
     /** The machine with that id; null where there is none. */
-    public Machine machine(String id) {
-        return machines.get(id);
+    public Machine machine(String machineId) {
+        return machines.get(machineId);
     }
 
     /** Whether the machine is healthy, by what most of those that watch it have found. */
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
@@ -21,9 +21,9 @@
 import java.util.TreeSet;
 
 /**
- * The replicated state machine of maintenance: which machines are taken out, and when. All routers agree on the
- * commands and on their order; each applies them through this and comes to the same grants. Nothing here reads
- * a clock. Belongs to one thread.
+ * The replicated state machine of maintenance: which machines are taken out, and when. All routers agree on
+ * the commands and on their order; each applies them through this and comes to the same grants. Nothing here
+ * reads a clock. Belongs to one thread.
  */
 public final class MaintenanceStateMachine {
     /** No command advances agreed time by more, microseconds. */
@@ -75,39 +75,39 @@
 
     /** Applies the next command. */
     public CommandOutcome apply(MaintenanceCommand command) {
-        if (command instanceof SetLimits c) {
-            return setLimits(c.limits());
-        } else if (command instanceof AdvanceTime c) {
-            return advanceTime(c.elapsedUs());
-        } else if (command instanceof RegisterMachine c) {
-            return registerMachine(c.machine());
-        } else if (command instanceof RemoveMachine c) {
-            return removeMachine(c.machine());
-        } else if (command instanceof SetHealth c) {
-            return setHealth(c);
-        } else if (command instanceof RegisterRouter c) {
-            return registerRouter(c);
-        } else if (command instanceof RemoveRouter c) {
-            return removeRouter(c);
-        } else if (command instanceof Unknown c) {
-            return CommandOutcome.rejected(Rejection.UNKNOWN_COMMAND, c.content());
+        if (command instanceof SetLimits setLimits) {
+            return setLimits(setLimits.limits());
+        } else if (command instanceof AdvanceTime advanceTime) {
+            return advanceTime(advanceTime.elapsedUs());
+        } else if (command instanceof RegisterMachine registerMachine) {
+            return registerMachine(registerMachine.machine());
+        } else if (command instanceof RemoveMachine removeMachine) {
+            return removeMachine(removeMachine.machine());
+        } else if (command instanceof SetHealth setHealth) {
+            return setHealth(setHealth);
+        } else if (command instanceof RegisterRouter registerRouter) {
+            return registerRouter(registerRouter);
+        } else if (command instanceof RemoveRouter removeRouter) {
+            return removeRouter(removeRouter);
+        } else if (command instanceof Unknown unknown) {
+            return CommandOutcome.rejected(Rejection.UNKNOWN_COMMAND, unknown.content());
         }
         return applyToTasks(command);
     }
 
     private CommandOutcome applyToTasks(MaintenanceCommand command) {
-        if (command instanceof SubmitRequest c) {
-            return submit(c.request());
-        } else if (command instanceof CancelRequest c) {
-            return cancel(c);
-        } else if (command instanceof StartDrain c) {
-            return startDrain(c);
-        } else if (command instanceof ConfirmDrained c) {
-            return confirmDrained(c);
-        } else if (command instanceof ConfirmServing c) {
-            return confirmServing(c);
-        } else if (command instanceof CompleteWork c) {
-            return complete(c);
+        if (command instanceof SubmitRequest submitRequest) {
+            return submit(submitRequest.request());
+        } else if (command instanceof CancelRequest cancelRequest) {
+            return cancel(cancelRequest);
+        } else if (command instanceof StartDrain startDrain) {
+            return startDrain(startDrain);
+        } else if (command instanceof ConfirmDrained confirmDrained) {
+            return confirmDrained(confirmDrained);
+        } else if (command instanceof ConfirmServing confirmServing) {
+            return confirmServing(confirmServing);
+        } else if (command instanceof CompleteWork completeWork) {
+            return complete(completeWork);
         }
         throw new IllegalArgumentException("not a command of maintenance: " + command);
     }
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Danger: routers whose files differ would come to different grants; so limits are agreed on like all else.
-     * The first ones hold; what changes them is a change of policy.
+     * Danger: routers whose files differ would come to different grants; so limits are agreed on like all
+     * else. The first ones hold; what changes them is a change of policy.
      */
     private CommandOutcome setLimits(DisruptionLimits proposed) {
         if (!state.hasLimits()) {
@@ -148,12 +148,12 @@
         return advanced();
     }
 
-    private CommandOutcome removeMachine(String id) {
+    private CommandOutcome removeMachine(String machineId) {
         // Danger: a machine that is out is off the lists as well; forgotten, its block would look
         // complete.
-        if (state.activeTask(id) == null && state.machineTable().remove(id)) {
+        if (state.activeTask(machineId) == null && state.machineTable().remove(machineId)) {
             for (MaintenanceTask task : state.openTasks()) {
-                if (task.machine().equals(id)) {
+                if (task.machine().equals(machineId)) {
                     state.finish(task, TaskState.REJECTED, "the machine is gone from the lists");
                 }
             }
@@ -248,8 +248,9 @@
     }
 
     /**
-     * This incarnation of the router acts by that grant from now on. What comes by an older grant is rejected;
-     * and what a router reads of a drain that an earlier incarnation of it started may be an old copy.
+     * This incarnation of the router acts by that grant from now on. What comes by an older grant is
+     * rejected; and what a router reads of a drain that an earlier incarnation of it started may be an old
+     * copy.
      */
     private CommandOutcome startDrain(StartDrain command) {
         MaintenanceTask task = state.activeTask(command.router());
@@ -274,7 +275,9 @@
         return advanced();
     }
 
-    /** Whether a task, null where there is none, holds that grant, and its router is no earlier incarnation. */
+    /**
+     * Whether a task, null where there is none, holds that grant, and its router is no earlier incarnation.
+     */
     private boolean holds(
             MaintenanceTask task, long fencingToken, String router, String incarnation) {
         return task != null
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
@@ -46,6 +46,7 @@
         cancelOnReturn = other.cancelOnReturn;
     }
 
+    /** The request that it belongs to. */
     public MaintenanceRequest request() {
         return request;
     }
@@ -55,6 +56,7 @@
         return machine;
     }
 
+    /** Its state now. */
     public TaskState state() {
         return state;
     }
@@ -103,6 +105,7 @@
         return isActive() && state != TaskState.RETURNING;
     }
 
+    /** Whether nothing of it changes any more. */
     public boolean isFinished() {
         return state != TaskState.WAITING && !isActive();
     }
--- a/src/main/java/tinlink/maintenance/scheduling/NodeListDifference.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListDifference.java
@@ -10,8 +10,8 @@
 
 /**
  * How a router's own list of data nodes differs from the nodes agreed on. In its place a router would have to
- * report its full list again and again: bytes in proportion to nodes from each router, and routers times nodes
- * at the leader.
+ * report its full list again and again: bytes in proportion to nodes from each router, and routers times
+ * nodes at the leader.
  *
  * <p>Of a site's nodes its own routers decide, so nodes of other sites are left out. Both lists are bounded.
  * What does not fit follows once the first ones are agreed on: nodes are taken in the order of their ids, so
--- a/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * What routers report of the list of data nodes, as a difference to what is agreed on. A report counts only if
- * it is against a set of agreed nodes that the leader has had of late: the two are told apart by digest.
+ * What routers report of the list of data nodes, as a difference to what is agreed on. A report counts only
+ * if it is against a set of agreed nodes that the leader has had of late: the two are told apart by digest.
  *
- * <p>Danger: what is agreed on changes while reports are on their way. A report says nothing of a node that was
- * agreed on after its basis, so it must not be taken for one that the node has gone. For this each node has the
- * number of the set with which it came, and each report that of its basis.
+ * <p>Danger: what is agreed on changes while reports are on their way. A report says nothing of a node that
+ * was agreed on after its basis, so it must not be taken for one that the node has gone. For this each node
+ * has the number of the set with which it came, and each report that of its basis.
  */
 final class NodeListVotes {
     /** Sets of agreed nodes that a report may still be against; routers lag by a few at the most. */
@@ -51,7 +51,7 @@
                 agreedSince.put(node.id(), newestBasis);
             }
         }
-        agreedSince.keySet().removeIf(id -> nodes.node(id) == null);
+        agreedSince.keySet().removeIf(nodeId -> nodes.node(nodeId) == null);
         agreedNodes = nodes;
         basisNumbers.remove(nodes.digest());
         basisNumbers.put(nodes.digest(), newestBasis);
@@ -106,15 +106,15 @@
     /** Adds, by the id of an agreed node, the routers of its site that don't list it. */
     void countMissing(Map<String, Integer> missing) {
         for (Report report : reports.values()) {
-            for (String id : report.difference().missing()) {
-                Long since = agreedSince.get(id);
+            for (String nodeId : report.difference().missing()) {
+                Long since = agreedSince.get(nodeId);
                 if (since != null
                         && since <= report.basisNumber()
                         && agreedNodes
-                                .node(id)
+                                .node(nodeId)
                                 .site()
                                 .equals(report.difference().site())) {
-                    missing.merge(id, 1, Integer::sum);
+                    missing.merge(nodeId, 1, Integer::sum);
                 }
             }
         }
--- a/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * What several routers report of machines, aggregated by the leader into what all are to agree on. One router's
- * report is not enough, in either direction; old reports expire. Times are microseconds of one clock.
+ * What several routers report of machines, aggregated by the leader into what all are to agree on. One
+ * router's report is not enough, in either direction; old reports expire. Times are microseconds of one
+ * clock.
  */
 final class ObservationAggregator {
     /** What one router reports of one machine. */
@@ -107,8 +108,8 @@
 
     /**
      * Danger: lists differ by seconds; a node that one router has heard of first, or still has, is no change.
-     * And sites may have lists of their own: of its nodes the routers of a site decide, and where none of them
-     * is heard nothing is known to have gone.
+     * And sites may have lists of their own: of its nodes the routers of a site decide, and where none of
+     * them is heard nothing is known to have gone.
      */
     private void addListChanges(
             MaintenanceState state, long nowUs, List<MaintenanceCommand> proposals) {
--- a/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Danger: another machine has failed since the grant; taken now, this one is what is left. Its operator has
-     * not been told that it is out, so it may serve on.
+     * Danger: another machine has failed since the grant; taken now, this one is what is left. Its operator
+     * has not been told that it is out, so it may serve on.
      */
     private void callBack(MaintenanceTask task, Machine machine, String violation) {
         String reason = task.grant().machineHadFailed()
--- a/src/main/java/tinlink/maintenance/scheduling/TaskState.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskState.java
@@ -5,6 +5,7 @@
 
 /** The state of the maintenance of one machine; the same for all routers. */
 public enum TaskState {
+    /** It has not been granted yet. */
     WAITING("WAITING"),
     /** It may start; nothing has been done by it yet. */
     GRANTED("GRANTED"),
@@ -14,9 +15,11 @@
     OUT("OUT"),
     /** Its operator has given the machine back, which counts as out until it has warmed up. */
     RETURNING("RETURNING"),
+    /** Its machine is back and has warmed up. */
     COMPLETED("BACK"),
     /** It can never be granted, or names no machine. */
     REJECTED("REFUSED"),
+    /** Its operator has taken it back. */
     CANCELLED("CALLED_OFF"),
     /** It has not started in time, which ends it; or the machine is out for longer than was asked. */
     OVERDUE("OVERDUE");
--- a/src/main/java/tinlink/maintenance/scheduling/TaskTable.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskTable.java
@@ -37,8 +37,8 @@
     }
 
     private MaintenanceTask copyOf(MaintenanceTask task, TaskTable other) {
-        String id = task.request().id();
-        return requests.get(id).get(other.requests.get(id).indexOf(task));
+        String requestId = task.request().id();
+        return requests.get(requestId).get(other.requests.get(requestId).indexOf(task));
     }
 
     /** The tasks of each request. */
--- a/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
+++ b/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
@@ -11,8 +11,8 @@
 /**
  * Which machines one router watches, by rendezvous hashing: a machine is watched by the few routers with the
  * lowest weights for it, so that a router that comes or goes moves only what it watches itself. Kept up as
- * routers and machines come and go: one that comes costs a hash for each machine (or router), not one for each
- * pair of them. Belongs to one thread.
+ * routers and machines come and go: one that comes costs a hash for each machine (or router), not one for
+ * each pair of them. Belongs to one thread.
  *
  * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998).
  */
--- a/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
@@ -203,6 +203,21 @@
         coordinator.setTime(2000);
         decide(coordinator, stateMachine);
         assertEquals(1, stateMachine.state().machines().size());
+        requestOneOfThreeNodes(stateMachine);
+        coordinator.setLeader(false);
+        coordinator.setTime(900_000);
+        coordinator.setLeader(true);
+        decide(coordinator, stateMachine);
+        coordinator.setTime(900_500);
+        decide(coordinator, stateMachine);
+        assertEquals(500, stateMachine.state().agreedTimeUs());
+        report(coordinator, "r1", MachineReportCodec.encode(new MachineReport.Departure("1")));
+        coordinator.setTime(901_000);
+        decide(coordinator, stateMachine);
+        assertEquals(0, stateMachine.state().incarnations().count(), "it has said that it ends");
+    }
+
+    private static void requestOneOfThreeNodes(MaintenanceStateMachine stateMachine) {
         apply(
                 stateMachine,
                 MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterRouter("r1", "1")));
@@ -223,16 +238,5 @@
                 MaintenanceCommandCodec.encode(
                         new MaintenanceCommand.SubmitRequest(new MaintenanceRequest(
                                 "q", List.of("a"), 1000, Long.MAX_VALUE, 5, "op", "why"))));
-        coordinator.setLeader(false);
-        coordinator.setTime(900_000);
-        coordinator.setLeader(true);
-        decide(coordinator, stateMachine);
-        coordinator.setTime(900_500);
-        decide(coordinator, stateMachine);
-        assertEquals(500, stateMachine.state().agreedTimeUs());
-        report(coordinator, "r1", MachineReportCodec.encode(new MachineReport.Departure("1")));
-        coordinator.setTime(901_000);
-        decide(coordinator, stateMachine);
-        assertEquals(0, stateMachine.state().incarnations().count(), "it has said that it ends");
     }
 }
--- a/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
@@ -97,7 +97,7 @@
     @Test
     void aReportIsDecodedAsItWasEncoded() {
         List<Machine> listed = List.of(node("a", "s0", 1), node("b", "s0", 2), node("x", "s1", 0));
-        AgreedNodes agreed = AgreedNodes.of(List.of(node("b", "s0", 1), node("c", "s0", 1)));
+        AgreedNodes agreed = AgreedNodes.from(List.of(node("b", "s0", 1), node("c", "s0", 1)));
         NodeListDifference difference = NodeListDifference.between("s0", listed, agreed);
         assertEquals(List.of(node("a", "s0", 1), node("b", "s0", 2)), difference.added());
         assertEquals(Set.of("c"), difference.missing());
@@ -132,7 +132,7 @@
     private static String steadyReport(int count) {
         List<Machine> all = nodes(count, "s0");
         return MachineReportCodec.encode(
-                NodeListDifference.between("s0", all, AgreedNodes.of(all)));
+                NodeListDifference.between("s0", all, AgreedNodes.from(all)));
     }
 
     @Test
