--- a/src/main/java/tinlink/maintenance/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -49,13 +49,12 @@
     private void propose(ControlRequest.ProposePolicyChange request, ControlResponder responder) {
         ProposalTerms terms = ProposalTerms.parse(request.text());
         policy.propose(
-                request.changeId(),
-                request.againstEpoch(),
-                terms.digest(),
-                request.text(),
-                request.author(),
-                request.reason(),
-                terms.absencePolicy(),
+                terms.proposal(
+                        request.changeId(),
+                        request.againstEpoch(),
+                        request.text(),
+                        request.author(),
+                        request.reason()),
                 responder::respondProposal);
     }
 }
--- a/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
@@ -15,6 +15,7 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.FrameAuthenticator;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 
@@ -47,7 +48,7 @@
 @Timeout(120)
 class GatewayLinksGoldenFilesTest {
     private static final String FILE = "gateway-links.txt";
-    private static final GatewayKeys KEYS = new GatewayKeys(
+    private static final KeyRing KEYS = new KeyRing(
             Map.of("k1", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k1");
     private static final int HELLO = 1;
     private static final int CHALLENGE = 2;
@@ -87,7 +88,7 @@
 
     // ---- The code under test: a router of a site, and one call a kind of message. ----
 
-    private final class Site implements AutoCloseable, Gateway.PartHandler {
+    private final class Site implements AutoCloseable, PartHandler {
         final EventLoop loop = new EventLoop();
         final Network network = new Network(loop);
         final Gateway gateway;
@@ -103,16 +104,17 @@
             gateway = new Gateway(
                     loop,
                     network,
-                    near
-                            ? new Gateway.Identity("east", "e1", 0x0102030405060708L, Set.of())
-                            : new Gateway.Identity("west", "w1", -2, Set.of("east")),
+                    new Gateway.Settings(
+                            near
+                                    ? new Gateway.Identity("east", "e1", 0x0102030405060708L, Set.of())
+                                    : new Gateway.Identity("west", "w1", -2, Set.of("east")),
+                            new Gateway.Timing(2 * SECOND_US, 5_000_000, 20_000_000, 20_000_000),
+                            new Gateway.Limits(8, 16, 1 << 16, 4, 4),
+                            near
+                                    ? List.of(new Gateway.RemoteEndpoint("west", "w1", List.of(calls)))
+                                    : List.of(),
+                            1),
                     KEYS,
-                    new Gateway.Timing(2 * SECOND_US, 5_000_000, 20_000_000, 20_000_000),
-                    new Gateway.Limits(8, 16, 1 << 16, 4, 4),
-                    near
-                            ? List.of(new Gateway.RemoteEndpoint("west", "w1", List.of(calls)))
-                            : List.of(),
-                    1,
                     this);
             if (!near) {
                 gateway.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -157,19 +159,7 @@
             CompletableFuture<OutgoingPart> sent = new CompletableFuture<>();
             loop.execute(() -> {
                 long until = loop.nowUs() + 10 * SECOND_US;
-                OutgoingPart part = new OutgoingPart(
-                        what,
-                        loop.nowUs(),
-                        until,
-                        3,
-                        false,
-                        "q1.é",
-                        "sum",
-                        0x01020304,
-                        key,
-                        TEXT,
-                        repeat,
-                        key == null ? Long.MAX_VALUE : until);
+                OutgoingPart part = new OutgoingPart(what, loop.nowUs(), until, 3, false, new PartContent("q1.é", "sum", 0x01020304, key, TEXT, repeat), key == null ? Long.MAX_VALUE : until);
                 gateway.forward(far, part);
                 sent.complete(part);
             });
@@ -198,8 +188,10 @@
 
         /** The fields of a part as they were read. */
         String shown(IncomingPart part) {
-            return part.id + " " + part.index + " " + part.shard + " " + part.idempotencyKey + " "
-                    + GoldenFile.hex(part.text) + " " + part.clientRetry;
+            PartContent content = part.content;
+            return content.id() + " " + content.lookupClass() + " " + content.shard() + " "
+                    + content.idempotencyKey() + " " + GoldenFile.hex(content.text()) + " "
+                    + content.clientRetry();
         }
 
         @Override
@@ -256,8 +248,8 @@
     private class Line implements AutoCloseable {
         final Socket socket;
         final DataInputStream in;
-        KeyRing.FrameAuthenticator out;
-        KeyRing.FrameAuthenticator back;
+        FrameAuthenticator out;
+        FrameAuthenticator back;
 
         Line(Socket socket) throws IOException {
             this.socket = socket;
@@ -269,8 +261,8 @@
         void seals(byte[] secret, boolean near) {
             byte[] toFar = KeyRing.mac(secret, "to the far side");
             byte[] toNear = KeyRing.mac(secret, "to the near side");
-            out = new KeyRing.FrameAuthenticator(near ? toFar : toNear);
-            back = new KeyRing.FrameAuthenticator(near ? toNear : toFar);
+            out = new FrameAuthenticator(near ? toFar : toNear);
+            back = new FrameAuthenticator(near ? toNear : toFar);
         }
 
         void says(byte[] message) throws IOException {
@@ -618,7 +610,7 @@
         near.says(golden.get("ping"));
         near.awaits(PONG);
         near.says(plainPart(4));
-        assertEquals("q4", far.begun.poll(20, TimeUnit.SECONDS).id);
+        assertEquals("q4", far.begun.poll(20, TimeUnit.SECONDS).content.id());
         near.says(fates(0, 4)); // Asked as the line had come up once: it is not answered.
         near.says(golden.get("ping"));
         byte[] next = near.next();
