--- a/src/main/java/tinlink/net/CloseReason.java
+++ b/src/main/java/tinlink/net/CloseReason.java
@@ -3,7 +3,7 @@
 import tinlink.decision.Outcome;
 
 /**
- * All ways in which a connection can end, and what each means for a part call that was out on it.
+ * Why a connection was closed, and what each reason means for an attempt that was in flight on it.
  */
 public enum CloseReason {
     /** The connect was refused or failed. */
@@ -12,7 +12,7 @@
     CONNECT_TIMEOUT,
     /** No descriptor was left for it. */
     NO_DESCRIPTOR,
-    /** The other side ended it in order. */
+    /** The other side closed it in order. */
     PEER_CLOSED,
     /** The other side or the network broke it; a read failed. */
     READ_FAILED,
@@ -28,20 +28,20 @@
     RELEASED,
     /** We closed it: what was sent on it went unanswered. */
     UNRESPONSIVE,
-    /** We closed it: the other side is off the list, or has moved. */
+    /** We closed it: the other side is no longer listed, or has moved. */
     ENDPOINT_REMOVED,
     /** We closed it after the last answer, or as the router stops. */
     COMPLETED,
-    /** A fault of our own. */
+    /** An internal error. */
     INTERNAL_ERROR;
 
     /**
-     * Danger: a part call taken for one that never ran may have its effect twice. And calls that
+     * Danger: an attempt taken for one that never ran may have its effect twice. And calls that
      * only shared the connection, taken for calls that failed, make a node look dying that has lost
      * one answer, or has closed a connection between two.
      *
      * @param mayHaveLeft the last byte of its frame was handed to the kernel, or may have been
-     * @param concernsCall it is this call that the ending speaks of, not one that only shared the
+     * @param concernsCall it is this call that the close speaks of, not one that only shared the
      *     connection
      */
     public Outcome toOutcome(boolean mayHaveLeft, boolean concernsCall) {
--- a/src/main/java/tinlink/net/EventLoop.java
+++ b/src/main/java/tinlink/net/EventLoop.java
@@ -114,7 +114,7 @@
         pendingWrites.add(connection);
     }
 
-    /** The loop ends after the turn in hand. */
+    /** The loop ends after the turn under way. */
     public void stop() {
         stopped = true;
     }
@@ -180,7 +180,7 @@
 
     /**
      * Danger: after a halt of the whole process this thread may run before the one that reads; it would send
-     * to a node that was told as draining long before, or for a client that has long gone.
+     * to a node that was listed as draining long before, or for a client that has long gone.
      */
     private void catchUp(List<Runnable> batch) {
         if (clock.nowUs() - caughtUpAtUs > MIN_CATCH_UP_GAP_US) {
@@ -202,7 +202,7 @@
         }
     }
 
-    /** Danger: one fault of ours that stops the loop would lose every lookup in hand. */
+    /** Danger: one fault of ours that stops the loop would lose every lookup in flight. */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
--- a/src/main/java/tinlink/net/Network.java
+++ b/src/main/java/tinlink/net/Network.java
@@ -114,7 +114,7 @@
     /**
      * From the loop's thread: runs this while nothing is read. Danger: between the read of a connection and
      * the mark that it has been read lie microseconds; a connection that is closed just then takes a request
-     * with it, which its client takes for one that is in hand.
+     * with it, which its client takes for one that is in flight.
      */
     public void whileReadsPaused(Runnable task) {
         ioThread.whileStopped(task);
--- a/src/main/java/tinlink/router/ClientConnection.java
+++ b/src/main/java/tinlink/router/ClientConnection.java
@@ -168,7 +168,7 @@
         }
     }
 
-    /** Of a request that was not read whole: the next one could not be told from its rest. */
+    /** Of a request that was not read completely: the next one could not be told from its rest. */
     private void respondAndClose(ClientResponse response) {
         releaseBody();
         keepAlive = false;
--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -15,7 +15,7 @@
 
 /**
  * One connection to discovery. It carries a watch: a chunked answer, in it a JSON object a line. Where the
- * revisions of the place are not known, an answer that is the whole list comes first.
+ * revisions of the place are not known, an answer that is the full list comes first.
  */
 final class DiscoveryConnection implements Connection.Listener, HttpReader.MessageListener {
     /** What a connection belongs to. */
@@ -23,7 +23,7 @@
         /** The host that is asked. */
         String host();
 
-        /** Whether changes may be asked for; if not, the whole list has to come first. */
+        /** Whether changes may be asked for; if not, the full list has to come first. */
         boolean isRevisionCurrent();
 
         /** The revision of the list, since which changes are asked for. */
@@ -36,7 +36,7 @@
         void watchAlive(DiscoveryConnection connection);
 
         /**
-         * An object has come whole.
+         * An object is complete.
          *
          * @return whether it is a list that could be used
          */
@@ -103,7 +103,7 @@
     /** Danger: bytes that drip in, or noise, are no life: a line that could be read is. */
     private void notifyAlive() {
         if (!isWatching) {
-            return; // The whole list says nothing of what comes after it.
+            return; // The full list says nothing of what comes after it.
         }
         loop.cancel(silenceTimer);
         silenceTimer = loop.schedule(
@@ -174,7 +174,7 @@
         isMalformed = false;
     }
 
-    /** Danger: what it holds must not be passed over, nor half of it pass for the whole. */
+    /** Danger: what it holds must not be passed over, nor half of it pass for all of it. */
     private void lineEnded() {
         boolean hadContent = lineBegun;
         lineBegun = false;
@@ -196,7 +196,7 @@
             Object list = object.value();
             resetObject();
             if (!isWatching && handler.isRevisionCurrent()) {
-                return; // Another has told the whole list, perhaps a newer one.
+                return; // Another has delivered the full list, perhaps a newer one.
             }
             if (handler.listReceived(list)) {
                 notifyAlive();
@@ -207,7 +207,7 @@
         }
     }
 
-    /** The whole list is in, and is watched from there on; a watch has no end. */
+    /** The full list has come, and is watched from there on; a watch has no end. */
     @Override
     public void messageEnded() throws MessageRejectedException {
         if (isWatching) {
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -81,7 +81,7 @@
     /**
      * Asks for one more watch beside those that have been asked for and say nothing. Danger: a place that
      * hangs, or whose discovery is away, takes connections and is silent; whoever waits on one of them alone,
-     * or on none for a while, hears of a drain long after it was told. The oldest gives way.
+     * or on none for a while, learns of a drain long after it was listed. The oldest gives way.
      */
     private void openWatch() {
         nextOpenTimer = loop.schedule(
@@ -144,7 +144,8 @@
         if (activeWatch == connection) {
             activeWatch = null;
             watchLost(closeReason);
-            // Danger: routers whose watches end at one moment, and who all come back at once.
+            // Danger: routers whose watches end at one moment, and that are all opened again at
+            // once.
             nextOpenTimer = loop.schedule(
                     loop.nowUs() + random.nextLong(openIntervalUs / 2), this::openWatch);
         } else if (pendingWatches.remove(connection)) {
--- a/src/main/java/tinlink/router/EndpointList.java
+++ b/src/main/java/tinlink/router/EndpointList.java
@@ -31,8 +31,8 @@
     /** By uid; a node leaves when the list no longer has it. */
     private final Map<String, DataNode> nodes = new HashMap<>();
     /**
-     * Cordoned for maintenance, whatever the list says of them; as many as there are tasks in hand. What is
-     * in flight there stays so when the list drops the node: null where it was never listed.
+     * Cordoned for maintenance, whatever the list says of them; as many as there are maintenance tasks. What
+     * is in flight there stays so when the list drops the node: null where it was never listed.
      */
     private final Map<String, NodeEndpoint> cordoned = new HashMap<>();
     /** Those that the list itself does not have in service; each leaves with its node. */
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -269,7 +269,7 @@
     }
 
     /**
-     * Danger: for an idempotent part a nack says that a repeat is harmless, not that it never ran.
+     * Danger: for an idempotent part a rejection says that a repeat is harmless, not that it never ran.
      */
     private void endUnserved(Query query, long retryAfterUs) {
         boolean neverRan = true;
--- a/src/main/java/tinlink/router/Http2Dispatcher.java
+++ b/src/main/java/tinlink/router/Http2Dispatcher.java
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Danger: what waits for a connection may go out after its node was told as draining or gone.
+     * Danger: what waits for a connection may go out after its node was listed as draining or removed.
      */
     void endpointChanged(NodeEndpoint endpoint, boolean hasMoved) {
         if (endpoint.http2 == null) {
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -168,7 +168,7 @@
         stopping = true;
     }
 
-    /** Nothing is in hand any more. */
+    /** Nothing is in flight any more. */
     void leave() {
         if (policy != null) {
             policy.policy().stop();
@@ -218,7 +218,7 @@
     }
 
     /**
-     * As at a SIGTERM, without an end: who comes while others hear of it is served; then the door
+     * As at a SIGTERM, without an end: who comes while others learn of it is served; then accepting
      * closes.
      */
     @Override
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -67,9 +67,9 @@
     }
 
     /**
-     * A part that another site has passed on, as a lookup of one step.
+     * A part that another site has forwarded, as a lookup of one step.
      *
-     * @param id of its own among all in hand
+     * @param id unique among all in flight
      */
     Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener)
             throws MessageRejectedException {
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -178,7 +178,7 @@
 
     /**
      * Danger: the list known at the start may be older than the grace that drains have, and what is
-     * sent by it before discovery has spoken goes to nodes told as draining or gone long ago. Its
+     * sent by it before discovery has spoken goes to nodes listed as draining or removed long ago. Its
      * agent answers at once, or is silent while discovery is down: no longer than a connection
      * takes to come up. Where lists are asked for, it answers many routers, and is given half of a
      * line's time more.
@@ -276,7 +276,7 @@
         return loop.submitAndWait(() -> dispatcher.http2().counters().get(name));
     }
 
-    /** From another thread: ends at once, whatever is in hand. */
+    /** From another thread: stops at once, whatever is in flight. */
     public void stopNow() {
         loop.execute(loop::stop);
     }
--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -1,20 +1,15 @@
 package tinlink.router;
 
 import tinlink.config.RouterConfig;
-import tinlink.decision.LookupClass;
 import tinlink.net.CloseReason;
 import tinlink.net.Connection;
 import tinlink.net.EventLoop;
 import tinlink.net.EventLoopParticipant;
-import tinlink.net.HttpReader;
-import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
 import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -31,20 +26,10 @@
  *
  * <p>Danger: clients come back before a router that was killed has warmed up, and would be answered
  * with what the stand-ins here make up. So each connection of the warm-up's own shows a word that
- * nobody else knows; all others wait unread, and are handed to the real door when the warm-up is
+ * nobody else knows; all others wait unread, and are handed to the router itself when the warm-up is
  * over.
  */
 final class Warmup implements Network.AcceptHandler, EventLoopParticipant {
-    /**
-     * What a first run costs, loading and linking, is over with the first few; each more makes a
-     * restart longer.
-     */
-    private static final int LOOKUPS = 24;
-
-    private static final int CLIENTS = 4;
-    private static final int MAX_PARTS = 5;
-    /** A frame of the warm-up's own is far shorter. */
-    private static final int MAX_FRAME_BYTES = 4096;
     /** Begins what our own clients show; no request begins so. */
     private static final char OWN_CLIENT_MARK = 1;
 
@@ -60,8 +45,7 @@
     /** Begins each connection of our own clients'. */
     private final String clientToken;
 
-    private final List<Map.Entry<String, LookupClass>> lookupClasses;
-    private final List<WarmupClient> warmupClients = new ArrayList<>();
+    private final WarmupClients clients;
     /** Accepted and not known as our own; all leave when the warm-up is over. */
     private final Set<WaitingConnection> waitingConnections = new LinkedHashSet<>();
     /** Frames come there; whoever sent them, none of it outlives the warm-up. */
@@ -69,13 +53,10 @@
 
     private final EventLoop.Timer timeLimit;
     private boolean isEnded;
-    private int lookupsSent;
-    private int lookupsAnswered;
-    private int openClients;
 
     /**
      * @param config read for this alone, since its module is used up
-     * @param network listens already; the door is ours until the end
+     * @param network listens already; accepts for the warm-up until its end
      * @param servingPipeline those who will serve, to whom clients that come meanwhile are handed
      * @param whenDone run once, when all has been played
      */
@@ -94,7 +75,7 @@
         idPrefix =
                 String.format("%016x", new SplittableRandom(config.seed).split().nextLong());
         clientToken = OWN_CLIENT_MARK + idPrefix;
-        lookupClasses = List.copyOf(config.lookups.lookupClasses().entrySet());
+        clients = new WarmupClients(config.lookups, idPrefix, clientToken, this::end);
         pipeline =
                 new RequestPipeline(loop, network.withoutServer(), config, config.decision.module);
         acceptor = pipeline.acceptor;
@@ -103,17 +84,12 @@
                 pipeline.dispatcher, () -> {}); // Its list is its own; discovery is not asked.
         pipeline.driver.turnStarted(loop.nowUs());
         pipeline.endpointList.applyCached(endpoints(network.address()));
-        for (int i = 0; i < CLIENTS; i++) {
-            WarmupClient client = new WarmupClient();
-            client.connection = network.connect(network.address(), client);
-            warmupClients.add(client);
-            openClients++;
-        }
+        clients.connect(network, network.address());
         timeLimit = loop.schedule(loop.nowUs() + config.maxDeadlineUs, this::end);
     }
 
     int lookupsAnswered() {
-        return lookupsAnswered;
+        return clients.lookupsAnswered();
     }
 
     /** Our own connections are closed; who has come meanwhile goes on waiting. */
@@ -123,17 +99,17 @@
         }
         isEnded = true;
         loop.cancel(timeLimit);
-        warmupClients.forEach(client -> client.connection.close(CloseReason.COMPLETED));
+        clients.closeAll();
         pipeline.dispatcher.connections().closeAll();
         nodeConnections.forEach(nodeConnection -> nodeConnection.close(CloseReason.COMPLETED));
         whenDone.run();
     }
 
-    /** Clients that wait come to the real door, each with what it has sent. */
+    /** Clients that wait are accepted by the router itself, each with what it has sent. */
     void handOverClients() {
-        List<WaitingConnection> clients = List.copyOf(waitingConnections);
+        List<WaitingConnection> handedOver = List.copyOf(waitingConnections);
         waitingConnections.clear();
-        for (WaitingConnection waiting : clients) {
+        for (WaitingConnection waiting : handedOver) {
             servingPipeline.descriptors.clientClosed();
             waiting.delegate = servingPipeline.acceptor.newListener();
             // Danger: its client's time runs while it waits here; answered by ours, it would come
@@ -217,7 +193,7 @@
             hasSentBytes |= in.size() > 0;
             if (delegate == null && in.size() > 0 && !isEnded) {
                 if (in.peek() == 0) {
-                    delegateTo(new WarmupDataNode(connection));
+                    delegateTo(new WarmupDataNode(connection, idPrefix));
                     nodeConnections.add(connection);
                 } else if (!received.isEmpty() || in.peek() == OWN_CLIENT_MARK) {
                     readToken(in);
@@ -269,141 +245,4 @@
             }
         }
     }
-
-    /** A data node: answers each part, now and then with an error or by turning it away. */
-    private final class WarmupDataNode implements Connection.Listener {
-        private final Connection connection;
-        private final byte[] length = new byte[4];
-        private int lengthBytes;
-        private ByteBuffer frame;
-        private int parts;
-
-        WarmupDataNode(Connection connection) {
-            this.connection = connection;
-        }
-
-        @Override
-        public void bytesReceived(RingBuffer in) {
-            while (in.size() > 0) {
-                if (lengthBytes < length.length) {
-                    length[lengthBytes++] = in.take();
-                    if (lengthBytes == length.length
-                            && !startFrame(ByteBuffer.wrap(length).getInt())) {
-                        return;
-                    }
-                } else {
-                    frame.put(in.takeContiguous(frame.remaining()));
-                    if (!frame.hasRemaining()) {
-                        lengthBytes = 0;
-                        answer(new String(frame.array(), StandardCharsets.UTF_8));
-                    }
-                }
-            }
-        }
-
-        /** Danger: anybody may have sent this, not only our own. */
-        private boolean startFrame(int size) {
-            if (size < 0 || size > MAX_FRAME_BYTES) {
-                connection.close(CloseReason.PROTOCOL_ERROR);
-                return false;
-            }
-            frame = ByteBuffer.allocate(size);
-            return true;
-        }
-
-        private void answer(String frameText) {
-            for (int position = 1;
-                    frameText.charAt(0) == 'R' && position < frameText.length();
-                    parts++) {
-                int lineEnd = frameText.indexOf('\n', position);
-                String[] fields = lineEnd < 0
-                        ? new String[0]
-                        : frameText.substring(position, lineEnd).split(" ");
-                if (fields.length != 4 || !fields[0].startsWith(idPrefix)) {
-                    connection.close(CloseReason.PROTOCOL_ERROR);
-                    return;
-                }
-                position = lineEnd + 1 + Integer.parseInt(fields[3]);
-                String status = parts % 32 == 30 ? "ERROR" : parts % 32 == 14 ? "REJECTED" : "OK";
-                byte[] answer = ("Y" + fields[0] + " " + status + " 1 -\n" + fields[0])
-                        .getBytes(StandardCharsets.UTF_8);
-                connection
-                        .out()
-                        .put(ByteBuffer.allocate(4).putInt(answer.length).array())
-                        .put(answer);
-            }
-            connection.scheduleWrite();
-        }
-
-        @Override
-        public void connectionClosed(CloseReason closeReason) {
-            // Nothing is kept of it.
-        }
-    }
-
-    /**
-     * A client that asks again as soon as it is answered; whatever the answer is, it has run the
-     * code.
-     */
-    private final class WarmupClient implements Connection.Listener, HttpReader.MessageListener {
-        private final HttpReader reader = HttpReader.forResponses(this);
-        private Connection connection;
-
-        @Override
-        public void connected() {
-            connection.out().put(clientToken);
-            sendLookup();
-        }
-
-        private void sendLookup() {
-            if (lookupsSent == LOOKUPS) {
-                return;
-            }
-            Map.Entry<String, LookupClass> lookupClass =
-                    lookupClasses.get(lookupsSent % lookupClasses.size());
-            int parts = Math.min(MAX_PARTS, config.lookups.shardCount());
-            List<String> segments = new ArrayList<>();
-            for (int i = 0; i < parts; i++) {
-                segments.add("{\"segment\":" + i + ",\"boost\":" + 1.0 / parts + "}");
-            }
-            String body = "{\"segments\":[" + String.join(",", segments) + "],\"text\":\"warm\"}";
-            connection
-                    .out()
-                    .put("POST /api HTTP/1.1\r\nHost: warm\r\nX-Call-Id: " + idPrefix
-                            + lookupsSent++
-                            + "\r\nX-Call-Class: "
-                            + lookupClass.getKey() + "\r\nX-Budget-Ms: "
-                            + lookupClass.getValue().deadlineUs / 1000
-                            + "\r\nIdempotency-Key: warm\r\nContent-Length: " + body.length()
-                            + "\r\n\r\n" + body);
-            connection.scheduleWrite();
-        }
-
-        @Override
-        public void bytesReceived(RingBuffer in) {
-            try {
-                while (in.size() > 0) {
-                    reader.read(in);
-                }
-            } catch (MessageRejectedException e) {
-                connection.close(CloseReason.PROTOCOL_ERROR);
-            }
-        }
-
-        @Override
-        public void messageEnded() {
-            if (++lookupsAnswered == LOOKUPS) {
-                end();
-            } else {
-                sendLookup();
-            }
-        }
-
-        @Override
-        public void connectionClosed(CloseReason closeReason) {
-            if (--openClients == 0) {
-                end();
-            }
-        }
-    }
 }
