--- a/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
@@ -28,6 +28,7 @@
 import tinlink.cluster.membership.Rumor;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.FrameAuthenticator;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 import tinlink.storage.DurableLog;
@@ -377,8 +378,8 @@
             byte[] proof = next(in);
             handshakes.add(new byte[][] {hello, proof});
             byte[] secret = proof("session", body(hello), challenge);
-            KeyRing.FrameAuthenticator authenticator =
-                    new KeyRing.FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
+            FrameAuthenticator authenticator =
+                    new FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
             while (true) {
                 byte[] whole = next(in);
                 int end = whole.length - SEAL_BYTES;
@@ -436,7 +437,7 @@
     /** A router that calls, after a handshake by these records. */
     private final class Caller implements AutoCloseable {
         final Socket socket;
-        final KeyRing.FrameAuthenticator authenticator;
+        final FrameAuthenticator authenticator;
         final byte[] challenge;
 
         Caller(Router to, byte[] hello) throws IOException {
@@ -455,7 +456,7 @@
             byte[] proof = proof("caller proof", hello, unproved);
             socket.getOutputStream().write(frame(PROOF, proof, new byte[0]));
             byte[] secret = proof("session", hello, unproved);
-            authenticator = new KeyRing.FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
+            authenticator = new FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
         }
 
         /** Type and body. */
--- a/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
+++ b/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
@@ -11,9 +11,13 @@
 import tinlink.GoldenFile;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
+import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
 import tinlink.maintenance.scheduling.MaintenanceCoordinator;
 import tinlink.maintenance.scheduling.MaintenanceRequest;
-import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceState;
 import tinlink.maintenance.scheduling.NodeListDifference;
 import tinlink.net.EventLoop;
 import tinlink.net.EventLoopParticipant;
@@ -58,58 +62,61 @@
     }
 
     private static String limitsCommand(DisruptionLimits limits) {
-        return MaintenanceStateMachine.limitsLine(limits);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.SetLimits(limits));
     }
 
     private static String tickCommand(long passedUs) {
-        return MaintenanceStateMachine.tickLine(passedUs);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.AdvanceTime(passedUs));
     }
 
     private static String machineCommand(Machine machine) {
-        return MaintenanceStateMachine.machineLine(machine);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterMachine(machine));
     }
 
     private static String goneCommand(String machine) {
-        return MaintenanceStateMachine.machineGoneLine(machine);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.RemoveMachine(machine));
     }
 
     private static String healthCommand(String machine, boolean healthy) {
-        return MaintenanceStateMachine.healthLine(machine, healthy);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.SetHealth(machine, healthy));
     }
 
     private static String lifeCommand(String router, String life) {
-        return MaintenanceStateMachine.routerLine(router, life);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterRouter(router, life));
     }
 
     private static String endedCommand(String router, String life) {
-        return MaintenanceStateMachine.routerEndedLine(router, life);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.RemoveRouter(router, life));
     }
 
     private static String requestCommand(
             String id, List<String> machines, long forUs, long withinUs, int urgency, String why) {
-        return MaintenanceStateMachine.requestLine(
-                new MaintenanceRequest(id, machines, forUs, withinUs, urgency, "op é", why));
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.SubmitRequest(
+                new MaintenanceRequest(id, machines, forUs, withinUs, urgency, "op é", why)));
     }
 
     private static String cancelCommand(String request, String why) {
-        return MaintenanceStateMachine.cancelLine(request, why);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.CancelRequest(request, why));
     }
 
     private static String beginCommand(String router, long fencingToken, String life) {
-        return MaintenanceStateMachine.beginLine(router, fencingToken, life);
+        return MaintenanceCommandCodec.encode(
+                new MaintenanceCommand.StartDrain(router, fencingToken, life));
     }
 
     private static String drainedCommand(
             String machine, long fencingToken, String router, String life) {
-        return MaintenanceStateMachine.drainedLine(machine, fencingToken, router, life);
+        return MaintenanceCommandCodec.encode(
+                new MaintenanceCommand.ConfirmDrained(machine, fencingToken, router, life));
     }
 
     private static String servesCommand(String router, String life) {
-        return MaintenanceStateMachine.servingLine(router, life);
+        return MaintenanceCommandCodec.encode(new MaintenanceCommand.ConfirmServing(router, life));
     }
 
     private static String doneCommand(String request, String machine, boolean lost) {
-        return MaintenanceStateMachine.doneLine(request, machine, lost);
+        return MaintenanceCommandCodec.encode(
+                new MaintenanceCommand.CompleteWork(request, machine, lost));
     }
 
     private static Machine node(int number, int cell, String zone) {
@@ -134,7 +141,7 @@
         }
 
         long fencingToken(String machine) {
-            return maintenance.stateMachine().activeTask(machine).fencingToken();
+            return maintenance.state().activeTask(machine).fencingToken();
         }
 
         List<String> snapshot() {
@@ -145,8 +152,8 @@
             maintenance.restore(lines);
         }
 
-        MaintenanceStateMachine stateMachine() {
-            return maintenance.stateMachine();
+        MaintenanceState state() {
+            return maintenance.state();
         }
     }
 
@@ -257,7 +264,7 @@
     @Test
     void commandsAreWrittenAndAnsweredAsTheyWere() throws IOException {
         Log log = log();
-        GoldenFile.holds(LOG, "Commands of maintenance, in agreed stateMachine.", log.commands);
+        GoldenFile.holds(LOG, "Commands of maintenance, in agreed state.", log.commands);
         GoldenFile.holds(ANSWERS, "What was answered to each command.", log.answers);
         GoldenFile.holds(
                 SNAPSHOTS, "All that stands, after so many commands of the log.", log.snapshots);
@@ -338,45 +345,44 @@
         return List.of(node(1, 1, "a"), node(2, 5, "a"), node(9, 0, "b"));
     }
 
-    private static Map<String, String> reports(MaintenanceStateMachine stateMachine) {
+    private static Map<String, String> reports(MaintenanceState state) {
         Map<String, Boolean> saw = new TreeMap<>();
         saw.put("n1", false);
         saw.put("n2", true);
         saw.put("n\t3", true);
         Map<String, String> all = new LinkedHashMap<>();
-        all.put("self", MaintenanceCoordinator.selfReportLine(router(6, "b")));
-        all.put("saw", MaintenanceCoordinator.healthReportLine(saw));
-        all.put("list", MaintenanceCoordinator.nodeListLine("east", listed()));
-        all.put("left", MaintenanceCoordinator.departureLine(life(2)));
+        all.put("self", MachineReportCodec.encode(new MachineReport.Self(router(6, "b"))));
+        all.put("saw", MachineReportCodec.encode(new MachineReport.Health(saw)));
+        all.put(
+                "list",
+                MachineReportCodec.encode(new MachineReport.FullNodeList("east", listed())));
+        all.put("left", MachineReportCodec.encode(new MachineReport.Departure(life(2))));
         all.put(
                 "list-difference",
-                NodeListDifference.between("east", listed(), stateMachine.agreedNodes())
-                        .encode());
+                MachineReportCodec.encode(
+                        NodeListDifference.between("east", listed(), state.agreedNodes())));
         all.put(
                 "list-difference-of-nothing",
-                NodeListDifference.between(
-                                "east",
-                                stateMachine.agreedNodes().all(),
-                                stateMachine.agreedNodes())
-                        .encode());
+                MachineReportCodec.encode(NodeListDifference.between(
+                        "east", state.agreedNodes().all(), state.agreedNodes())));
         return all;
     }
 
     /** What a leader proposes that has been told these. */
-    private static List<String> proposed(
-            MaintenanceStateMachine stateMachine, Map<String, String> told) {
+    private static List<String> proposed(MaintenanceState state, Map<String, String> told) {
         MaintenanceCoordinator coordinator =
                 new MaintenanceCoordinator(limits(), 1, 1000 * SECOND, 100);
         coordinator.setTime(10);
         coordinator.setLeader(true);
-        coordinator.decide(stateMachine, line -> {});
+        coordinator.decide(state, command -> {});
         coordinator.setTime(20);
-        told.forEach((from, line) -> coordinator.onReport(from, line));
+        told.forEach((from, line) ->
+                coordinator.onReport(from, MachineReportCodec.decode(line).orElseThrow()));
         for (int i = 0; i < 100; i++) {
             coordinator.onProposalCompleted();
         }
         List<String> all = new ArrayList<>();
-        coordinator.decide(stateMachine, all::add);
+        coordinator.decide(state, command -> all.add(MaintenanceCommandCodec.encode(command)));
         return all;
     }
 
@@ -384,8 +390,8 @@
     void reportsAreWrittenAndReadAsTheyWere() throws IOException {
         Replica replica = new Replica();
         GoldenFile.read(LOG).values().stream().limit(REPORTS_AFTER).forEach(replica::apply);
-        MaintenanceStateMachine stateMachine = replica.stateMachine();
-        Map<String, String> all = new LinkedHashMap<>(reports(stateMachine));
+        MaintenanceState state = replica.state();
+        Map<String, String> all = new LinkedHashMap<>(reports(state));
         Map<String, String> tellers = new LinkedHashMap<>();
         tellers.put("self", "r6");
         tellers.put("saw", "r1");
@@ -396,7 +402,7 @@
         Map<String, String> golden = GoldenFile.writes() ? all : GoldenFile.read(REPORTS);
         tellers.forEach((name, from) -> {
             int line = 0;
-            for (String proposal : proposed(stateMachine, Map.of(from, golden.get(name)))) {
+            for (String proposal : proposed(state, Map.of(from, golden.get(name)))) {
                 all.put(String.format("%s-proposes-%02d", name, ++line), proposal);
             }
         });
