--- a/src/main/java/tinlink/securechannel/SecureSession.java
+++ b/src/main/java/tinlink/securechannel/SecureSession.java
@@ -129,7 +129,7 @@
                             Level.FINE,
                             "event=malformed_message peer={0} reason=\"{1}\"",
                             new Object[] {peerName(), e.getMessage()});
-            incrementCounter("spoilt");
+            incrementCounter("malformed");
             connection.close(CloseReason.PROTOCOL_ERROR);
         }
         if (isAuthenticated() && frameReader.isAtFrameBoundary() != (deadline == null)) {
--- a/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
+++ b/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
@@ -289,11 +289,11 @@
             assertTrue(c.side.heard.isEmpty());
         }
         try (Connection c = new Connection()) {
-            byte[] spoilt = GoldenFile.bytes(golden.get(side + "-sealed-0"));
-            spoilt[spoilt.length - 1] ^= 1;
+            byte[] corrupted = GoldenFile.bytes(golden.get(side + "-sealed-0"));
+            corrupted[corrupted.length - 1] ^= 1;
             loop.execute(() -> c.side.seals(side.equals("far")));
-            c.socket.getOutputStream().write(spoilt);
-            assertEquals("spoilt", c.heard());
+            c.socket.getOutputStream().write(corrupted);
+            assertEquals("malformed", c.heard());
             assertEquals("over", c.heard());
         }
     }
