--- a/src/main/java/tinlink/cluster/PeerKeys.java
+++ b/src/main/java/tinlink/cluster/PeerKeys.java
@@ -6,7 +6,13 @@
 
 /** The keys that the routers of a cluster share. */
 public final class PeerKeys extends KeyRing {
-    public PeerKeys(Map<String, byte[]> ring, String use) {
-        super(ring, use);
+    /**
+     * Holds them.
+     *
+     * @param keysById by the name that a connection is opened under
+     * @param activeKeyId under which this router opens connections
+     */
+    public PeerKeys(Map<String, byte[]> keysById, String activeKeyId) {
+        super(keysById, activeKeyId);
     }
 }
--- a/src/main/java/tinlink/cluster/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/transport/PeerConnections.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import tinlink.cluster.membership.Incarnation;
 import tinlink.net.CloseReason;
@@ -23,39 +23,46 @@
 import java.util.logging.Level;
 
 /**
- * Sealed links with other routers of a cluster, opened when there is something to say and closed
- * when there has been nothing for a while. What is said may get lost, with its link or where too
- * much waits; whoever speaks here says again what matters. Runs on the loop's thread.
+ * Authenticated connections with other routers of a cluster, opened when there is something to send and
+ * closed when there has been nothing for a while. A message may get lost, with its connection or where too
+ * much waits; whoever sends here repeats what matters. Event loop's thread only.
  */
 public final class PeerConnections implements Network.AcceptHandler {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
-    /** Connections that have not proved themselves, where nothing else is stated. */
-    static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
-    /** What may wait for one link to come up. */
+    /** Connections that have not authenticated themselves, at a time, where nothing else is configured. */
+    public static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
+    /** What may wait for one connection to be authenticated. */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
     private static final long MAX_QUEUED_BYTES = 4L << 20;
 
+    /** Which cluster this router belongs to, and which process of it this is. */
+    public record Self(String cluster, Incarnation incarnation) {}
+
     /**
-     * The times of links, in microseconds.
+     * The times of connections, in microseconds.
      *
-     * @param idleUs a link with nothing said for so long is closed
-     * @param retryDelayUs an address where nobody answered is left alone for so long
+     * @param idleUs a connection without a message for so long is closed
+     * @param retryDelayUs an address where nobody answered is not tried again for so long
      */
     public record Timeouts(long handshakeUs, long idleUs, long retryDelayUs) {}
 
     /**
+     * Bounds.
+     *
      * @param connections out, and as many in
-     * @param unauthenticated that have called and not proved themselves; the oldest gives way
+     * @param unauthenticated inbound ones at a time; the oldest is closed for a further one
      */
     public record Limits(int connections, int unauthenticated) {}
 
-    /** What hears what peers say. */
+    /** Is given what other routers send. */
     public interface MessageHandler {
         /**
          * A message has come.
          *
-         * @param sender proved by its key; that it is the one router of that name is not
+         * @param sender authenticated as one that has the key; that it is the only process of its
+         *     router is not
+         * @throws MessageRejectedException where the message is malformed; its connection is closed
          */
         void onMessage(Incarnation sender, byte type, ByteBuffer body)
                 throws MessageRejectedException;
@@ -65,11 +72,11 @@
             "ArrayRecordComponent") // Waits are never compared; the bytes go out as they are.
     private record QueuedMessage(byte type, byte[] body) {}
 
-    /** One address that is spoken to. */
+    /** One address that is sent to. */
     private static final class Destination {
         PeerSession session;
         boolean isUp;
-        /** Emptied as the link comes up, or does not. */
+        /** Emptied as the connection is authenticated, or fails. */
         final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
 
         long queuedBytes;
@@ -77,8 +84,7 @@
     }
 
     final EventLoop loop;
-    final String cluster;
-    final Incarnation self;
+    final Self self;
     final Timeouts timeouts;
     final Counters counters = new Counters();
     final TrafficCounters traffic = new TrafficCounters();
@@ -90,23 +96,26 @@
     private Network.ListeningSocket listening;
     /** Least used first, bounded. */
     private final Map<String, Destination> destinations = new LinkedHashMap<>(16, 0.75f, true);
-    /** Those who have called: not yet proved, and proved. Each leaves as its link ends. */
+    /** Inbound ones, before and after they have authenticated themselves; each leaves as it is closed. */
     private final Set<PeerSession> unauthenticatedConnections = new LinkedHashSet<>();
 
     private final Set<PeerSession> inboundSessions = new LinkedHashSet<>();
 
+    /**
+     * Accepts none yet; begins with {@link #listen}.
+     *
+     * @param handler is given messages of authenticated connections
+     */
     public PeerConnections(
             EventLoop loop,
             Network network,
-            String cluster,
-            Incarnation self,
+            Self self,
             KeyRing keys,
             Timeouts timeouts,
             Limits limits,
             MessageHandler handler) {
         this.loop = loop;
         this.network = network;
-        this.cluster = cluster;
         this.self = self;
         this.keys = keys;
         this.timeouts = timeouts;
@@ -114,25 +123,29 @@
         this.handler = handler;
     }
 
+    /** Accepts connections there from now on. */
     public void listen(InetSocketAddress address) throws IOException {
         listening = network.listenAt(address);
         listening.accept(this);
         loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() throws IOException {
         return listening.address();
     }
 
+    /** What has happened on connections. */
     public Counters counters() {
         return counters;
     }
 
+    /** Messages and bytes by kind. */
     public TrafficCounters traffic() {
         return traffic;
     }
 
-    /** Open at the moment: called, calling, and those that have not proved themselves yet. */
+    /** Open at the moment, either way, those counted that have not authenticated themselves yet. */
     public int connectionCount() {
         int outbound = (int) destinations.values().stream()
                 .filter(destination -> destination.session != null)
@@ -140,8 +153,8 @@
         return outbound + inboundSessions.size() + unauthenticatedConnections.size();
     }
 
-    /** From now on these are the keys; links that are up stay. */
-    public void keys(KeyRing newKeys) {
+    /** Uses these keys from now on; connections that are open stay. */
+    public void setKeys(KeyRing newKeys) {
         keys = newKeys;
     }
 
@@ -151,7 +164,7 @@
         return nonce;
     }
 
-    /** Says it there, if it can be said. */
+    /** Sends it there, or queues it until the connection is authenticated; it may get lost. */
     public void send(String address, byte type, byte[] body) {
         Destination destination = destinations.get(address);
         if (destination == null) {
@@ -160,7 +173,7 @@
             destinations.put(address, destination);
         }
         if (destination.isUp) {
-            // Danger: a peer that stands still reads nothing, and all that is said to it would be
+            // Danger: a router that stands still reads nothing, and all that is sent to it would be
             // held here.
             if (destination.session.outboundBacklogBytes() > MAX_QUEUED_BYTES) {
                 counters.increment("peers_not_sent");
@@ -273,7 +286,7 @@
         }
     }
 
-    /** It has proved itself. */
+    /** An inbound one. */
     void sessionAuthenticated(PeerSession session) {
         unauthenticatedConnections.remove(session);
         inboundSessions.add(session);
@@ -315,7 +328,7 @@
         loop.schedule(loop.nowUs() + timeouts.retryDelayUs(), () -> listening.accept(this));
     }
 
-    /** Ends all links. */
+    /** Closes all connections. */
     public void close() {
         listening.close();
         Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.COMPLETED));
--- a/src/main/java/tinlink/cluster/PeerSession.java
+++ b/src/main/java/tinlink/cluster/transport/PeerSession.java
@@ -1,4 +1,4 @@
-package tinlink.cluster;
+package tinlink.cluster.transport;
 
 import tinlink.cluster.membership.Incarnation;
 import tinlink.net.CloseReason;
@@ -14,8 +14,8 @@
 import java.util.logging.Logger;
 
 /**
- * One connection between two peers. Who has called speaks on it, the other listens: so each way
- * between two routers is a connection of its own, and fails on its own.
+ * One connection between two routers. The one that has connected sends on it, the other receives: so each
+ * way between two routers is a connection of its own, and fails on its own.
  */
 final class PeerSession extends SecureSession {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
@@ -23,15 +23,15 @@
     private static final int FRAME_HEADER_BYTES = 5;
 
     private final PeerConnections connections;
-    /** Where we have called; null where we were called. */
+    /** Where this router has connected to; null where the other one has connected. */
     final String dialedAddress;
 
     private String keyId = "";
     private byte[] hello;
     private byte[] challenge;
-    /** Who is on the other side, once it has said so. */
+    /** The process at the other end, once it has said so. */
     private Incarnation peerIncarnation;
-    /** When something last went on it. */
+    /** When a message was last sent on it. */
     long lastUsedUs;
 
     PeerSession(PeerConnections connections, String dialedAddress) {
@@ -53,8 +53,8 @@
         MessageCodec.Builder out = new MessageCodec.Builder()
                 .putShort(PeerProtocol.VERSION)
                 .putText(keyId)
-                .putText(connections.cluster);
-        PeerProtocol.incarnation(out, connections.self);
+                .putText(connections.self.cluster());
+        PeerProtocol.encodeIncarnation(out, connections.self.incarnation());
         hello = out.putBytes(connections.nonce()).build();
         send(PeerProtocol.HELLO, hello);
     }
@@ -77,39 +77,40 @@
     }
 
     @Override
-    protected void onMessage(byte type, ByteBuffer in, byte[] whole)
+    protected void onMessage(byte type, ByteBuffer payload, byte[] whole)
             throws MessageRejectedException {
         if (isAuthenticated()) {
             if (dialedAddress != null) {
                 throw MessageCodec.malformed("the one who was called speaks");
             }
-            connections.dispatch(peerIncarnation, type, in);
+            connections.dispatch(peerIncarnation, type, payload);
         } else if (dialedAddress != null) {
-            onChallenge(type, in, whole);
+            onChallenge(type, payload, whole);
         } else if (hello == null) {
-            onHello(type, in, whole);
+            onHello(type, payload, whole);
         } else {
-            onProof(type, in);
+            onProof(type, payload);
         }
     }
 
-    private void onHello(byte type, ByteBuffer in, byte[] whole) throws MessageRejectedException {
-        if (type != PeerProtocol.HELLO || in.getShort() != PeerProtocol.VERSION) {
+    private void onHello(byte type, ByteBuffer payload, byte[] whole)
+            throws MessageRejectedException {
+        if (type != PeerProtocol.HELLO || payload.getShort() != PeerProtocol.VERSION) {
             throw MessageCodec.malformed("no greeting of this version");
         }
-        keyId = MessageCodec.readText(in);
-        String cluster = MessageCodec.readText(in);
-        peerIncarnation = PeerProtocol.incarnation(in);
-        MessageCodec.readBytes(in, PeerProtocol.NONCE_BYTES);
-        if (!connections.keys.contains(keyId) || !cluster.equals(connections.cluster)) {
+        keyId = MessageCodec.readText(payload);
+        String cluster = MessageCodec.readText(payload);
+        peerIncarnation = PeerProtocol.decodeIncarnation(payload);
+        MessageCodec.readBytes(payload, PeerProtocol.NONCE_BYTES);
+        if (!connections.keys.contains(keyId) || !cluster.equals(connections.self.cluster())) {
             throw MessageCodec.malformed(
                     "another cluster, or a key that is not known here: " + cluster + ", " + keyId);
         }
-        hello = Arrays.copyOfRange(whole, 1, in.position());
+        hello = Arrays.copyOfRange(whole, 1, payload.position());
         MessageCodec.Builder out = new MessageCodec.Builder()
                 .putShort(PeerProtocol.VERSION)
-                .putText(connections.cluster);
-        PeerProtocol.incarnation(out, connections.self);
+                .putText(connections.self.cluster());
+        PeerProtocol.encodeIncarnation(out, connections.self.incarnation());
         challenge = out.putBytes(connections.nonce()).build();
         restartHandshakeDeadline(connections.timeouts.handshakeUs());
         send(
@@ -120,25 +121,25 @@
                         .build());
     }
 
-    private void onChallenge(byte type, ByteBuffer in, byte[] whole)
+    private void onChallenge(byte type, ByteBuffer payload, byte[] whole)
             throws MessageRejectedException {
-        if (type != PeerProtocol.CHALLENGE || in.getShort() != PeerProtocol.VERSION) {
+        if (type != PeerProtocol.CHALLENGE || payload.getShort() != PeerProtocol.VERSION) {
             throw MessageCodec.malformed("no challenge of this version");
         }
-        String cluster = MessageCodec.readText(in);
-        peerIncarnation = PeerProtocol.incarnation(in);
-        MessageCodec.readBytes(in, PeerProtocol.NONCE_BYTES);
-        int signedEnd = in.position();
-        byte[] proof = MessageCodec.readBytes(in, PeerProtocol.PROOF_BYTES);
+        String cluster = MessageCodec.readText(payload);
+        peerIncarnation = PeerProtocol.decodeIncarnation(payload);
+        MessageCodec.readBytes(payload, PeerProtocol.NONCE_BYTES);
+        int signedEnd = payload.position();
+        byte[] proof = MessageCodec.readBytes(payload, PeerProtocol.PROOF_BYTES);
         challenge = Arrays.copyOfRange(whole, 1, signedEnd);
-        if (!cluster.equals(connections.cluster)
+        if (!cluster.equals(connections.self.cluster())
                 || !connections.keys.contains(keyId)
                 || !KeyRing.constantTimeEquals(
                         proof, connections.keys.proof(keyId, "called proof", hello, challenge))) {
             connections.counters.increment("peers_wrong_proof");
             throw MessageCodec.malformed("a wrong proof");
         }
-        if (peerIncarnation.equals(connections.self)) {
+        if (peerIncarnation.equals(connections.self.incarnation())) {
             throw MessageCodec.malformed("this router itself");
         }
         send(PeerProtocol.PROOF, connections.keys.proof(keyId, "caller proof", hello, challenge));
@@ -146,11 +147,11 @@
         connections.opened(this);
     }
 
-    private void onProof(byte type, ByteBuffer in) throws MessageRejectedException {
+    private void onProof(byte type, ByteBuffer payload) throws MessageRejectedException {
         if (type != PeerProtocol.PROOF
                 || !connections.keys.contains(keyId)
                 || !KeyRing.constantTimeEquals(
-                        MessageCodec.readBytes(in, PeerProtocol.PROOF_BYTES),
+                        MessageCodec.readBytes(payload, PeerProtocol.PROOF_BYTES),
                         connections.keys.proof(keyId, "caller proof", hello, challenge))) {
             connections.counters.increment("peers_wrong_proof");
             throw MessageCodec.malformed("a wrong proof");
--- a/src/main/java/tinlink/experiment/processes/RouterProcess.java
+++ b/src/main/java/tinlink/experiment/processes/RouterProcess.java
@@ -39,7 +39,7 @@
      * The program's entry, by name: a process is started with it, this one never loads it. A test
      * holds the two together.
      */
-    static final String MAIN_CLASS = "tinlink.Main";
+    public static final String MAIN_CLASS = "tinlink.Main";
 
     private static final Pattern SERVES =
             Pattern.compile("event=serving router=[^ ]+ address=([0-9.]+:[0-9]+) ");
--- a/src/main/java/tinlink/experiment/scale/ServingRouter.java
+++ b/src/main/java/tinlink/experiment/scale/ServingRouter.java
@@ -1,6 +1,5 @@
 package tinlink.experiment.scale;
 
-import tinlink.Main;
 import tinlink.experiment.processes.RouterProcess;
 
 import java.io.BufferedReader;
@@ -133,7 +132,7 @@
             all.add("-XX:NativeMemoryTracking=summary");
         }
         try {
-            Path from = Path.of(Main.class
+            Path from = Path.of(ServingRouter.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
@@ -147,7 +146,7 @@
             } else {
                 String path = System.getProperty(
                         "surefire.test.class.path", System.getProperty("java.class.path"));
-                all.addAll(List.of("-cp", path, Main.class.getName()));
+                all.addAll(List.of("-cp", path, RouterProcess.MAIN_CLASS));
             }
         } catch (URISyntaxException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/tinlink/gateway/GatewayMessageCodec.java
+++ b/src/main/java/tinlink/gateway/GatewayMessageCodec.java
@@ -3,8 +3,8 @@
 import tinlink.gateway.forwarding.PartStatus;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.ProtocolLimits;
-import tinlink.securechannel.Handshake;
 import tinlink.securechannel.FrameFormat;
+import tinlink.securechannel.Handshake;
 import tinlink.securechannel.MessageCodec;
 
 import java.nio.ByteBuffer;
@@ -23,8 +23,10 @@
     /** A message holds no more until both sides have authenticated. */
     static final int MAX_UNAUTHENTICATED_BYTES = 1 << 10;
 
-    static final int MAX_MESSAGE_BYTES =
-            1 + ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES + FrameFormat.TAG_BYTES;
+    static final int MAX_MESSAGE_BYTES = 1
+            + ProtocolLimits.MAX_HEAD_BYTES
+            + ProtocolLimits.MAX_BODY_BYTES
+            + FrameFormat.TAG_BYTES;
     static final int MAX_QUERIED_PARTS = 4096;
     private static final GatewayMessage.Type[] TYPES = GatewayMessage.Type.values();
     private static final int CLIENT_RETRY_FLAG = 1;
--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -1,9 +1,10 @@
 package tinlink.router;
 
 import tinlink.cluster.ClusterNode;
-import tinlink.cluster.CompositeStateMachine;
+import tinlink.cluster.ClusterSettings;
 import tinlink.cluster.PeerKeys;
-import tinlink.cluster.ReplicatedStateMachine;
+import tinlink.cluster.consensus.CompositeStateMachine;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
 import tinlink.config.ClusterConfig;
 import tinlink.config.MaintenanceConfig;
 import tinlink.config.RouterConfig;
@@ -75,26 +76,27 @@
         ClusterNode clusterNode = new ClusterNode(
                 loop,
                 network.withoutServer(),
-                new ClusterNode.LocalRouter(
-                        clusterConfig.cluster,
-                        clusterConfig.router,
-                        clusterConfig.listen,
-                        clusterConfig.advertisedAddress),
-                new ClusterNode.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                new ClusterSettings(
+                        new ClusterSettings.LocalRouter(
+                                clusterConfig.cluster,
+                                clusterConfig.router,
+                                clusterConfig.listen,
+                                clusterConfig.advertisedAddress),
+                        new ClusterSettings.KnownRouters(clusterConfig.peers, clusterConfig.voters),
+                        new ClusterSettings.Timing(
+                                clusterConfig.probeIntervalUs,
+                                clusterConfig.indirectProbeCount,
+                                clusterConfig.heartbeatUs,
+                                clusterConfig.handshakeUs,
+                                clusterConfig.idleUs),
+                        new ClusterSettings.Limits(
+                                clusterConfig.maxMembers,
+                                clusterConfig.maxUnauthenticatedConnections,
+                                clusterConfig.maxDiskBytes,
+                                clusterConfig.snapshotInterval),
+                        routerConfig.seed),
                 new PeerKeys(clusterConfig.keys, clusterConfig.activeKeyId),
-                new ClusterNode.Timing(
-                        clusterConfig.probeIntervalUs,
-                        clusterConfig.indirectProbeCount,
-                        clusterConfig.heartbeatUs,
-                        clusterConfig.handshakeUs,
-                        clusterConfig.idleUs),
-                new ClusterNode.Limits(
-                        clusterConfig.maxMembers,
-                        clusterConfig.maxUnauthenticatedConnections,
-                        clusterConfig.maxDiskBytes,
-                        clusterConfig.snapshotInterval),
                 clusterConfig.dataDirectory,
-                routerConfig.seed,
                 stateMachines(replicatedState, policyStateMachine),
                 stateMachines(new ReplicatedMaintenance(), new PolicyStateMachine()));
         maintenance = new MaintenanceService(
@@ -168,7 +170,7 @@
         stopping = true;
     }
 
-    /** Nothing is in hand any more. */
+    /** Nothing is in flight any more. */
     void leave() {
         if (policy != null) {
             policy.policy().stop();
@@ -218,7 +220,7 @@
     }
 
     /**
-     * As at a SIGTERM, without an end: who comes while others hear of it is served; then the door
+     * As at a SIGTERM, without an end: who comes while others learn of it is served; then accepting
      * closes.
      */
     @Override
--- a/src/test/java/tinlink/AgreedLogGoldenFilesTest.java
+++ b/src/test/java/tinlink/AgreedLogGoldenFilesTest.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 import tinlink.cluster.ClusterNode;
-import tinlink.cluster.CompositeStateMachine;
+import tinlink.cluster.ClusterSettings;
+import tinlink.cluster.consensus.CompositeStateMachine;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
@@ -100,19 +101,20 @@
             node = new ClusterNode(
                     loop,
                     network,
-                    new ClusterNode.LocalRouter(
-                            "golden",
-                            "r1",
-                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                            ""),
-                    new ClusterNode.KnownRouters(Map.of(), Set.of("r1")),
+                    new ClusterSettings(
+                            new ClusterSettings.LocalRouter(
+                                    "golden",
+                                    "r1",
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                    ""),
+                            new ClusterSettings.KnownRouters(Map.of(), Set.of("r1")),
+                            new ClusterSettings.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
+                            new ClusterSettings.Limits(64, 8 << 20, 20),
+                            1),
                     new KeyRing(
                             Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)),
                             "k"),
-                    new ClusterNode.Timing(50_000, 2, 50_000, 500_000, 2_000_000),
-                    new ClusterNode.Limits(64, 8 << 20, 20),
                     folder,
-                    1,
                     stateMachine,
                     stateMachine());
             Thread thread = new Thread(() -> loop.run(node), "golden-router");
--- a/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
@@ -22,9 +22,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 import tinlink.GoldenFile;
+import tinlink.cluster.consensus.RaftCodec;
+import tinlink.cluster.consensus.ReplicatedStateMachine;
+import tinlink.cluster.consensus.Voter;
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.membership.Member;
 import tinlink.cluster.membership.MemberState;
+import tinlink.cluster.membership.Membership;
 import tinlink.cluster.membership.Rumor;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
@@ -178,17 +182,18 @@
             node = new ClusterNode(
                     loop,
                     network,
-                    new ClusterNode.LocalRouter(
-                            CLUSTER,
-                            name,
-                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                            "127.0.0.1:1"),
-                    new ClusterNode.KnownRouters(known, voters),
+                    new ClusterSettings(
+                            new ClusterSettings.LocalRouter(
+                                    CLUSTER,
+                                    name,
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                    "127.0.0.1:1"),
+                            new ClusterSettings.KnownRouters(known, voters),
+                            new ClusterSettings.Timing(400_000, 2, 100_000, 2_000_000, 20_000_000),
+                            new ClusterSettings.Limits(64, 8 << 20, lines),
+                            1),
                     KEYS,
-                    new ClusterNode.Timing(400_000, 2, 100_000, 2_000_000, 20_000_000),
-                    new ClusterNode.Limits(64, 8 << 20, lines),
                     at,
-                    1,
                     stateMachine,
                     new RecordingStateMachine());
             node.setReportListener((from, line) -> news.add(from + " " + line));
@@ -223,12 +228,13 @@
         /** As a member's message says where it is reached: the plain sockets' addresses are known. */
         void sendsMember(int kind, String to, List<Rumor> rumors) {
             on(() -> {
+                Membership.Handler members = node.membershipHandler();
                 switch (kind) {
-                    case PROBE -> node.sendProbe(to, NUMBER, rumors);
-                    case ACK -> node.sendAck(to, NUMBER, rumors);
+                    case PROBE -> members.sendProbe(to, NUMBER, rumors);
+                    case ACK -> members.sendAck(to, NUMBER, rumors);
                     case PROBE_REQUEST ->
-                        node.sendProbeRequest(to, NUMBER, "r3@127.0.0.1:3", rumors);
-                    default -> node.sendNack(to, NUMBER, rumors);
+                        members.sendProbeRequest(to, NUMBER, "r3@127.0.0.1:3", rumors);
+                    default -> members.sendNack(to, NUMBER, rumors);
                 }
                 return 0;
             });
--- a/src/test/java/tinlink/policy/PolicyGoldenFilesTest.java
+++ b/src/test/java/tinlink/policy/PolicyGoldenFilesTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 import tinlink.GoldenFile;
-import tinlink.cluster.membership.LineCodec;
+import tinlink.cluster.consensus.LineCodec;
 import tinlink.policy.rollout.AbsencePolicy;
 import tinlink.policy.rollout.PolicyCommand;
 import tinlink.policy.rollout.PolicyCommandCodec;
