--- a/src/main/java/tinlink/policy/rollout/CommandProposer.java
+++ b/src/main/java/tinlink/policy/rollout/CommandProposer.java
@@ -6,5 +6,6 @@
  */
 @FunctionalInterface
 public interface CommandProposer {
+    /** Proposes one command and returns at once. */
     void propose(PolicyCommand command);
 }
--- a/src/main/java/tinlink/policy/rollout/PolicyChange.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChange.java
@@ -11,8 +11,11 @@
 public final class PolicyChange {
     /** The last two are final. The names are those of stored snapshots. */
     public enum State {
+        /** Votes are awaited. */
         OPEN,
+        /** It has made an epoch. */
         IN_FORCE,
+        /** It never takes effect. */
         WITHDRAWN
     }
 
@@ -66,10 +69,12 @@
         return change;
     }
 
+    /** The id that its operator gave it. */
     public String changeId() {
         return proposal.changeId();
     }
 
+    /** Open, in force or withdrawn. */
     public State state() {
         return state;
     }
@@ -84,10 +89,12 @@
         return proposal.digest();
     }
 
+    /** The policy document. */
     public String text() {
         return proposal.text();
     }
 
+    /** Who proposed it. */
     public String author() {
         return proposal.author();
     }
@@ -97,6 +104,7 @@
         return proposal.reason();
     }
 
+    /** What is done about absent routers. */
     public AbsencePolicy absencePolicy() {
         return proposal.absencePolicy();
     }
--- a/src/main/java/tinlink/policy/rollout/PolicyChanges.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChanges.java
@@ -60,6 +60,7 @@
         return history.all();
     }
 
+    /** Whether that process of that router takes part in changes. */
     public boolean isEnrolled(String router, String incarnation) {
         return enrolledRouters.contains(router, incarnation);
     }
--- a/src/main/java/tinlink/policy/rollout/Rejection.java
+++ b/src/main/java/tinlink/policy/rollout/Rejection.java
@@ -8,17 +8,29 @@
 public record Rejection(Reason reason, String message) implements CommandOutcome {
     /** Why a command was rejected. */
     public enum Reason {
+        /** Another change has that id. */
         ID_TAKEN,
+        /** It has no id, or its text is too long. */
         INVALID_PROPOSAL,
+        /** One change at a time. */
         ANOTHER_CHANGE_OPEN,
+        /** Another epoch is in force than the one that it is written against. */
         STALE_EPOCH,
+        /** The change is not open, or not known. */
         CHANGE_SETTLED,
+        /** No change has that id. */
         UNKNOWN_CHANGE,
+        /** It can be undone by another change alone. */
         CHANGE_IN_FORCE,
+        /** That process of the router does not take part. */
         NOT_ENROLLED,
+        /** Votes or leases reach beyond that time, or are missing. */
         COMMIT_TOO_EARLY,
+        /** A later process of that router takes part. */
         LATER_INCARNATION_ENROLLED,
+        /** The bound on routers is reached. */
         TOO_MANY_ROUTERS,
+        /** This build can't read it. */
         UNKNOWN_COMMAND
     }
 
