--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -41,8 +41,7 @@
      * @param recoveryUs how long the status of a part is waited for after a cut; 0: not at all
      * @param maxRequestUs no client waits for longer
      */
-    public record Timing(
-            long heartbeatUs, long handshakeUs, long recoveryUs, long maxRequestUs) {}
+    public record Timing(long heartbeatUs, long handshakeUs, long recoveryUs, long maxRequestUs) {}
 
     /**
      * What other sites may have here, and what may wait for a credit of theirs.
--- a/src/main/java/tinlink/gateway/GatewayClientSession.java
+++ b/src/main/java/tinlink/gateway/GatewayClientSession.java
@@ -63,8 +63,8 @@
             gateway.counters().increment("outbound_wrong_proof");
             throw GatewayMessageCodec.malformed("a wrong proof");
         }
-        byte[] claims = GatewayMessageCodec.encode(new GatewayMessage.Proof(
-                channel.connectCount() + 1, channel.nextPartNumber()));
+        byte[] claims = GatewayMessageCodec.encode(
+                new GatewayMessage.Proof(channel.connectCount() + 1, channel.nextPartNumber()));
         sendWithProof(GatewayMessage.Type.PROOF, claims, handshake.initiatorProof(claims));
         enableAuthentication(handshake.sessionSecret(), true);
         onAuthenticated(challenge.incarnation());
@@ -76,8 +76,7 @@
         LOG.log(
                 Level.INFO,
                 "event=channel_up site={0} router={1} channel={2} round_trip_us={3}",
-                new Object[] {
-                    site, channel.router.name, channel.index, String.valueOf(roundTripUs)
+                new Object[] {site, channel.router.name, channel.index, String.valueOf(roundTripUs)
                 });
         channel.router.onConnected(channel, remoteIncarnation, roundTripUs);
     }
--- a/src/main/java/tinlink/gateway/GatewayServerSession.java
+++ b/src/main/java/tinlink/gateway/GatewayServerSession.java
@@ -67,10 +67,7 @@
         hello = received;
         Gateway.Identity identity = gateway.settings.identity();
         byte[] challenge = GatewayMessageCodec.encode(new GatewayMessage.Challenge(
-                identity.site(),
-                identity.router(),
-                identity.incarnation(),
-                gateway.newNonce()));
+                identity.site(), identity.router(), identity.incarnation(), gateway.newNonce()));
         handshake = new Handshake(
                 gateway::keys, hello.keyId(), PROOF_LABELS, readSoFar(frame, body), challenge);
         // Its proof is a round trip away, however long the network takes.
@@ -115,7 +112,8 @@
             case CANCEL_PART ->
                 server.receiver()
                         .onCancelPart(
-                                channel, GatewayMessageCodec.decodeCancelPart(body).number());
+                                channel,
+                                GatewayMessageCodec.decodeCancelPart(body).number());
             case STATUS_QUERY -> onStatusQuery(GatewayMessageCodec.decodeStatusQuery(body));
             case HEARTBEAT -> onHeartbeat(GatewayMessageCodec.decodeHeartbeat(body));
             default -> throw GatewayMessageCodec.unexpected(type);
@@ -150,9 +148,7 @@
      */
     private long ageUs(GatewayMessage.ForwardPart message, long now) {
         Long ackedAt = ackedHeartbeats.get(message.ackedHeartbeat());
-        return ackedAt == null
-                ? UNKNOWN_AGE_US
-                : Math.max(0, now - ackedAt - message.sinceAckUs());
+        return ackedAt == null ? UNKNOWN_AGE_US : Math.max(0, now - ackedAt - message.sinceAckUs());
     }
 
     private void onStatusQuery(GatewayMessage.StatusQuery query) {
--- a/src/main/java/tinlink/gateway/GatewaySession.java
+++ b/src/main/java/tinlink/gateway/GatewaySession.java
@@ -49,7 +49,8 @@
         return Arrays.copyOfRange(frame, 1, body.position());
     }
 
-    static void requireType(GatewayMessage.Type required, byte code) throws MessageRejectedException {
+    static void requireType(GatewayMessage.Type required, byte code)
+            throws MessageRejectedException {
         if (code != required.code) {
             throw GatewayMessageCodec.malformed("no " + required);
         }
--- a/src/main/java/tinlink/gateway/PartContent.java
+++ b/src/main/java/tinlink/gateway/PartContent.java
@@ -9,7 +9,8 @@
  * @param text of the query; not copied, not to be changed
  * @param clientRetry the client has sent the lookup before
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each text would only cost time.
+@SuppressWarnings(
+        "ArrayRecordComponent") // Never compared; a copy of each text would only cost time.
 public record PartContent(
         String id,
         String lookupClass,
--- a/src/main/java/tinlink/gateway/forwarding/ForwardingHandler.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardingHandler.java
@@ -4,7 +4,9 @@
 
 /** Carries out the decisions of a {@link RemoteRouter}. Called from within {@link RemoteRouter#decide}. */
 public interface ForwardingHandler {
-    /** Connects the channel; {@link RemoteRouter#onConnected} or {@link RemoteRouter#onDisconnected} follows. */
+    /**
+     * Connects the channel; {@link RemoteRouter#onConnected} or {@link RemoteRouter#onDisconnected} follows.
+     */
     void connect(GatewayChannel channel);
 
     /** Ends the channel's connection; {@link RemoteRouter#onDisconnected} follows. */
--- a/src/main/java/tinlink/http2/FrameWriter.java
+++ b/src/main/java/tinlink/http2/FrameWriter.java
@@ -83,7 +83,7 @@
     }
 
     void resetStream(int streamId, Http2Constants.ErrorCode code) {
-        frame(Http2Constants.RST_STREAM, 0, streamId, fourBytes(code.ordinal()));
+        frame(Http2Constants.RST_STREAM, 0, streamId, fourBytes(code.number()));
     }
 
     void ping(long number) {
@@ -104,7 +104,7 @@
                 Http2Constants.GOAWAY,
                 0,
                 0,
-                ByteBuffer.allocate(Long.BYTES).putInt(0).putInt(code.ordinal()).array());
+                ByteBuffer.allocate(Long.BYTES).putInt(0).putInt(code.number()).array());
     }
 
     private void frame(int type, int flags, int streamId, byte[] payload) {
--- a/src/main/java/tinlink/http2/HeaderBlockReader.java
+++ b/src/main/java/tinlink/http2/HeaderBlockReader.java
@@ -41,8 +41,7 @@
     void checkNext(int type, int frameStreamId) throws Http2Exception {
         if (pendingBlock != null
                 && (type != Http2Constants.CONTINUATION || frameStreamId != streamId)) {
-            throw new Http2Exception(
-                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "a frame within a header block");
+            throw Http2Exception.protocolError("a frame within a header block");
         }
     }
 
@@ -60,21 +59,24 @@
         return append(flags, payload);
     }
 
-    /** @return the block, or null where more of it is to come */
+    /**
+     * A CONTINUATION frame.
+     *
+     * @return the block, or null where more of it is to come
+     */
     HeaderCodec.HeaderBlock continuation(int flags, ByteBuffer payload) throws Http2Exception {
         if (pendingBlock == null) {
-            throw new Http2Exception(
-                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "a continuation of nothing");
+            throw Http2Exception.protocolError("a continuation without its headers");
         }
         if (++continuations > MAX_CONTINUATIONS) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many continuations");
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "too many continuations");
         }
         return append(flags, payload);
     }
 
     private HeaderCodec.HeaderBlock append(int flags, ByteBuffer payload) throws Http2Exception {
-        pendingBlock.write(payload.array(), payload.position(), payload.remaining());
+        FramePayload.appendTo(pendingBlock, payload);
         if (pendingBlock.size() > HeaderCodec.MAX_BLOCK_BYTES) {
             throw new Http2Exception(
                     Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header block that is too large");
--- a/src/main/java/tinlink/http2/HeaderCodec.java
+++ b/src/main/java/tinlink/http2/HeaderCodec.java
@@ -33,7 +33,7 @@
     private final Decoder decoder = new Decoder(MAX_LIST_BYTES, TABLE_BYTES);
     private final ByteArrayOutputStream sizeUpdate = new ByteArrayOutputStream();
 
-    /** The other side keeps a table of so many bytes at most; told with our next block. */
+    /** The other side keeps a table of so many bytes at most; announced with our next block. */
     void setMaxTableSize(long bytes) {
         try {
             encoder.setMaxHeaderTableSize(sizeUpdate, (int) Math.min(bytes, TABLE_BYTES));
--- a/src/main/java/tinlink/http2/Http2Constants.java
+++ b/src/main/java/tinlink/http2/Http2Constants.java
@@ -51,9 +51,9 @@
             return ordinal();
         }
 
-        /** The code of that number. */
+        /** The code of that number; fails where there is none. */
         @SuppressWarnings("EnumOrdinal") // As above.
-        static ErrorCode numbered(int number) {
+        static ErrorCode ofNumber(int number) {
             return values()[number];
         }
     }
--- a/src/main/java/tinlink/http2/Http2Exception.java
+++ b/src/main/java/tinlink/http2/Http2Exception.java
@@ -9,4 +9,8 @@
         super(description, null, false, false);
         this.code = code;
     }
+
+    static Http2Exception protocolError(String description) {
+        return new Http2Exception(Http2Constants.ErrorCode.PROTOCOL_ERROR, description);
+    }
 }
--- a/src/main/java/tinlink/http2/Http2NodeClient.java
+++ b/src/main/java/tinlink/http2/Http2NodeClient.java
@@ -4,8 +4,10 @@
 import tinlink.http2.pool.CallResult;
 import tinlink.http2.pool.ConnectionPool;
 import tinlink.http2.pool.PendingCall;
+import tinlink.http2.pool.PoolHandler;
 import tinlink.http2.pool.PooledConnection;
 import tinlink.net.CloseReason;
+import tinlink.net.Connection;
 import tinlink.net.Counters;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
@@ -19,26 +21,29 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** The connections to one data node over HTTP/2: carries out the decisions of its {@link ConnectionPool}. */
-public final class Http2NodeClient implements ConnectionPool.PoolHandler {
+/**
+ * The connections to one data node over HTTP/2: carries out the decisions of its {@link ConnectionPool}.
+ * Runs on the event loop's thread.
+ */
+public final class Http2NodeClient implements PoolHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.http2");
 
-    /** Whoever the calls come from. */
+    /** Whoever the calls come from. Called on the event loop's thread. */
     public interface CallHandler {
-        /** A descriptor for one more connection. */
+        /** Whether a descriptor is left for one more connection. */
         boolean mayOpenConnection();
 
         void connectionOpened();
 
         void connectionClosed();
 
-        /** The one outcome of a call; its value where it is satisfied. */
+        /** The one outcome of a call; its value where it is satisfied, else null. */
         void callEnded(PartRequest request, Outcome outcome, String value);
 
-        /** The node does not speak HTTP/2: by frames then. */
+        /** The node does not speak HTTP/2: the call goes by frames instead. */
         void fallBackToFrames(PartRequest request);
 
-        /** Pulls the decisions of this node at the end of the turn. */
+        /** Calls {@link Http2NodeClient#decide} at the end of the turn. */
         void decisionsPending(Http2NodeClient nodeClient);
     }
 
@@ -66,14 +71,15 @@
     }
 
     /**
-     * Whether calls go this way now; a node that has shown that it speaks something else is asked
-     * again later.
+     * Whether calls go this way now; a node that has shown that it speaks something else is tried again
+     * later.
      */
     public boolean supportsHttp2() {
         pool.advanceClock(loop.nowUs());
         return pool.supportsHttp2();
     }
 
+    /** Submits the call; its outcome comes to the handler. */
     public void send(PartRequest request, InetSocketAddress nodeAddress) {
         address = nodeAddress;
         touch();
@@ -84,7 +90,7 @@
     /**
      * Its outcome is known.
      *
-     * @param notifyNode the node should hear that it is given up
+     * @param notifyNode the node should hear that the call is given up
      */
     public void cancel(PartRequest request, boolean notifyNode) {
         touch();
@@ -108,20 +114,23 @@
         pool.dropPending();
     }
 
+    /** The node is off the list: what is out is finished, nothing new goes there. */
     public void nodeRemoved() {
         touch();
-        pool.nodeRemoved();
+        pool.onNodeRemoved();
     }
 
+    /** It has no connection, and no call waits for one. */
     public boolean isIdle() {
-        return connections.isEmpty() && pool.pending() == 0;
+        return connections.isEmpty() && pool.pendingCount() == 0;
     }
 
+    /** Connections that are open or connecting. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Closes what nothing is out on. */
+    /** Closes the connections that no call is out on. */
     public void closeUnused() {
         for (Http2NodeConnection nodeConnection : List.copyOf(connections.values())) {
             if (nodeConnection.pooled.openStreams() == 0) {
@@ -135,6 +144,7 @@
         callHandler.decisionsPending(this);
     }
 
+    /** Carries out all decisions that are due. */
     public void decide() {
         pool.advanceClock(loop.nowUs());
         while (pool.decide(this)) {
@@ -147,24 +157,24 @@
     @Override
     public void openConnection(PooledConnection pooled) {
         if (address == null || !callHandler.mayOpenConnection()) {
-            pool.onConnectionEnded(pooled, false, CallResult.NEVER_LEFT);
+            pool.onConnectionEnded(pooled, false, CallResult.NOT_SENT);
             return;
         }
         Http2NodeConnection nodeConnection =
                 new Http2NodeConnection(this, pooled, settings.maxPending());
         try {
-            tinlink.net.Connection link = network.connect(address, nodeConnection);
+            Connection connection = network.connect(address, nodeConnection);
             nodeConnection.attach(
-                    link,
+                    connection,
                     loop.schedule(
                             loop.nowUs() + settings.connectTimeoutUs(),
-                            () -> link.close(CloseReason.CONNECT_TIMEOUT)));
+                            () -> connection.close(CloseReason.CONNECT_TIMEOUT)));
             connections.put(pooled, nodeConnection);
             counters.increment("http2_connections");
             callHandler.connectionOpened();
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "event=http2_no_connection node=" + address, e);
-            pool.onConnectionEnded(pooled, false, CallResult.NEVER_LEFT);
+            LOG.log(Level.WARNING, "event=http2_connect_failed node=" + address, e);
+            pool.onConnectionEnded(pooled, false, CallResult.NOT_SENT);
         }
     }
 
@@ -180,7 +190,7 @@
 
     @Override
     public void fallBackToFrames(PendingCall call) {
-        counters.increment("http2_not_spoken");
+        counters.increment("http2_fallbacks");
         ((PartRequest) call).ended = true;
         callHandler.fallBackToFrames((PartRequest) call);
     }
@@ -191,8 +201,10 @@
     }
 
     @Override
-    public void closeConnection(PooledConnection pooled, boolean silent) {
-        connections.get(pooled).close(silent ? CloseReason.UNRESPONSIVE : CloseReason.IDLE_TIMEOUT);
+    public void closeConnection(PooledConnection pooled, boolean unresponsive) {
+        connections
+                .get(pooled)
+                .close(unresponsive ? CloseReason.UNRESPONSIVE : CloseReason.IDLE_TIMEOUT);
     }
 
     @Override
@@ -200,7 +212,7 @@
         loop.schedule(at, this::touch);
     }
 
-    // ---- What connections say. ----
+    // ---- What happens to connections. ----
 
     String authority() {
         return address.getHostString() + ":" + address.getPort();
@@ -210,6 +222,7 @@
         return counters;
     }
 
+    /** Runs it later in this turn or in the next. */
     void runSoon(Runnable task) {
         loop.execute(task);
     }
@@ -218,6 +231,7 @@
         loop.cancel(timer);
     }
 
+    /** Runs the task unless a message that has begun comes whole in time. */
     EventLoop.Timer startStallTimer(Runnable task) {
         return loop.schedule(loop.nowUs() + settings.connectTimeoutUs(), task);
     }
@@ -252,14 +266,16 @@
         pool.onStreamClosed(nodeConnection.pooled);
     }
 
+    /** The end of a call while its connection stands, or before it had one. */
     void finish(PartRequest request, CallResult result, String value) {
         counters.increment("http2_" + result.name().toLowerCase(Locale.ROOT));
         request.ended = true;
         callHandler.callEnded(request, result.outcome, value);
     }
 
+    /** The end of a call with its connection. */
     void onInterrupted(PartRequest request, Outcome outcome) {
-        counters.increment("http2_lost");
+        counters.increment("http2_interrupted");
         request.ended = true;
         callHandler.callEnded(request, outcome, null);
     }
@@ -270,11 +286,9 @@
         if (connections.remove(nodeConnection.pooled, nodeConnection)) {
             callHandler.connectionClosed();
         }
-        pool.onConnectionEnded(
-                nodeConnection.pooled,
-                wasUp,
-                closeReason == CloseReason.NO_DESCRIPTOR
-                        ? CallResult.NEVER_LEFT
-                        : CallResult.NO_CONNECTION);
+        CallResult result = closeReason == CloseReason.NO_DESCRIPTOR
+                ? CallResult.NOT_SENT
+                : CallResult.NO_CONNECTION;
+        pool.onConnectionEnded(nodeConnection.pooled, wasUp, result);
     }
 }
--- a/src/main/java/tinlink/http2/Http2NodeConnection.java
+++ b/src/main/java/tinlink/http2/Http2NodeConnection.java
@@ -13,13 +13,16 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** One connection to a data node over HTTP/2: the socket of an {@link Http2Connection}. */
-final class Http2NodeConnection implements Connection.Listener, Http2Connection.StreamListener {
+/**
+ * One connection to a data node over HTTP/2: the socket of an {@link Http2Connection}. Runs on the event
+ * loop's thread.
+ */
+final class Http2NodeConnection implements Connection.Listener, StreamListener {
     private static final Logger LOG = Logger.getLogger("tinlink.http2");
     private final Http2NodeClient nodeClient;
     final PooledConnection pooled;
     private final Http2Connection http2;
-    private Connection link;
+    private Connection connection;
     private EventLoop.Timer connectTimer;
     /** Runs while a frame or a header block has begun and has not come whole. */
     private EventLoop.Timer stallTimer;
@@ -31,11 +34,11 @@
     Http2NodeConnection(Http2NodeClient nodeClient, PooledConnection pooled, int maxResetIds) {
         this.nodeClient = nodeClient;
         this.pooled = pooled;
-        http2 = new Http2Connection(bytes -> link.out().put(bytes), this, maxResetIds);
+        http2 = new Http2Connection(bytes -> connection.out().put(bytes), this, maxResetIds);
     }
 
-    void attach(Connection link, EventLoop.Timer connectTimer) {
-        this.link = link;
+    void attach(Connection connection, EventLoop.Timer connectTimer) {
+        this.connection = connection;
         this.connectTimer = connectTimer;
     }
 
@@ -47,14 +50,14 @@
         nodeClient.onConnected(this);
     }
 
-    /** Its stream is opened; both go out with this turn's write. */
+    /** Opens a stream for it, which leaves with this turn's write. */
     void sendRequest(PartRequest request, long now) {
         request.nodeConnection = this;
-        request.headerPosition = link.scheduleWrite();
+        request.headerPosition = connection.scheduleWrite();
         request.sentAt = now;
         request.stream = http2.sendRequest(
                 request, request.headerFields(nodeClient.authority(), now), request.body());
-        link.scheduleWrite();
+        connection.scheduleWrite();
         if (http2.isExhausted()) {
             nodeClient.retire(this);
         }
@@ -63,27 +66,27 @@
     /** Given up, its outcome is known. */
     void cancel(PartRequest request, boolean notifyNode) {
         if (!notifyNode) {
-            request.stream.abandoned =
-                    true; // It may not be cancelled: it goes on there, and takes its place.
+            // It may not be cancelled: it goes on there, and counts against the node's limit.
+            request.stream.abandoned = true;
             return;
         }
         http2.cancel(request.stream);
-        link.scheduleWrite();
+        connection.scheduleWrite();
         nodeClient.onStreamClosed(this);
     }
 
     /** Whether a byte of its header block was handed to the kernel, or may have been. */
     private boolean mayHaveLeft(PartRequest request) {
-        return link.mayHaveLeft(request.headerPosition + 1);
+        return connection.mayHaveLeft(request.headerPosition + 1);
     }
 
     void sendPing(long number) {
         http2.sendPing(number);
-        link.scheduleWrite();
+        connection.scheduleWrite();
     }
 
     void close(CloseReason closeReason) {
-        link.close(closeReason);
+        connection.close(closeReason);
     }
 
     @Override
@@ -95,26 +98,38 @@
         try {
             nodeClient.onBytes(this);
             http2.read(in);
-            link.scheduleWrite();
+            connection.scheduleWrite();
         } catch (Http2Exception e) {
-            LOG.log(Level.FINE, "event=http2_broken node={0} code={1} why=\"{2}\"", new Object[] {
-                nodeClient.authority(), e.code, e.getMessage()
-            });
-            nodeClient.counters().increment("http2_broken");
-            // The goodbye leaves with this turn; nothing that comes after is looked at.
-            protocolFailed = true;
-            http2.sendGoAway(e.code);
-            link.scheduleWrite();
-            nodeClient.retire(this);
-            nodeClient.runSoon(() -> link.close(CloseReason.PROTOCOL_ERROR));
+            fail(e);
+        }
+        if (!protocolFailed && !connection.isClosed()) {
+            watchForStall();
         }
-        if (!protocolFailed
-                && !link.isClosed()
-                && http2.isAtFrameBoundary() != (stallTimer == null)) {
+    }
+
+    private void fail(Http2Exception e) {
+        LOG.log(
+                Level.FINE,
+                "event=http2_protocol_error node={0} code={1} reason=\"{2}\"",
+                new Object[] {nodeClient.authority(), e.code, e.getMessage()});
+        nodeClient.counters().increment("http2_protocol_errors");
+        // The GOAWAY leaves with this turn; nothing that comes after is looked at.
+        protocolFailed = true;
+        http2.sendGoAway(e.code);
+        connection.scheduleWrite();
+        nodeClient.retire(this);
+        nodeClient.runSoon(() -> connection.close(CloseReason.PROTOCOL_ERROR));
+    }
+
+    /** Danger: a frame that stops in its middle holds up all behind it. */
+    private void watchForStall() {
+        boolean isAtBoundary = http2.isAtFrameBoundary();
+        if (isAtBoundary != (stallTimer == null)) {
             nodeClient.cancelTimer(stallTimer);
-            stallTimer = http2.isAtFrameBoundary()
+            stallTimer = isAtBoundary
                     ? null
-                    : nodeClient.startStallTimer(() -> link.close(CloseReason.PROTOCOL_ERROR));
+                    : nodeClient.startStallTimer(
+                            () -> connection.close(CloseReason.PROTOCOL_ERROR));
         }
     }
 
@@ -133,11 +148,8 @@
 
     @Override
     public void onStreamReset(Http2Stream stream, boolean notProcessed, boolean malformed) {
-        finish(
-                stream,
-                malformed
-                        ? CallResult.MALFORMED
-                        : notProcessed ? CallResult.REFUSED_STREAM : CallResult.RESET);
+        CallResult unprocessed = notProcessed ? CallResult.REFUSED_STREAM : CallResult.RESET;
+        finish(stream, malformed ? CallResult.MALFORMED : unprocessed);
     }
 
     private void finish(Http2Stream stream, CallResult result) {
@@ -146,17 +158,15 @@
         if (stream.abandoned) {
             return;
         }
-        nodeClient.finish(
-                request,
-                result,
-                result == CallResult.SATISFIED ? Http2Connection.bodyText(stream) : null);
+        boolean hasValue = result == CallResult.SATISFIED;
+        nodeClient.finish(request, result, hasValue ? Http2Connection.bodyText(stream) : null);
     }
 
     @Override
     public void onGoAway(int lastStreamId, List<Http2Stream> above) {
-        nodeClient.counters().increment("http2_goodbyes");
+        nodeClient.counters().increment("http2_goaways");
         nodeClient.retire(this);
-        above.forEach(stream -> finish(stream, CallResult.ABOVE_GOODBYE));
+        above.forEach(stream -> finish(stream, CallResult.ABOVE_GOAWAY));
     }
 
     @Override
@@ -173,14 +183,14 @@
                 .filter(stream -> !stream.abandoned)
                 .forEach(stream -> interrupted.add((PartRequest) stream.call));
         interrupted.sort(Comparator.comparingLong(request -> request.sentAt));
-        LOG.log(Level.FINE, "event=http2_ended node={0} how={1} open={2}", new Object[] {
-            nodeClient.authority(), closeReason, interrupted.size()
-        });
+        LOG.log(
+                Level.FINE,
+                "event=http2_connection_closed node={0} reason={1} open_calls={2}",
+                new Object[] {nodeClient.authority(), closeReason, interrupted.size()});
         nodeClient.onConnectionEnded(this, wasUp, closeReason);
         for (PartRequest request : interrupted) {
-            boolean isConcerned = closeReason == CloseReason.PEER_CLOSED
-                    ? !anyResponse
-                    : request == interrupted.get(0);
+            boolean isOldest = request == interrupted.get(0);
+            boolean isConcerned = closeReason == CloseReason.PEER_CLOSED ? !anyResponse : isOldest;
             nodeClient.onInterrupted(
                     request, closeReason.toOutcome(mayHaveLeft(request), isConcerned));
         }
--- a/src/main/java/tinlink/http2/Http2Stream.java
+++ b/src/main/java/tinlink/http2/Http2Stream.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One request and its answer. Fields only; the engine keeps its notes here. */
+/** One request and its response. State only; the connection keeps it. */
 final class Http2Stream {
     /** Whatever the request is to whoever made it. */
     final Object call;
@@ -14,12 +14,12 @@
     byte[] body;
 
     int bodySent;
-    /** How much of it the other side takes; may be below 0 once its settings have changed. */
+    /** How many bytes the other side takes; may be below 0 once its settings have changed. */
     long sendWindow;
-    /** How much of the answer we still take. */
+    /** How many bytes of the response we still take. */
     long receiveWindow;
     /**
-     * Nobody hears of it any more, but it counts against the node's limit until it has ended there.
+     * Its call has ended, but it counts against the node's limit until it has ended there.
      */
     boolean abandoned;
 
--- a/src/main/java/tinlink/http2/PartRequest.java
+++ b/src/main/java/tinlink/http2/PartRequest.java
@@ -6,8 +6,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A part call as a request, and its answer as an outcome; docs/protocol-http2.md. */
+/**
+ * A part call as a request, and the meaning of its response; docs/protocol-http2.md. Belongs to the event
+ * loop's thread.
+ */
 public final class PartRequest extends PendingCall {
+    private static final int OK = 200;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final String RESULT_FIELD = "x-part-end";
+
     /** Whatever the call is to whoever made it. */
     public final Object attachment;
 
@@ -15,7 +23,7 @@
     private final String id;
     private final String idempotencyKey;
     private final byte[] text;
-    private final long deadline;
+    private final long answerDeadline;
     boolean ended;
     Http2NodeConnection nodeConnection;
     Http2Stream stream;
@@ -25,9 +33,12 @@
     long sentAt;
 
     /**
-     * @param idempotencyKey null where its index needs none
-     * @param deadline an answer counts, microseconds
-     * @param sendDeadline it must not wait for longer
+     * A call that waits for a connection.
+     *
+     * @param idempotencyKey null where its class needs none
+     * @param text of the query; not copied, not to be changed
+     * @param deadline until when an answer counts, microseconds
+     * @param sendDeadline until when it may wait for a stream, microseconds
      */
     public PartRequest(
             Object attachment,
@@ -43,10 +54,10 @@
         this.id = id;
         this.idempotencyKey = idempotencyKey;
         this.text = text;
-        this.deadline = deadline;
+        answerDeadline = deadline;
     }
 
-    /** Its one outcome has been said, or it was given up. */
+    /** Its one outcome is known, or it was cancelled. */
     public boolean isEnded() {
         return ended;
     }
@@ -63,7 +74,8 @@
         fields.put(":authority", authority);
         fields.put(":path", "/parts/" + shard);
         fields.put("x-part-id", id);
-        fields.put("x-part-wait-ms", String.valueOf(Math.max(1, (deadline - now + 999) / 1000)));
+        fields.put(
+                "x-part-wait-ms", String.valueOf(Math.max(1, (answerDeadline - now + 999) / 1000)));
         if (idempotencyKey != null) {
             fields.put("idempotency-key", idempotencyKey);
         }
@@ -75,19 +87,22 @@
         return text;
     }
 
-    /** What an answer that has ended in order means; a trailer has the last word. */
+    /** What a response that has ended in order means; a trailer has the last word. */
     static CallResult resultOf(Http2Stream response) {
-        return switch (response.trailers.getOrDefault(
-                "x-part-end", response.responseFields.getOrDefault("x-part-end", ""))) {
-            case "rejected" -> CallResult.TURNED_AWAY;
+        String declared = response.responseFields.getOrDefault(RESULT_FIELD, "");
+        return switch (response.trailers.getOrDefault(RESULT_FIELD, declared)) {
+            case "rejected" -> CallResult.REJECTED;
             case "error" -> CallResult.FAILED;
-            case "", "ok" ->
-                response.status == 200
-                        ? CallResult.SATISFIED
-                        : response.status == 429 || response.status == 503
-                                ? CallResult.TURNED_AWAY
-                                : CallResult.FAILED;
+            case "", "ok" -> resultOfStatus(response.status);
             default -> CallResult.MALFORMED;
         };
     }
+
+    private static CallResult resultOfStatus(int status) {
+        return switch (status) {
+            case OK -> CallResult.SATISFIED;
+            case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> CallResult.REJECTED;
+            default -> CallResult.FAILED;
+        };
+    }
 }
--- a/src/main/java/tinlink/http2/ReceiveWindow.java
+++ b/src/main/java/tinlink/http2/ReceiveWindow.java
@@ -7,9 +7,9 @@
  * streams.
  */
 final class ReceiveWindow {
-    /** The connection's window is made this large at once, so that answers don't wait for each other's. */
+    /** The connection's window is made this large at once, so that responses don't wait for each other. */
     private static final int CONNECTION_WINDOW = 1 << 20;
-    /** An answer of the largest size fits, and what is over is found out by its length. */
+    /** A response of the largest size fits, and what is longer is found out by its length. */
     static final int STREAM_WINDOW = 2 * ProtocolLimits.MAX_BODY_BYTES;
 
     private final FrameWriter writer;
--- a/src/main/java/tinlink/http2/ResponseReader.java
+++ b/src/main/java/tinlink/http2/ResponseReader.java
@@ -4,12 +4,12 @@
 
 import java.nio.ByteBuffer;
 
-/** Puts an answer together in its stream, and checks its form (RFC 9113, section 8.1). */
+/** Puts a response together in its stream, and checks its form (RFC 9113, section 8.1). */
 final class ResponseReader {
     private static final int OK = 200;
     private static final int SWITCHING_PROTOCOLS = 101;
 
-    /** How far an answer has come. */
+    /** How far a response has come. */
     enum Progress {
         INCOMPLETE,
         COMPLETE,
@@ -22,14 +22,14 @@
         this.uselessFrameBudget = uselessFrameBudget;
     }
 
-    /** A header block: an interim answer, the answer's head, or its trailers. */
+    /** A header block: an interim response, the response's head, or its trailers. */
     Progress headers(Http2Stream stream, HeaderCodec.HeaderBlock block, boolean endsStream)
             throws Http2Exception {
         String statusText = block.pseudoFields.get(":status");
         boolean isTrailers = stream.status != 0;
         if (block.malformedReason != null
                 || isTrailers != (statusText == null)
-                || isTrailers && !endsStream) {
+                || (isTrailers && !endsStream)) {
             return Progress.MALFORMED;
         }
         if (isTrailers) {
@@ -41,8 +41,8 @@
         }
         int statusCode = Integer.parseInt(statusText);
         if (statusCode < OK) {
-            uselessFrameBudget
-                    .spend(); // An interim answer says nothing; what it announces is still to come.
+            // An interim response says nothing; what it announces is still to come.
+            uselessFrameBudget.spend();
             return endsStream || statusCode == SWITCHING_PROTOCOLS
                     ? Progress.MALFORMED
                     : Progress.INCOMPLETE;
@@ -62,7 +62,7 @@
         return endsStream ? finish(stream) : Progress.INCOMPLETE;
     }
 
-    /** A piece of the answer's body, without its padding. */
+    /** A piece of the response's body, without its padding. */
     Progress data(Http2Stream stream, ByteBuffer payload, boolean endsStream)
             throws Http2Exception {
         if (stream.status == 0) {
@@ -71,14 +71,14 @@
         uselessFrameBudget.spendUnless(payload.hasRemaining() || endsStream);
         int bodyBytes = stream.responseBody.size() + payload.remaining();
         if (bodyBytes > ProtocolLimits.MAX_BODY_BYTES
-                || stream.contentLength >= 0 && bodyBytes > stream.contentLength) {
+                || (stream.contentLength >= 0 && bodyBytes > stream.contentLength)) {
             return Progress.MALFORMED;
         }
-        stream.responseBody.write(payload.array(), payload.position(), payload.remaining());
+        FramePayload.appendTo(stream.responseBody, payload);
         return endsStream ? finish(stream) : Progress.INCOMPLETE;
     }
 
-    /** It is over in order if it is as long as it said. */
+    /** It has ended in order if it is as long as it said. */
     private static Progress finish(Http2Stream stream) {
         boolean isDeclaredLength =
                 stream.contentLength < 0 || stream.responseBody.size() == stream.contentLength;
--- a/src/main/java/tinlink/http2/SendWindow.java
+++ b/src/main/java/tinlink/http2/SendWindow.java
@@ -70,8 +70,7 @@
     /** The connection's window grows by so many bytes. */
     void growConnection(int bytes) throws Http2Exception {
         if (bytes == 0) {
-            throw new Http2Exception(
-                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "a window that does not grow");
+            throw Http2Exception.protocolError("a window that does not grow");
         }
         connectionWindow += bytes;
         checkWindow(connectionWindow);
--- a/src/main/java/tinlink/http2/StreamTable.java
+++ b/src/main/java/tinlink/http2/StreamTable.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * The streams of one client's connection by id (RFC 9113, section 5.1). An open stream leaves with its answer
- * or its reset; of those that this side has reset the newest ids are remembered, since frames on them may
- * still be under way.
+ * The streams of one client's connection by id (RFC 9113, section 5.1). An open stream leaves with its
+ * response or its reset; of those that this side has reset the newest ids are remembered, since frames on
+ * them may still be under way.
  */
 final class StreamTable {
     private final TreeMap<Integer, Http2Stream> openById = new TreeMap<>();
@@ -50,14 +50,13 @@
         }
         checkOpened(id);
         throw new Http2Exception(
-                Http2Constants.ErrorCode.STREAM_CLOSED, "stream " + id + " is over");
+                Http2Constants.ErrorCode.STREAM_CLOSED, "stream " + id + " is closed");
     }
 
     /** Fails where the id can't be of a stream that this side has opened at any time. */
     void checkOpened(int id) throws Http2Exception {
-        if (id % 2 == 0 || nextStreamId > 0 && id >= nextStreamId) {
-            throw new Http2Exception(
-                    Http2Constants.ErrorCode.PROTOCOL_ERROR, "stream " + id + " was never opened");
+        if (id % 2 == 0 || (nextStreamId > 0 && id >= nextStreamId)) {
+            throw Http2Exception.protocolError("stream " + id + " was never opened");
         }
     }
 
@@ -66,7 +65,11 @@
         return Collections.unmodifiableCollection(openById.values());
     }
 
-    /** @return whether it was open */
+    /**
+     * Closes the stream.
+     *
+     * @return whether it was open
+     */
     boolean remove(Http2Stream stream) {
         return openById.remove(stream.id, stream);
     }
@@ -82,9 +85,7 @@
     /** Danger: a GOAWAY whose last id rises again would let what was said never to have run, run. */
     void checkGoAway(int goAwayId) throws Http2Exception {
         if (goAwayId > lastProcessedId) {
-            throw new Http2Exception(
-                    Http2Constants.ErrorCode.PROTOCOL_ERROR,
-                    "a goodbye that takes back the one before");
+            throw Http2Exception.protocolError("a GOAWAY that takes back the one before");
         }
     }
 
--- a/src/main/java/tinlink/http2/UselessFrameBudget.java
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -2,10 +2,10 @@
 
 /** Bounds the frames that serve nobody. Danger: a flood of frames that cost the other side nothing. */
 final class UselessFrameBudget {
-    /** Frames of no use that may come at once, and for each answer besides. */
+    /** Frames of no use that may come at once, and for each response besides. */
     private static final int MAX_FRAMES = 256;
 
-    private static final int FRAMES_PER_ANSWER = 16;
+    private static final int FRAMES_PER_RESPONSE = 16;
 
     private int remaining = MAX_FRAMES;
 
@@ -13,7 +13,7 @@
     void spend() throws Http2Exception {
         if (--remaining < 0) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "so many frames of no use");
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "too many frames of no use");
         }
     }
 
@@ -23,8 +23,8 @@
         }
     }
 
-    /** An answer has come whole. */
+    /** A response has come complete. */
     void refill() {
-        remaining = Math.min(MAX_FRAMES, remaining + FRAMES_PER_ANSWER);
+        remaining = Math.min(MAX_FRAMES, remaining + FRAMES_PER_RESPONSE);
     }
 }
--- a/src/main/java/tinlink/http2/pool/ConnectionPool.java
+++ b/src/main/java/tinlink/http2/pool/ConnectionPool.java
@@ -5,48 +5,24 @@
 import java.util.List;
 
 /**
- * What is decided about the connections to one node that offers HTTP/2: how many, which call goes
- * on which, when one is opened, retired, replaced or found dead, and whether the node speaks it at
- * all. Inputs only update what is known; {@link #decide} is pulled until it says false. No I/O.
- * Times are microseconds.
+ * Decides about the connections to one node that offers HTTP/2: how many, which call goes on which, when one
+ * is opened, retired, replaced or found dead, and whether the node speaks it at all.
+ *
+ * <p>Inputs only update what is known; {@link #decide} is pulled until it returns false. No I/O, no clock;
+ * times are microseconds. Not thread-safe: all calls come from the owner's thread.
  */
 public final class ConnectionPool {
-    /** What decisions are carried out with. */
-    public interface PoolHandler {
-        void openConnection(PooledConnection pooled);
-
-        void startCall(PendingCall call, PooledConnection pooled);
-
-        /** Never placed. */
-        void endCall(PendingCall call, CallResult result);
-
-        /** By the other protocol: the node does not speak this one. */
-        void fallBackToFrames(PendingCall call);
-
-        void sendPing(PooledConnection pooled, long number);
-
-        /**
-         * Closes a connection.
-         *
-         * @param silent it has answered nothing; else it is not needed any more, and nothing is out
-         *     on it
-         */
-        void closeConnection(PooledConnection pooled, boolean silent);
-
-        void wakeAt(long at);
-    }
-
     /**
-     * The bounds of a pool, times in microseconds.
+     * The bounds of a pool; times in microseconds.
      *
      * @param maxConnections at a time
-     * @param initialStreams that a connection which is coming up is taken to have room for
+     * @param initialStreams that a connection which is coming up is taken to have capacity for
      * @param maxPending calls that wait at a time
      * @param maxWaitUs for how long one may wait for a stream where a connection is up
      * @param connectTimeoutUs a connection has to be up, and its first settings here, within it
      * @param idleTimeoutUs one without use is closed
-     * @param pingIntervalUs one with calls out that says nothing for so long is asked, and closed after as
-     *     long again
+     * @param pingIntervalUs one with calls out that is silent for so long is pinged, and closed after as long
+     *     again
      * @param fallbackUs for how long a node is taken not to speak it
      */
     public record Settings(
@@ -62,287 +38,263 @@
     private final Settings settings;
     /** Each leaves as it ends. */
     private final List<PooledConnection> connections = new ArrayList<>();
-    /** Bounded; each leaves with a place, or in time. */
+    /** Bounded; each leaves with a stream, or in time. */
     private final ArrayDeque<PendingCall> pending = new ArrayDeque<>();
 
+    /** What inputs have made of calls; emptied by the decisions of the turn. */
     private final ArrayDeque<PendingCall> rejected = new ArrayDeque<>();
+
     private final ArrayDeque<PendingCall> unreachable = new ArrayDeque<>();
     private CallResult unreachableResult = CallResult.NO_CONNECTION;
+    /** What the node allowed on its last connection; what is usual until it has said so. */
     private long expectedStreams;
+
     private long fallbackUntil = Long.MIN_VALUE;
     private long lastPing;
     private boolean nodeRemoved;
     private long now;
-    private long nextWakeAt = Long.MAX_VALUE;
+    /** The wake-up that has been asked for; {@link Long#MAX_VALUE} where none is. */
+    private long wakeAt = Long.MAX_VALUE;
 
     public ConnectionPool(Settings settings) {
         this.settings = settings;
         expectedStreams = settings.initialStreams();
     }
 
-    // ---- Inputs. ----
+    // ---- Inputs: calls and the node. ----
 
+    /** Time has passed; comes before all other inputs. */
     public void advanceClock(long nowUs) {
         now = nowUs;
-        nextWakeAt = now >= nextWakeAt ? Long.MAX_VALUE : nextWakeAt;
+        wakeAt = now >= wakeAt ? Long.MAX_VALUE : wakeAt;
     }
 
     public void submit(PendingCall call) {
         if (pending.size() >= settings.maxPending()) {
             rejected.add(call);
-            return;
-        }
-        if (nodeRemoved) {
+        } else if (nodeRemoved) {
             unreachable.add(call);
-            return;
+        } else {
+            call.streamDeadline = Math.min(call.deadline, now + settings.maxWaitUs());
+            pending.add(call);
         }
-        call.streamDeadline = Math.min(call.deadline, now + settings.maxWaitUs());
-        pending.add(call);
     }
 
-    /** Given up before it had a place. */
+    /** Given up before it had a stream. */
     public void cancel(PendingCall call) {
-        call.ended = true;
+        call.decided = true;
         pending.remove(call);
     }
 
-    /** The connection is up; its settings are still to come. */
-    public void onConnected(PooledConnection pooled) {
-        if (pooled.state == PooledConnection.State.CONNECTING) {
-            pooled.state = PooledConnection.State.UP;
-            pooled.lastBytesAt = now;
-            pooled.lastUsedAt = now;
-            pooled.stateSince = now;
-        }
+    /** The node takes nothing new: what is pending was never sent. */
+    public void dropPending() {
+        endPending(CallResult.NOT_SENT);
+    }
+
+    /** The node is off the list: what is out is finished, nothing new goes there. */
+    public void onNodeRemoved() {
+        nodeRemoved = true;
+        dropPending();
+        connections.forEach(PooledConnection::retire);
+    }
+
+    private void endPending(CallResult result) {
+        unreachableResult = result;
+        unreachable.addAll(pending);
+        pending.clear();
+    }
+
+    // ---- Inputs: connections. ----
+
+    /** The connection is up; the node's settings are still to come. */
+    public void onConnected(PooledConnection connection) {
+        connection.onConnected(now);
     }
 
     /** The node allows so many streams on it; may be fewer than are open, and none. */
-    public void onMaxStreams(PooledConnection pooled, long maxStreams) {
-        pooled.maxStreams = maxStreams;
-        pooled.settingsReceived = true;
+    public void onMaxStreams(PooledConnection connection, long maxStreams) {
+        connection.onMaxStreams(maxStreams);
         expectedStreams = Math.max(1, Math.min(maxStreams, Integer.MAX_VALUE));
         fallbackUntil = Long.MIN_VALUE;
     }
 
-    public void onBytes(PooledConnection pooled) {
-        pooled.lastBytesAt = now;
+    /** Something has come on it. */
+    public void onBytes(PooledConnection connection) {
+        connection.onBytes(now);
     }
 
-    public void onPingAck(PooledConnection pooled, long number) {
-        if (number == pooled.pendingPing) {
-            pooled.pendingPing = 0;
-        }
+    public void onPingAck(PooledConnection connection, long number) {
+        connection.onPingAck(number);
     }
 
-    /** A call on it is over. */
-    public void onStreamClosed(PooledConnection pooled) {
-        pooled.openStreams--;
-        pooled.lastUsedAt = now;
+    /** A call on it has ended. */
+    public void onStreamClosed(PooledConnection connection) {
+        connection.onStreamClosed(now);
     }
 
-    /** No new calls: its node says goodbye, has moved or started anew, or its ids are used up. */
-    public void retire(PooledConnection pooled) {
-        if (pooled.state != PooledConnection.State.CLOSED) {
-            pooled.state = PooledConnection.State.RETIRING;
-        }
+    /** No new calls: its node said GOAWAY, has moved or started anew, or its ids are used up. */
+    public void retire(PooledConnection connection) {
+        connection.retire();
     }
 
     /**
-     * It has ended. Danger: a node that takes connections and does not speak HTTP/2 would cost
-     * every call a connect; one whose machine is merely away must not pass for such a node.
+     * It has ended. Danger: a node that takes connections and does not speak HTTP/2 would cost every call a
+     * connect; one whose machine is merely away must not pass for such a node.
      *
      * @param wasUp it had come up
      * @param result of a call that has nowhere to go now
      */
-    public void onConnectionEnded(PooledConnection pooled, boolean wasUp, CallResult result) {
-        pooled.state = PooledConnection.State.CLOSED;
-        connections.remove(pooled);
-        if (wasUp && !pooled.settingsReceived) {
+    public void onConnectionEnded(PooledConnection connection, boolean wasUp, CallResult result) {
+        connection.onClosed();
+        connections.remove(connection);
+        if (wasUp && !connection.settingsReceived()) {
             fallbackUntil = now + settings.fallbackUs();
         } else if (!wasUp && connections.isEmpty()) {
-            unreachableResult = result;
-            unreachable.addAll(pending);
-            pending.clear();
+            endPending(result);
         }
     }
 
-    /** The node takes nothing new: what waits was never sent. */
-    public void dropPending() {
-        unreachableResult = CallResult.NEVER_LEFT;
-        unreachable.addAll(pending);
-        pending.clear();
-    }
-
-    /** The node is off the list: what is out is finished, nothing new goes there. */
-    public void nodeRemoved() {
-        nodeRemoved = true;
-        dropPending();
-        connections.forEach(this::retire);
-    }
+    // ---- State. ----
 
+    /** False for a while after the node has shown that it speaks something else. */
     public boolean supportsHttp2() {
         return now >= fallbackUntil;
     }
 
-    public List<PooledConnection> connections() {
-        return List.copyOf(connections);
-    }
-
-    public int pending() {
+    /** Calls that wait for a stream. */
+    public int pendingCount() {
         return pending.size();
     }
 
     // ---- Decisions. ----
 
+    /** Carries out one decision. @return false where there is none */
     public boolean decide(PoolHandler handler) {
         if (!rejected.isEmpty()) {
-            endCall(handler, rejected.poll(), CallResult.FULL);
+            end(rejected.poll(), CallResult.NO_CAPACITY, handler);
             return true;
         }
         if (!unreachable.isEmpty()) {
-            endCall(handler, unreachable.poll(), unreachableResult);
+            end(unreachable.poll(), unreachableResult, handler);
             return true;
         }
         if (!supportsHttp2() && !pending.isEmpty()) {
-            PendingCall call = pending.poll();
-            call.ended = true;
-            handler.fallBackToFrames(call);
+            handler.fallBackToFrames(takePending());
             return true;
         }
-        for (PooledConnection pooled : connections) {
-            if (maintainConnection(pooled, handler)) {
+        for (PooledConnection connection : connections) {
+            if (maintain(connection, handler)) {
                 return true;
             }
         }
-        if (!pending.isEmpty() && (startNextCall(handler) || openIfNeeded(handler))) {
+        if (!pending.isEmpty() && (startNext(handler) || openIfNeeded(handler))) {
             return true;
         }
-        return expireOrWake(handler);
+        return expirePending(handler) || askForWakeUp(handler);
+    }
+
+    private PendingCall takePending() {
+        PendingCall call = pending.poll();
+        call.decided = true;
+        return call;
     }
 
-    private static void endCall(PoolHandler handler, PendingCall call, CallResult result) {
-        if (!call.ended) {
-            call.ended = true;
+    private static void end(PendingCall call, CallResult result, PoolHandler handler) {
+        if (!call.decided) {
+            call.decided = true;
             handler.endCall(call, result);
         }
     }
 
-    private boolean maintainConnection(PooledConnection pooled, PoolHandler handler) {
-        boolean handshakeTimedOut = pooled.state == PooledConnection.State.UP
-                && !pooled.settingsReceived
-                && now >= pooled.stateSince + settings.connectTimeoutUs();
-        boolean isDead =
-                pooled.pendingPing > 0 && now >= pooled.pingSentAt + settings.pingIntervalUs();
-        boolean isUnused = pooled.openStreams == 0
-                && (pooled.state == PooledConnection.State.RETIRING
-                        || (pooled.state == PooledConnection.State.UP
-                                && now >= pooled.lastUsedAt + settings.idleTimeoutUs()));
-        if (handshakeTimedOut || isDead || isUnused) {
-            handler.closeConnection(pooled, !isUnused);
+    private boolean maintain(PooledConnection connection, PoolHandler handler) {
+        boolean isUnused = connection.isUnused(now);
+        if (isUnused || connection.isUnresponsive(now)) {
+            handler.closeConnection(connection, !isUnused);
             return true;
         }
-        if (pooled.openStreams > 0
-                && pooled.pendingPing == 0
-                && now
-                        >= Math.max(pooled.lastBytesAt, pooled.pingSentAt)
-                                + settings.pingIntervalUs()) {
-            pooled.pendingPing = ++lastPing;
-            pooled.pingSentAt = now;
-            handler.sendPing(pooled, pooled.pendingPing);
+        if (connection.isPingDue(now)) {
+            connection.onPingSent(++lastPing, now);
+            handler.sendPing(connection, lastPing);
             return true;
         }
         return false;
     }
 
-    /** The fullest connection that has room, so that the others fall idle and are closed. */
-    private boolean startNextCall(PoolHandler handler) {
-        PooledConnection best = null;
-        for (PooledConnection pooled : connections) {
-            if (pooled.hasCapacity()
-                    && pooled.pendingPing == 0
-                    && (best == null || pooled.openStreams > best.openStreams)) {
-                best = pooled;
+    /** On the fullest connection that has capacity, so that the others fall idle and are closed. */
+    private boolean startNext(PoolHandler handler) {
+        PooledConnection fullest = null;
+        for (PooledConnection connection : connections) {
+            if (connection.hasCapacity()
+                    && (fullest == null || connection.openStreams() > fullest.openStreams())) {
+                fullest = connection;
             }
         }
-        if (best == null) {
+        if (fullest == null) {
             return false;
         }
-        PendingCall call = pending.poll();
-        call.ended = true;
-        best.openStreams++;
-        best.lastUsedAt = now;
-        handler.startCall(call, best);
+        PendingCall call = takePending();
+        fullest.onStreamOpened(now);
+        handler.startCall(call, fullest);
         return true;
     }
 
-    /** One more, if those that are coming up would not have room for all that wait. */
+    /** One more, if those that are coming up would not have capacity for all that are pending. */
     private boolean openIfNeeded(PoolHandler handler) {
-        long expectedCapacity = 0;
-        int activeConnections = 0;
-        for (PooledConnection pooled : connections) {
-            boolean isComingUp = pooled.state == PooledConnection.State.CONNECTING
-                    || (pooled.state == PooledConnection.State.UP && !pooled.settingsReceived);
-            expectedCapacity +=
-                    isComingUp ? Math.min(expectedStreams, settings.initialStreams()) : 0;
-            activeConnections += pooled.state == PooledConnection.State.RETIRING ? 0 : 1;
-        }
-        if (nodeRemoved
-                || expectedCapacity >= pending.size()
-                || activeConnections >= settings.maxConnections()) {
-            return false;
-        }
         // Danger: a node that allows no streams at all would be met with connection after
         // connection.
-        boolean allowsNoStreams = connections.stream()
-                .anyMatch(pooled -> pooled.settingsReceived
-                        && pooled.maxStreams == 0
-                        && pooled.state == PooledConnection.State.UP);
-        if (allowsNoStreams) {
+        boolean isRefused = connections.stream().anyMatch(PooledConnection::allowsNoStreams);
+        if (nodeRemoved
+                || expectedCapacity() >= pending.size()
+                || activeConnections() >= settings.maxConnections()
+                || isRefused) {
             return false;
         }
-        PooledConnection pooled = new PooledConnection();
-        pooled.lastUsedAt = now;
-        pooled.stateSince = now;
-        connections.add(pooled);
-        handler.openConnection(pooled);
+        PooledConnection connection = new PooledConnection(settings, now);
+        connections.add(connection);
+        handler.openConnection(connection);
         return true;
     }
 
-    private boolean expireOrWake(PoolHandler handler) {
-        boolean hasConnection = connections.stream()
-                .anyMatch(pooled ->
-                        pooled.settingsReceived && pooled.state == PooledConnection.State.UP);
+    private long expectedCapacity() {
+        long comingUp =
+                connections.stream().filter(PooledConnection::isComingUp).count();
+        return comingUp * Math.min(expectedStreams, settings.initialStreams());
+    }
+
+    private long activeConnections() {
+        return connections.stream().filter(each -> !each.isRetiring()).count();
+    }
+
+    private boolean isAnyReady() {
+        return connections.stream().anyMatch(PooledConnection::isReady);
+    }
+
+    private boolean expirePending(PoolHandler handler) {
+        boolean isReady = isAnyReady();
         for (PendingCall call : pending) {
-            if (now >= call.deadline || (hasConnection && now >= call.streamDeadline)) {
+            if (now >= call.deadline || (isReady && now >= call.streamDeadline)) {
                 pending.remove(call);
-                endCall(handler, call, CallResult.FULL);
+                end(call, CallResult.NO_CAPACITY, handler);
                 return true;
             }
         }
-        long nextDueAt = Long.MAX_VALUE;
+        return false;
+    }
+
+    private boolean askForWakeUp(PoolHandler handler) {
+        boolean isReady = isAnyReady();
+        long dueAt = Long.MAX_VALUE;
         for (PendingCall call : pending) {
-            nextDueAt = Math.min(nextDueAt, hasConnection ? call.streamDeadline : call.deadline);
+            dueAt = Math.min(dueAt, isReady ? call.streamDeadline : call.deadline);
         }
-        for (PooledConnection pooled : connections) {
-            if (pooled.state == PooledConnection.State.UP && !pooled.settingsReceived) {
-                nextDueAt = Math.min(nextDueAt, pooled.stateSince + settings.connectTimeoutUs());
-            }
-            if (pooled.pendingPing > 0) {
-                nextDueAt = Math.min(nextDueAt, pooled.pingSentAt + settings.pingIntervalUs());
-            } else if (pooled.openStreams > 0) {
-                nextDueAt = Math.min(
-                        nextDueAt,
-                        Math.max(pooled.lastBytesAt, pooled.pingSentAt)
-                                + settings.pingIntervalUs());
-            } else if (pooled.state == PooledConnection.State.UP) {
-                nextDueAt = Math.min(nextDueAt, pooled.lastUsedAt + settings.idleTimeoutUs());
-            }
+        for (PooledConnection connection : connections) {
+            dueAt = Math.min(dueAt, connection.nextDueAt());
         }
-        if (nextDueAt < nextWakeAt) {
-            nextWakeAt = nextDueAt;
-            handler.wakeAt(nextDueAt);
-            return true;
+        if (dueAt >= wakeAt) {
+            return false;
         }
-        return false;
+        wakeAt = dueAt;
+        handler.wakeAt(dueAt);
+        return true;
     }
 }
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -60,27 +60,28 @@
         gateway = new Gateway(
                 loop,
                 network,
-                new Gateway.Settings(new Gateway.Identity(
-                        gatewayConfig.site,
-                        gatewayConfig.router,
-                        loop.nowUs(),
-                        gatewayConfig.acceptedSites),
-                new Gateway.Timing(
-                        gatewayConfig.heartbeatUs,
-                        gatewayConfig.handshakeUs,
-                        gatewayConfig.recoveryRampUs,
-                        config.maxDeadlineUs),
-                new Gateway.Limits(
-                        gatewayConfig.maxInboundParts,
-                        gatewayConfig.maxCachedOutcomes,
-                        gatewayConfig.maxCachedOutcomeBytes,
-                        gatewayConfig.maxInboundConnections,
-                        gatewayConfig.maxQueuedParts),
-                gatewayConfig.remoteRouters.stream()
-                        .map(remote -> new Gateway.RemoteEndpoint(
-                                remote.site(), remote.router(), remote.addresses()))
-                        .toList(),
-                config.seed),
+                new Gateway.Settings(
+                        new Gateway.Identity(
+                                gatewayConfig.site,
+                                gatewayConfig.router,
+                                loop.nowUs(),
+                                gatewayConfig.acceptedSites),
+                        new Gateway.Timing(
+                                gatewayConfig.heartbeatUs,
+                                gatewayConfig.handshakeUs,
+                                gatewayConfig.recoveryRampUs,
+                                config.maxDeadlineUs),
+                        new Gateway.Limits(
+                                gatewayConfig.maxInboundParts,
+                                gatewayConfig.maxCachedOutcomes,
+                                gatewayConfig.maxCachedOutcomeBytes,
+                                gatewayConfig.maxInboundConnections,
+                                gatewayConfig.maxQueuedParts),
+                        gatewayConfig.remoteRouters.stream()
+                                .map(remote -> new Gateway.RemoteEndpoint(
+                                        remote.site(), remote.router(), remote.addresses()))
+                                .toList(),
+                        config.seed),
                 keys(gatewayConfig),
                 this);
     }
@@ -169,12 +170,12 @@
                 sent.attempt.node.cell,
                 query.lookupClass.idempotency == LookupClass.Idempotency.IDEMPOTENT,
                 new PartContent(
-                sent.part().id,
-                classNames.get(query.lookupClass),
-                sent.part().shard,
-                query.idempotencyKey,
-                query.text,
-                query.isClientRetry),
+                        sent.part().id,
+                        classNames.get(query.lookupClass),
+                        sent.part().shard,
+                        query.idempotencyKey,
+                        query.text,
+                        query.isClientRetry),
                 effectUntil(sent));
         sent.transport = new AttemptTransport() {
             @Override
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -76,7 +76,9 @@
             throws MessageRejectedException {
         PartContent content = part.content;
         LookupClass lookupClass = settings.lookupClasses().get(content.lookupClass());
-        if (lookupClass == null || content.shard() < 0 || content.shard() >= settings.shardCount()) {
+        if (lookupClass == null
+                || content.shard() < 0
+                || content.shard() >= settings.shardCount()) {
             throw new MessageRejectedException(400, "no such class or shard");
         }
         boolean needsKey = lookupClass.idempotency == LookupClass.Idempotency.BY_KEY;
@@ -86,7 +88,8 @@
                                 || !KEY.matcher(content.idempotencyKey()).matches()))) {
             throw new MessageRejectedException(400, "id or key: not of its form");
         }
-        Query query = new Query(id, content.text(), needsKey ? content.idempotencyKey() : null, listener);
+        Query query =
+                new Query(id, content.text(), needsKey ? content.idempotencyKey() : null, listener);
         query.lookupClass = lookupClass;
         query.isClientRetry = content.clientRetry();
         query.isForwarded = true;
--- a/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
@@ -47,8 +47,8 @@
 @Timeout(120)
 class GatewayLinksGoldenFilesTest {
     private static final String FILE = "gateway-links.txt";
-    private static final KeyRing KEYS = new KeyRing(
-            Map.of("k1", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k1");
+    private static final KeyRing KEYS =
+            new KeyRing(Map.of("k1", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k1");
     private static final int HELLO = 1;
     private static final int CHALLENGE = 2;
     private static final int PROOF = 3;
@@ -105,12 +105,14 @@
                     network,
                     new Gateway.Settings(
                             near
-                                    ? new Gateway.Identity("east", "e1", 0x0102030405060708L, Set.of())
+                                    ? new Gateway.Identity(
+                                            "east", "e1", 0x0102030405060708L, Set.of())
                                     : new Gateway.Identity("west", "w1", -2, Set.of("east")),
                             new Gateway.Timing(2 * SECOND_US, 5_000_000, 20_000_000, 20_000_000),
                             new Gateway.Limits(8, 16, 1 << 16, 4, 4),
                             near
-                                    ? List.of(new Gateway.RemoteEndpoint("west", "w1", List.of(calls)))
+                                    ? List.of(new Gateway.RemoteEndpoint(
+                                            "west", "w1", List.of(calls)))
                                     : List.of(),
                             1),
                     KEYS,
@@ -158,7 +160,14 @@
             CompletableFuture<OutgoingPart> sent = new CompletableFuture<>();
             loop.execute(() -> {
                 long until = loop.nowUs() + 10 * SECOND_US;
-                OutgoingPart part = new OutgoingPart(what, loop.nowUs(), until, 3, false, new PartContent("q1.é", "sum", 0x01020304, key, TEXT, repeat), key == null ? Long.MAX_VALUE : until);
+                OutgoingPart part = new OutgoingPart(
+                        what,
+                        loop.nowUs(),
+                        until,
+                        3,
+                        false,
+                        new PartContent("q1.é", "sum", 0x01020304, key, TEXT, repeat),
+                        key == null ? Long.MAX_VALUE : until);
                 gateway.forward(far, part);
                 sent.complete(part);
             });
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -180,8 +180,7 @@
             challenge = Arrays.copyOfRange(whole, 1, whole.length - Handshake.PROOF_BYTES);
             assertArrayEquals(
                     KEYS.proof(keyId, "far proof", hello, challenge),
-                    Arrays.copyOfRange(
-                            whole, whole.length - Handshake.PROOF_BYTES, whole.length));
+                    Arrays.copyOfRange(whole, whole.length - Handshake.PROOF_BYTES, whole.length));
         }
 
         byte[] proof() {
@@ -197,10 +196,8 @@
             exchangeHello();
             send(GatewayMessage.Type.PROOF.code, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new KeyRing.FrameAuthenticator(
-                    KeyRing.mac(secret, "to the far side"));
-            inboundSeal = new KeyRing.FrameAuthenticator(
-                    KeyRing.mac(secret, "to the near side"));
+            outboundSeal = new KeyRing.FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
+            inboundSeal = new KeyRing.FrameAuthenticator(KeyRing.mac(secret, "to the near side"));
             awaitMessage(GatewayMessage.Type.CREDIT_WINDOW.code);
         }
 
@@ -221,7 +218,8 @@
             send(
                     GatewayMessage.Type.HEARTBEAT.code,
                     new MessageCodec.Builder().putLong(number).putLong(1).build());
-            assertEquals(number, awaitMessage(GatewayMessage.Type.HEARTBEAT_ACK.code).getLong());
+            assertEquals(
+                    number, awaitMessage(GatewayMessage.Type.HEARTBEAT_ACK.code).getLong());
         }
 
         byte[] partBody(long number, int shard, long remainingUs, long ackedHeartbeat) {
@@ -380,8 +378,8 @@
             peer.connectCount = 3;
             peer.completeHandshake();
             peer.exchangeHeartbeat(1);
-            byte[] frame =
-                    peer.frame(GatewayMessage.Type.FORWARD_PART.code, peer.partBody(7, 3, 1_000_000, 1));
+            byte[] frame = peer.frame(
+                    GatewayMessage.Type.FORWARD_PART.code, peer.partBody(7, 3, 1_000_000, 1));
             if (changed) {
                 frame[frame.length - MessageCodec.TAG_BYTES - 2] ^= 1;
                 peer.socket.getOutputStream().write(frame);
@@ -435,7 +433,9 @@
             new byte[3],
             new MessageCodec.Builder().putLong(-1).build()
         };
-        byte[] types = {GatewayMessage.Type.STATUS_QUERY.code, GatewayMessage.Type.FORWARD_PART.code, (byte) 99};
+        byte[] types = {
+            GatewayMessage.Type.STATUS_QUERY.code, GatewayMessage.Type.FORWARD_PART.code, (byte) 99
+        };
         for (int i = 0; i < bodies.length; i++) {
             Peer peer = new Peer(KEYS, "k1", "east");
             peer.connectCount = 3L + i;
--- a/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
+++ b/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
@@ -25,7 +25,7 @@
  * Plays frames of a scripted server against the client's engine; docs/scenarios.md has the
  * notation.
  */
-public final class Http2ConnectionPlayer implements Http2Connection.StreamListener {
+public final class Http2ConnectionPlayer implements StreamListener {
     private static final Map<String, Integer> SETTING_IDS = Map.of(
             "table", 1, "push", 2, "streams", 3, "window", 4, "frame", 5, "list", 6, "unknown", 99);
     private final ArrayDeque<String> sent = new ArrayDeque<>();
@@ -221,7 +221,7 @@
                     case 1, 9 -> "headers " + stream + " " + headerNames(payload, flags) + end;
                     case 3 ->
                         "reset " + stream + " "
-                                + Http2Constants.ErrorCode.numbered(
+                                + Http2Constants.ErrorCode.ofNumber(
                                         ByteBuffer.wrap(payload).getInt());
                     case 4 -> (flags & 1) != 0 ? "ack" : "settings";
                     case 6 ->
@@ -229,7 +229,7 @@
                                 + ((flags & 1) != 0 ? " ack" : "");
                     case 7 ->
                         "goaway "
-                                + Http2Constants.ErrorCode.numbered(
+                                + Http2Constants.ErrorCode.ofNumber(
                                         ByteBuffer.wrap(payload, 4, 4).getInt());
                     case 8 ->
                         "update " + stream + " " + ByteBuffer.wrap(payload).getInt();
--- a/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
+++ b/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
@@ -15,7 +15,7 @@
 /**
  * Plays a scenario of the choice of connections over HTTP/2; docs/scenarios.md has the notation.
  */
-public final class ConnectionPoolPlayer implements ConnectionPool.PoolHandler {
+public final class ConnectionPoolPlayer implements PoolHandler {
     private static final class TestCall extends PendingCall {
         private final String name;
 
@@ -121,7 +121,8 @@
             case "up" -> pool.onConnected(connection(words[1]));
             case "settled" -> pool.onMaxStreams(connection(words[1]), Long.parseLong(words[2]));
             case "heard" -> pool.onBytes(connection(words[1]));
-            case "ponged" -> pool.onPingAck(connection(words[1]), connection(words[1]).pendingPing);
+            case "ponged" ->
+                pool.onPingAck(connection(words[1]), connection(words[1]).pendingPing());
             case "done" -> {
                 pool.onBytes(connections.get(placed.get(words[1])));
                 pool.onStreamClosed(connections.get(placed.get(words[1])));
@@ -131,7 +132,7 @@
                 pool.onConnectionEnded(
                         connection(words[1]), words.length < 3, CallResult.NO_CONNECTION);
             case "draining" -> pool.dropPending();
-            case "gone" -> pool.nodeRemoved();
+            case "gone" -> pool.onNodeRemoved();
             default -> throw new IllegalArgumentException(words[0]);
         }
     }
