--- a/src/main/java/tinlink/experiment/scale/HollowRouter.java
+++ b/src/main/java/tinlink/experiment/scale/HollowRouter.java
@@ -10,6 +10,7 @@
 import tinlink.config.PolicyDocument;
 import tinlink.config.RouterConfig;
 import tinlink.maintenance.MaintenanceService;
+import tinlink.maintenance.MaintenanceSettings;
 import tinlink.maintenance.ReplicatedMaintenance;
 import tinlink.maintenance.scheduling.DisruptionLimits;
 import tinlink.net.EventLoop;
@@ -142,9 +143,9 @@
                 clusterNode,
                 replicatedState,
                 this,
-                new MaintenanceService.Settings(
-                        clusterConfig.zone,
-                        maintenanceConfig.siteByZone,
+                new MaintenanceSettings(
+                        new MaintenanceSettings.Location(
+                                clusterConfig.zone, maintenanceConfig.siteByZone),
                         limits,
                         maintenanceConfig.observerCount,
                         maintenanceConfig.healthCheckIntervalUs,
@@ -201,13 +202,8 @@
         loop.execute(() -> {
             ProposalTerms terms = ProposalTerms.parse(text);
             policyRollout.propose(
-                    id,
-                    policyRollout.changes().inForce().epoch(),
-                    terms.digest(),
-                    text,
-                    "lab",
-                    "measured",
-                    terms.absencePolicy(),
+                    terms.proposal(
+                            id, policyRollout.changes().inForce().epoch(), text, "lab", "measured"),
                     (said, why) -> {});
         });
     }
@@ -229,13 +225,13 @@
                     + (int) clusterNode.membership().members().stream()
                             .filter(m -> m.state() == MemberState.ALIVE)
                             .count();
-            s.machines = maintenance.stateMachine().machines().size();
+            s.machines = maintenance.state().machines().size();
             s.enrolled = policyRollout.changes().enrolledRouters().size();
             s.epoch = policyRollout.changes().inForce().epoch();
             s.heardUpTo = clusterNode.learnedIndex();
             s.openChange = policyRollout.changes().openChange() == null
                     ? ""
-                    : policyRollout.changes().openChange().id();
+                    : policyRollout.changes().openChange().changeId();
             s.tookOldTooLate = tookOldTooLate;
             s.connections = clusterNode.connectionCount();
             s.traffic = clusterNode.traffic().byKind();
--- a/src/main/java/tinlink/gateway/GatewayMessageCodec.java
+++ b/src/main/java/tinlink/gateway/GatewayMessageCodec.java
@@ -4,6 +4,7 @@
 import tinlink.net.MessageRejectedException;
 import tinlink.net.ProtocolLimits;
 import tinlink.securechannel.Handshake;
+import tinlink.securechannel.FrameFormat;
 import tinlink.securechannel.MessageCodec;
 
 import java.nio.ByteBuffer;
@@ -23,7 +24,7 @@
     static final int MAX_UNAUTHENTICATED_BYTES = 1 << 10;
 
     static final int MAX_MESSAGE_BYTES =
-            1 + ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES + TAG_BYTES;
+            1 + ProtocolLimits.MAX_HEAD_BYTES + ProtocolLimits.MAX_BODY_BYTES + FrameFormat.TAG_BYTES;
     static final int MAX_QUERIED_PARTS = 4096;
     private static final GatewayMessage.Type[] TYPES = GatewayMessage.Type.values();
     private static final int CLIENT_RETRY_FLAG = 1;
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -96,7 +96,7 @@
             gateway.listen(gatewayConfig.listen);
         }
         pipeline.endpointList.setCellListener(gateway::announceCells);
-        pipeline.driver.beside(gateway.turn());
+        pipeline.driver.addAroundDecisions(gateway.turn());
         gateway.logCounters();
         LOG.log(
                 Level.INFO,
--- a/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
@@ -15,6 +15,7 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.FrameAuthenticator;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
 
@@ -256,8 +257,8 @@
     private class Line implements AutoCloseable {
         final Socket socket;
         final DataInputStream in;
-        KeyRing.FrameAuthenticator out;
-        KeyRing.FrameAuthenticator back;
+        FrameAuthenticator out;
+        FrameAuthenticator back;
 
         Line(Socket socket) throws IOException {
             this.socket = socket;
@@ -269,8 +270,8 @@
         void seals(byte[] secret, boolean near) {
             byte[] toFar = KeyRing.mac(secret, "to the far side");
             byte[] toNear = KeyRing.mac(secret, "to the near side");
-            out = new KeyRing.FrameAuthenticator(near ? toFar : toNear);
-            back = new KeyRing.FrameAuthenticator(near ? toNear : toFar);
+            out = new FrameAuthenticator(near ? toFar : toNear);
+            back = new FrameAuthenticator(near ? toNear : toFar);
         }
 
         void says(byte[] message) throws IOException {
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -14,6 +14,8 @@
 import tinlink.gateway.forwarding.RemoteRouter;
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
+import tinlink.securechannel.FrameAuthenticator;
+import tinlink.securechannel.FrameFormat;
 import tinlink.securechannel.Handshake;
 import tinlink.securechannel.KeyRing;
 import tinlink.securechannel.MessageCodec;
@@ -125,8 +127,8 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        KeyRing.FrameAuthenticator outboundSeal;
-        KeyRing.FrameAuthenticator inboundSeal;
+        FrameAuthenticator outboundSeal;
+        FrameAuthenticator inboundSeal;
         int version = GatewayMessageCodec.VERSION;
         long incarnation = 5;
         long connectCount = 1;
@@ -196,15 +198,15 @@
             exchangeHello();
             send(GatewayMessage.Type.PROOF.code, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new KeyRing.FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
-            inboundSeal = new KeyRing.FrameAuthenticator(KeyRing.mac(secret, "to the near side"));
+            outboundSeal = new FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
+            inboundSeal = new FrameAuthenticator(KeyRing.mac(secret, "to the near side"));
             awaitMessage(GatewayMessage.Type.CREDIT_WINDOW.code);
         }
 
         ByteBuffer awaitMessage(byte type) throws IOException {
             while (true) {
                 byte[] whole = next();
-                int end = whole.length - MessageCodec.TAG_BYTES;
+                int end = whole.length - FrameFormat.TAG_BYTES;
                 assertArrayEquals(
                         inboundSeal.nextTag(whole[0], whole, 1, end - 1),
                         Arrays.copyOfRange(whole, end, whole.length));
@@ -381,7 +383,7 @@
             byte[] frame = peer.frame(
                     GatewayMessage.Type.FORWARD_PART.code, peer.partBody(7, 3, 1_000_000, 1));
             if (changed) {
-                frame[frame.length - MessageCodec.TAG_BYTES - 2] ^= 1;
+                frame[frame.length - FrameFormat.TAG_BYTES - 2] ^= 1;
                 peer.socket.getOutputStream().write(frame);
             } else {
                 peer.socket.getOutputStream().write(frame);
