--- a/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
+++ b/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
@@ -49,6 +49,9 @@
     /** Commands of the log before what routers report. */
     private static final int REPORTS_AFTER = 24;
 
+    /** Lines of the log that are no command of any build. */
+    private static final int NOT_UNDERSTOOD = 3;
+
     private static final long SECOND = 1_000_000;
     private static final String ODD = "a disk,\tswapped\nby \\ them é";
 
@@ -264,12 +267,25 @@
     @Test
     void commandsAreWrittenAndAnsweredAsTheyWere() throws IOException {
         Log log = log();
-        GoldenFile.holds(LOG, "Commands of maintenance, in agreed state.", log.commands);
+        GoldenFile.holds(LOG, "Commands of maintenance, in agreed order.", log.commands);
         GoldenFile.holds(ANSWERS, "What was answered to each command.", log.answers);
         GoldenFile.holds(
                 SNAPSHOTS, "All that stands, after so many commands of the log.", log.snapshots);
     }
 
+    @Test
+    void eachCommandIsEncodedAgainAsItWasRead() throws IOException {
+        int encoded = 0;
+        for (String line : GoldenFile.read(LOG).values()) {
+            MaintenanceCommand command = MaintenanceCommandCodec.decode(line);
+            if (!(command instanceof MaintenanceCommand.Unknown)) {
+                assertEquals(line, MaintenanceCommandCodec.encode(command));
+                encoded++;
+            }
+        }
+        assertEquals(GoldenFile.read(LOG).size() - NOT_UNDERSTOOD, encoded);
+    }
+
     @Test
     void theLogIsReadAndPlayedAsItWas() throws IOException {
         Replica replica = new Replica();
