--- a/src/main/java/tinlink/config/ConfigFile.java
+++ b/src/main/java/tinlink/config/ConfigFile.java
@@ -73,7 +73,11 @@
         }
     }
 
-    /** @param problem what is wrong, with the offending value or what is allowed */
+    /**
+     * The exception for an entry that can not be used.
+     *
+     * @param problem what is wrong, with the offending value or what is allowed
+     */
     public ConfigException invalid(String key, String problem) {
         return new ConfigException(file, path + key, problem);
     }
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -199,7 +199,7 @@
         if (hasAllParts && lookup.isComplete(satisfied)) {
             return answer(lookup, handler, !lookup.isSecondStep || lookup.isFirstStepComplete);
         }
-        if (now >= lookup.endsAtUs || hasAllParts && isLost(lookup, satisfied)) {
+        if (now >= lookup.endsAtUs || (hasAllParts && isLost(lookup, satisfied))) {
             return giveUp(lookup, handler, satisfied);
         }
         lookup.nextCheckAtUs = lookup.endsAtUs;
@@ -218,7 +218,7 @@
      * nodes and satisfied no part is not sent again. May hurt where good nodes lose many connections.
      */
     private boolean isLost(Lookup lookup, double satisfied) {
-        return lookup.isSuspect() && satisfied == 0 || retries.isHopeless(lookup, satisfied, now);
+        return (lookup.isSuspect() && satisfied == 0) || retries.isHopeless(lookup, satisfied, now);
     }
 
     /** Rejects the lookup, or sends its parts. */
--- a/src/main/java/tinlink/decision/RepeatGuard.java
+++ b/src/main/java/tinlink/decision/RepeatGuard.java
@@ -31,7 +31,7 @@
     /** Whether one more attempt at the part can do no harm. */
     boolean mayAttempt(Part part, long nowUs) {
         int limit = part.lookup.isForwarded ? 1 : attemptLimit;
-        if (part.attempts.size() >= limit || part.attemptsInFlight > 0 && !hedgingAllowed) {
+        if (part.attempts.size() >= limit || (part.attemptsInFlight > 0 && !hedgingAllowed)) {
             return false;
         }
         LookupClass lookupClass = part.lookup.lookupClass;
--- a/src/main/java/tinlink/decision/ReplicaDirectory.java
+++ b/src/main/java/tinlink/decision/ReplicaDirectory.java
@@ -96,6 +96,6 @@
 
     private static boolean isReachable(DataNode node, Lookup lookup, long nowUs) {
         return node.linkRoundTripUs == 0
-                || !lookup.isForwarded && lookup.endsAtUs - nowUs > node.linkRoundTripUs;
+                || (!lookup.isForwarded && lookup.endsAtUs - nowUs > node.linkRoundTripUs);
     }
 }
--- a/src/main/java/tinlink/decision/ReplicaHealth.java
+++ b/src/main/java/tinlink/decision/ReplicaHealth.java
@@ -42,19 +42,19 @@
     void onOutcome(ReplicaStats stats, Attempt attempt, Outcome outcome, long tookUs, long nowUs) {
         switch (outcome) {
             case SATISFIED -> {
-                latency.record(stats, attempt, tookUs, nowUs);
+                latency.record(stats, attempt, (double) tookUs, nowUs);
                 idleConnections.record(attempt, 0, nowUs);
                 stats.recordAnswer(attempt.sentAtUs, decay, nowUs);
             }
             // A full node ends calls fast; without this it would look like the fastest one.
             case REJECTED -> {
                 long twoRoundsUs = 2 * attempt.part.lookup.roundUs;
-                double latencyUs = Math.max(twoRoundsUs, stats.smoothedLatencyUs());
+                double latencyUs = Math.max((double) twoRoundsUs, stats.smoothedLatencyUs());
                 latency.record(stats, attempt, latencyUs, nowUs);
             }
             case ERROR -> outliers.recordFailure(stats, nowUs);
             case CONNECTION_LOST, NO_CONNECTION -> outliers.recordConnectionFailure(stats, nowUs);
-            case NO_ANSWER -> latency.record(stats, attempt, tookUs, nowUs);
+            case NO_ANSWER -> latency.record(stats, attempt, (double) tookUs, nowUs);
             case CANCELLED, NOT_SENT -> {
                 // They say nothing of the node.
             }
@@ -66,7 +66,7 @@
      * none, and so costs every lookup a round.
      */
     void onSilence(ReplicaStats stats, Attempt attempt, long nowUs) {
-        double latencyUs = Math.max(nowUs - attempt.sentAtUs, stats.smoothedLatencyUs());
+        double latencyUs = Math.max((double) (nowUs - attempt.sentAtUs), stats.smoothedLatencyUs());
         latency.record(stats, attempt, latencyUs, nowUs);
         idleConnections.record(attempt, 1, nowUs);
         if (stats.lastAnswerAtUs() < attempt.sentAtUs
--- a/src/main/java/tinlink/decision/ReplicaSelector.java
+++ b/src/main/java/tinlink/decision/ReplicaSelector.java
@@ -71,14 +71,14 @@
         boolean isBestTried = true;
         for (ReplicaStats stats : replicas.holders(part, nowUs)) {
             boolean isTried = part.hasTried(stats.node());
-            if (isHedge && isTried || !admits(stats, nowUs)) {
+            if ((isHedge && isTried) || !admits(stats, nowUs)) {
                 continue;
             }
             double cost = cost(stats, part.lookup, saving, nowUs);
             if (best == null
                     || (isTried != isBestTried
                             ? isBestTried
-                            : cost < leastCost || cost == leastCost && isOlder(stats, best))) {
+                            : cost < leastCost || (cost == leastCost && isOlder(stats, best)))) {
                 best = stats;
                 isBestTried = isTried;
                 leastCost = cost;
--- a/src/main/java/tinlink/decision/RetryPlanner.java
+++ b/src/main/java/tinlink/decision/RetryPlanner.java
@@ -59,7 +59,7 @@
             if (missing <= 0) {
                 break;
             }
-            boolean isHedged = guard.mayAttempt(part, nowUs) && budget.allowsHedge(nowUs)
+            boolean isHedged = (guard.mayAttempt(part, nowUs) && budget.allowsHedge(nowUs))
                     ? dispatcher.dispatch(part, true, nowUs)
                     : giveUpSilent(part, nowUs);
             missing -= isHedged ? part.weight : 0;
--- a/src/main/java/tinlink/maintenance/ControlRequest.java
+++ b/src/main/java/tinlink/maintenance/ControlRequest.java
@@ -57,7 +57,11 @@
     /** Takes a change of policy back. */
     record WithdrawPolicyChange(String changeId, String reason) implements ControlRequest {}
 
-    /** Proposes a change of policy. @param againstEpoch the epoch that has to be in force */
+    /**
+     * Proposes a change of policy.
+     *
+     * @param againstEpoch the epoch that has to be in force
+     */
     record ProposePolicyChange(
             String changeId, String text, int againstEpoch, String author, String reason)
             implements ControlRequest {}
--- a/src/main/java/tinlink/maintenance/ControlViews.java
+++ b/src/main/java/tinlink/maintenance/ControlViews.java
@@ -40,7 +40,11 @@
         return view;
     }
 
-    /** A request. @param tasks all of it */
+    /**
+     * A request.
+     *
+     * @param tasks all of it
+     */
     Map<String, Object> request(List<MaintenanceTask> tasks) {
         MaintenanceRequest request = tasks.get(0).request();
         Map<String, Object> view = new LinkedHashMap<>();
--- a/src/main/java/tinlink/maintenance/MachineSelector.java
+++ b/src/main/java/tinlink/maintenance/MachineSelector.java
@@ -19,7 +19,7 @@
         if (!isLabelSelector(selector)) {
             return machine.id().equals(selector);
         }
-        for (String label : selector.split(",")) {
+        for (String label : selector.split(",", 0)) {
             if (!matchesLabel(selector, label, machine)) {
                 return false;
             }
--- a/src/main/java/tinlink/maintenance/ObservationReporter.java
+++ b/src/main/java/tinlink/maintenance/ObservationReporter.java
@@ -51,7 +51,11 @@
                 listed.stream().map(MaintenanceService.ListedNode::id).toList());
     }
 
-    /** Reports once. @param agreed the nodes agreed on, as far as this router has heard */
+    /**
+     * Reports once.
+     *
+     * @param agreed the nodes agreed on, as far as this router has heard
+     */
     void report(Collection<MaintenanceService.ListedNode> listed, AgreedNodes agreed, long nowUs) {
         Map<String, Boolean> healthyByMachine = failureDetector.observations();
         for (Member member : cluster.membership().members()) {
--- a/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
@@ -22,7 +22,11 @@
         digest = sum;
     }
 
-    /** @param machines all that are agreed on; routers among them are skipped */
+    /**
+     * The data nodes among the machines.
+     *
+     * @param machines all that are agreed on; routers among them are skipped
+     */
     public static AgreedNodes from(Collection<Machine> machines) {
         return new AgreedNodes(machines);
     }
--- a/src/main/java/tinlink/maintenance/scheduling/DrainController.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DrainController.java
@@ -78,7 +78,11 @@
         this.retryIntervalUs = retryIntervalUs;
     }
 
-    /** @param timeUs of a clock that only goes forward */
+    /**
+     * Sets the time of what is decided from here on, in microseconds.
+     *
+     * @param timeUs of a clock that only goes forward
+     */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
@@ -149,8 +153,8 @@
         // from before
         // it is history.
         boolean isOut = registered && task.isOut();
-        plan.drain |= isOut || started && taskState != TaskState.RETURNING;
-        if (taskState == TaskState.GRANTED || taskState == TaskState.DRAINING && !started) {
+        plan.drain |= isOut || (started && taskState != TaskState.RETURNING);
+        if (taskState == TaskState.GRANTED || (taskState == TaskState.DRAINING && !started)) {
             plan.proposals.add(
                     new MaintenanceCommand.StartDrain(router, task.fencingToken(), incarnation));
         } else if (taskState == TaskState.RETURNING && !draining && !task.isServingAgain()) {
--- a/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
@@ -64,7 +64,11 @@
         this.probeFailureThreshold = probeFailureThreshold;
     }
 
-    /** @param timeUs of a clock that only goes forward */
+    /**
+     * Sets the time of what is decided from here on, in microseconds.
+     *
+     * @param timeUs of a clock that only goes forward
+     */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
@@ -55,7 +55,11 @@
         observations = new ObservationAggregator(reportExpiryUs, maxEntries);
     }
 
-    /** @param timeUs of a clock that only goes forward */
+    /**
+     * Sets the time of what is decided from here on, in microseconds.
+     *
+     * @param timeUs of a clock that only goes forward
+     */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
@@ -78,7 +82,11 @@
         voters = names;
     }
 
-    /** @param from proved by its key; it reports itself alone */
+    /**
+     * A router has reported what it sees.
+     *
+     * @param from proved by its key; it reports itself alone
+     */
     public void onReport(String from, MachineReport report) {
         if (report instanceof MachineReport.Health health) {
             health.healthyByMachine()
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
@@ -43,6 +43,7 @@
     }
 
     /** Whether limits have been agreed on. */
+    @SuppressWarnings("ReferenceEquality") // UNSET is one object; agreed limits may equal it.
     public boolean hasLimits() {
         return limits != DisruptionLimits.UNSET;
     }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
@@ -255,7 +255,7 @@
     private CommandOutcome startDrain(StartDrain command) {
         MaintenanceTask task = state.activeTask(command.router());
         if (!holds(task, command.fencingToken(), command.router(), command.incarnation())
-                || task.state() != TaskState.GRANTED && task.state() != TaskState.DRAINING) {
+                || (task.state() != TaskState.GRANTED && task.state() != TaskState.DRAINING)) {
             return CommandOutcome.rejected(Rejection.GRANT_ENDED);
         }
         if (task.state() == TaskState.GRANTED) {
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
@@ -112,7 +112,7 @@
 
     /** Whether its operator may have the machine. */
     public boolean isOut() {
-        return state == TaskState.OUT || state == TaskState.OVERDUE && isActive();
+        return state == TaskState.OUT || (state == TaskState.OVERDUE && isActive());
     }
 
     Grant grant() {
--- a/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
@@ -69,7 +69,7 @@
      */
     boolean onReport(String router, NodeListDifference difference, long nowUs) {
         Long basisNumber = basisNumbers.get(difference.basisDigest());
-        if (basisNumber == null || reports.size() >= maxRouters && !reports.containsKey(router)) {
+        if (basisNumber == null || (reports.size() >= maxRouters && !reports.containsKey(router))) {
             return false;
         }
         reports.put(router, new Report(difference, basisNumber, nowUs));
--- a/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
@@ -140,7 +140,7 @@
         List<String> undrained = new ArrayList<>();
         state.routers().forEach((router, incarnation) -> {
             // A router's clients are its own; to a data node any router may send.
-            boolean concerned = machine != null && machine.isRouter()
+            boolean concerned = (machine != null && machine.isRouter())
                     ? router.equals(task.machine())
                     : maySend(router, incarnation);
             if (concerned && !task.isDrainedBy(router, incarnation)) {
--- a/src/main/java/tinlink/net/EventLog.java
+++ b/src/main/java/tinlink/net/EventLog.java
@@ -22,7 +22,11 @@
         logger = Logger.getLogger(name);
     }
 
-    /** @param fields keys and values in turn */
+    /**
+     * Writes one event without a cause.
+     *
+     * @param fields keys and values in turn
+     */
     public void log(Level level, String event, Object... fields) {
         logFailure(level, event, null, fields);
     }
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -11,7 +11,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.BiConsumer;
 
 /**
@@ -27,7 +26,8 @@
     /** Null where nobody wants to know. */
     private BiConsumer<String, Outcome> outcomeListener;
     /** This turn's batches; emptied at its end. */
-    private final Map<Attempt.SharedCall, AttemptBatch> batches = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt.SharedCall, AttemptBatch> batches =
+            new IdentityHashMap<>();
 
     private final List<AttemptBatch> batchesToSend = new ArrayList<>();
 
--- a/src/main/java/tinlink/router/EndpointEntry.java
+++ b/src/main/java/tinlink/router/EndpointEntry.java
@@ -66,14 +66,11 @@
 
     /** Nothing new goes to a node whose state is not known. */
     private static State state(String uid, String value) {
-        switch (value) {
-            case "terminated":
-                return State.TERMINATED;
-            case "in_service":
-                return State.IN_SERVICE;
-            case "terminating":
-                return State.TERMINATING;
-            default:
+        return switch (value) {
+            case "terminated" -> State.TERMINATED;
+            case "in_service" -> State.IN_SERVICE;
+            case "terminating" -> State.TERMINATING;
+            default -> {
                 LOG.log(
                         Level.WARNING,
                         "endpoint_invalid",
@@ -83,8 +80,9 @@
                         uid,
                         "value",
                         value);
-                return State.TERMINATING;
-        }
+                yield State.TERMINATING;
+            }
+        };
     }
 
     private static InetSocketAddress address(String uid, String endpoint) {
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -8,6 +8,7 @@
 import tinlink.decision.Part;
 import tinlink.decision.QueryCoordinator;
 import tinlink.gateway.Gateway;
+import tinlink.gateway.GatewayKeys;
 import tinlink.gateway.IncomingPart;
 import tinlink.gateway.OutgoingPart;
 import tinlink.gateway.PartContent;
@@ -18,7 +19,6 @@
 import tinlink.net.EventLoop;
 import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
-import tinlink.securechannel.KeyRing;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -86,8 +86,8 @@
                 this);
     }
 
-    private static KeyRing keys(GatewayConfig gatewayConfig) {
-        return new KeyRing(Map.copyOf(gatewayConfig.keys), gatewayConfig.activeKeyId);
+    private static GatewayKeys keys(GatewayConfig gatewayConfig) {
+        return new GatewayKeys(Map.copyOf(gatewayConfig.keys), gatewayConfig.activeKeyId);
     }
 
     /** From now on lines are opened and taken. */
--- a/src/main/java/tinlink/router/NodeConnections.java
+++ b/src/main/java/tinlink/router/NodeConnections.java
@@ -11,7 +11,6 @@
 import java.io.IOException;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.logging.Level;
 
 /**
@@ -29,7 +28,7 @@
     private final long idleTimeoutUs;
     private ClientAcceptor acceptor;
     /** Nodes on the list, and those off it with connections; each leaves when it is neither. */
-    private final Map<DataNode, NodeEndpoint> endpoints = new IdentityHashMap<>();
+    private final IdentityHashMap<DataNode, NodeEndpoint> endpoints = new IdentityHashMap<>();
 
     /** @param dispatcher gets the outcomes of what its connections carry */
     NodeConnections(
@@ -134,7 +133,7 @@
                 nodeConnection.close(CloseReason.IDLE_TIMEOUT);
             } else if (canTake(nodeConnection, batch)
                     && (bestConnection == null
-                            || nodeConnection.isUp() && !bestConnection.isUp())) {
+                            || (nodeConnection.isUp() && !bestConnection.isUp()))) {
                 bestConnection = nodeConnection;
             }
         }
--- a/src/test/java/tinlink/OperatorPagesTest.java
+++ b/src/test/java/tinlink/OperatorPagesTest.java
@@ -32,7 +32,7 @@
         }
         Set<String> named = new TreeSet<>();
         for (Path page : pages) {
-            named.addAll(eventsIn(Files.readString(page).split(OLD_AND_NEW)[0]));
+            named.addAll(eventsIn(Files.readString(page).split(OLD_AND_NEW, -1)[0]));
         }
         assertFalse(named.isEmpty());
         named.removeAll(loggedEvents());
--- a/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
@@ -69,6 +69,7 @@
  * are checked and made by the sockets' side and stand in no record.
  */
 @Timeout(120)
+@SuppressWarnings("FutureReturnValueIgnored") // What is written is looked at, not what is answered.
 class ClusterLinksGoldenFilesTest {
     private static final String FILE = "cluster-links.txt";
     private static final KeyRing KEYS =
--- a/src/test/java/tinlink/cluster/consensus/ConsensusGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/consensus/ConsensusGoldenFilesTest.java
@@ -28,6 +28,7 @@
 import java.util.Map;
 
 /** Messages between voters and the records that they keep, byte for byte as earlier builds wrote them. */
+@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
 class ConsensusGoldenFilesTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final Object GROUP = "tinlink";
--- a/src/test/java/tinlink/cluster/transport/GossipGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/transport/GossipGoldenFilesTest.java
@@ -17,6 +17,7 @@
 import java.util.Map;
 
 /** A process of a router, and what is passed on of members, byte for byte as earlier builds wrote them. */
+@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
 class GossipGoldenFilesTest {
     private static byte[] encode(Incarnation incarnation) {
         MessageCodec.Builder out = new MessageCodec.Builder();
--- a/src/test/java/tinlink/decision/PlayedClasses.java
+++ b/src/test/java/tinlink/decision/PlayedClasses.java
@@ -5,6 +5,7 @@
 import java.util.SplittableRandom;
 
 /** Classes of lookups for recorded plays: those of the scenario files, and a few drawn ones. */
+@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
 final class PlayedClasses {
     private PlayedClasses() {}
 
--- a/src/test/java/tinlink/decision/PlayedWorld.java
+++ b/src/test/java/tinlink/decision/PlayedWorld.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
 /** The time of a recorded play, its module, and its data nodes with all that is told of them. */
+@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
 abstract class PlayedWorld {
     private static final double MEAN_PARTS = 4.5;
 
@@ -27,7 +27,7 @@
     final PriorityQueue<Event> events = new PriorityQueue<>();
     final List<LookupClass> classes;
     final List<PlayedNode> nodes = new ArrayList<>();
-    final Map<DataNode, PlayedNode> byNode = new IdentityHashMap<>();
+    final IdentityHashMap<DataNode, PlayedNode> byNode = new IdentityHashMap<>();
     final long stepUs;
     final double serviceUs;
     final long rough;
--- a/src/test/java/tinlink/decision/RecordedPlay.java
+++ b/src/test/java/tinlink/decision/RecordedPlay.java
@@ -1,13 +1,13 @@
 package tinlink.decision;
 
 import java.util.IdentityHashMap;
-import java.util.Map;
 
 /**
  * One module, a small fleet of data nodes and their clients, played from one seed. Each input and
  * each decision goes into a transcript, a line each, under codes of its own, so that names in the
  * code can change.
  */
+@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
 final class RecordedPlay extends PlayedWorld implements DecisionHandler {
     private static final class PlayedLookup extends Lookup {
         long number;
@@ -20,7 +20,7 @@
         String name;
     }
 
-    private final Map<Attempt.SharedCall, Integer> frames = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt.SharedCall, Integer> frames = new IdentityHashMap<>();
     private long lookups;
     private long taken;
 
--- a/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
@@ -46,6 +46,7 @@
  * on the other. Seals are checked and made by the sockets' side and stand in no record.
  */
 @Timeout(120)
+@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
 class GatewayLinksGoldenFilesTest {
     private static final String FILE = "gateway-links.txt";
     private static final KeyRing KEYS =
--- a/src/test/java/tinlink/net/EventLogTest.java
+++ b/src/test/java/tinlink/net/EventLogTest.java
@@ -5,7 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.logging.Handler;
@@ -43,13 +45,25 @@
     }
 
     @Test
-    void anAddressIsHostAndPort() {
+    void anAddressIsHostAndPort() throws UnknownHostException {
         assertEquals(
                 "event=a at=127.0.0.1:7301",
-                EventLog.format("a", "at", new InetSocketAddress("127.0.0.1", 7301)));
+                EventLog.format("a", "at", new InetSocketAddress(address(127, 0, 0, 1), 7301)));
         assertEquals(
                 "event=a at=[0:0:0:0:0:0:0:1]:80",
-                EventLog.format("a", "at", new InetSocketAddress("::1", 80)));
+                EventLog.format(
+                        "a",
+                        "at",
+                        new InetSocketAddress(
+                                address(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1), 80)));
+    }
+
+    private static InetAddress address(int... bytes) throws UnknownHostException {
+        byte[] raw = new byte[bytes.length];
+        for (int i = 0; i < bytes.length; i++) {
+            raw[i] = (byte) bytes[i];
+        }
+        return InetAddress.getByAddress(raw);
     }
 
     @Test
