--- a/src/main/java/tinlink/policy/PolicyStateMachine.java
+++ b/src/main/java/tinlink/policy/PolicyStateMachine.java
@@ -23,6 +23,7 @@
     private PolicyChanges changes =
             new PolicyChanges(MAX_SETTLED_CHANGES, MAX_ROUTERS, INITIAL_ABSENCE_POLICY);
 
+    /** What the lines so far have made; another object after a restore. */
     public PolicyChanges changes() {
         return changes;
     }
--- a/src/main/java/tinlink/policy/rollout/CommandOutcome.java
+++ b/src/main/java/tinlink/policy/rollout/CommandOutcome.java
@@ -10,6 +10,7 @@
         }
     }
 
+    /** The outcome of a command that was carried out. */
     static CommandOutcome accepted() {
         return new Accepted();
     }
--- a/src/main/java/tinlink/policy/rollout/PolicyCommand.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyCommand.java
@@ -8,22 +8,31 @@
 public sealed interface PolicyCommand {
     /** One method for each command. */
     interface Handler<R> {
+        /** A change is proposed. */
         R onPropose(Propose command);
 
+        /** The coordinator has seen the proposal agreed on. */
         R onConfirmProposal(ConfirmProposal command);
 
+        /** A participant accepts. */
         R onVoteYes(VoteYes command);
 
+        /** A participant rejects. */
         R onVoteNo(VoteNo command);
 
+        /** A change takes effect. */
         R onCommit(Commit command);
 
+        /** A change is withdrawn. */
         R onAbort(Abort command);
 
+        /** A process takes part. */
         R onEnrol(Enrol command);
 
+        /** A process takes no part any more. */
         R onLeave(Leave command);
 
+        /** Nothing that this build can read. */
         R onUnknownCommand(UnknownCommand command);
     }
 
--- a/src/main/java/tinlink/securechannel/FrameAuthenticator.java
+++ b/src/main/java/tinlink/securechannel/FrameAuthenticator.java
@@ -17,6 +17,7 @@
     private final Mac mac;
     private long frameNumber;
 
+    /** For the frames of one direction, from the first one on. */
     public FrameAuthenticator(byte[] key) {
         mac = Hmac.withKey(key);
     }
