--- a/src/main/java/tinlink/http2/pool/PoolHandler.java
+++ b/src/main/java/tinlink/http2/pool/PoolHandler.java
@@ -1,6 +1,9 @@
 package tinlink.http2.pool;
 
-/** Carries out the decisions of a {@link ConnectionPool}. Called from within {@link ConnectionPool#decide}. */
+/**
+ * Carries out the decisions of a {@link ConnectionPool}. Called from within
+ * {@link ConnectionPool#decide}.
+ */
 public interface PoolHandler {
     void openConnection(PooledConnection connection);
 
--- a/src/main/java/tinlink/policy/rollout/PolicyCommandCodec.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyCommandCodec.java
@@ -1,5 +1,7 @@
 package tinlink.policy.rollout;
 
+import tinlink.cluster.consensus.FieldReader;
+
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/test/java/tinlink/ArchitectureTest.java
+++ b/src/test/java/tinlink/ArchitectureTest.java
@@ -110,6 +110,7 @@
                         "maintenance",
                         "maintenance scheduling",
                         "policy",
+                        "policy rollout",
                         "router",
                         "simulation")
                 .whereLayer("cluster membership")
@@ -215,12 +216,12 @@
         }
     }
 
-    /** Of consensus, what schedules maintenance knows the form of a line alone. */
+    /** Of consensus, what schedules maintenance and what rolls out policy know the form of a line alone. */
     @Test
-    void schedulingKnowsOfConsensusOnlyTheLineForm() {
+    void subsystemsThatDecideKnowOfConsensusOnlyTheLineForm() {
         noClasses()
                 .that()
-                .resideInAPackage("tinlink.maintenance.scheduling")
+                .resideInAnyPackage("tinlink.maintenance.scheduling", "tinlink.policy.rollout")
                 .should()
                 .dependOnClassesThat(JavaClass.Predicates.resideInAPackage(
                                 "tinlink.cluster.consensus")
