--- a/src/main/java/tinlink/securechannel/Handshake.java
+++ b/src/main/java/tinlink/securechannel/Handshake.java
@@ -9,7 +9,9 @@
  * nothing. HMAC-SHA256 under the key of that id. Not thread-safe.
  */
 public final class Handshake {
+    /** Of each side's nonce. */
     public static final int NONCE_BYTES = 32;
+    /** Of each side's proof, an HMAC-SHA256. */
     public static final int PROOF_BYTES = 32;
     private static final String SESSION_LABEL = "session";
 
@@ -39,12 +41,14 @@
         this.challenge = challenge;
     }
 
+    /** Returns a nonce for one handshake. */
     public static byte[] newNonce(SecureRandom random) {
         byte[] nonce = new byte[NONCE_BYTES];
         random.nextBytes(nonce);
         return nonce;
     }
 
+    /** Returns the proof of the side that has sent CHALLENGE. */
     public byte[] responderProof() {
         return keys.get().proof(keyId, labels.responder(), hello, challenge);
     }
--- a/src/main/java/tinlink/securechannel/UnauthenticatedSessions.java
+++ b/src/main/java/tinlink/securechannel/UnauthenticatedSessions.java
@@ -13,6 +13,7 @@
     private final int maxSessions;
     private final Set<SecureSession> sessions = new LinkedHashSet<>();
 
+    /** None yet, and room for so many. */
     public UnauthenticatedSessions(int maxSessions) {
         this.maxSessions = maxSessions;
     }
@@ -30,10 +31,12 @@
         sessions.remove(session);
     }
 
+    /** Returns how many there are. */
     public int size() {
         return sessions.size();
     }
 
+    /** Closes all, as the router stops. */
     public void closeAll() {
         Set.copyOf(sessions).forEach(session -> session.close(CloseReason.COMPLETED));
     }
