--- a/src/main/java/tinlink/cli/CapacityCommands.java
+++ b/src/main/java/tinlink/cli/CapacityCommands.java
@@ -3,8 +3,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-import tinlink.lab.scale.CapacityPage;
-import tinlink.lab.scale.ServingLab;
+import tinlink.experiment.scale.CapacityPage;
+import tinlink.experiment.scale.ServingExperiment;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
     @Command(
             name = "serving-scale",
             description = "One router process at sizes up to the one to plan with.")
-    static final class ServingScale implements Callable<Integer> {
+    static final class ServingScaleCommand implements Callable<Integer> {
         @Option(names = "--seed", defaultValue = "1", description = "of all chance")
         private long seed;
 
@@ -40,7 +40,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return new ServingLab(shortForm, seed, notes).run(out) ? 0 : 1;
+            return new ServingExperiment(shortForm, seed, notes).run(out) ? 0 : 1;
         }
     }
 
@@ -48,7 +48,7 @@
     @Command(
             name = "capacity",
             description = "Rewrite the tables of docs/CAPACITY.md from saved results.")
-    static final class Capacity implements Callable<Integer> {
+    static final class CapacityCommand implements Callable<Integer> {
         @Option(
                 names = "--results",
                 defaultValue = "docs/measured/scale",
--- /dev/null
+++ b/src/main/java/tinlink/config/RouterConfig.java
@@ -0,0 +1,307 @@
+package tinlink.config;
+
+import tinlink.decision.LookupClass;
+import tinlink.net.JsonReader;
+import tinlink.net.MessageRejectedException;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.logging.Level;
+
+/**
+ * What a router is started with: the file named by NODE_CONFIG, and NODE_NAME, NODE_LISTEN and
+ * NODE_DISCOVERY, which win over it. Everything is checked here; a {@link ConfigException} names the source
+ * and the key at fault.
+ *
+ * <p>At a reload the file is read and checked again as a whole. Of what it says only the address of discovery
+ * and the gateway's keys are taken over by a router that serves.
+ */
+public final class RouterConfig {
+    private static final String ENVIRONMENT = "environment";
+    private static final String CONFIG = "config";
+    private static final List<String> TOP_LEVEL_KEYS =
+            List.of("name", "listen", "discovery", "seed", "limits");
+
+    public final String name;
+    public final InetSocketAddress listen;
+    public final InetSocketAddress discovery;
+    /** What the file itself says of it. */
+    private final String fileDiscovery;
+
+    private final Map<String, String> environment;
+    public final int maxDescriptors;
+    public final double memoryMb;
+    /** Bytes that bodies which are being read may hold together. */
+    public final long maxBodyBytesInFlight;
+    /** Whether discovery pushes changes; if not, the module says when to poll. */
+    public final boolean isDiscoveryPushed;
+
+    public final long seed;
+    public final Level logLevel;
+    /** The list of data nodes as this router most recently had it, in discovery's form; may be empty. */
+    public final Map<?, ?> cachedEndpoints;
+
+    public final DecisionConfig decision;
+    /** The longest hard deadline, in microseconds. */
+    public final long maxDeadlineUs;
+
+    public final LookupSettings lookups;
+    public final NodeConnectionSettings nodeConnections;
+    /** No policy may allow more in flight here. */
+    public final int maxInFlightOfPolicy;
+    /** Among which the shards are divided. */
+    public final int cells;
+
+    public final EndpointNames endpointNames;
+    /** The longest Retry-After that clients are given, in microseconds; 0 where they are given none. */
+    public final long maxRetryAfterUs;
+    /** Data nodes over HTTP/2; null where there are none. */
+    public final Http2Config http2;
+    /** The links with other sites; null where there are none. */
+    public final GatewayConfig gateway;
+    /** The cluster of routers, and maintenance of machines; null, both, where they are off. */
+    public final ClusterConfig cluster;
+
+    public final MaintenanceConfig maintenance;
+
+    /**
+     * What a lookup is checked against.
+     *
+     * @param lookupClasses by name
+     * @param maxInFlight lookups and parts that may be in flight
+     */
+    public record LookupSettings(
+            Map<String, LookupClass> lookupClasses, int shardCount, int maxInFlight) {}
+
+    /**
+     * What connections to data nodes need.
+     *
+     * @param idleTimeoutUs after so long without use a node's machine closes one
+     */
+    public record NodeConnectionSettings(
+            long connectTimeoutUs, long idleTimeoutUs, int callsPerConnection, boolean canCancel) {}
+
+    /** What the names in the list of data nodes stand for, in the settings' order. */
+    public record EndpointNames(List<String> zones, List<String> kinds) {}
+
+    /** @throws ConfigException naming what can't be used */
+    public RouterConfig(Map<String, String> environment) {
+        this(environment, null);
+    }
+
+    /**
+     * The same sources, read and checked again.
+     *
+     * @throws ConfigException naming what can't be used
+     */
+    public RouterConfig reload() {
+        return new RouterConfig(environment, this);
+    }
+
+    private RouterConfig(Map<String, String> environment, RouterConfig previous) {
+        this.environment = environment;
+        Map<?, ?> tree = readTree(environment.get("NODE_CONFIG"));
+        FlatSettings topLevel = topLevel(tree);
+        name = environment.getOrDefault("NODE_NAME", topLevel.text("name", "router"));
+        listen = address(
+                topLevel,
+                "listen",
+                environment.getOrDefault("NODE_LISTEN", topLevel.text("listen", "")));
+        fileDiscovery = topLevel.text("discovery", "");
+        discovery = discovery(topLevel, previous);
+        logLevel = level(environment.getOrDefault("NODE_LOG", "INFO"));
+        memoryMb = topLevel.number("limits.memory_mb", 192);
+        maxBodyBytesInFlight = maxBodyBytes(topLevel, memoryMb);
+        maxDescriptors = atLeast(topLevel, "limits.sockets", 1024, 64);
+        cachedEndpoints = tree.get("known") instanceof Map<?, ?> map ? map : Map.of();
+        FlatSettings settings = settings(tree);
+        int classCount = atLeast(settings, "profiles.count", 0, 1);
+        seed = seed(topLevel);
+        decision = new DecisionConfig(seed, settings);
+        Map<String, LookupClass> lookupClasses = lookupClasses(settings, classCount, decision);
+        maxDeadlineUs = Arrays.stream(decision.lookupClasses)
+                .mapToLong(lookupClass -> lookupClass.deadlineUs)
+                .max()
+                .orElse(0);
+        lookups = new LookupSettings(
+                lookupClasses,
+                settings.count("familyInfo.slabs", 1, 1),
+                atLeast(settings, "limits.openCap", decision.maxInFlight, 1));
+        maxInFlightOfPolicy = Math.max(
+                lookups.maxInFlight(), settings.integer("limits.mostOpen", lookups.maxInFlight()));
+        nodeConnections = nodeConnections(settings);
+        endpointNames = new EndpointNames(settings.items("localities"), settings.items("models"));
+        isDiscoveryPushed = settings.text("discovery", "pushed").equals("pushed");
+        maxRetryAfterUs = decision.maxRetryAfterUs;
+        cells = settings.count("familyInfo.sets", 1, 1);
+        String gatewayFile = environment.getOrDefault("NODE_GATEWAY", "");
+        String http2File = environment.getOrDefault("NODE_HTTP2", "");
+        http2 = http2File.isEmpty() ? null : new Http2Config(http2File);
+        gateway = gatewayFile.isEmpty() ? null : new GatewayConfig(gatewayFile, name);
+        String clusterFile = environment.getOrDefault("NODE_PEERS", "");
+        String maintenanceFile = environment.getOrDefault("NODE_WORK", "");
+        if (clusterFile.isEmpty() != maintenanceFile.isEmpty()) {
+            throw new ConfigException(ENVIRONMENT, "", "'NODE_PEERS' and 'NODE_WORK' go together");
+        }
+        cluster = clusterFile.isEmpty() ? null : new ClusterConfig(clusterFile, name);
+        maintenance = maintenanceFile.isEmpty() ? null : new MaintenanceConfig(maintenanceFile);
+    }
+
+    // ---- The file. ----
+
+    private static Map<?, ?> readTree(String file) {
+        if (file == null || file.isEmpty()) {
+            throw new ConfigException(ENVIRONMENT, "NODE_CONFIG", "is missing");
+        }
+        try {
+            if (JsonReader.parse(Files.readString(Path.of(file))) instanceof Map<?, ?> map) {
+                return map;
+            }
+            throw new ConfigException(CONFIG, "", "it is no JSON object");
+        } catch (IOException e) {
+            throw new ConfigException(
+                    ENVIRONMENT, "NODE_CONFIG", "can't be read: " + e.getMessage());
+        } catch (MessageRejectedException e) {
+            throw new ConfigException(CONFIG, "", e.getMessage());
+        }
+    }
+
+    private static FlatSettings topLevel(Map<?, ?> tree) {
+        Map<String, Object> values = new LinkedHashMap<>();
+        for (String key : TOP_LEVEL_KEYS) {
+            Object value = tree.get(key);
+            values.put(key, value == null ? "" : value);
+        }
+        return FlatSettings.ofTree(CONFIG, values);
+    }
+
+    private static FlatSettings settings(Map<?, ?> tree) {
+        if (!(tree.get("settings") instanceof Map<?, ?> map)) {
+            throw new ConfigException(CONFIG, "settings", "is missing");
+        }
+        FlatSettings settings = FlatSettings.ofTree(CONFIG + ": settings", map);
+        if (!settings.text("family", "fanout").equals("fanout")) {
+            throw settings.invalid("family", "is not served: " + settings.text("family", ""));
+        }
+        return settings;
+    }
+
+    // ---- Single settings. ----
+
+    /**
+     * Danger: NODE_DISCOVERY is of the start. Were it to win over a file that has changed since, a reload
+     * would never leave an address that is about to close.
+     */
+    private InetSocketAddress discovery(FlatSettings topLevel, RouterConfig previous) {
+        if (previous == null) {
+            return address(
+                    topLevel,
+                    "discovery",
+                    environment.getOrDefault("NODE_DISCOVERY", fileDiscovery));
+        }
+        return fileDiscovery.equals(previous.fileDiscovery)
+                ? previous.discovery
+                : address(topLevel, "discovery", fileDiscovery);
+    }
+
+    /** What is made of a body while it is read is up to 16 times as large; half the heap is for the rest. */
+    private static long maxBodyBytes(FlatSettings topLevel, double memoryMb) {
+        long bytes =
+                (long) Math.min(Runtime.getRuntime().maxMemory() / 32.0, memoryMb * (1 << 20) / 96);
+        if (bytes <= 0) {
+            throw topLevel.invalid("limits.memory_mb", "is no memory to serve with");
+        }
+        return bytes;
+    }
+
+    private static Map<String, LookupClass> lookupClasses(
+            FlatSettings settings, int count, DecisionConfig decision) {
+        Map<String, LookupClass> byName = new LinkedHashMap<>();
+        for (int i = 0; i < count; i++) {
+            byName.put(
+                    requiredText(settings, "profiles." + i + ".name"), decision.lookupClasses[i]);
+            if (decision.lookupClasses[i].secondStepParts > 0) {
+                throw settings.invalid(
+                        "familyInfo.followUp",
+                        "asks for a second step, which is not served on sockets");
+            }
+        }
+        return byName;
+    }
+
+    private static NodeConnectionSettings nodeConnections(FlatSettings settings) {
+        return new NodeConnectionSettings(
+                positive(settings, "limits.connectTimeoutMs", 250_000),
+                positive(settings, "limits.connIdleMs", 30_000_000),
+                atLeast(settings, "limits.streamsPerConn", 1, 1),
+                settings.flag("limits.cancel"));
+    }
+
+    private static Level level(String name) {
+        try {
+            return Level.parse(name);
+        } catch (IllegalArgumentException e) {
+            throw new ConfigException(
+                    ENVIRONMENT, "NODE_LOG", "is no level of java.util.logging: " + name);
+        }
+    }
+
+    private static long seed(FlatSettings topLevel) {
+        try {
+            return Long.parseUnsignedLong(topLevel.text("seed", "0"), 16);
+        } catch (NumberFormatException e) {
+            throw topLevel.invalid("seed", "is not up to 16 hex digits");
+        }
+    }
+
+    private static int atLeast(FlatSettings settings, String path, int defaultValue, int min) {
+        int value = settings.integer(path, defaultValue);
+        if (value < min) {
+            throw settings.invalid(path, "is under " + min + ": " + value);
+        }
+        return value;
+    }
+
+    private static long positive(FlatSettings settings, String path, long defaultUs) {
+        long valueUs = settings.micros(path, defaultUs);
+        if (valueUs <= 0) {
+            throw settings.invalid(path, "is no time to wait: " + valueUs + " us");
+        }
+        return valueUs;
+    }
+
+    private static String requiredText(FlatSettings settings, String path) {
+        if (!settings.has(path)) {
+            throw settings.invalid(path, "is missing");
+        }
+        return settings.text(path, "");
+    }
+
+    private static InetSocketAddress address(FlatSettings settings, String path, String text) {
+        try {
+            return parseAddress(text);
+        } catch (IllegalArgumentException e) {
+            throw settings.invalid(path, "is no address with a port: " + text);
+        }
+    }
+
+    /**
+     * HOST:PORT, the host a number: there is no name service here.
+     *
+     * @throws IllegalArgumentException where it is none
+     */
+    public static InetSocketAddress parseAddress(String text) {
+        int colon = text.lastIndexOf(':');
+        if (colon <= 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
+            throw new IllegalArgumentException(text);
+        }
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+    }
+}
--- a/src/main/java/tinlink/emulator/EmulatedClient.java
+++ b/src/main/java/tinlink/emulator/EmulatedClient.java
@@ -1,11 +1,11 @@
 package tinlink.emulator;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
-import tinlink.net.Link;
-import tinlink.net.Ring;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,8 +22,12 @@
  * when all are busy.
  */
 public final class EmulatedClient {
-    /** @param key null where the index needs none */
-    public record Ask(
+    /**
+     * What a client asks for.
+     *
+     * @param key null where the index needs none
+     */
+    public record LookupRequest(
             String id,
             String index,
             long budgetMs,
@@ -32,96 +36,101 @@
             String key) {}
 
     /**
+     * What a client was answered.
+     *
      * @param status 0 where the connection ended without a whole answer
-     * @param comeBackUs 0 where it has no Retry-After
-     * @param after an answer came after the final one
+     * @param retryAfterUs 0 where it has no Retry-After
      */
-    public record Answer(int status, String body, long atUs, long comeBackUs) {
+    public record LookupResponse(int status, String body, long atUs, long retryAfterUs) {
         /** The values by shard; empty where there are none. */
         public java.util.Map<Integer, String> values() {
             java.util.Map<Integer, String> all = new java.util.TreeMap<>();
             try {
                 if (status == 200
-                        && JsonReader.of(body) instanceof java.util.Map<?, ?> map
+                        && JsonReader.parse(body) instanceof java.util.Map<?, ?> map
                         && map.get("matches") instanceof List<?> list) {
                     for (Object one : list) {
                         java.util.Map<?, ?> m = (java.util.Map<?, ?>) one;
                         all.put(((Double) m.get("segment")).intValue(), (String) m.get("payload"));
                     }
                 }
-            } catch (BadMessage e) {
+            } catch (MessageRejectedException e) {
                 all.put(-1, "unreadable");
             }
             return all;
         }
 
-        public boolean whole() {
+        public boolean isComplete() {
             return status == 200 && body.startsWith("{\"all_in\":true");
         }
     }
 
-    private final Ground ground;
+    private final EmulatorLoop emulatorLoop;
     private InetSocketAddress router;
-    private final ArrayDeque<Conn> idle = new ArrayDeque<>();
+    private final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
     /** Bytes or answers that came when nothing was asked. */
-    private int stray;
+    private int unsolicited;
 
-    public EmulatedClient(Ground ground, InetSocketAddress router) {
-        this.ground = ground;
+    public EmulatedClient(EmulatorLoop emulatorLoop, InetSocketAddress router) {
+        this.emulatorLoop = emulatorLoop;
         this.router = router;
     }
 
     /** Asks there from now on. */
-    public void to(InetSocketAddress where) {
-        ground.run(() -> {
+    public void connectTo(InetSocketAddress where) {
+        emulatorLoop.run(() -> {
             router = where;
-            List.copyOf(idle).forEach(c -> c.link.end(Ending.DONE));
+            List.copyOf(idle).forEach(c -> c.link.close(CloseReason.COMPLETED));
         });
     }
 
-    public int stray() {
-        return ground.on(() -> stray);
+    public int unsolicited() {
+        return emulatorLoop.call(() -> unsolicited);
     }
 
     /** Whoever asked may leave: the connection is closed. */
-    public interface Asked {
-        void leave();
+    public interface PendingLookup {
+        void abandon();
     }
 
-    /** @param hears of the end, once, on the emulator's thread; never after the asker has left */
-    public Asked ask(Ask a, Consumer<Answer> hears) {
-        return ground.on(() -> {
-            Conn c = idle.poll();
+    /**
+     * Sends a lookup.
+     *
+     * @param listener of the end, once, on the emulator's thread; never after the asker has left
+     */
+    public PendingLookup send(LookupRequest a, Consumer<LookupResponse> listener) {
+        return emulatorLoop.call(() -> {
+            HttpConnection c = idle.poll();
             if (c == null) {
-                c = new Conn();
+                c = new HttpConnection();
                 try {
-                    c.link = ground.network.connect(router, c);
+                    c.link = emulatorLoop.network.connect(router, c);
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             }
-            c.ask(a, hears);
-            Conn at = c;
-            return () -> ground.run(() -> {
-                if (at.hears == hears) {
-                    at.hears = null;
-                    at.link.end(Ending.DONE);
+            c.send(a, listener);
+            HttpConnection at = c;
+            return () -> emulatorLoop.run(() -> {
+                if (at.listener == listener) {
+                    at.listener = null;
+                    at.link.close(CloseReason.COMPLETED);
                 }
             });
         });
     }
 
-    private final class Conn implements Link.Owner, HttpReader.Sink {
-        private final HttpReader reader = HttpReader.ofAnswers(this);
-        private Link link;
-        private Consumer<Answer> hears;
+    private final class HttpConnection implements Connection.Listener, HttpReader.MessageListener {
+        private final HttpReader reader = HttpReader.forResponses(this);
+        private Connection link;
+        private Consumer<LookupResponse> listener;
         private int status;
-        private long comeBackUs;
+        private long retryAfterUs;
         private boolean closes;
         private final StringBuilder body = new StringBuilder();
 
-        void ask(Ask a, Consumer<Answer> hears) {
-            this.hears = hears;
+        void send(LookupRequest a, Consumer<LookupResponse> listener) {
+            this.listener = listener;
             StringJoiner parts = new StringJoiner(",");
             for (int s : a.shards()) {
                 parts.add("{\"segment\":" + s + ",\"boost\":" + 1.0 / a.shards().size() + "}");
@@ -135,38 +144,38 @@
                             + (a.key() == null ? "" : "Idempotency-Key: " + a.key() + "\r\n")
                             + "Content-Length: " + b.length + "\r\n\r\n")
                     .put(b);
-            link.later();
+            link.scheduleWrite();
         }
 
         @Override
-        public void up() {
-            link.later();
+        public void connected() {
+            link.scheduleWrite();
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             try {
                 while (in.size() > 0) {
-                    stray += hears == null ? 1 : 0;
+                    unsolicited += listener == null ? 1 : 0;
                     reader.read(in);
                 }
-            } catch (BadMessage e) {
-                link.end(Ending.BAD_INPUT);
+            } catch (MessageRejectedException e) {
+                link.close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
         @Override
-        public void first(String version, String status, String words) {
+        public void startLine(String version, String status, String words) {
             this.status = Integer.parseInt(status);
-            comeBackUs = 0;
+            retryAfterUs = 0;
             closes = false;
             body.setLength(0);
         }
 
         @Override
-        public void field(String name, String value) {
+        public void header(String name, String value) {
             if (name.toLowerCase(Locale.ROOT).equals("retry-after")) {
-                comeBackUs = Math.round(1e6 * Double.parseDouble(value));
+                retryAfterUs = Math.round(1e6 * Double.parseDouble(value));
             }
             closes |= name.toLowerCase(Locale.ROOT).equals("connection") && value.contains("close");
         }
@@ -177,27 +186,28 @@
         }
 
         @Override
-        public void over() {
-            tell(new Answer(status, body.toString().strip(), ground.now(), comeBackUs));
+        public void messageEnded() {
+            deliver(new LookupResponse(
+                    status, body.toString().strip(), emulatorLoop.now(), retryAfterUs));
             if (closes) {
-                link.end(Ending.DONE);
-            } else if (!link.isOver()) {
+                link.close(CloseReason.COMPLETED);
+            } else if (!link.isClosed()) {
                 idle.add(this);
             }
         }
 
-        private void tell(Answer a) {
-            Consumer<Answer> who = hears;
-            hears = null;
+        private void deliver(LookupResponse response) {
+            Consumer<LookupResponse> who = listener;
+            listener = null;
             if (who != null) {
-                who.accept(a);
+                who.accept(response);
             }
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             idle.remove(this);
-            tell(new Answer(0, how.name(), ground.now(), 0));
+            deliver(new LookupResponse(0, closeReason.name(), emulatorLoop.now(), 0));
         }
     }
 }
--- a/src/main/java/tinlink/emulator/EmulatedDiscovery.java
+++ b/src/main/java/tinlink/emulator/EmulatedDiscovery.java
@@ -1,12 +1,12 @@
 package tinlink.emulator;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
 import tinlink.net.HttpReader;
-import tinlink.net.Link;
+import tinlink.net.MessageRejectedException;
 import tinlink.net.Network;
-import tinlink.net.Protocol;
-import tinlink.net.Ring;
+import tinlink.net.ProtocolLimits;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,8 +22,8 @@
  * while nothing does.
  */
 public final class EmulatedDiscovery {
-    private final Ground ground;
-    private final Network.Listening listening;
+    private final EmulatorLoop emulatorLoop;
+    private final Network.ListeningSocket listening;
     private final Set<Watch> watches = new HashSet<>();
     /** By uid, the fields of each entry as they were last told. */
     private final Map<String, String> entries = new LinkedHashMap<>();
@@ -37,23 +37,31 @@
      *
      * @throws IOException where it can't listen
      */
-    public EmulatedDiscovery(Ground ground) throws IOException {
-        this.ground = ground;
-        listening = ground.listen(Ground.loopback(0), Watch::new);
+    public EmulatedDiscovery(EmulatorLoop emulatorLoop) throws IOException {
+        this.emulatorLoop = emulatorLoop;
+        listening = emulatorLoop.listen(EmulatorLoop.loopback(0), Watch::new);
     }
 
     public InetSocketAddress address() throws IOException {
         return listening.address();
     }
 
-    /** @param state in_service, terminating or terminated */
-    public void tell(EmulatedNode n, String zone, String state) {
-        tell(n, n.address(), zone, state);
+    /**
+     * Tells the state of a node at its own address.
+     *
+     * @param state in_service, terminating or terminated
+     */
+    public void publish(EmulatedNode n, String zone, String state) {
+        publish(n, n.address(), zone, state);
     }
 
-    /** @param at where the node is reached by whoever is told */
-    public void tell(EmulatedNode n, InetSocketAddress at, String zone, String state) {
-        tell(n.uid, n.cell, at, zone, state);
+    /**
+     * Tells the state of a node at some address.
+     *
+     * @param at where the node is reached by whoever is told
+     */
+    public void publish(EmulatedNode n, InetSocketAddress at, String zone, String state) {
+        publish(n.uid, n.cell, at, zone, state);
     }
 
     /**
@@ -62,8 +70,8 @@
      * @param at where the node is reached by whoever is told
      * @param state in_service, terminating or terminated
      */
-    public void tell(String uid, int cell, InetSocketAddress at, String zone, String state) {
-        ground.run(() -> {
+    public void publish(String uid, int cell, InetSocketAddress at, String zone, String state) {
+        emulatorLoop.run(() -> {
             String entry = "{\"uid\":\"" + uid + "\",\"endpoint\":\"127.0.0.1:" + at.getPort()
                     + "\",\"az\":\"" + zone + "\",\"model\":\"m\",\"pod_group\":" + cell
                     + ",\"state\":\""
@@ -75,94 +83,95 @@
                 entries.put(uid, entry);
             }
             revision++;
-            watches.forEach(w -> w.line(object(false, List.of(entry))));
+            watches.forEach(w -> w.sendLine(message(false, List.of(entry))));
         });
     }
 
     /** Length of the whole list as it is told now, in bytes. */
     public long listBytes() {
-        return ground.on(() ->
-                (long) object(true, entries.values()).getBytes(StandardCharsets.UTF_8).length);
+        return emulatorLoop.call(() ->
+                (long) message(true, entries.values()).getBytes(StandardCharsets.UTF_8).length);
     }
 
     /** Watches that are open now. */
     public int watches() {
-        return ground.on(watches::size);
+        return emulatorLoop.call(watches::size);
     }
 
     /** Bytes of all answers and lines so far, to all watches; heads of answers are not counted. */
     public long bytesSent() {
-        return ground.on(() -> bytesSent);
+        return emulatorLoop.call(() -> bytesSent);
     }
 
-    private String object(boolean all, Iterable<String> some) {
+    private String message(boolean all, Iterable<String> some) {
         return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":["
                 + String.join(",", some) + "]}";
     }
 
-    private final class Watch implements Ground.Owner, HttpReader.Sink {
-        private final HttpReader reader = HttpReader.ofRequests(this);
-        private Link link;
+    private final class Watch
+            implements EmulatorLoop.ConnectionHandler, HttpReader.MessageListener {
+        private final HttpReader reader = HttpReader.forRequests(this);
+        private Connection link;
         /** Else the whole list is wanted, once. */
-        private boolean standing;
+        private boolean streaming;
 
         @Override
-        public void on(Link link) {
+        public void connectionAccepted(Connection link) {
             this.link = link;
         }
 
         @Override
-        public void arrived(Ring in) {
+        public void bytesReceived(RingBuffer in) {
             try {
                 while (in.size() > 0) {
                     reader.read(in);
                 }
-            } catch (BadMessage e) {
-                link.end(Ending.BAD_INPUT);
+            } catch (MessageRejectedException e) {
+                link.close(CloseReason.PROTOCOL_ERROR);
             }
         }
 
         @Override
-        public void first(String method, String target, String version) {
-            standing = target.contains("watch=1");
+        public void startLine(String method, String target, String version) {
+            streaming = target.contains("watch=1");
         }
 
         @Override
-        public void over() {
-            if (!standing) {
-                byte[] whole = object(true, entries.values()).getBytes(StandardCharsets.UTF_8);
+        public void messageEnded() {
+            if (!streaming) {
+                byte[] whole = message(true, entries.values()).getBytes(StandardCharsets.UTF_8);
                 link.out()
                         .put("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length + "\r\n\r\n")
                         .put(whole);
                 bytesSent += whole.length;
-                link.later();
+                link.scheduleWrite();
                 return;
             }
             link.out().put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            line(object(true, entries.values()));
+            sendLine(message(true, entries.values()));
             watches.add(this);
-            beat();
+            scheduleKeepAlive();
         }
 
-        private void beat() {
-            ground.at(ground.now() + Protocol.WATCH_LINE_US, () -> {
+        private void scheduleKeepAlive() {
+            emulatorLoop.schedule(emulatorLoop.now() + ProtocolLimits.WATCH_KEEPALIVE_US, () -> {
                 if (watches.contains(this)) {
-                    line("");
-                    beat();
+                    sendLine("");
+                    scheduleKeepAlive();
                 }
             });
         }
 
-        void line(String text) {
+        void sendLine(String text) {
             byte[] b = (text + "\n").getBytes(StandardCharsets.UTF_8);
             String size = Integer.toHexString(b.length) + "\r\n";
             link.out().put(size).put(b).put("\r\n");
             bytesSent += size.length() + b.length + 2;
-            link.later();
+            link.scheduleWrite();
         }
 
         @Override
-        public void ended(Ending how) {
+        public void connectionClosed(CloseReason closeReason) {
             watches.remove(this);
         }
     }
--- a/src/main/java/tinlink/emulator/Ground.java
+++ b/src/main/java/tinlink/emulator/EmulatorLoop.java
@@ -1,7 +1,9 @@
 package tinlink.emulator;
 
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.net.Connection;
+import tinlink.net.EventLog;
+import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
 
 import java.io.IOException;
@@ -10,29 +12,28 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * The loop on which all stand-ins of an emulation run, on a thread of its own. Its state belongs to
- * that thread; {@link #on} reaches it from others.
+ * that thread; {@link #call} reaches it from others.
  */
-public final class Ground implements AutoCloseable {
-    private static final Logger LOG = Logger.getLogger("tinlink.emulator");
-    final Loop loop = new Loop();
+public final class EmulatorLoop implements AutoCloseable {
+    private static final EventLog LOG = new EventLog("tinlink.emulator");
+    final EventLoop loop = new EventLoop();
     final Network network;
     private final Thread thread;
 
-    public Ground() throws IOException {
+    public EmulatorLoop() throws IOException {
         network = new Network(loop);
         thread = new Thread(
-                () -> loop.run(new Loop.Turn() {
+                () -> loop.run(new EventLoopParticipant() {
                     @Override
-                    public void begins(long nowUs) {
+                    public void turnStarted(long nowUs) {
                         // Stand-ins read the loop's clock themselves.
                     }
 
                     @Override
-                    public void decides() {
+                    public void turnEnding() {
                         // Stand-ins act as they are told, at once.
                     }
                 }),
@@ -42,12 +43,12 @@
     }
 
     /** Runs on the loop's thread, and returns what came of it; on that thread itself, at once. */
-    public <T> T on(Supplier<T> what) {
+    public <T> T call(Supplier<T> what) {
         if (Thread.currentThread() == thread) {
             return what.get();
         }
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.ready(() -> {
+        loop.execute(() -> {
             try {
                 done.complete(what.get());
             } catch (RuntimeException e) {
@@ -58,7 +59,7 @@
     }
 
     public void run(Runnable what) {
-        on(() -> {
+        call(() -> {
             what.run();
             return null;
         });
@@ -66,11 +67,11 @@
 
     /** Microseconds, of the turn in hand. */
     public long now() {
-        return loop.now();
+        return loop.nowUs();
     }
 
-    public void at(long us, Runnable what) {
-        loop.at(us, what);
+    public void schedule(long us, Runnable what) {
+        loop.schedule(us, what);
     }
 
     /** A free port of loopback, or that one. */
@@ -79,42 +80,43 @@
     }
 
     /** Whoever connects there gets an owner made by the door. */
-    Network.Listening listen(InetSocketAddress at, Supplier<Owner> owners) throws IOException {
-        Network.Listening listening = network.listening(at);
-        listening.accept(new Network.Door() {
+    Network.ListeningSocket listen(InetSocketAddress at, Supplier<ConnectionHandler> owners)
+            throws IOException {
+        Network.ListeningSocket listening = network.listenAt(at);
+        listening.accept(new Network.AcceptHandler() {
             @Override
-            public Link.Owner owner() {
+            public Connection.Listener newListener() {
                 return owners.get();
             }
 
             @Override
-            public void opened(Link link, Link.Owner owner) {
-                ((Owner) owner).on(link);
+            public void accepted(Connection link, Connection.Listener owner) {
+                ((ConnectionHandler) owner).connectionAccepted(link);
             }
 
             @Override
-            public boolean mayOpen() {
+            public boolean canAccept() {
                 return true;
             }
 
             @Override
             public void acceptFailed(Throwable why) {
-                LOG.log(Level.WARNING, "event=accept_failed", why);
+                LOG.logFailure(Level.WARNING, "accept_failed", why);
             }
         });
         return listening;
     }
 
     /** The owner of a connection that a stand-in has accepted. */
-    interface Owner extends Link.Owner {
-        void on(Link link);
+    interface ConnectionHandler extends Connection.Listener {
+        void connectionAccepted(Connection link);
     }
 
     @Override
     public void close() {
-        loop.ready(() -> {
+        loop.execute(() -> {
             network.close();
-            loop.end();
+            loop.stop();
         });
     }
 }
--- a/src/main/java/tinlink/emulator/Http2Caller.java
+++ b/src/main/java/tinlink/emulator/Http2Caller.java
@@ -3,9 +3,9 @@
 import com.twitter.hpack.Decoder;
 import com.twitter.hpack.Encoder;
 
-import tinlink.net.Ending;
-import tinlink.net.Link;
-import tinlink.net.Ring;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.RingBuffer;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -25,7 +25,7 @@
     private static final int PREFACE = 24;
     private static final int FRAME = 16_384;
     private final EmulatedNode node;
-    private final Link link;
+    private final Connection link;
     private final Decoder decoder = new Decoder(16_384, 4096);
     private final Encoder encoder = new Encoder(4096);
     /** Requests that have begun and not been answered, by stream. */
@@ -50,10 +50,10 @@
         private String end;
     }
 
-    Http2Caller(EmulatedNode node, Link link) {
+    Http2Caller(EmulatedNode node, Connection link) {
         this.node = node;
         this.link = link;
-        ByteBuffer s = ByteBuffer.allocate(12).putShort((short) 4).putInt(node.http2.firstWindow);
+        ByteBuffer s = ByteBuffer.allocate(12).putShort((short) 4).putInt(node.http2.initialWindow);
         if (node.http2.streams >= 0) {
             s.putShort((short) 3).putInt((int) node.http2.streams);
         }
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public Link link() {
+    public Connection link() {
         return link;
     }
 
@@ -73,7 +73,7 @@
                         .putInt(stream)
                         .put(b)
                         .array());
-        link.later();
+        link.scheduleWrite();
     }
 
     private void frame(int type, int stream, int value) {
@@ -86,7 +86,7 @@
     }
 
     /** Whoever was below what is named is served; the others were never begun. */
-    void goodbye(int less, boolean twice) {
+    void goAway(int less, boolean twice) {
         if (twice) {
             frame(
                     7,
@@ -98,9 +98,9 @@
         for (Map.Entry<Integer, Request> r :
                 Map.copyOf(open.tailMap(lastTaken, false)).entrySet()) {
             if (r.getValue().end == null
-                    && !node.begun(this, r.getValue().fields.get("x-part-id"))) {
+                    && !node.hasBegun(this, r.getValue().fields.get("x-part-id"))) {
                 open.remove(r.getKey());
-                node.dropped(this, r.getValue().fields.get("x-part-id"));
+                node.cancel(this, r.getValue().fields.get("x-part-id"));
             } else {
                 lastTaken = Math.max(
                         lastTaken, r.getKey()); // It has run: it can't be said never to have.
@@ -110,21 +110,21 @@
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         try {
-            while (in.size() > 0 && !link.isOver()) {
+            while (in.size() > 0 && !link.isClosed()) {
                 if (skipped < PREFACE) {
-                    skipped += in.takeRun(PREFACE - skipped).remaining();
+                    skipped += in.takeContiguous(PREFACE - skipped).remaining();
                 } else if (headRead < head.length) {
                     head[headRead++] = in.take();
                     payload = headRead < head.length
                             ? null
                             : ByteBuffer.allocate((head[0] & 0xff) << 16
                                     | (head[1] & 0xff) << 8
-                                    | head[2] & 0xff);
+                                    | (head[2] & 0xff));
                 }
                 if (payload != null) {
-                    payload.put(in.takeRun(payload.remaining()));
+                    payload.put(in.takeContiguous(payload.remaining()));
                     if (!payload.hasRemaining()) {
                         ByteBuffer whole = payload.flip();
                         payload = null;
@@ -134,7 +134,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            link.end(Ending.BAD_INPUT);
+            link.close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
@@ -143,9 +143,9 @@
             case 0 -> {
                 Request r = open.get(stream);
                 if (r != null) {
-                    r.body.write(p.array(), p.position(), p.remaining());
+                    r.body.write(p.array(), p.arrayOffset() + p.position(), p.remaining());
                 }
-                if (node.http2.givesBack && p.hasRemaining()) {
+                if (node.http2.returnsWindow && p.hasRemaining()) {
                     frame(8, 0, p.remaining());
                     if (r != null && (flags & 1) == 0) {
                         frame(8, stream, p.remaining());
@@ -160,7 +160,8 @@
                 r.window = clientFirstWindow;
                 lastSeen = stream;
                 decoder.decode(
-                        new ByteArrayInputStream(p.array(), p.position(), p.remaining()),
+                        new ByteArrayInputStream(
+                                p.array(), p.arrayOffset() + p.position(), p.remaining()),
                         (n, v, s) -> r.fields.put(
                                 new String(n, StandardCharsets.UTF_8),
                                 new String(v, StandardCharsets.UTF_8)));
@@ -176,7 +177,7 @@
             case 3 -> {
                 Request r = open.remove(stream);
                 if (r != null) {
-                    node.dropped(this, r.fields.get("x-part-id"));
+                    node.cancel(this, r.fields.get("x-part-id"));
                 }
             }
             case 4 -> {
@@ -191,7 +192,12 @@
             }
             case 6 -> {
                 if ((flags & 1) == 0 && !node.isSilent()) {
-                    frame(6, 1, 0, java.util.Arrays.copyOf(p.array(), 8));
+                    frame(
+                            6,
+                            1,
+                            0,
+                            java.util.Arrays.copyOfRange(
+                                    p.array(), p.arrayOffset(), p.arrayOffset() + 8));
                 }
             }
             case 8 -> {
@@ -209,15 +215,15 @@
     }
 
     private void whole(int stream, Request r) {
-        if (node.http2.refuses > 0) {
-            node.http2.refuses--;
+        if (node.http2.refuseNext > 0) {
+            node.http2.refuseNext--;
             open.remove(stream);
             frame(3, stream, 7);
             return;
         }
         String id = r.fields.get("x-part-id");
         streams.put(id, stream);
-        node.came(new EmulatedNode.Job(
+        node.callReceived(new EmulatedNode.Job(
                 this,
                 id,
                 r.fields.get("idempotency-key"),
@@ -231,8 +237,8 @@
         if (r == null) {
             return;
         }
-        if (node.http2.resets > 0) {
-            node.http2.resets--;
+        if (node.http2.resetNext > 0) {
+            node.http2.resetNext--;
             open.remove(stream);
             frame(3, stream, 2);
             return;
@@ -288,7 +294,7 @@
     }
 
     @Override
-    public void ended(Ending how) {
+    public void connectionClosed(CloseReason closeReason) {
         open.clear();
     }
 }
--- a/src/main/java/tinlink/lab/scale/ControlReal.java
+++ b/src/main/java/tinlink/experiment/scale/ControlReal.java
@@ -1,8 +1,9 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
-import tinlink.lab.processes.Child;
+import tinlink.experiment.processes.RouterProcess;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -16,20 +17,20 @@
     private ControlReal() {}
 
     /** Of all its threads that are there now, nanoseconds since their start, as the kernel counts them. */
-    static long cpuNs(Child child) throws IOException {
+    static long cpuNs(RouterProcess child) throws IOException {
         long sum = 0;
         try (Stream<Path> tasks =
                 Files.list(Path.of("/proc", Long.toString(child.pid()), "task"))) {
             for (Path task : tasks.toList()) {
                 sum += Long.parseLong(
-                        Files.readString(task.resolve("schedstat")).split(" ")[0]);
+                        Files.readString(task.resolve("schedstat")).split(" ", 0)[0]);
             }
         }
         return sum;
     }
 
     /** After a collection; the process is asked by the JDK's own tool. */
-    static double heapMb(Child child) throws IOException, InterruptedException {
+    static double heapMb(RouterProcess child) throws IOException, InterruptedException {
         tool(child, "GC.run");
         double usedKb = 0;
         for (String line : tool(child, "GC.heap_info")) {
@@ -41,7 +42,7 @@
         return usedKb / 1024;
     }
 
-    private static List<String> tool(Child child, String command)
+    private static List<String> tool(RouterProcess child, String command)
             throws IOException, InterruptedException {
         Process p = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
@@ -49,8 +50,9 @@
                         command)
                 .redirectErrorStream(true)
                 .start();
-        List<String> said =
-                new String(p.getInputStream().readAllBytes()).lines().toList();
+        List<String> said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+                .lines()
+                .toList();
         if (!p.waitFor(MOST_COLLECT_S, TimeUnit.SECONDS)) {
             p.destroyForcibly();
         }
--- a/src/main/java/tinlink/lab/scale/ControlScaleLab.java
+++ b/src/main/java/tinlink/experiment/scale/ControlScaleExperiment.java
@@ -1,8 +1,9 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.LocalDate;
+import java.time.ZoneOffset;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -12,7 +13,7 @@
  * The experiment of what the control side costs by the number of routers and of data nodes: hollow
  * routers beside real ones, at rest, while the policy changes, and as routers and the leader fail.
  */
-public final class ControlScaleLab {
+public final class ControlScaleExperiment {
     /** What a router may spend on control, as {@code docs/CAPACITY.md} states it. */
     private static final double CPU_BUDGET_PCT = 2.2;
 
@@ -43,7 +44,7 @@
      * @param notes to be saved with the results
      * @param file where the results are saved
      */
-    public ControlScaleLab(
+    public ControlScaleExperiment(
             long seed,
             int routers,
             int hollow,
@@ -64,7 +65,7 @@
         this.file = file;
     }
 
-    /** @return whether all was within its budget */
+    /** Runs all sizes; returns whether all was within its budget. */
     public boolean run() throws IOException, InterruptedException {
         ControlMeasurements measurements = new ControlMeasurements(
                 nodeSizes.isEmpty()
@@ -89,7 +90,12 @@
     /** After each size, so that a run that is cut short leaves what it has. */
     private void save(ControlMeasurements measurements) throws IOException {
         int cores = Runtime.getRuntime().availableProcessors();
-        new ResultFile(LocalDate.now().toString(), seed, cores, notes, measurements.all())
+        new ResultFile(
+                        LocalDate.now(ZoneOffset.UTC).toString(),
+                        seed,
+                        cores,
+                        notes,
+                        measurements.all())
                 .save(file);
     }
 
@@ -200,7 +206,7 @@
         over(over, "control_cpu_pct", cpuPct, CPU_BUDGET_PCT);
         over(over, "control_mb", r.routerMb, MEMORY_BUDGET_MB);
         over(over, "control_bytes_s", bytes, BYTES_BUDGET);
-        over(over, "change_p99_ms", p99, ControlResult.IN_FORCE_BUDGET_MS);
+        over(over, "change_p99_ms", (double) p99, ControlResult.IN_FORCE_BUDGET_MS);
         over(over, "lost", r.lost, 0);
         over(over, "mixed", r.mixed, 0);
         System.out.printf(
--- a/src/main/java/tinlink/lab/scale/HollowMain.java
+++ b/src/main/java/tinlink/experiment/scale/HollowMain.java
@@ -1,10 +1,10 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import tinlink.start.RouterStart;
-import tinlink.work.Work;
+import tinlink.config.RouterConfig;
+import tinlink.maintenance.MaintenanceService;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -12,6 +12,7 @@
 import java.io.PrintStream;
 import java.lang.management.BufferPoolMXBean;
 import java.lang.management.ManagementFactory;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -33,7 +34,7 @@
 
     private final Map<String, HollowRouter> routers = new LinkedHashMap<>();
     private final Map<String, Map<String, String>> files = new LinkedHashMap<>();
-    private List<Work.Listed> nodes = List.of();
+    private List<MaintenanceService.ListedNode> nodes = List.of();
     private Map<String, String> voters = Map.of();
 
     private HollowMain() {}
@@ -76,7 +77,7 @@
                     .properties()
                     .forEach(e -> env.put(e.getKey(), e.getValue().asText()));
             files.put(one.getKey(), env);
-            routers.put(one.getKey(), new HollowRouter(new RouterStart(env), nodes));
+            routers.put(one.getKey(), new HollowRouter(new RouterConfig(env), nodes));
         }
         Map<String, Object> addresses = new LinkedHashMap<>();
         for (Map.Entry<String, HollowRouter> one : routers.entrySet()) {
@@ -89,15 +90,16 @@
         return "127.0.0.1:" + at.getPort();
     }
 
-    private static List<Work.Listed> nodes(JsonNode told) {
-        List<Work.Listed> all = new ArrayList<>();
+    private static List<MaintenanceService.ListedNode> nodes(JsonNode told) {
+        List<MaintenanceService.ListedNode> all = new ArrayList<>();
         for (JsonNode n : told) {
-            all.add(new Work.Listed(
+            all.add(new MaintenanceService.ListedNode(
                     n.path("id").asText(),
                     n.path("block").asInt(),
                     n.path("zone").asText(),
                     "m",
-                    new InetSocketAddress("127.0.0.1", n.path("port").asInt())));
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), n.path("port").asInt())));
         }
         return List.copyOf(all);
     }
@@ -146,7 +148,7 @@
 
     /** Starts it again with its folder. */
     private Map<String, Object> start(String name) throws IOException {
-        HollowRouter r = new HollowRouter(new RouterStart(files.get(name)), nodes);
+        HollowRouter r = new HollowRouter(new RouterConfig(files.get(name)), nodes);
         routers.put(name, r);
         r.address();
         r.join(voters);
--- a/src/main/java/tinlink/lab/scale/ServingLab.java
+++ b/src/main/java/tinlink/experiment/scale/ServingExperiment.java
@@ -1,10 +1,11 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
 import org.HdrHistogram.Histogram;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.LocalDate;
+import java.time.ZoneOffset;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -20,7 +21,7 @@
  * and the largest rate it bears. The verdict goes by counts and bytes alone, so a slow machine
  * changes nothing in it.
  */
-public final class ServingLab {
+public final class ServingExperiment {
     private final ServingPlan plan;
     private final long seed;
     private final List<String> notes;
@@ -32,7 +33,7 @@
      * @param shortForm a run of seconds at small sizes, for its verdict alone
      * @param notes kept with the results, for example what else the machine did meanwhile
      */
-    public ServingLab(boolean shortForm, long seed, List<String> notes) {
+    public ServingExperiment(boolean shortForm, long seed, List<String> notes) {
         plan = shortForm ? ServingPlan.shortForm() : ServingPlan.full();
         this.seed = seed;
         this.notes = new ArrayList<>(notes);
@@ -72,7 +73,7 @@
 
     /** Also called between repeats, so that a run that is interrupted leaves what it has. */
     private void save(Path out, List<String> said) throws IOException {
-        String day = LocalDate.now().toString();
+        String day = LocalDate.now(ZoneOffset.UTC).toString();
         int cores = Runtime.getRuntime().availableProcessors();
         new ResultFile(day, seed, cores, said, results.all()).save(out);
     }
--- a/src/main/java/tinlink/lab/scale/ServingRouter.java
+++ b/src/main/java/tinlink/experiment/scale/ServingRouter.java
@@ -1,7 +1,6 @@
-package tinlink.lab.scale;
+package tinlink.experiment.scale;
 
-import tinlink.Main;
-import tinlink.lab.processes.Child;
+import tinlink.experiment.processes.RouterProcess;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -51,9 +50,10 @@
     /** The one index of lookups: all parts are needed, and running a part twice does no harm. */
     static final String INDEX = "find";
 
-    private static final Pattern SERVES = Pattern.compile(" serves at [^/]*/([0-9.]+):([0-9]+) ");
+    private static final Pattern SERVES =
+            Pattern.compile("event=serving router=[^ ]+ address=([0-9.]+):([0-9]+) ");
     /** Begins what the router logs of each object of discovery's. */
-    private static final String LIST_TOLD = " told, ";
+    private static final String LIST_TOLD = "event=endpoint_list_updated ";
 
     private static final long START_S = 30;
     private static final long STOP_S = 10;
@@ -73,7 +73,11 @@
     private final List<String> lines = new ArrayList<>();
     private final AtomicLong listsTold = new AtomicLong();
 
-    /** Starts the router and waits until it serves. @param folder for its configuration */
+    /**
+     * Starts the router and waits until it serves.
+     *
+     * @param folder for its configuration
+     */
     ServingRouter(Settings settings, InetSocketAddress discovery, Path folder)
             throws IOException, InterruptedException {
         Path config = Files.writeString(folder.resolve("router.json"), config(settings, discovery));
@@ -83,7 +87,7 @@
         long from = System.nanoTime();
         process = builder.start();
         RUNNING.add(process);
-        process.onExit().thenAccept(RUNNING::remove);
+        var unused = process.onExit().thenAccept(RUNNING::remove);
         CompletableFuture<InetSocketAddress> serves = new CompletableFuture<>();
         Thread reader = new Thread(() -> readOutput(serves), "serving-router-output");
         reader.setDaemon(true);
@@ -123,12 +127,12 @@
     private static List<String> command(Settings settings) {
         List<String> all = new ArrayList<>();
         all.add(tool("java"));
-        all.addAll(Child.BOUNDS);
+        all.addAll(RouterProcess.BOUNDS);
         if (settings.tracksMemory) {
             all.add("-XX:NativeMemoryTracking=summary");
         }
         try {
-            Path from = Path.of(Main.class
+            Path from = Path.of(ServingRouter.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
@@ -142,7 +146,7 @@
             } else {
                 String path = System.getProperty(
                         "surefire.test.class.path", System.getProperty("java.class.path"));
-                all.addAll(List.of("-cp", path, Main.class.getName()));
+                all.addAll(List.of("-cp", path, RouterProcess.MAIN_CLASS));
             }
         } catch (URISyntaxException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/tinlink/lab/plays/ControlFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlFleet.java
@@ -1,18 +1,20 @@
-package tinlink.lab.plays;
-
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
-
-import tinlink.peers.Agreed;
-import tinlink.peers.choice.Life;
-import tinlink.policy.choice.Absent;
-import tinlink.policy.choice.Changes;
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.ListDifference;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Watch;
+package tinlink.experiment.simulation;
+
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
+
+import tinlink.cluster.consensus.ReplicatedStateMachine;
+import tinlink.cluster.membership.Incarnation;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.NodeListDifference;
+import tinlink.maintenance.scheduling.WatcherAssignment;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.PolicyChanges;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -34,35 +36,39 @@
     private static final int LINES_KEPT = 2000;
     private static final int WATCHERS = 3;
     private static final int HOLDERS = 3;
-    private static final AgreementGroup.Settings SETTINGS =
-            new AgreementGroup.Settings(LIBRARY_MILLISECOND_US, LINES_KEPT, LINES_KEPT, 2 * SEC);
-    private static final SimulatedNetwork.Path IN_ZONE = new SimulatedNetwork.Path(100, 400, 0, 0);
-    private static final SimulatedNetwork.Path IN_REGION =
-            new SimulatedNetwork.Path(300, 1500, 0.0001, 0);
-    private static final SimulatedNetwork.Path BETWEEN_REGIONS =
-            new SimulatedNetwork.Path(15 * MS, 40 * MS, 0.005, 0);
+    private static final ConsensusGroup.Settings SETTINGS =
+            new ConsensusGroup.Settings(LIBRARY_MILLISECOND_US, LINES_KEPT, LINES_KEPT, 2 * SEC);
+    private static final SimulatedNetwork.LinkConditions IN_ZONE =
+            new SimulatedNetwork.LinkConditions(100, 400, 0, 0);
+    private static final SimulatedNetwork.LinkConditions IN_REGION =
+            new SimulatedNetwork.LinkConditions(300, 1500, 0.0001, 0);
+    private static final SimulatedNetwork.LinkConditions BETWEEN_REGIONS =
+            new SimulatedNetwork.LinkConditions(15 * MS, 40 * MS, 0.005, 0);
     /** Until a first change says otherwise; as in service. */
-    private static final Absent FIRST = new Absent(Absent.Rule.WITHDRAW, 10 * SEC, SEC, 0, 50 * MS);
+    private static final AbsencePolicy FIRST =
+            new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10 * SEC, SEC, 0, 50 * MS);
 
-    final Play play;
+    final Simulation simulation;
     final SimulatedNetwork network;
     final TrafficMeter meter = new TrafficMeter();
-    final AgreementGroup group;
+    final ConsensusGroup group;
     final Map<String, ControlRouter> routers = new LinkedHashMap<>();
-    final SharedReplicas<Changes> states = new SharedReplicas<>(new ChangesMachine(FIRST));
+    final SharedReplicas<PolicyChanges> states =
+            new SharedReplicas<>(new SharedPolicyStateMachine(FIRST));
     /** What each router reports as its list of data nodes: it is the same for all of a region. */
     private final List<String> nodeLists = new ArrayList<>();
 
     private final Map<String, Map<String, Boolean>> watched = new HashMap<>();
     /** The order of work with all machines and routers and no work in hand: held by every router too. */
-    private final Order order = new Order(new Bounds(1, 0.5, 0.5, SEC, SEC, SEC, 1000, 4096));
+    private final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(
+            new DisruptionLimits(1, 0.5, 0.5, SEC, SEC, SEC, 1000, 4096));
 
     ControlFleet(long seed, int routerCount, int voterCount, int nodeCount) {
-        play = new Play(seed);
-        network = new SimulatedNetwork(play, this::path);
+        simulation = new Simulation(seed);
+        network = new SimulatedNetwork(simulation, this::path);
         network.meter(meter);
-        group = new AgreementGroup(
-                play, network, SETTINGS, () -> new SharedAgreed(states.replica()));
+        group = new ConsensusGroup(
+                simulation, network, SETTINGS, () -> new SharedPolicyReplica(states.replica()));
         for (int i = 0; i < routerCount; i++) {
             int zone = i % REGION_OF_ZONE.length;
             Machine machine = machine("router-" + i, Machine.Kind.ROUTER, -1, zone, i < voterCount);
@@ -75,15 +81,17 @@
             nodes.add(machine(
                     "node-" + i, Machine.Kind.NODE, i / HOLDERS, i % REGION_OF_ZONE.length, false));
         }
-        nodes.forEach(node -> order.play(Order.machineWords(node)));
+        nodes.forEach(node -> stateMachine.apply(new MaintenanceCommand.RegisterMachine(node)));
         for (int region = 0; region < REGIONS; region++) {
-            nodeLists.add(ListDifference.between("region-" + region, nodes, order.agreedNodes())
-                    .line());
+            nodeLists.add(MachineReportCodec.encode(NodeListDifference.between(
+                    "region-" + region, nodes, stateMachine.state().agreedNodes())));
         }
-        routers.values().forEach(router -> order.play(Order.machineWords(router.machine)));
+        routers.values()
+                .forEach(router ->
+                        stateMachine.apply(new MaintenanceCommand.RegisterMachine(router.machine)));
         routers.keySet()
-                .forEach(name -> order.play(Order.lifeWords(
-                        name, new Life(name, 1, play.random.nextLong()).toString())));
+                .forEach(name -> stateMachine.apply(new MaintenanceCommand.RegisterRouter(
+                        name, new Incarnation(name, 1, simulation.random.nextLong()).toString())));
         nodes.forEach(node -> watch(node.id()));
         routers.keySet().forEach(this::watch);
     }
@@ -101,12 +109,12 @@
     }
 
     private void watch(String machine) {
-        for (String watcher : Watch.watchers(routers.keySet(), machine, WATCHERS)) {
+        for (String watcher : WatcherAssignment.watchers(routers.keySet(), machine, WATCHERS)) {
             watched.computeIfAbsent(watcher, w -> new HashMap<>()).put(machine, true);
         }
     }
 
-    private SimulatedNetwork.Path path(String from, String to) {
+    private SimulatedNetwork.LinkConditions path(String from, String to) {
         ControlRouter a = routers.get(from);
         ControlRouter b = routers.get(to);
         if (a.region != b.region) {
@@ -117,9 +125,9 @@
 
     /** All that is agreed, as a router that starts anew fetches it. */
     List<String> stateLines() {
-        List<String> all = new ArrayList<>(order.lines());
-        SharedReplicas<Changes>.Replica replica = leader().replica();
-        all.addAll(replica.lines());
+        List<String> all = new ArrayList<>(stateMachine.snapshot());
+        SharedReplicas<PolicyChanges>.Replica replica = leader().replica();
+        all.addAll(replica.snapshot());
         return all;
     }
 
@@ -129,7 +137,8 @@
 
     /** What that router reports of machines that it watches. */
     String soundness(String router) {
-        return Lead.sawWords(watched.getOrDefault(router, Map.of()));
+        return MachineReportCodec.encode(
+                new MachineReport.Health(watched.getOrDefault(router, Map.of())));
     }
 
     int watchedBy(String router) {
@@ -139,8 +148,8 @@
     /** The router that leads; null where none does. */
     ControlRouter leader() {
         return routers.values().stream()
-                .filter(r -> r.up && r.leads())
-                .max(Comparator.comparingInt(r -> r.agreement.term()))
+                .filter(r -> r.up && r.isLeader())
+                .max(Comparator.comparingInt(r -> r.raft.term()))
                 .orElse(null);
     }
 
@@ -158,20 +167,21 @@
     }
 
     /** A shared replica as that which is agreed on. */
-    record SharedAgreed(SharedReplicas<Changes>.Replica replica) implements Agreed {
+    record SharedPolicyReplica(SharedReplicas<PolicyChanges>.Replica replica)
+            implements ReplicatedStateMachine {
         @Override
-        public String play(String line) {
-            return replica.play(line);
+        public String apply(String line) {
+            return replica.apply(line);
         }
 
         @Override
-        public List<String> lines() {
-            return replica.lines();
+        public List<String> snapshot() {
+            return replica.snapshot();
         }
 
         @Override
-        public void from(List<String> lines) {
-            replica.from(lines);
+        public void restore(List<String> lines) {
+            replica.restore(lines);
         }
     }
 }
--- a/src/main/java/tinlink/lab/plays/ControlRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/ControlRouter.java
@@ -1,19 +1,20 @@
-package tinlink.lab.plays;
-
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
-
-import tinlink.peers.choice.Words;
-import tinlink.policy.choice.Absent;
-import tinlink.policy.choice.Change;
-import tinlink.policy.choice.Changes;
-import tinlink.policy.choice.Coordinator;
-import tinlink.policy.choice.Participant;
-import tinlink.policy.choice.PolicyCommand;
-import tinlink.policy.choice.PolicyCommandCodec;
-import tinlink.policy.choice.Version;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.Machine;
+package tinlink.experiment.simulation;
+
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
+
+import tinlink.cluster.consensus.LineCodec;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.policy.rollout.AbsencePolicy;
+import tinlink.policy.rollout.ChangeCoordinator;
+import tinlink.policy.rollout.ChangeParticipant;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyChanges;
+import tinlink.policy.rollout.PolicyCommand;
+import tinlink.policy.rollout.PolicyCommandCodec;
+import tinlink.policy.rollout.PolicyVersion;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -37,9 +38,9 @@
     final Map<Long, Long> inForceAt = new HashMap<>();
 
     private final ControlFleet fleet;
-    private SharedReplicas<Changes>.Replica replica;
-    private Participant participant;
-    private Coordinator coordinator;
+    private SharedReplicas<PolicyChanges>.Replica replica;
+    private ChangeParticipant participant;
+    private ChangeCoordinator coordinator;
     private long listToldAt;
     private long confirmed;
     private long confirmedAskedAt;
@@ -57,32 +58,32 @@
             replica.release();
         }
         replica = fleet.states.replica();
-        startMember(new ControlFleet.SharedAgreed(replica));
-        participant =
-                new Participant(name, life.toString(), life.starts(), REPORT_US, change -> "");
-        coordinator = new Coordinator(REPORT_US);
+        startMember(new ControlFleet.SharedPolicyReplica(replica));
+        participant = new ChangeParticipant(
+                name, incarnation.toString(), incarnation.startCount(), REPORT_US, change -> "");
+        coordinator = new ChangeCoordinator(REPORT_US);
         listToldAt = Long.MIN_VALUE / 2;
         confirmed = -1;
         awaitedEpoch = -1;
-        enterGroup();
+        joinGroup();
         long run = generation;
-        every(run, BEAT_US, this::beat);
-        every(run, REPORT_US, this::report);
-        every(run, LEASE_US, this::renewLease);
+        scheduleEvery(run, BEAT_US, this::beat);
+        scheduleEvery(run, REPORT_US, this::report);
+        scheduleEvery(run, LEASE_US, this::renewLease);
     }
 
-    Changes changes() {
+    PolicyChanges changes() {
         return replica.state();
     }
 
-    SharedReplicas<Changes>.Replica replica() {
+    SharedReplicas<PolicyChanges>.Replica replica() {
         return replica;
     }
 
     private void beat() {
-        tendAgreement();
+        restartReplicaIfStuck();
         sayDisk();
-        agreedMore();
+        logAdvanced();
     }
 
     private void tellLeader(MessageKind kind, int body, Runnable arrives) {
@@ -93,7 +94,7 @@
                     leader.name,
                     kind,
                     () -> WireSize.word(name, body),
-                    () -> leader.takes(arrives));
+                    () -> leader.deliver(arrives));
         }
     }
 
@@ -102,10 +103,10 @@
     }
 
     private void report() {
-        report(MessageKind.REPORT, Lead.selfWords(machine));
+        report(MessageKind.REPORT, MachineReportCodec.encode(new MachineReport.Self(machine)));
         report(MessageKind.REPORT, fleet.soundness(name));
-        if (play.now() - listToldAt > REPORT_COUNTS_US / 3) {
-            listToldAt = play.now();
+        if (simulation.now() - listToldAt > REPORT_COUNTS_US / 3) {
+            listToldAt = simulation.now();
             report(MessageKind.NODE_LIST, fleet.nodeList(region));
         }
     }
@@ -117,15 +118,15 @@
     // ---- Leases. ----
 
     private void renewLease() {
-        Change open = changes().open();
-        boolean leased = changes().inForce().absent().rule() == Absent.Rule.FENCE
-                || open != null && open.absent().rule() == Absent.Rule.FENCE;
+        PolicyChange open = changes().openChange();
+        boolean leased = changes().inForce().absencePolicy().rule() == AbsencePolicy.Rule.FENCE
+                || (open != null && open.absencePolicy().rule() == AbsencePolicy.Rule.FENCE);
         if (!leased) {
             return;
         }
-        long askedAt = play.now();
-        if (leads()) {
-            agreement.settled((index, failure) -> leaseConfirmed(askedAt, index, failure));
+        long askedAt = simulation.now();
+        if (isLeader()) {
+            raft.confirmCommitIndex((index, failure) -> leaseConfirmed(askedAt, index, failure));
             return;
         }
         tellLeader(MessageKind.CONFIRM, WireSize.LONG, () -> leaderConfirms(askedAt));
@@ -134,8 +135,8 @@
     /** Runs at whoever is held to lead, for this router. */
     private void leaderConfirms(long askedAt) {
         ControlRouter leader = fleet.routers.get(leaderHint);
-        if (leader != null && leader.leads()) {
-            leader.agreement.settled(
+        if (leader != null && leader.isLeader()) {
+            leader.raft.confirmCommitIndex(
                     (index, failure) -> leader.confirm(this, askedAt, index, failure));
         }
     }
@@ -147,7 +148,7 @@
                     asker.name,
                     MessageKind.CONFIRMED,
                     () -> WireSize.word(name, 2 * WireSize.LONG),
-                    () -> asker.takes(() -> asker.leaseConfirmed(askedAt, index, null)));
+                    () -> asker.deliver(() -> asker.leaseConfirmed(askedAt, index, null)));
         }
     }
 
@@ -155,49 +156,50 @@
         if (failure == null && confirmed < 0) {
             confirmed = index;
             confirmedAskedAt = askedAt;
-            agreedMore();
+            logAdvanced();
         }
     }
 
     // ---- Changes of policy. ----
 
     @Override
-    void agreedMore() {
-        Changes changes = changes();
-        participant.clock(play.now(), play.now());
-        if (confirmed >= 0 && shown.index() >= confirmed) {
-            participant.leased(confirmedAskedAt, changes.inForce().absent().leaseUs());
+    void logAdvanced() {
+        PolicyChanges changes = changes();
+        participant.updateClocks(simulation.now(), simulation.now());
+        if (confirmed >= 0 && learnerLog.index() >= confirmed) {
+            participant.leaseGranted(
+                    confirmedAskedAt, changes.inForce().absencePolicy().leaseUs());
             confirmed = -1;
         }
         participant.decide(changes, this::propose);
-        coordinator.clock(play.now(), play.now());
-        coordinator.leads(leads());
+        coordinator.updateClocks(simulation.now(), simulation.now());
+        coordinator.setLeader(isLeader());
         coordinator.decide(changes, this::propose);
         lookAtPolicy(changes);
     }
 
     private void propose(PolicyCommand command) {
-        propose(Words.of(PolicyCommandCodec.encode(command).toArray()));
+        propose(LineCodec.encode(PolicyCommandCodec.encode(command).toArray()));
     }
 
     /** Notes when it first takes lookups by a version; one that is to come is looked for at its time. */
-    private void lookAtPolicy(Changes changes) {
-        Version newest = changes.inForce();
+    private void lookAtPolicy(PolicyChanges changes) {
+        PolicyVersion newest = changes.inForce();
         if (inForceAt.containsKey(newest.epoch())) {
             return;
         }
-        if (participant.takes(changes).epoch() == newest.epoch()) {
-            inForceAt.put(newest.epoch(), play.now());
+        if (participant.effectivePolicy(changes).epoch() == newest.epoch()) {
+            inForceAt.put(newest.epoch(), simulation.now());
         } else if (awaitedEpoch != newest.epoch()) {
             awaitedEpoch = newest.epoch();
-            later(Math.max(0, newest.atUs() - play.now()), this::agreedMore);
+            scheduleIn(Math.max(0, newest.effectiveAtUs() - simulation.now()), this::logAdvanced);
         }
     }
 
     /** Whether lookups are taken here by that epoch, or none are. */
     long takesBy() {
-        participant.clock(play.now(), play.now());
-        return participant.takes(changes()).epoch();
+        participant.updateClocks(simulation.now(), simulation.now());
+        return participant.effectivePolicy(changes()).epoch();
     }
 
     @Override
--- a/src/main/java/tinlink/lab/plays/WorkChecks.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceChecks.java
@@ -1,22 +1,22 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
-import tinlink.work.choice.Piece;
-import tinlink.work.choice.Request;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.maintenance.scheduling.MaintenanceTask;
 
 /**
  * What must hold when an operator takes a machine, by what machines and calls are, not by what routers say of
  * them.
  */
-final class WorkChecks {
+final class MaintenanceChecks {
     /** What has failed so long ago is known; machines that failed later are nobody's fault. */
     private static final long KNOWN_AFTER_US = 6 * SEC;
 
     private static final int LEAST_HOLDERS = 2;
-    private final WorkFleet fleet;
+    private final MaintenanceFleet fleet;
 
-    WorkChecks(WorkFleet fleet) {
+    MaintenanceChecks(MaintenanceFleet fleet) {
         this.fleet = fleet;
     }
 
@@ -25,14 +25,14 @@
     }
 
     private boolean isRecent(long since) {
-        return fleet.play.now() - since < KNOWN_AFTER_US;
+        return fleet.simulation.now() - since < KNOWN_AFTER_US;
     }
 
     void taken(SimulatedRouter router) {
         if (router.stoppedForWork) {
             violated(router.name + " is taken twice");
         }
-        if (router.up && !router.lettingGo && router.holder.isKnown(router.order())) {
+        if (router.up && !router.draining && router.drainController.isRegistered(router.order())) {
             violated(router.name + " is taken while it serves");
         }
         long left = fleet.voters().stream()
@@ -43,9 +43,9 @@
         }
     }
 
-    void taken(SimulatedDataNode node, Request request, Piece piece) {
+    void taken(SimulatedDataNode node, MaintenanceRequest request, MaintenanceTask task) {
         if (node.takenBy != null) {
-            violated(piece.machine() + " is taken twice, for " + node.takenBy + " and "
+            violated(task.machine() + " is taken twice, for " + node.takenBy + " and "
                     + request.id());
         }
         long left = fleet.nodes.values().stream()
@@ -56,12 +56,12 @@
         // yet.
         boolean dead = !node.up || isRecent(node.since);
         if (left < LEAST_HOLDERS && !dead) {
-            violated(piece.machine() + " is taken and leaves " + left + " holders of block "
+            violated(task.machine() + " is taken and leaves " + left + " holders of block "
                     + node.machine.cell());
         }
         for (SimulatedRouter router : fleet.routers.values()) {
-            if (router.up && router.callsOpen(piece.machine()) > 0) {
-                violated(piece.machine() + " is taken while " + router.name
+            if (router.up && router.callsOpen(task.machine()) > 0) {
+                violated(task.machine() + " is taken while " + router.name
                         + " has calls open there");
             }
         }
--- a/src/main/java/tinlink/lab/plays/WorkFleet.java
+++ b/src/main/java/tinlink/experiment/simulation/MaintenanceFleet.java
@@ -1,14 +1,16 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
-import tinlink.work.WorkBook;
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Watch;
+import tinlink.maintenance.ReplicatedMaintenance;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceState;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.WatcherAssignment;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,40 +20,42 @@
 import java.util.function.Supplier;
 
 /** The machines of one play of work, and what is agreed among its routers. */
-final class WorkFleet {
-    static final Bounds BOUNDS = new Bounds(2, 0.5, 0.5, SEC, 4 * SEC, 20 * SEC, 2000, 4000);
+final class MaintenanceFleet {
+    static final DisruptionLimits BOUNDS =
+            new DisruptionLimits(2, 0.5, 0.5, SEC, 4 * SEC, 20 * SEC, 2000, 4000);
     private static final int WATCHERS = 3;
-    private static final AgreementGroup.Settings SETTINGS =
-            new AgreementGroup.Settings(MS, 64, 40, 2 * SEC);
-    private static final SimulatedNetwork.Path PATH =
-            new SimulatedNetwork.Path(300, 8_000, 0.01, 0.01);
+    private static final ConsensusGroup.Settings SETTINGS =
+            new ConsensusGroup.Settings(MS, 64, 40, 2 * SEC);
+    private static final SimulatedNetwork.LinkConditions PATH =
+            new SimulatedNetwork.LinkConditions(300, 8_000, 0.01, 0.01);
 
-    final WorkPlay.Size size;
-    final Play play;
+    final MaintenanceSimulation.Size size;
+    final Simulation simulation;
     final SimulatedNetwork network;
-    final AgreementGroup group;
+    final ConsensusGroup group;
     final Map<String, SimulatedRouter> routers = new LinkedHashMap<>();
     final Map<String, SimulatedDataNode> nodes = new LinkedHashMap<>();
     final List<String> violations;
 
-    private final Supplier<WorkReplica> replicas;
+    private final Supplier<MaintenanceReplica> replicas;
     /** By machine, who watches it: the same for all routers, so settled once. */
     private final Map<String, List<String>> watchers = new HashMap<>();
     /** By site, what its routers report as their list of data nodes. */
     private final Map<String, String> nodeLists = new HashMap<>();
 
-    private final WorkBook truth = new WorkBook(BOUNDS);
+    private final ReplicatedMaintenance truth = new ReplicatedMaintenance(BOUNDS);
     private long truthIndex;
 
-    WorkFleet(long seed, WorkPlay.Size size, boolean sharesState) {
+    MaintenanceFleet(long seed, MaintenanceSimulation.Size size, boolean sharesState) {
         this.size = size;
-        play = new Play(seed);
-        network = new SimulatedNetwork(play, PATH);
-        SharedReplicas<Order> shared = new SharedReplicas<>(new OrderMachine(BOUNDS));
+        simulation = new Simulation(seed);
+        network = new SimulatedNetwork(simulation, PATH);
+        SharedReplicas<MaintenanceStateMachine> shared =
+                new SharedReplicas<>(new SharedMaintenanceStateMachine(BOUNDS));
         replicas = sharesState
-                ? () -> new WorkReplica.Shared(shared.replica())
-                : () -> new WorkReplica.Own(BOUNDS);
-        group = new AgreementGroup(play, network, SETTINGS, replicas::get);
+                ? () -> new MaintenanceReplica.Shared(shared.replica())
+                : () -> new MaintenanceReplica.Own(BOUNDS);
+        group = new ConsensusGroup(simulation, network, SETTINGS, replicas::get);
         violations = group.violations;
         for (int i = 0; i < size.routers(); i++) {
             addRouter(i);
@@ -90,7 +94,7 @@
     }
 
     /** A replica of the order of work, as before the first line. */
-    WorkReplica replica() {
+    MaintenanceReplica replica() {
         return replicas.get();
     }
 
@@ -99,25 +103,25 @@
     }
 
     /** The order as it stands by all that any router has found agreed. */
-    Order truth() {
+    MaintenanceState truth() {
         group.log.after(truthIndex).forEach((index, line) -> {
-            truth.play(line);
+            truth.apply(line);
             truthIndex = index;
         });
-        return truth.order();
+        return truth.state();
     }
 
     /** Routers that look after that machine. */
     List<String> watchers(String machine) {
         return watchers.computeIfAbsent(
-                machine, m -> Watch.watchers(routers.keySet(), m, WATCHERS));
+                machine, m -> WatcherAssignment.watchers(routers.keySet(), m, WATCHERS));
     }
 
     String nodeList(String site) {
         return nodeLists.computeIfAbsent(
                 site,
-                s -> Lead.listWords(
-                        s, nodes.values().stream().map(n -> n.machine).toList()));
+                s -> MachineReportCodec.encode(new MachineReport.FullNodeList(
+                        s, nodes.values().stream().map(n -> n.machine).toList())));
     }
 
     /** A router that runs and is awake, by chance; null where none does. */
@@ -128,6 +132,6 @@
                 running.add(router);
             }
         }
-        return running.isEmpty() ? null : running.get(play.random.nextInt(running.size()));
+        return running.isEmpty() ? null : running.get(simulation.random.nextInt(running.size()));
     }
 }
--- a/src/main/java/tinlink/lab/plays/MembershipPlay.java
+++ b/src/main/java/tinlink/experiment/simulation/MembershipSimulation.java
@@ -1,10 +1,10 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import tinlink.peers.choice.Life;
-import tinlink.peers.choice.Member;
-import tinlink.peers.choice.Membership;
-import tinlink.peers.choice.Rumor;
-import tinlink.peers.choice.Standing;
+import tinlink.cluster.membership.Incarnation;
+import tinlink.cluster.membership.Member;
+import tinlink.cluster.membership.MemberState;
+import tinlink.cluster.membership.Membership;
+import tinlink.cluster.membership.Rumor;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -17,7 +17,7 @@
  * Routers that find each other over a lossy network, some killed, paused, cut off, started again, started
  * twice. What is checked is what they hold of each other against what they are.
  */
-public final class MembershipPlay {
+public final class MembershipSimulation {
     private static final long ROUND = 200_000;
     /** A whole fleet has to agree so many rounds after the last fault has healed. */
     private static final int REST_ROUNDS = 400;
@@ -35,9 +35,9 @@
     /** What came of a play. */
     public record Outcome(long steps, long digest, int falseDeaths, List<String> violations) {}
 
-    private final class Router extends SimulatedProcess implements Membership.Hands {
-        Life life;
-        Membership m;
+    private final class Router extends SimulatedProcess implements Membership.Handler {
+        Incarnation incarnation;
+        Membership membership;
         /** Starts with its folder; an old copy has fewer. */
         long starts;
         /** The newest life that it has held of each. */
@@ -46,35 +46,36 @@
         final List<String> toldOfSelf = new ArrayList<>();
 
         Router(String name) {
-            super(MembershipPlay.this.play, name, Integer.MAX_VALUE);
+            super(MembershipSimulation.this.simulation, name, Integer.MAX_VALUE);
         }
 
         void start(long starts) {
             this.starts = starts;
-            life = new Life(name, starts, play.random.nextLong(1, Long.MAX_VALUE));
+            incarnation =
+                    new Incarnation(name, starts, simulation.random.nextLong(1, Long.MAX_VALUE));
             List<String> seeds =
                     new ArrayList<>(routers.keySet()).subList(0, Math.min(3, routers.size()));
-            m = new Membership(
-                    life,
+            membership = new Membership(
+                    incarnation,
                     name,
                     seeds,
-                    new Membership.Pace(roundUs, 3, 4 * routers.size() + 8),
-                    play.random.split());
+                    new Membership.Settings(roundUs, 3, 4 * routers.size() + 8),
+                    simulation.random.split());
             newest.clear();
-            begin();
+            beginRun();
             turn();
         }
 
         @Override
         void perform(Runnable action) {
-            m.clock(play.now());
+            membership.advanceClock(simulation.now());
             action.run();
             turn();
         }
 
         private void turn() {
-            m.clock(play.now());
-            while (m.decide(this)) {
+            membership.advanceClock(simulation.now());
+            while (membership.decide(this)) {
                 // Each has been carried out.
             }
         }
@@ -83,8 +84,8 @@
             Router to = routers.get(at);
             if (to != null) {
                 Runnable arrives = () -> {
-                    Membership its = to.m;
-                    its.heard(rumors);
+                    Membership its = to.membership;
+                    its.onRumors(rumors);
                     what.accept(its);
                 };
                 net.send(
@@ -92,95 +93,106 @@
                         at,
                         MessageKind.MEMBERSHIP,
                         () -> WireSize.membership(target, rumors),
-                        () -> to.takes(arrives));
+                        () -> to.deliver(arrives));
             }
         }
 
         @Override
-        public void probe(String at, long number, List<Rumor> rumors) {
-            send(at, "", rumors, t -> t.probed(name, number));
+        public void sendProbe(String at, long number, List<Rumor> rumors) {
+            send(at, "", rumors, t -> t.onProbe(name, number));
         }
 
+        @SuppressWarnings("ReferenceEquality") // The same start of a process, not an equal one.
         @Override
-        public void answer(String at, long number, List<Rumor> rumors) {
-            Life to = routers.get(at) == null ? null : routers.get(at).life;
+        public void sendAck(String at, long number, List<Rumor> rumors) {
+            Incarnation to = routers.get(at) == null ? null : routers.get(at).incarnation;
             send(at, "", rumors, t -> {
-                if (routers.get(at).life == to) {
-                    t.answered(
-                            number); // A link ends with its process; so do the numbers said on it.
+                if (routers.get(at).incarnation == to) {
+                    t.onAck(number); // A link ends with its process; so do the numbers said on it.
                 }
             });
         }
 
         @Override
-        public void probeFor(String at, long number, String target, List<Rumor> rumors) {
-            send(at, target, rumors, t -> t.probeAsked(name, number, target));
+        public void sendProbeRequest(String at, long number, String target, List<Rumor> rumors) {
+            send(at, target, rumors, t -> t.onProbeRequest(name, number, target));
         }
 
         @Override
-        public void noAnswer(String at, long number, List<Rumor> rumors) {
-            send(at, "", rumors, t -> t.helperAnswered(number));
+        public void sendNack(String at, long number, List<Rumor> rumors) {
+            send(at, "", rumors, t -> t.onNack(number));
         }
 
         @Override
-        public void changed(Member member) {
-            play.note(name + " holds " + member.life() + " " + member.standing());
-            Long before = newest.put(member.name(), member.life().starts());
-            if (before != null && before > member.life().starts()) {
-                violations.add(name + " went back to an earlier life of " + member.name());
+        public void onMemberChanged(Member member) {
+            simulation.addToDigest(name + " holds " + member.incarnation() + " " + member.state());
+            Long before = newest.put(member.router(), member.incarnation().startCount());
+            if (before != null && before > member.incarnation().startCount()) {
+                violations.add(name + " went back to an earlier life of " + member.router());
             }
-            Router r = routers.get(member.name());
-            boolean well =
-                    r != null && r.up && !r.paused && r.life.equals(member.life()) && !troubled;
-            if (member.standing() == Standing.DEAD && well) {
+            Router r = routers.get(member.router());
+            boolean well = r != null
+                    && r.up
+                    && !r.paused
+                    && r.incarnation.equals(member.incarnation())
+                    && !troubled;
+            if (member.state() == MemberState.DEAD && well) {
                 falseDeaths++;
             }
         }
 
         @Override
-        public void self(Life.Other how, Life other) {
-            toldOfSelf.add(how + " " + other);
+        public void onSelfConflict(Incarnation.Relation relation, Incarnation other) {
+            toldOfSelf.add(relation + " " + other);
         }
 
+        @SuppressWarnings("ReferenceEquality") // As above.
         @Override
-        public void wake(long atUs) {
-            Life mine = life;
-            play.at(atUs, () -> {
-                if (life == mine) {
-                    takes(() -> {});
+        public void scheduleWakeUp(long atUs) {
+            Incarnation mine = incarnation;
+            simulation.scheduleAt(atUs, () -> {
+                if (incarnation == mine) {
+                    deliver(() -> {});
                 }
             });
         }
     }
 
     private final long roundUs;
-    private final Play play;
+    private final Simulation simulation;
     private final SimulatedNetwork net;
     private final Map<String, Router> routers = new LinkedHashMap<>();
     private final List<String> violations = new ArrayList<>();
     private boolean troubled = true;
     private int falseDeaths;
 
-    private MembershipPlay(long seed, int count, SimulatedNetwork.Path path) {
+    private MembershipSimulation(long seed, int count, SimulatedNetwork.LinkConditions path) {
         this(seed, count, path, ROUND, "r");
     }
 
-    private MembershipPlay(
-            long seed, int count, SimulatedNetwork.Path path, long roundUs, String prefix) {
+    private MembershipSimulation(
+            long seed,
+            int count,
+            SimulatedNetwork.LinkConditions path,
+            long roundUs,
+            String prefix) {
         this.roundUs = roundUs;
-        play = new Play(seed);
-        net = new SimulatedNetwork(play, path);
+        simulation = new Simulation(seed);
+        net = new SimulatedNetwork(simulation, path);
         for (int i = 0; i < count; i++) {
             routers.put(prefix + i, new Router(prefix + i));
         }
     }
 
     /**
+     * Plays one schedule of faults.
+     *
      * @param faults how many befall the fleet, one after the other; then all is healed
      * @param twin a router is also started a second time from a copy of its folder, and ended again
      */
     public static Outcome play(long seed, int count, int faults, boolean twin) {
-        return new MembershipPlay(seed, count, new SimulatedNetwork.Path(500, 20_000, 0.02, 0.02))
+        return new MembershipSimulation(
+                        seed, count, new SimulatedNetwork.LinkConditions(500, 20_000, 0.02, 0.02))
                 .go(faults, twin);
     }
 
@@ -189,28 +201,33 @@
      *
      * @param joinedUs until all of a fleet that was started at once knew each other
      * @param joining messages and bytes of one router until then, the mean
-     * @param idle a second afterwards
+     * @param messages of one router a second afterwards
+     * @param bytes of one router a second afterwards
      */
     public record Idle(long joinedUs, TrafficMeter.Count joining, double messages, double bytes) {}
 
     /** A fleet with the rounds of service, started at once; each router knows three to begin with. */
     public static Idle idle(long seed, int count) {
-        SimulatedNetwork.Path path = new SimulatedNetwork.Path(500, 20_000, 0, 0);
-        return new MembershipPlay(seed, count, path, SERVICE_ROUND_US, "router-").idle();
+        SimulatedNetwork.LinkConditions path =
+                new SimulatedNetwork.LinkConditions(500, 20_000, 0, 0);
+        return new MembershipSimulation(seed, count, path, SERVICE_ROUND_US, "router-").idle();
     }
 
     private Idle idle() {
         TrafficMeter meter = new TrafficMeter();
         net.meter(meter);
-        routers.values().forEach(r -> play.in(play.random.nextLong(roundUs), () -> r.start(1)));
-        while (play.now() < MOST_JOIN_US && (play.now() == 0 || disagreement() != null)) {
-            play.run(play.now() + roundUs);
+        routers.values()
+                .forEach(r -> simulation.scheduleIn(
+                        simulation.random.nextLong(roundUs), () -> r.start(1)));
+        while (simulation.now() < MOST_JOIN_US
+                && (simulation.now() == 0 || disagreement() != null)) {
+            simulation.run(simulation.now() + roundUs);
         }
-        long joinedUs = play.now();
+        long joinedUs = simulation.now();
         TrafficMeter.Count joining = total(meter);
-        play.run(play.now() + SETTLE_US + SETTLE_JOINS * joinedUs);
+        simulation.run(simulation.now() + SETTLE_US + SETTLE_JOINS * joinedUs);
         TrafficMeter.Count before = total(meter);
-        play.run(play.now() + IDLE_US);
+        simulation.run(simulation.now() + IDLE_US);
         TrafficMeter.Count idle = total(meter).minus(before);
         double units = routers.size() * (IDLE_US / 1e6);
         return new Idle(
@@ -228,36 +245,39 @@
     }
 
     private Outcome go(int faults, boolean twin) {
-        routers.values().forEach(r -> play.in(play.random.nextLong(ROUND), () -> r.start(1)));
-        play.run(60 * ROUND);
+        routers.values()
+                .forEach(r ->
+                        simulation.scheduleIn(simulation.random.nextLong(ROUND), () -> r.start(1)));
+        simulation.run(60 * ROUND);
         troubled = false;
-        play.run(play.now() + 60 * ROUND);
+        simulation.run(simulation.now() + 60 * ROUND);
         troubled = faults > 0;
         for (int i = 0; i < faults; i++) {
             fault();
-            play.run(play.now() + play.random.nextLong(60 * ROUND));
+            simulation.run(simulation.now() + simulation.random.nextLong(60 * ROUND));
         }
         if (twin) {
             showsTwin();
         }
-        net.mendAll();
+        net.healAll();
         for (Router r : routers.values()) {
             if (r.paused) {
-                r.goOn();
+                r.resume();
             }
             if (!r.up) {
                 r.start(r.starts + 1);
             }
         }
-        long until = play.now() + REST_ROUNDS * ROUND;
-        while (play.now() < until && disagreement() != null) {
-            play.run(play.now() + ROUND);
+        long until = simulation.now() + REST_ROUNDS * ROUND;
+        while (simulation.now() < until && disagreement() != null) {
+            simulation.run(simulation.now() + ROUND);
         }
         String not = disagreement();
         if (not != null) {
             violations.add("not at rest: " + not);
         }
-        return new Outcome(play.steps(), play.digest(), falseDeaths, List.copyOf(violations));
+        return new Outcome(
+                simulation.steps(), simulation.digest(), falseDeaths, List.copyOf(violations));
     }
 
     private String disagreement() {
@@ -266,11 +286,14 @@
                 if (o == r) {
                     continue;
                 }
-                Member m = r.m.member(o.name);
-                if (m == null || m.standing() != Standing.ALIVE || !m.life().equals(o.life)) {
+                Member m = r.membership.member(o.name);
+                if (m == null
+                        || m.state() != MemberState.ALIVE
+                        || !m.incarnation().equals(o.incarnation)) {
                     return r.name + " holds " + o.name + " for "
-                            + (m == null ? "unknown" : m.standing() + " " + m.life()) + ", it is "
-                            + o.life;
+                            + (m == null ? "unknown" : m.state() + " " + m.incarnation())
+                            + ", it is "
+                            + o.incarnation;
                 }
             }
         }
@@ -279,17 +302,17 @@
 
     private Router some() {
         List<Router> all = new ArrayList<>(routers.values());
-        return all.get(play.random.nextInt(all.size()));
+        return all.get(simulation.random.nextInt(all.size()));
     }
 
     private void fault() {
         Router r = some();
         Router o = some();
-        switch (play.random.nextInt(7)) {
+        switch (simulation.random.nextInt(7)) {
             case 0 -> r.kill();
             case 1 -> {
                 r.kill();
-                play.in(play.random.nextLong(20 * ROUND), () -> {
+                simulation.scheduleIn(simulation.random.nextLong(20 * ROUND), () -> {
                     if (!r.up) {
                         r.start(r.starts + 1);
                     }
@@ -297,9 +320,9 @@
             }
             case 2 -> {
                 r.paused = true;
-                play.in(play.random.nextLong(80 * ROUND), () -> {
+                simulation.scheduleIn(simulation.random.nextLong(80 * ROUND), () -> {
                     if (r.paused) {
-                        r.goOn();
+                        r.resume();
                     }
                 });
             }
@@ -317,36 +340,37 @@
                     }
                 }
             }
-            default -> net.mendAll();
+            default -> net.healAll();
         }
-        play.note("fault at " + r.name + " " + o.name);
+        simulation.addToDigest("fault at " + r.name + " " + o.name);
     }
 
     /** A second process with the same folder's starts: some router has to see both, and so has it itself. */
     private void showsTwin() {
-        net.mendAll();
-        routers.values().stream().filter(r -> r.paused).forEach(Router::goOn);
-        play.run(play.now() + 60 * ROUND);
+        net.healAll();
+        routers.values().stream().filter(r -> r.paused).forEach(Router::resume);
+        simulation.run(simulation.now() + 60 * ROUND);
         Router r = routers.get("r0");
         if (!r.up) {
             r.start(r.starts + 1);
-            play.run(play.now() + 60 * ROUND);
+            simulation.run(simulation.now() + 60 * ROUND);
         }
         Router twin = new Router("r0");
         // It is reached at the same name here, so that what others answer goes to the first of the
         // two.
-        twin.life = new Life("r0", r.starts, r.life.word() + 1);
+        twin.incarnation = new Incarnation("r0", r.starts, r.incarnation.nonce() + 1);
         Router seen = routers.get("r1");
         if (!seen.up) {
             seen.start(seen.starts + 1);
-            play.run(play.now() + 60 * ROUND);
+            simulation.run(simulation.now() + 60 * ROUND);
         }
-        seen.takes(() -> seen.m.heard(new Rumor(twin.life, 1, Standing.ALIVE, "r0", "")));
-        play.run(play.now() + 60 * ROUND);
-        if (r.toldOfSelf.stream().noneMatch(s -> s.startsWith("TWIN"))) {
+        seen.deliver(() -> seen.membership.onRumor(
+                new Rumor(twin.incarnation, 1, MemberState.ALIVE, "r0", "")));
+        simulation.run(simulation.now() + 60 * ROUND);
+        if (r.toldOfSelf.stream().noneMatch(s -> s.startsWith("DUPLICATE"))) {
             violations.add("r0 was not told of its twin");
         }
-        if (seen.m.member("r0").twin() == null) {
+        if (seen.membership.member("r0").duplicate() == null) {
             violations.add("r1 has not kept the twin of r0");
         }
     }
--- a/src/main/java/tinlink/lab/plays/BestOrder.java
+++ b/src/main/java/tinlink/experiment/simulation/OptimalSchedule.java
@@ -1,11 +1,12 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import tinlink.work.choice.Bounds;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
-import tinlink.work.choice.Piece;
-import tinlink.work.choice.Request;
-import tinlink.work.choice.State;
+import tinlink.maintenance.scheduling.DisruptionLimits;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
+import tinlink.maintenance.scheduling.MaintenanceRequest;
+import tinlink.maintenance.scheduling.MaintenanceStateMachine;
+import tinlink.maintenance.scheduling.MaintenanceTask;
+import tinlink.maintenance.scheduling.TaskState;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,7 +20,7 @@
  * the best order there is, found by trying all orders (each piece starts as early as the bounds let
  * it after those before it). All that is asked for is asked for at once; simulated time.
  */
-public final class BestOrder {
+public final class OptimalSchedule {
     /** Mean waits, in microseconds. */
     public record Waits(double granted, double oneByOne, double best) {}
 
@@ -27,14 +28,14 @@
     private static final long WARM = 500_000;
     private static final int HOLDERS = 3;
     private static final int BLOCKS = 3;
-    private static final Bounds BOUNDS =
-            new Bounds(2, 0.5, 0.5, WARM, 10_000_000, 3_600_000_000L, 100, 100);
+    private static final DisruptionLimits BOUNDS =
+            new DisruptionLimits(2, 0.5, 0.5, WARM, 10_000_000, 3_600_000_000L, 100, 100);
     private final List<Machine> machines = new ArrayList<>();
     private final List<Machine> asked = new ArrayList<>();
     private final List<Long> forUs = new ArrayList<>();
     private long best = Long.MAX_VALUE;
 
-    private BestOrder(long seed, int pieces) {
+    private OptimalSchedule(long seed, int pieces) {
         SplittableRandom r = new SplittableRandom(seed);
         for (int b = 0; b < BLOCKS; b++) {
             for (int h = 0; h < HOLDERS; h++) {
@@ -49,9 +50,13 @@
         }
     }
 
-    /** @param pieces of work; all orders of them are tried, so 8 at most */
+    /**
+     * Waits under the order that was chosen and under the best one.
+     *
+     * @param pieces of work; all orders of them are tried, so 8 at most
+     */
     public static Waits of(long seed, int pieces) {
-        BestOrder o = new BestOrder(seed, pieces);
+        OptimalSchedule o = new OptimalSchedule(seed, pieces);
         o.search(new ArrayList<>(), new boolean[pieces], new long[pieces], 0);
         long serial = 0;
         long free = 0;
@@ -65,30 +70,33 @@
 
     /** What the order itself does with them. */
     private long granted() {
-        Order o = new Order(BOUNDS);
-        machines.forEach(m -> o.play(Order.machineWords(m)));
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
+        machines.forEach(
+                machine -> stateMachine.apply(new MaintenanceCommand.RegisterMachine(machine)));
         IntStream.range(0, asked.size())
-                .forEach(i -> o.play(Order.askWords(new Request(
-                        "q" + i,
-                        List.of(asked.get(i).id()),
-                        forUs.get(i),
-                        Long.MAX_VALUE,
-                        5,
-                        "op",
-                        "work"))));
+                .forEach(i -> stateMachine.apply(
+                        new MaintenanceCommand.SubmitRequest(new MaintenanceRequest(
+                                "q" + i,
+                                List.of(asked.get(i).id()),
+                                forUs.get(i),
+                                Long.MAX_VALUE,
+                                5,
+                                "op",
+                                "work"))));
         Map<String, Long> since = new HashMap<>();
         long waits = 0;
-        for (long now = 0; !o.open().isEmpty(); now += STEP) {
-            for (Piece p : o.open()) {
-                if (p.state() == State.OUT) {
-                    Long from = since.putIfAbsent(p.machine(), now);
+        for (long now = 0; !stateMachine.state().openTasks().isEmpty(); now += STEP) {
+            for (MaintenanceTask task : stateMachine.state().openTasks()) {
+                if (task.state() == TaskState.OUT) {
+                    Long from = since.putIfAbsent(task.machine(), now);
                     waits += from == null ? now : 0;
-                    if (now - since.get(p.machine()) >= p.request().forUs()) {
-                        o.play(Order.doneWords(p.request().id(), "", false));
+                    if (now - since.get(task.machine()) >= task.request().durationUs()) {
+                        stateMachine.apply(new MaintenanceCommand.CompleteWork(
+                                task.request().id(), "", false));
                     }
                 }
             }
-            o.play(Order.tickWords(STEP));
+            stateMachine.apply(new MaintenanceCommand.AdvanceTime(STEP));
         }
         return waits;
     }
@@ -154,17 +162,17 @@
     }
 
     private boolean holds(List<Machine> away) {
-        for (Machine m : away) {
-            if (here(away, o -> o.cell() == m.cell()) < BOUNDS.holders()
-                    || here(away, o -> o.zone().equals(m.zone()))
-                            < Math.ceil(BOUNDS.zoneShare()
+        for (Machine machine : away) {
+            if (here(away, o -> o.cell() == machine.cell()) < BOUNDS.minReplicas()
+                    || here(away, o -> o.zone().equals(machine.zone()))
+                            < Math.ceil(BOUNDS.minZoneShare()
                                     * machines.stream()
-                                            .filter(o -> o.zone().equals(m.zone()))
+                                            .filter(o -> o.zone().equals(machine.zone()))
                                             .count())
-                    || here(away, o -> o.site().equals(m.site()))
-                            < Math.ceil(BOUNDS.siteShare()
+                    || here(away, o -> o.site().equals(machine.site()))
+                            < Math.ceil(BOUNDS.minSiteShare()
                                     * machines.stream()
-                                            .filter(o -> o.site().equals(m.site()))
+                                            .filter(o -> o.site().equals(machine.site()))
                                             .count())) {
                 return false;
             }
@@ -173,6 +181,9 @@
     }
 
     private long here(List<Machine> away, java.util.function.Predicate<Machine> where) {
-        return machines.stream().filter(where).filter(m -> !away.contains(m)).count();
+        return machines.stream()
+                .filter(where)
+                .filter(machine -> !away.contains(machine))
+                .count();
     }
 }
--- a/src/main/java/tinlink/lab/plays/PolicyChecks.java
+++ b/src/main/java/tinlink/experiment/simulation/PolicyChecks.java
@@ -1,7 +1,7 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import tinlink.policy.choice.Change;
-import tinlink.policy.choice.PolicyCommand;
+import tinlink.policy.rollout.PolicyChange;
+import tinlink.policy.rollout.PolicyCommand;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -56,11 +56,11 @@
     }
 
     /** An operator was told how that change has ended. */
-    void told(Change change) {
-        String how = change.state() + " " + change.epoch() + " " + change.atUs();
-        String before = outcomes.putIfAbsent(change.id(), how);
+    void told(PolicyChange change) {
+        String how = change.state() + " " + change.epoch() + " " + change.effectiveAtUs();
+        String before = outcomes.putIfAbsent(change.changeId(), how);
         if (before != null && !before.equals(how)) {
-            violated("flipped: " + change.id() + " " + before + " / " + how);
+            violated("flipped: " + change.changeId() + " " + before + " / " + how);
         }
     }
 
@@ -78,7 +78,7 @@
         TreeMap<Long, Long> beginsAt = new TreeMap<>(Map.of(0L, 0L));
         Map<Long, Long> settledAt = new HashMap<>(Map.of(0L, 0L));
         outcomes.forEach((id, how) -> {
-            String[] parts = how.split(" ");
+            String[] parts = how.split(" ", 0);
             if (parts[0].equals("IN_FORCE")) {
                 long epoch = Long.parseLong(parts[1]);
                 beginsAt.put(epoch, Long.parseLong(parts[2]));
@@ -100,8 +100,8 @@
     private Optional<Long> settledAt(String change, long time) {
         return commands.stream()
                 .filter(agreed -> agreed.command() instanceof PolicyCommand.Commit commit
-                        && commit.change().equals(change)
-                        && commit.atUs() == time)
+                        && commit.changeId().equals(change)
+                        && commit.effectiveAtUs() == time)
                 .map(Agreed::atUs)
                 .findFirst();
     }
--- a/src/main/java/tinlink/lab/plays/SimulatedRouter.java
+++ b/src/main/java/tinlink/experiment/simulation/SimulatedRouter.java
@@ -1,12 +1,16 @@
-package tinlink.lab.plays;
+package tinlink.experiment.simulation;
 
-import static tinlink.lab.plays.Play.MS;
-import static tinlink.lab.plays.Play.SEC;
+import static tinlink.experiment.simulation.Simulation.MS;
+import static tinlink.experiment.simulation.Simulation.SEC;
 
-import tinlink.work.choice.Holder;
-import tinlink.work.choice.Lead;
-import tinlink.work.choice.Machine;
-import tinlink.work.choice.Order;
+import tinlink.maintenance.scheduling.DrainController;
+import tinlink.maintenance.scheduling.Machine;
+import tinlink.maintenance.scheduling.MachineReport;
+import tinlink.maintenance.scheduling.MachineReportCodec;
+import tinlink.maintenance.scheduling.MaintenanceCommand;
+import tinlink.maintenance.scheduling.MaintenanceCommandCodec;
+import tinlink.maintenance.scheduling.MaintenanceCoordinator;
+import tinlink.maintenance.scheduling.MaintenanceState;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,10 +22,12 @@
 import java.util.stream.Collectors;
 
 /**
- * A router that takes part in work on machines: it carries out what {@link Holder} and {@link Lead} decide,
- * watches machines, reports them to whoever leads, and serves clients by data nodes that are not left out.
+ * A router that takes part in work on machines: it carries out what {@link DrainController} and {@link
+ * MaintenanceCoordinator} decide, watches machines, reports them to whoever leads, and serves clients by data
+ * nodes that are not left out.
  */
-final class SimulatedRouter extends SimulatedMember implements Holder.Hands, Holder.Hold {
+final class SimulatedRouter extends SimulatedMember
+        implements DrainController.DrainHandler, DrainController.InFlightCounts {
     private static final long BEAT_US = 200 * MS;
     private static final long SERVE_US = 150 * MS;
     private static final long WATCH_US = 500 * MS;
@@ -39,15 +45,15 @@
     /** Since when it has been up or down. */
     long since;
 
-    boolean lettingGo;
-    Holder holder;
+    boolean draining;
+    DrainController drainController;
 
-    private final WorkFleet fleet;
+    private final MaintenanceFleet fleet;
     private final Map<String, Integer> openCalls = new TreeMap<>();
-    private final Set<String> leftOut = new TreeSet<>();
+    private final Set<String> cordonedNodes = new TreeSet<>();
     private final Map<String, Long> pongs = new HashMap<>();
-    private WorkReplica replica;
-    private Lead lead;
+    private MaintenanceReplica replica;
+    private MaintenanceCoordinator coordinator;
     private int clients;
     /** What it watches; settled at its first look, the fleet does not change. */
     private List<SimulatedDataNode> watchedNodes;
@@ -55,7 +61,7 @@
     private List<SimulatedRouter> watchedRouters;
     private Set<String> seated;
 
-    SimulatedRouter(WorkFleet fleet, Machine machine) {
+    SimulatedRouter(MaintenanceFleet fleet, Machine machine) {
         super(fleet.group, machine.id(), machine.voter());
         this.fleet = fleet;
         this.machine = machine;
@@ -67,48 +73,49 @@
         }
         replica = fleet.replica();
         startMember(replica);
-        since = play.now();
+        since = simulation.now();
         openCalls.clear();
-        leftOut.clear();
+        cordonedNodes.clear();
         pongs.clear();
         clients = 0;
-        lettingGo = false;
-        holder = new Holder(name, life.toString(), SAY_AGAIN_US);
-        lead = new Lead(WorkFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
-        enterGroup();
+        draining = false;
+        drainController = new DrainController(name, incarnation.toString(), SAY_AGAIN_US);
+        coordinator = new MaintenanceCoordinator(
+                MaintenanceFleet.BOUNDS, BEAT_US, REPORT_COUNTS_US, MOST_MACHINES);
+        joinGroup();
         long run = generation;
-        every(run, BEAT_US, this::beat);
-        every(run, SERVE_US, this::serve);
-        every(run, WATCH_US, this::probeRouters);
+        scheduleEvery(run, BEAT_US, this::sendHeartbeat);
+        scheduleEvery(run, SERVE_US, this::serve);
+        scheduleEvery(run, WATCH_US, this::probeRouters);
     }
 
     @Override
     void kill() {
         super.kill();
-        since = play.now();
+        since = simulation.now();
         openCalls.clear();
     }
 
-    Order order() {
+    MaintenanceState order() {
         return replica.order();
     }
 
     @Override
-    void agreedMore() {
+    void logAdvanced() {
         decide();
     }
 
     private void decide() {
-        holder.clock(play.now());
-        while (holder.decide(order(), this, this)) {
+        drainController.setTime(simulation.now());
+        while (drainController.decide(order(), this, this)) {
             // Each has been carried out.
         }
     }
 
-    private void beat() {
-        tendAgreement();
+    private void sendHeartbeat() {
+        restartReplicaIfStuck();
         decide();
-        lead.clock(play.now());
+        coordinator.setTime(simulation.now());
         report();
         lead();
     }
@@ -117,10 +124,13 @@
         if (seated == null) {
             seated = group.voters().stream().map(v -> v.name).collect(Collectors.toSet());
         }
-        lead.leads(leads());
-        lead.seated(seated);
-        while (lead.decide(
-                order(), line -> agreement.propose(line, (said, failure) -> lead.answered()))) {
+        coordinator.setLeader(isLeader());
+        coordinator.setVoters(seated);
+        while (coordinator.decide(
+                order(),
+                command -> raft.propose(
+                        MaintenanceCommandCodec.encode(command),
+                        (said, failure) -> coordinator.onProposalCompleted()))) {
             // Each has been put to the vote.
         }
     }
@@ -143,14 +153,16 @@
         settleWatch();
         for (SimulatedRouter router : watchedRouters) {
             fleet.network.send(
-                    name, router.name, () -> router.takes(() -> router.answerProbe(this)));
+                    name, router.name, () -> router.deliver(() -> router.answerProbe(this)));
         }
     }
 
     private void answerProbe(SimulatedRouter from) {
         if (!stoppedForWork) {
             fleet.network.send(
-                    name, from.name, () -> from.takes(() -> from.pongs.put(name, play.now())));
+                    name,
+                    from.name,
+                    () -> from.deliver(() -> from.pongs.put(name, simulation.now())));
         }
     }
 
@@ -162,7 +174,8 @@
         }
         for (SimulatedRouter router : watchedRouters) {
             sound.put(
-                    router.name, play.now() - pongs.getOrDefault(router.name, 0L) < PONG_COUNTS_US);
+                    router.name,
+                    simulation.now() - pongs.getOrDefault(router.name, 0L) < PONG_COUNTS_US);
         }
         return sound;
     }
@@ -170,30 +183,34 @@
     /** To whoever leads, as far as is known; it may get lost, and is said again. */
     private void report() {
         List<String> lines = List.of(
-                Lead.selfWords(machine),
-                Lead.sawWords(soundness()),
+                MachineReportCodec.encode(new MachineReport.Self(machine)),
+                MachineReportCodec.encode(new MachineReport.Health(soundness())),
                 fleet.nodeList(machine.site()));
-        SimulatedRouter leader = leads() ? this : fleet.routers.get(leaderHint);
+        SimulatedRouter leader = isLeader() ? this : fleet.routers.get(leaderHint);
         if (leader == this) {
-            lines.forEach(line -> lead.told(name, line));
+            lines.forEach(line -> receive(name, line));
         } else if (leader != null) {
             fleet.network.send(
                     name,
                     leaderHint,
-                    () -> leader.takes(() -> {
-                        leader.livesKnown.put(name, life);
-                        lines.forEach(line -> leader.lead.told(name, line));
+                    () -> leader.deliver(() -> {
+                        leader.livesKnown.put(name, incarnation);
+                        lines.forEach(line -> leader.receive(name, line));
                     }));
         }
     }
 
+    private void receive(String from, String report) {
+        MachineReportCodec.decode(report).ifPresent(decoded -> coordinator.onReport(from, decoded));
+    }
+
     // ---- What it serves. ----
 
     private void serve() {
-        if (!holder.isKnown(order())) {
+        if (!drainController.isRegistered(order())) {
             return; // In service it waits for a bounded time.
         }
-        if (lettingGo) {
+        if (draining) {
             clients = Math.max(0, clients - 1 - random().nextInt(3));
         } else {
             clients = 1 + random().nextInt(4);
@@ -205,7 +222,7 @@
     private void callSomeNode() {
         List<SimulatedDataNode> usable = new ArrayList<>();
         for (SimulatedDataNode node : fleet.nodes.values()) {
-            if (node.up && node.takenBy == null && !leftOut.contains(node.machine.id())) {
+            if (node.up && node.takenBy == null && !cordonedNodes.contains(node.machine.id())) {
                 usable.add(node);
             }
         }
@@ -214,7 +231,7 @@
         }
         String id = usable.get(random().nextInt(usable.size())).machine.id();
         openCalls.merge(id, 1, Integer::sum);
-        later(
+        scheduleIn(
                 random().nextLong(MOST_CALL_US),
                 () -> openCalls.computeIfPresent(id, (k, n) -> n == 1 ? null : n - 1));
     }
@@ -225,42 +242,47 @@
     }
 
     @Override
-    public int open(String node) {
+    public int partsInFlight(String node) {
         return fleet.size.planted() ? 0 : callsOpen(node);
     }
 
     @Override
-    public int clients() {
+    public int clientsInFlight() {
         return clients + openCalls.size();
     }
 
     // ---- What is decided. ----
 
     @Override
-    public void leaveOut(String node, boolean out) {
+    public void propose(MaintenanceCommand command) {
+        propose(MaintenanceCommandCodec.encode(command));
+    }
+
+    @Override
+    public void setCordoned(String node, boolean out) {
         if (out) {
-            leftOut.add(node);
+            cordonedNodes.add(node);
         } else {
-            leftOut.remove(node);
+            cordonedNodes.remove(node);
         }
     }
 
     @Override
-    public void letGo(boolean go) {
-        lettingGo = go;
+    public void setDraining(boolean go) {
+        draining = go;
         // What it has played may be behind what was agreed; what it does by it must be counted for.
-        if (go && fleet.truth().away(name) == null) {
+        if (go && fleet.truth().activeTask(name) == null) {
             group.violations.add(name + " lets its clients go by a grant that is over");
         }
     }
 
     @Override
-    public void wake(long atUs) {
-        later(Math.max(0, atUs - play.now()), this::decide);
+    public void wakeAt(long atUs) {
+        scheduleIn(Math.max(0, atUs - simulation.now()), this::decide);
     }
 
     @Override
-    String standing() {
-        return super.standing() + (stoppedForWork ? " taken" : "");
+    String summary() {
+        return super.summary() + (stoppedForWork ? " taken" : "");
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -0,0 +1,212 @@
+package tinlink.gateway;
+
+import tinlink.gateway.forwarding.ExecutionHandler;
+import tinlink.gateway.forwarding.ForwardedPartReceiver;
+import tinlink.gateway.forwarding.PartStatus;
+import tinlink.gateway.forwarding.ReceivedPart;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
+import tinlink.securechannel.UnauthenticatedSessions;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.Locale;
+import java.util.Map;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * The receiving side of a gateway: accepts connections from routers of other sites and carries out what
+ * {@link ForwardedPartReceiver} decides about the parts that they forward. Runs on the event loop's thread.
+ */
+final class GatewayServer implements ExecutionHandler, Network.AcceptHandler {
+    private static final Logger LOG = Logger.getLogger("tinlink.gateway");
+    private static final int MAX_UNAUTHENTICATED = 16;
+    /** A router that has sent nothing for so many heartbeats is gone. */
+    private static final int MAX_SILENT_HEARTBEATS = 12;
+
+    private final ForwardedPartReceiver receiver;
+    private final Gateway gateway;
+    private Network.ListeningSocket listeningSocket;
+    private final UnauthenticatedSessions unauthenticated =
+            new UnauthenticatedSessions(MAX_UNAUTHENTICATED);
+    /** Sessions of forwarding routers, with the timer of their silence; each leaves as it ends. */
+    private final Map<GatewayServerSession, EventLoop.Timer> authenticated = new HashMap<>();
+    /** Which cells this router reaches at its own site. */
+    private BitSet reachableCells = new BitSet();
+
+    private boolean draining;
+
+    GatewayServer(Gateway gateway) {
+        this.gateway = gateway;
+        Gateway.Limits limits = gateway.settings.limits();
+        Gateway.Timing timing = gateway.settings.timing();
+        receiver = new ForwardedPartReceiver(new ForwardedPartReceiver.Limits(
+                limits.maxRunningParts(),
+                limits.maxEndedParts(),
+                limits.maxEndedBytes(),
+                limits.maxInboundChannels(),
+                2 * timing.maxRequestUs(),
+                timing.heartbeatUs()));
+    }
+
+    ForwardedPartReceiver receiver() {
+        return receiver;
+    }
+
+    void advanceClock(long nowUs) {
+        receiver.advanceClock(nowUs);
+    }
+
+    /** Carries out all decisions that are due. */
+    void decide() {
+        Gateway.runAllDecisions(() -> receiver.decide(this));
+    }
+
+    void announceCells(BitSet cells) {
+        if (!cells.equals(reachableCells)) {
+            reachableCells = cells;
+            authenticated.keySet().forEach(this::sendCells);
+        }
+    }
+
+    private void sendCells(GatewayServerSession session) {
+        session.send(new GatewayMessage.ServedCells(reachableCells));
+    }
+
+    /** Tells each forwarding router which part was the last; what is in flight is finished. */
+    void startDraining() {
+        draining = true;
+        receiver.startDraining();
+        new ArrayList<>(authenticated.keySet()).forEach(this::sendGoAway);
+    }
+
+    private void sendGoAway(GatewayServerSession session) {
+        session.send(new GatewayMessage.GoAway(receiver.lastStarted(session.channel())));
+    }
+
+    // ---- Connections. ----
+
+    void listen(InetSocketAddress address) throws IOException {
+        listeningSocket = gateway.network.listenAt(address);
+        listeningSocket.accept(this);
+    }
+
+    InetSocketAddress address() throws IOException {
+        return listeningSocket.address();
+    }
+
+    @Override
+    public Connection.Listener newListener() {
+        return new GatewayServerSession(gateway, this);
+    }
+
+    @Override
+    public void accepted(Connection connection, Connection.Listener listener) {
+        GatewayServerSession session = (GatewayServerSession) listener;
+        session.attach(connection, gateway.settings.timing().handshakeUs());
+        unauthenticated.add(session);
+    }
+
+    @Override
+    public boolean canAccept() {
+        return true;
+    }
+
+    @Override
+    public void acceptFailed(Throwable cause) {
+        LOG.log(Level.WARNING, "event=accept_failed", cause);
+        long retryAt = gateway.loop.nowUs() + gateway.settings.timing().heartbeatUs();
+        gateway.loop.schedule(retryAt, () -> listeningSocket.accept(this));
+    }
+
+    int unauthenticatedConnections() {
+        return unauthenticated.size();
+    }
+
+    /** The session has authenticated. */
+    void authenticated(GatewayServerSession session) {
+        unauthenticated.remove(session);
+        authenticated.put(session, null);
+        heartbeatReceived(session);
+        sendCells(session);
+        if (draining) {
+            sendGoAway(session);
+        }
+    }
+
+    /** The session has sent a heartbeat. */
+    void heartbeatReceived(GatewayServerSession session) {
+        if (authenticated.containsKey(session)) {
+            long silenceUs = MAX_SILENT_HEARTBEATS * gateway.settings.timing().heartbeatUs();
+            EventLoop.Timer silence = gateway.loop.schedule(
+                    gateway.loop.nowUs() + silenceUs,
+                    () -> session.close(CloseReason.UNRESPONSIVE));
+            gateway.loop.cancel(authenticated.put(session, silence));
+        }
+    }
+
+    void sessionClosed(GatewayServerSession session) {
+        unauthenticated.remove(session);
+        gateway.loop.cancel(authenticated.remove(session));
+    }
+
+    // ---- Parts. ----
+
+    /**
+     * A part that was started has ended here.
+     *
+     * @param value of one that is completed, else null
+     * @param retryAfterUs of a rejected one, 0 for no advice
+     */
+    void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
+        part.durationUs = gateway.loop.nowUs() - part.arrivedAt;
+        part.retryAfterUs = retryAfterUs;
+        part.value = value == null ? part.value : value;
+        gateway.counters().increment("inbound_" + status.name().toLowerCase(Locale.ROOT));
+        receiver.onPartEnded(part, status, part.value.length);
+    }
+
+    @Override
+    public void startPart(ReceivedPart part) {
+        gateway.partHandler.startPart((IncomingPart) part);
+    }
+
+    @Override
+    public void cancelPart(ReceivedPart part) {
+        gateway.counters().increment("inbound_cancelled");
+        gateway.partHandler.cancelPart((IncomingPart) part);
+    }
+
+    @Override
+    public void sendPartStatus(
+            Object session, int channelIndex, long number, PartStatus status, ReceivedPart part) {
+        GatewayServerSession target = (GatewayServerSession) session;
+        if (target.isAuthenticated()) {
+            target.sendPartStatus(channelIndex, number, status, (IncomingPart) part);
+        }
+    }
+
+    @Override
+    public void sendCreditWindow(Object session, int parts) {
+        GatewayServerSession target = (GatewayServerSession) session;
+        if (target.isAuthenticated()) {
+            target.send(new GatewayMessage.CreditWindow(parts));
+        }
+    }
+
+    @Override
+    public void closeSession(Object session) {
+        ((GatewayServerSession) session).close(CloseReason.ENDPOINT_REMOVED);
+    }
+
+    @Override
+    public void wakeAt(long at) {
+        gateway.wakeAt(at);
+    }
+}
--- /dev/null
+++ b/src/main/java/tinlink/http2/Http2NodeConnection.java
@@ -0,0 +1,198 @@
+package tinlink.http2;
+
+import tinlink.http2.pool.CallResult;
+import tinlink.http2.pool.PooledConnection;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.RingBuffer;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * One connection to a data node over HTTP/2: the socket of an {@link Http2Connection}. Runs on the event
+ * loop's thread.
+ */
+final class Http2NodeConnection implements Connection.Listener, StreamListener {
+    private static final Logger LOG = Logger.getLogger("tinlink.http2");
+    private final Http2NodeClient nodeClient;
+    final PooledConnection pooled;
+    private final Http2Connection http2;
+    private Connection connection;
+    private EventLoop.Timer connectTimer;
+    /** Runs while a frame or a header block has begun and has not come whole. */
+    private EventLoop.Timer stallTimer;
+
+    private boolean wasUp;
+    private boolean anyResponse;
+    private boolean protocolFailed;
+
+    Http2NodeConnection(Http2NodeClient nodeClient, PooledConnection pooled, int maxResetIds) {
+        this.nodeClient = nodeClient;
+        this.pooled = pooled;
+        http2 = new Http2Connection(bytes -> connection.out().put(bytes), this, maxResetIds);
+    }
+
+    void attach(Connection connection, EventLoop.Timer connectTimer) {
+        this.connection = connection;
+        this.connectTimer = connectTimer;
+    }
+
+    @Override
+    public void connected() {
+        nodeClient.cancelTimer(connectTimer);
+        wasUp = true;
+        http2.start();
+        nodeClient.onConnected(this);
+    }
+
+    /** Opens a stream for it, which leaves with this turn's write. */
+    void sendRequest(PartRequest request, long now) {
+        request.nodeConnection = this;
+        request.headerPosition = connection.scheduleWrite();
+        request.sentAt = now;
+        request.stream = http2.sendRequest(
+                request, request.headerFields(nodeClient.authority(), now), request.body());
+        connection.scheduleWrite();
+        if (http2.isExhausted()) {
+            nodeClient.retire(this);
+        }
+    }
+
+    /** Given up, its outcome is known. */
+    void cancel(PartRequest request, boolean notifyNode) {
+        if (!notifyNode) {
+            // It may not be cancelled: it goes on there, and counts against the node's limit.
+            request.stream.abandoned = true;
+            return;
+        }
+        http2.cancel(request.stream);
+        connection.scheduleWrite();
+        nodeClient.onStreamClosed(this);
+    }
+
+    /** Whether a byte of its header block was handed to the kernel, or may have been. */
+    private boolean mayHaveLeft(PartRequest request) {
+        return connection.mayHaveLeft(request.headerPosition + 1);
+    }
+
+    void sendPing(long number) {
+        http2.sendPing(number);
+        connection.scheduleWrite();
+    }
+
+    void close(CloseReason closeReason) {
+        connection.close(closeReason);
+    }
+
+    @Override
+    public void bytesReceived(RingBuffer in) {
+        if (protocolFailed) {
+            in.takeContiguous(in.size());
+            return;
+        }
+        try {
+            nodeClient.onBytes(this);
+            http2.read(in);
+            connection.scheduleWrite();
+        } catch (Http2Exception e) {
+            fail(e);
+        }
+        if (!protocolFailed && !connection.isClosed()) {
+            watchForStall();
+        }
+    }
+
+    private void fail(Http2Exception e) {
+        LOG.log(
+                Level.FINE,
+                "event=http2_protocol_error node={0} code={1} reason=\"{2}\"",
+                new Object[] {nodeClient.authority(), e.code, e.getMessage()});
+        nodeClient.counters().increment("http2_protocol_errors");
+        // The GOAWAY leaves with this turn; nothing that comes after is looked at.
+        protocolFailed = true;
+        http2.sendGoAway(e.code);
+        connection.scheduleWrite();
+        nodeClient.retire(this);
+        nodeClient.runSoon(() -> connection.close(CloseReason.PROTOCOL_ERROR));
+    }
+
+    /** Danger: a frame that stops in its middle holds up all behind it. */
+    private void watchForStall() {
+        boolean isAtBoundary = http2.isAtFrameBoundary();
+        if (isAtBoundary != (stallTimer == null)) {
+            nodeClient.cancelTimer(stallTimer);
+            stallTimer = isAtBoundary
+                    ? null
+                    : nodeClient.startStallTimer(
+                            () -> connection.close(CloseReason.PROTOCOL_ERROR));
+        }
+    }
+
+    // ---- What came of streams. ----
+
+    @Override
+    public void onMaxStreams(long maxStreams) {
+        nodeClient.onMaxStreams(this, maxStreams);
+    }
+
+    @Override
+    public void onResponse(Http2Stream stream) {
+        anyResponse = true;
+        finish(stream, PartRequest.resultOf(stream));
+    }
+
+    @Override
+    public void onStreamReset(Http2Stream stream, boolean notProcessed, boolean malformed) {
+        CallResult unprocessed = notProcessed ? CallResult.REFUSED_STREAM : CallResult.RESET;
+        finish(stream, malformed ? CallResult.MALFORMED : unprocessed);
+    }
+
+    private void finish(Http2Stream stream, CallResult result) {
+        PartRequest request = (PartRequest) stream.call;
+        nodeClient.onStreamClosed(this);
+        if (stream.abandoned) {
+            return;
+        }
+        boolean hasValue = result == CallResult.SATISFIED;
+        nodeClient.finish(request, result, hasValue ? Http2Connection.bodyText(stream) : null);
+    }
+
+    @Override
+    public void onGoAway(int lastStreamId, List<Http2Stream> above) {
+        nodeClient.counters().increment("http2_goaways");
+        nodeClient.retire(this);
+        above.forEach(stream -> finish(stream, CallResult.ABOVE_GOAWAY));
+    }
+
+    @Override
+    public void onPingAck(long number) {
+        nodeClient.onPingAck(this, number);
+    }
+
+    @Override
+    public void connectionClosed(CloseReason closeReason) {
+        nodeClient.cancelTimer(connectTimer);
+        nodeClient.cancelTimer(stallTimer);
+        List<PartRequest> interrupted = new ArrayList<>();
+        http2.openStreams().stream()
+                .filter(stream -> !stream.abandoned)
+                .forEach(stream -> interrupted.add((PartRequest) stream.call));
+        interrupted.sort(Comparator.comparingLong(request -> request.sentAt));
+        LOG.log(
+                Level.FINE,
+                "event=http2_connection_closed node={0} reason={1} open_calls={2}",
+                new Object[] {nodeClient.authority(), closeReason, interrupted.size()});
+        nodeClient.onConnectionEnded(this, wasUp, closeReason);
+        for (PartRequest request : interrupted) {
+            boolean isOldest = request == interrupted.get(0);
+            boolean isConcerned = closeReason == CloseReason.PEER_CLOSED ? !anyResponse : isOldest;
+            nodeClient.onInterrupted(
+                    request, closeReason.toOutcome(mayHaveLeft(request), isConcerned));
+        }
+    }
+}
--- a/src/main/java/tinlink/http2/PartRequest.java
+++ b/src/main/java/tinlink/http2/PartRequest.java
@@ -1,85 +1,108 @@
 package tinlink.http2;
 
-import tinlink.http2.choice.Over;
-import tinlink.http2.choice.Waiting;
+import tinlink.http2.pool.CallResult;
+import tinlink.http2.pool.PendingCall;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A part call as a request, and its answer as an outcome; docs/protocol-http2.md. */
-public final class PartRequest extends Waiting {
+/**
+ * A part call as a request, and the meaning of its response; docs/protocol-http2.md. Belongs to the event
+ * loop's thread.
+ */
+public final class PartRequest extends PendingCall {
+    private static final int OK = 200;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final String RESULT_FIELD = "x-part-end";
+
     /** Whatever the call is to whoever made it. */
-    public final Object what;
+    public final Object attachment;
 
     private final int shard;
     private final String id;
-    private final String key;
+    private final String idempotencyKey;
     private final byte[] text;
-    private final long until;
-    boolean over;
-    NodeConn conn;
-    Stream stream;
+    private final long answerDeadline;
+    boolean ended;
+    Http2NodeConnection nodeConnection;
+    Http2Stream stream;
     /** Where its header block begins in what its connection has written. */
-    long place;
+    long headerPosition;
 
     long sentAt;
 
     /**
-     * @param key null where its index needs none
-     * @param until an answer counts, microseconds
-     * @param leavesBy it must not wait for longer
+     * A call that waits for a connection.
+     *
+     * @param idempotencyKey null where its class needs none
+     * @param text of the query; not copied, not to be changed
+     * @param deadline until when an answer counts, microseconds
+     * @param sendDeadline until when it may wait for a stream, microseconds
      */
     public PartRequest(
-            Object what, int shard, String id, String key, byte[] text, long until, long leavesBy) {
-        super(Math.min(until, leavesBy));
-        this.what = what;
+            Object attachment,
+            int shard,
+            String id,
+            String idempotencyKey,
+            byte[] text,
+            long deadline,
+            long sendDeadline) {
+        super(Math.min(deadline, sendDeadline));
+        this.attachment = attachment;
         this.shard = shard;
         this.id = id;
-        this.key = key;
+        this.idempotencyKey = idempotencyKey;
         this.text = text;
-        this.until = until;
+        answerDeadline = deadline;
     }
 
-    /** Its one outcome has been said, or it was given up. */
-    public boolean isOver() {
-        return over;
+    /** Its one outcome is known, or it was cancelled. */
+    public boolean isEnded() {
+        return ended;
     }
 
     /** It is on no connection yet. */
-    public boolean waits() {
+    public boolean isPending() {
         return stream == null;
     }
 
-    Map<String, String> fields(String authority, long now) {
-        Map<String, String> f = new LinkedHashMap<>();
-        f.put(":method", "POST");
-        f.put(":scheme", "http");
-        f.put(":authority", authority);
-        f.put(":path", "/parts/" + shard);
-        f.put("x-part-id", id);
-        f.put("x-part-wait-ms", String.valueOf(Math.max(1, (until - now + 999) / 1000)));
-        if (key != null) {
-            f.put("idempotency-key", key);
+    Map<String, String> headerFields(String authority, long now) {
+        Map<String, String> fields = new LinkedHashMap<>();
+        fields.put(":method", "POST");
+        fields.put(":scheme", "http");
+        fields.put(":authority", authority);
+        fields.put(":path", "/parts/" + shard);
+        fields.put("x-part-id", id);
+        fields.put(
+                "x-part-wait-ms", String.valueOf(Math.max(1, (answerDeadline - now + 999) / 1000)));
+        if (idempotencyKey != null) {
+            fields.put("idempotency-key", idempotencyKey);
         }
-        f.put("content-length", String.valueOf(text.length));
-        return f;
+        fields.put("content-length", String.valueOf(text.length));
+        return fields;
     }
 
     byte[] body() {
         return text;
     }
 
-    /** What an answer that has ended in order means; a trailer has the last word. */
-    static Over ending(Stream s) {
-        return switch (s.trailers.getOrDefault(
-                "x-part-end", s.fields.getOrDefault("x-part-end", ""))) {
-            case "rejected" -> Over.TURNED_AWAY;
-            case "error" -> Over.FAILED;
-            case "", "ok" ->
-                s.status == 200
-                        ? Over.SATISFIED
-                        : s.status == 429 || s.status == 503 ? Over.TURNED_AWAY : Over.FAILED;
-            default -> Over.MALFORMED;
+    /** What a response that has ended in order means; a trailer has the last word. */
+    static CallResult resultOf(Http2Stream response) {
+        String declared = response.responseFields.getOrDefault(RESULT_FIELD, "");
+        return switch (response.trailers.getOrDefault(RESULT_FIELD, declared)) {
+            case "rejected" -> CallResult.REJECTED;
+            case "error" -> CallResult.FAILED;
+            case "", "ok" -> resultOfStatus(response.status);
+            default -> CallResult.MALFORMED;
+        };
+    }
+
+    private static CallResult resultOfStatus(int status) {
+        return switch (status) {
+            case OK -> CallResult.SATISFIED;
+            case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> CallResult.REJECTED;
+            default -> CallResult.FAILED;
         };
     }
 }
--- a/src/main/java/tinlink/work/choice/AgreedNodes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
@@ -1,11 +1,11 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
 import java.util.Collection;
 import java.util.TreeMap;
 
 /**
- * The data nodes that all routers have agreed on, and a digest of them by which two routers find
- * out that they mean the same set. Immutable.
+ * The data nodes that all routers have agreed on, and a digest of them by which two routers find out that
+ * they mean the same set. Immutable.
  */
 public final class AgreedNodes {
     private final TreeMap<String, Machine> byId = new TreeMap<>();
@@ -23,9 +23,11 @@
     }
 
     /**
-     * @param machines all that are agreed on; routers among them are passed over
+     * The data nodes among the machines.
+     *
+     * @param machines all that are agreed on; routers among them are skipped
      */
-    public static AgreedNodes of(Collection<Machine> machines) {
+    public static AgreedNodes from(Collection<Machine> machines) {
         return new AgreedNodes(machines);
     }
 
@@ -35,8 +37,8 @@
     }
 
     /** The node with that id; null where there is none. */
-    public Machine node(String id) {
-        return byId.get(id);
+    public Machine node(String nodeId) {
+        return byId.get(nodeId);
     }
 
     /** All nodes, by their ids. */
@@ -45,6 +47,7 @@
     }
 
     private static long hash(Machine machine) {
-        return StableHash.finish(StableHash.append(StableHash.START, machine.words()));
+        return StableHash.finish(
+                StableHash.append(StableHash.START, MaintenanceCommandCodec.machine(machine)));
     }
 }
--- a/src/main/java/tinlink/work/choice/WatchAssignment.java
+++ b/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
@@ -1,25 +1,27 @@
-package tinlink.work.choice;
+package tinlink.maintenance.scheduling;
 
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * Which machines one router watches, by rendezvous hashing: a machine is watched by the few routers
- * with the lowest weights for it. Kept up as routers and machines come and go: one that comes costs
- * a hash for each machine (or router), not one for each pair of them.
+ * Which machines one router watches, by rendezvous hashing: a machine is watched by the few routers with the
+ * lowest weights for it, so that a router that comes or goes moves only what it watches itself. Kept up as
+ * routers and machines come and go: one that comes costs a hash for each machine (or router), not one for
+ * each pair of them. Belongs to one thread.
  *
- * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"
- * (1998).
+ * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998).
  */
-final class WatchAssignment {
+public final class WatcherAssignment {
     /** What is known of one machine. */
     private static final class Ranking {
         final long ownWeight;
-        /** Routers that come before this one. */
-        int before;
+        /** Routers with a lower weight than this one. */
+        int ahead;
 
         Ranking(long ownWeight) {
             this.ownWeight = ownWeight;
@@ -38,20 +40,20 @@
      * @param router the one whose machines these are
      * @param watchers routers that watch one machine
      */
-    WatchAssignment(String router, int watchers) {
+    WatcherAssignment(String router, int watchers) {
         this.router = router;
         this.watchers = watchers;
         ownPrefix = prefix(router);
     }
 
-    /** Sets the routers that share the machines out; this one counts whether it is named or not. */
-    void routers(Collection<String> alive) {
+    /** Sets the routers that watch; this one counts whether it is named or not. */
+    void setRouters(Collection<String> alive) {
         Set<String> others = new HashSet<>(alive);
         others.remove(router);
         prefixes.entrySet().removeIf(other -> {
             boolean leaves = !others.contains(other.getKey());
             if (leaves) {
-                count(other.getKey(), other.getValue(), -1);
+                adjustRankings(other.getKey(), other.getValue(), -1);
             }
             return leaves;
         });
@@ -59,13 +61,13 @@
             if (!prefixes.containsKey(other)) {
                 long prefix = prefix(other);
                 prefixes.put(other, prefix);
-                count(other, prefix, 1);
+                adjustRankings(other, prefix, 1);
             }
         }
     }
 
-    /** Sets the machines that are shared out. */
-    void machines(Set<String> machines) {
+    /** Sets the machines that are watched. */
+    void setMachines(Set<String> machines) {
         rankings.keySet().retainAll(machines);
         for (String machine : machines) {
             if (!rankings.containsKey(machine)) {
@@ -77,27 +79,59 @@
     /** Whether this router is one of those that watch the machine; nobody watches itself. */
     boolean watches(String machine) {
         Ranking ranking = rankings.get(machine);
-        return ranking != null && !machine.equals(router) && ranking.before < watchers;
+        return ranking != null && !machine.equals(router) && ranking.ahead < watchers;
     }
 
     private Ranking ranking(String machine) {
         Ranking ranking = new Ranking(weight(ownPrefix, machine));
         prefixes.forEach((other, prefix) -> {
             if (!other.equals(machine) && weight(prefix, machine) < ranking.ownWeight) {
-                ranking.before++;
+                ranking.ahead++;
             }
         });
         return ranking;
     }
 
-    private void count(String other, long prefix, int change) {
+    private void adjustRankings(String other, long prefix, int change) {
         rankings.forEach((machine, ranking) -> {
             if (!other.equals(machine) && weight(prefix, machine) < ranking.ownWeight) {
-                ranking.before += change;
+                ranking.ahead += change;
             }
         });
     }
 
+    /**
+     * All routers that watch the machine, computed from scratch.
+     *
+     * @param routers all that share the machines
+     * @param watchers routers that watch one machine
+     */
+    public static List<String> watchers(Collection<String> routers, String machine, int watchers) {
+        List<String> others = new ArrayList<>();
+        List<Long> weights = new ArrayList<>();
+        for (String other : routers) {
+            if (!other.equals(machine)) {
+                others.add(other);
+                weights.add(weight(other, machine));
+            }
+        }
+        if (others.size() <= watchers) {
+            return others;
+        }
+        long highest = weights.stream()
+                .sorted()
+                .skip(Math.max(0, watchers - 1))
+                .findFirst()
+                .orElseThrow();
+        List<String> watching = new ArrayList<>();
+        for (int i = 0; i < others.size(); i++) {
+            if (watchers > 0 && weights.get(i) <= highest) {
+                watching.add(others.get(i));
+            }
+        }
+        return watching;
+    }
+
     /** The router's weight for the machine, never below 0. */
     static long weight(String router, String machine) {
         return weight(prefix(router), machine);
--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -1,144 +1,149 @@
 package tinlink.router;
 
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLog;
+import tinlink.net.EventLoop;
 import tinlink.net.HttpReader;
 import tinlink.net.JsonReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
-import tinlink.net.Protocol;
-import tinlink.net.Ring;
+import tinlink.net.MessageRejectedException;
+import tinlink.net.ProtocolLimits;
+import tinlink.net.RingBuffer;
 
 import java.nio.ByteBuffer;
-import java.util.logging.Logger;
+import java.util.logging.Level;
 
 /**
  * One connection to discovery. It carries a watch: a chunked answer, in it a JSON object a line. Where the
- * revisions of the place are not known, an answer that is the whole list comes first.
+ * revisions of the place are not known, an answer that is the full list comes first.
  */
-final class DiscoveryConnection implements Link.Owner, HttpReader.Sink {
+final class DiscoveryConnection implements Connection.Listener, HttpReader.MessageListener {
     /** What a connection belongs to. */
-    interface Owner {
+    interface Handler {
         /** The host that is asked. */
         String host();
 
-        /** Whether changes may be asked for; if not, the whole list has to come first. */
-        boolean isNumbered();
+        /** Whether changes may be asked for; if not, the full list has to come first. */
+        boolean isRevisionCurrent();
 
         /** The revision of the list, since which changes are asked for. */
         long revision();
 
         /** Whether what this connection says still counts. */
-        boolean counts(DiscoveryConnection connection);
+        boolean isInUse(DiscoveryConnection connection);
 
         /** It has said a line of its watch that could be used. */
-        void alive(DiscoveryConnection connection);
+        void watchAlive(DiscoveryConnection connection);
 
         /**
-         * An object has come whole.
+         * An object is complete.
          *
          * @return whether it is a list that could be used
          */
-        boolean told(Object list);
+        boolean listReceived(Object list);
 
         /** A list has been told and taken. */
-        void listTaken();
+        void listApplied();
 
-        void ended(DiscoveryConnection connection, Ending how);
+        void watchClosed(DiscoveryConnection connection, CloseReason closeReason);
     }
 
-    private static final Logger LOG = Logger.getLogger("tinlink.roster");
+    private static final EventLog LOG = new EventLog("tinlink.discovery");
 
     /**
      * Danger: what a silent watch misses counts as told after three lines' time. Half of it is left for
      * connections that are refused, hang, or are taken and say nothing.
      */
-    private static final long SILENT_US = 3 * Protocol.WATCH_LINE_US / 2;
+    private static final long SILENCE_TIMEOUT_US = 3 * ProtocolLimits.WATCH_KEEPALIVE_US / 2;
 
-    private final Loop loop;
-    private final Owner owner;
+    private final EventLoop loop;
+    private final Handler handler;
     private final int maxObjectBytes;
-    private final HttpReader reader = HttpReader.ofAnswers(this);
+    private final HttpReader reader = HttpReader.forResponses(this);
 
     /** What is read of an object; it may go over several lines, the first of which alone begins it. */
     private JsonReader object = new JsonReader();
 
     private boolean lineBegun;
     private int objectBytes;
-    private boolean bad;
-    private boolean watches;
-    private Link link;
-    private Loop.Timer silence;
+    private boolean isMalformed;
+    private boolean isWatching;
+    private Connection connection;
+    private EventLoop.Timer silenceTimer;
 
-    DiscoveryConnection(Loop loop, Owner owner, int maxObjectBytes) {
+    DiscoveryConnection(EventLoop loop, Handler handler, int maxObjectBytes) {
         this.loop = loop;
-        this.owner = owner;
+        this.handler = handler;
         this.maxObjectBytes = maxObjectBytes;
     }
 
-    void on(Link link) {
-        this.link = link;
+    void attach(Connection connection) {
+        this.connection = connection;
     }
 
-    void end(Ending how) {
-        loop.takeBack(silence);
-        link.end(how);
+    void close(CloseReason closeReason) {
+        loop.cancel(silenceTimer);
+        connection.close(closeReason);
     }
 
     @Override
-    public void up() {
-        ask();
+    public void connected() {
+        sendRequest();
     }
 
-    private void ask() {
-        watches = owner.isNumbered();
-        link.out()
-                .put("GET /api/targets" + (watches ? "?watch=1&after=" + owner.revision() : "")
-                        + " HTTP/1.1\r\nHost: " + owner.host() + "\r\n\r\n");
-        link.later();
+    private void sendRequest() {
+        isWatching = handler.isRevisionCurrent();
+        connection
+                .out()
+                .put("GET /api/targets" + (isWatching ? "?watch=1&after=" + handler.revision() : "")
+                        + " HTTP/1.1\r\nHost: " + handler.host() + "\r\n\r\n");
+        connection.scheduleWrite();
     }
 
     /** Danger: bytes that drip in, or noise, are no life: a line that could be read is. */
-    private void alive() {
-        if (!watches) {
-            return; // The whole list says nothing of what comes after it.
+    private void notifyAlive() {
+        if (!isWatching) {
+            return; // The full list says nothing of what comes after it.
         }
-        loop.takeBack(silence);
-        silence = loop.at(loop.now() + SILENT_US, () -> end(Ending.SILENT));
-        owner.alive(this);
+        loop.cancel(silenceTimer);
+        silenceTimer = loop.schedule(
+                loop.nowUs() + SILENCE_TIMEOUT_US, () -> close(CloseReason.UNRESPONSIVE));
+        handler.watchAlive(this);
     }
 
     @Override
-    public void arrived(Ring in) {
+    public void bytesReceived(RingBuffer in) {
         try {
-            while (in.size() > 0 && owner.counts(this)) {
+            while (in.size() > 0 && handler.isInUse(this)) {
                 reader.read(in);
             }
-        } catch (BadMessage e) {
-            LOG.warning("discovery: " + e.getMessage());
-            end(Ending.BAD_INPUT);
+        } catch (MessageRejectedException e) {
+            LOG.log(Level.WARNING, "discovery_protocol_error", "reason", e.getMessage());
+            close(CloseReason.PROTOCOL_ERROR);
         }
     }
 
     @Override
-    public void first(String one, String status, String words) throws BadMessage {
+    public void startLine(String version, String status, String reasonPhrase)
+            throws MessageRejectedException {
         if (!status.equals("200")) {
-            throw new BadMessage(502, "the watch was answered with " + status);
+            throw new MessageRejectedException(502, "the watch was answered with " + status);
         }
     }
 
     @Override
-    public void body(ByteBuffer piece) throws BadMessage {
-        while (piece.hasRemaining() && owner.counts(this)) {
+    public void body(ByteBuffer piece) throws MessageRejectedException {
+        while (piece.hasRemaining() && handler.isInUse(this)) {
             byte b = piece.get();
             if (++objectBytes > maxObjectBytes) {
-                throw new BadMessage(502, "a list of over " + maxObjectBytes + " bytes");
+                throw new MessageRejectedException(
+                        502, "a list of over " + maxObjectBytes + " bytes");
             }
             if (b == '\n') {
-                lineOver();
+                lineEnded();
             } else {
-                if (watches && !lineBegun && b == '{' && !object.empty()) {
-                    leaveOut(
+                if (isWatching && !lineBegun && b == '{' && !object.isEmpty()) {
+                    discardObject(
                             "it does not end"); // An object begins here, so the one before was cut.
                 }
                 lineBegun |= b != '\r';
@@ -149,75 +154,75 @@
 
     private void read(byte b) {
         try {
-            if (!bad) {
+            if (!isMalformed) {
                 object.read(b);
             }
-        } catch (BadMessage e) {
-            leaveOut(e.getMessage());
-            bad = true;
+        } catch (MessageRejectedException e) {
+            discardObject(e.getMessage());
+            isMalformed = true;
         }
     }
 
-    private void leaveOut(String why) {
-        LOG.warning("discovery: a line is left out: " + why);
-        anew();
+    private void discardObject(String reason) {
+        LOG.log(Level.WARNING, "discovery_line_discarded", "reason", reason);
+        resetObject();
     }
 
-    private void anew() {
+    private void resetObject() {
         object = new JsonReader();
         objectBytes = 0;
-        bad = false;
+        isMalformed = false;
     }
 
-    /** Danger: what it holds must not be passed over, nor half of it pass for the whole. */
-    private void lineOver() {
-        boolean said = lineBegun;
+    /** Danger: what it holds must not be passed over, nor half of it pass for all of it. */
+    private void lineEnded() {
+        boolean hadContent = lineBegun;
         lineBegun = false;
         read((byte) '\n');
-        if (bad) {
-            anew();
-        } else if (object.isOver()) {
-            objectOver();
-        } else if (watches && !said) {
-            if (!object.empty()) {
-                leaveOut("it does not end"); // No line within a list is empty.
+        if (isMalformed) {
+            resetObject();
+        } else if (object.isComplete()) {
+            objectEnded();
+        } else if (isWatching && !hadContent) {
+            if (!object.isEmpty()) {
+                discardObject("it does not end"); // No line within a list is empty.
             }
-            alive();
+            notifyAlive();
         }
     }
 
-    private void objectOver() {
+    private void objectEnded() {
         try {
-            Object whole = object.value();
-            anew();
-            if (!watches && owner.isNumbered()) {
-                return; // Another has told the whole list, perhaps a newer one.
+            Object list = object.value();
+            resetObject();
+            if (!isWatching && handler.isRevisionCurrent()) {
+                return; // Another has delivered the full list, perhaps a newer one.
             }
-            if (owner.told(whole)) {
-                alive();
-                owner.listTaken();
+            if (handler.listReceived(list)) {
+                notifyAlive();
+                handler.listApplied();
             }
-        } catch (BadMessage e) {
-            leaveOut(e.getMessage());
+        } catch (MessageRejectedException e) {
+            discardObject(e.getMessage());
         }
     }
 
-    /** The whole list is in, and is watched from there on; a watch has no end. */
+    /** The full list has come, and is watched from there on; a watch has no end. */
     @Override
-    public void over() throws BadMessage {
-        if (watches) {
-            throw new BadMessage(502, "the watch was ended");
+    public void messageEnded() throws MessageRejectedException {
+        if (isWatching) {
+            throw new MessageRejectedException(502, "the watch was ended");
         }
-        if (owner.counts(this)) {
-            lineOver();
-            anew();
-            ask();
+        if (handler.isInUse(this)) {
+            lineEnded();
+            resetObject();
+            sendRequest();
         }
     }
 
     @Override
-    public void ended(Ending how) {
-        loop.takeBack(silence);
-        owner.ended(this, how);
+    public void connectionClosed(CloseReason closeReason) {
+        loop.cancel(silenceTimer);
+        handler.watchClosed(this, closeReason);
     }
 }
--- /dev/null
+++ b/src/main/java/tinlink/router/RequestPipeline.java
@@ -0,0 +1,47 @@
+package tinlink.router;
+
+import tinlink.config.RouterConfig;
+import tinlink.decision.QueryCoordinator;
+import tinlink.net.EventLoop;
+import tinlink.net.Network;
+
+/** The stages of a request and the list beside them, put together for one loop and one module. */
+final class RequestPipeline {
+    final QueryParser queryParser;
+    final DecisionDriver driver;
+    final AttemptDispatcher dispatcher;
+    final ClientAcceptor acceptor;
+    final EndpointList endpointList;
+    final DiscoveryWatcher discoveryWatcher;
+    final DescriptorBudget descriptors;
+
+    RequestPipeline(EventLoop loop, Network network, RouterConfig config, QueryCoordinator module) {
+        driver = new DecisionDriver(loop, module, config.maxDeadlineUs, config.maxRetryAfterUs);
+        descriptors = new DescriptorBudget(config.maxDescriptors);
+        dispatcher =
+                new AttemptDispatcher(loop, network, descriptors, driver, config.nodeConnections);
+        queryParser = new QueryParser(config.lookups);
+        acceptor = new ClientAcceptor(
+                loop,
+                network,
+                descriptors,
+                queryParser,
+                driver,
+                new ClientAcceptor.Limits(
+                        config.lookups.maxInFlight(),
+                        config.nodeConnections.connectTimeoutUs(),
+                        config.maxBodyBytesInFlight,
+                        config.maxDeadlineUs));
+        endpointList = new EndpointList(driver, dispatcher, config.endpointNames);
+        discoveryWatcher = new DiscoveryWatcher(
+                loop,
+                network,
+                driver,
+                endpointList,
+                config.discovery,
+                config.isDiscoveryPushed,
+                config.seed,
+                (int) Math.min(Integer.MAX_VALUE, config.maxBodyBytesInFlight));
+        dispatcher.connections().setAcceptor(acceptor);
+    }
+}
--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -1,86 +1,92 @@
 package tinlink.router;
 
-import tinlink.decision.Aggregator;
-import tinlink.net.Loop;
+import tinlink.config.InvalidInputException;
+import tinlink.config.RouterConfig;
+import tinlink.decision.QueryCoordinator;
+import tinlink.net.EventLog;
+import tinlink.net.EventLoop;
 import tinlink.net.Network;
-import tinlink.net.Protocol;
-import tinlink.start.BadInput;
-import tinlink.start.RouterStart;
+import tinlink.net.ProtocolLimits;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
-/** One query router: built from its start, then run until it is told to stop. */
+/** One query router: built from its configuration, then run until it is told to stop. */
 public final class Router {
-    private static final Logger LOG = Logger.getLogger("tinlink.router");
+    private static final EventLog LOG = new EventLog("tinlink.router");
     /** After a SIGTERM new connections go on coming for up to 0.4 s. */
-    static final long CLIENTS_COME_US = 500_000;
+    static final long DRAIN_NOTICE_US = 500_000;
     /** What comes later than this after a SIGTERM must not be left unanswered. */
-    private static final long LAST_TAKEN_US = 600_000;
+    private static final long LAST_REQUEST_US = 600_000;
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final Network network;
-    private final ModuleTurn turn;
-    private final Intake intake;
-    private final PartSends sends;
-    private final Roster roster;
-    private final DiscoveryWatcher discovery;
-    private final Stages stages;
+    private final DecisionDriver driver;
+    private final ClientAcceptor acceptor;
+    private final AttemptDispatcher dispatcher;
+    private final EndpointList endpointList;
+    private final DiscoveryWatcher discoveryWatcher;
+    private final RequestPipeline pipeline;
     /** Null where there are no other sites. */
-    private final SiteLinks sites;
+    private final GatewayIntegration gateway;
     /** Null where work on machines is off. */
-    private final WorkLinks work;
+    private final MaintenanceIntegration maintenance;
     /** Its start is agreed on, has been awaited for long enough, or nobody has to agree on it. */
-    private boolean workKnown = true;
+    private boolean maintenanceReady = true;
     /** As the configuration was last read. */
-    private RouterStart start;
+    private RouterConfig config;
     /**
      * Plays before clients are served, and holds those that come; null without one and once we
      * serve.
      */
     private Warmup warmup;
 
-    private boolean warms;
-    /** The code has run, or will not. */
-    private boolean warm;
-    /** Discovery has told its list, or has been awaited long enough. */
-    private boolean listHeard;
+    private boolean warmUpRequested;
+    /** The warm-up has ended, or there is none. */
+    private boolean isWarm;
+    /** Discovery has sent its list, or has been awaited long enough. */
+    private boolean listReceived;
 
-    private boolean serves;
+    private boolean isServing;
     /** Why it could not serve; null where it could. */
-    private IOException notServed;
+    private IOException serveFailure;
 
-    private final CountDownLatch listening = new CountDownLatch(1);
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch servingLatch = new CountDownLatch(1);
+    private final CountDownLatch stoppedLatch = new CountDownLatch(1);
 
     /**
      * @param module what decides; another than the built one only to see how the router bears it
      */
-    public Router(RouterStart start, Aggregator module) throws IOException {
-        this(start, module, Runnable::run);
+    public Router(RouterConfig config, QueryCoordinator module) throws IOException {
+        this(config, module, Runnable::run);
     }
 
-    /** @param handlers runs a completion handler at once; others only show how late ones are borne */
-    public Router(RouterStart start, Aggregator module, Consumer<Runnable> handlers)
+    /** @param completionRunner runs a completion handler at once; others only show how late ones are borne */
+    public Router(RouterConfig config, QueryCoordinator module, Consumer<Runnable> completionRunner)
             throws IOException {
-        this.start = start;
-        network = new Network(loop, handlers);
-        stages = new Stages(loop, network, start, module);
-        turn = stages.turn;
-        intake = stages.intake;
-        sends = stages.sends;
-        roster = stages.roster;
-        discovery = stages.discovery;
-        turn.serves(stages.sends, discovery::follow);
-        if (start.http2 != null) {
-            stages.sends.streams().offeredBy(start.http2, n -> roster.isOf(n, start.http2.offers));
+        this.config = config;
+        network = new Network(loop, completionRunner);
+        pipeline = new RequestPipeline(loop, network, config, module);
+        driver = pipeline.driver;
+        acceptor = pipeline.acceptor;
+        dispatcher = pipeline.dispatcher;
+        endpointList = pipeline.endpointList;
+        discoveryWatcher = pipeline.discoveryWatcher;
+        driver.connect(pipeline.dispatcher, discoveryWatcher::follow);
+        if (config.http2 != null) {
+            pipeline.dispatcher
+                    .http2()
+                    .enable(config.http2, node -> endpointList.matches(node, config.http2.offers));
         }
-        sites = start.gateway == null ? null : new SiteLinks(loop, network, start, stages);
-        work = start.work == null ? null : new WorkLinks(loop, network, start, stages);
+        gateway = config.gateway == null
+                ? null
+                : new GatewayIntegration(loop, network, config, pipeline);
+        maintenance = config.maintenance == null
+                ? null
+                : new MaintenanceIntegration(loop, network, config, pipeline);
     }
 
     /**
@@ -88,143 +94,160 @@
      * served.
      */
     public void warmUp() {
-        warms = true;
+        warmUpRequested = true;
     }
 
     /** The warm-up and nothing else. */
     public void onlyWarmUp() throws IOException {
         try {
-            network.listen(start.listen);
-            beginWarmup(loop::end);
-            loop.run(turn);
+            network.listen(config.listen);
+            startWarmup(loop::stop);
+            loop.run(driver);
         } finally {
             network.close();
         }
     }
 
-    private void beginWarmup(Runnable then) {
-        long from = System.nanoTime();
+    private void startWarmup(Runnable next) {
+        long startNanos = System.nanoTime();
         try {
-            warmup = new Warmup(start.again(), loop, network, stages, () -> {
-                LOG.log(Level.INFO, "{0} has warmed up: {1} lookups in {2} ms", new Object[] {
-                    start.name, warmup.answered(), (System.nanoTime() - from) / 1_000_000
-                });
-                then.run();
+            warmup = new Warmup(config.reload(), loop, network, pipeline, () -> {
+                LOG.log(
+                        Level.INFO,
+                        "warmed_up",
+                        "router",
+                        config.name,
+                        "lookups",
+                        warmup.lookupsAnswered(),
+                        "took_ms",
+                        (System.nanoTime() - startNanos) / 1_000_000);
+                next.run();
             });
-            turn.beside(warmup);
+            driver.addAroundDecisions(warmup);
             network.accept(warmup);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "the router starts cold", e);
+            LOG.logFailure(Level.WARNING, "warm_up_failed", e);
+            leaveWarmup();
             warmup = null;
-            then.run();
+            next.run();
+        }
+    }
+
+    private void leaveWarmup() {
+        if (warmup != null) {
+            driver.removeAroundDecisions(warmup);
         }
     }
 
     /** Serves until it is told to stop. */
     public void run() throws IOException {
         try {
-            turn.begins(loop.now());
-            roster.known(start.known);
+            driver.turnStarted(loop.nowUs());
+            endpointList.applyCached(config.cachedEndpoints);
             // From here on clients can connect; until they are served they wait, and none is
             // refused.
-            network.listen(start.listen);
-            if (work != null) {
-                workKnown = false;
-                work.start(this::workKnown);
+            network.listen(config.listen);
+            if (maintenance != null) {
+                maintenanceReady = false;
+                maintenance.start(this::maintenanceReady);
             }
-            discovery.whenHeard(this::listHeard);
-            if (start.pushed) {
-                discovery.follow(); // Where lists are asked for, the module says when.
+            discoveryWatcher.whenUpdated(this::listReceived);
+            if (config.isDiscoveryPushed) {
+                discoveryWatcher.follow(); // Where lists are asked for, the module says when.
             }
-            if (warms) {
-                beginWarmup(this::awaitList);
+            if (warmUpRequested) {
+                startWarmup(this::awaitEndpointList);
             } else {
-                awaitList();
+                awaitEndpointList();
             }
-            loop.ready(() -> {}); // The first turn is now: the module may want to ask for the list.
-            loop.run(turn);
-            if (notServed != null) {
-                throw notServed;
+            loop.execute(
+                    () -> {}); // The first turn is now: the module may want to ask for the list.
+            loop.run(driver);
+            if (serveFailure != null) {
+                throw serveFailure;
             }
-            if (work != null) {
-                work.close();
+            if (maintenance != null) {
+                maintenance.close();
             }
-            LOG.log(Level.INFO, "{0} has stopped, {1} lookups and parts in hand", new Object[] {
-                start.name, turn.open()
-            });
+            LOG.log(Level.INFO, "stopped", "router", config.name, "in_flight", driver.inFlight());
         } finally {
             network.close();
-            over.countDown();
+            stoppedLatch.countDown();
         }
     }
 
     /**
      * Danger: the list known at the start may be older than the grace that drains have, and what is
-     * sent by it before discovery has spoken goes to nodes told as draining or gone long ago. Its
+     * sent by it before discovery has spoken goes to nodes listed as draining or removed long ago. Its
      * agent answers at once, or is silent while discovery is down: no longer than a connection
      * takes to come up. Where lists are asked for, it answers many routers, and is given half of a
      * line's time more.
      */
-    private void awaitList() {
-        warm = true;
-        if (!listHeard) {
-            loop.at(
-                    loop.now()
-                            + start.links.connectUs()
-                            + (start.pushed ? 0 : Protocol.WATCH_LINE_US / 2),
-                    this::listHeard);
+    private void awaitEndpointList() {
+        isWarm = true;
+        if (!listReceived) {
+            loop.schedule(
+                    loop.nowUs()
+                            + config.nodeConnections.connectTimeoutUs()
+                            + (config.isDiscoveryPushed
+                                    ? 0
+                                    : ProtocolLimits.WATCH_KEEPALIVE_US / 2),
+                    this::listReceived);
         }
         serveWhenReady();
     }
 
-    private void listHeard() {
-        listHeard = true;
+    private void listReceived() {
+        listReceived = true;
         serveWhenReady();
     }
 
-    private void workKnown() {
-        workKnown = true;
+    private void maintenanceReady() {
+        maintenanceReady = true;
         serveWhenReady();
     }
 
     private void serveWhenReady() {
-        if (serves || !warm || !listHeard || !workKnown) {
+        if (isServing || !isWarm || !listReceived || !maintenanceReady) {
             return;
         }
-        serves = true;
-        turn.beside(null);
+        isServing = true;
+        leaveWarmup();
         try {
-            if (sites != null) {
-                sites.start(start.gateway);
+            if (gateway != null) {
+                gateway.start(config.gateway);
             }
-            network.accept(intake);
+            network.accept(acceptor);
             if (warmup != null) {
-                warmup.handOver();
+                warmup.handOverClients();
                 warmup = null;
             }
-            if (work != null) {
-                work.servesAt(network.address());
+            if (maintenance != null) {
+                maintenance.setServingAddress(network.address());
             }
-            listening.countDown();
+            servingLatch.countDown();
             LOG.log(
                     Level.INFO,
-                    "{0} serves at {1} with {2} data nodes, {3} descriptors and {4} MB",
-                    new Object[] {
-                        start.name,
-                        String.valueOf(network.address()),
-                        roster.size(),
-                        start.descriptors,
-                        start.memoryMb
-                    });
+                    "serving",
+                    "router",
+                    config.name,
+                    "address",
+                    network.address(),
+                    "nodes",
+                    endpointList.size(),
+                    "descriptors",
+                    config.maxDescriptors,
+                    "memory_mb",
+                    config.memoryMb);
         } catch (IOException e) {
-            notServed = e;
-            loop.end();
+            serveFailure = e;
+            loop.stop();
         }
     }
 
     /** From another thread: returns once clients are served. */
     public void awaitListening() throws InterruptedException {
-        listening.await();
+        servingLatch.await();
     }
 
     public InetSocketAddress address() throws IOException {
@@ -233,29 +256,29 @@
 
     /** Where routers of other sites connect. */
     public InetSocketAddress gatewayAddress() throws IOException {
-        return sites.gateway().address();
+        return gateway.gateway().address();
     }
 
     /** From another thread: a counter of the links with other sites. */
     public long gatewayCount(String name) {
-        return name.startsWith("http2_") ? http2Count(name) : sites.count(name);
+        return name.startsWith("http2_") ? http2Count(name) : gateway.count(name);
     }
 
     /**
      * From another thread: how many cells are reached at other sites now, each once for each router
      * there.
      */
-    public int farCells() {
-        return sites.farCells();
+    public int remoteCells() {
+        return gateway.remoteCells();
     }
 
     private long http2Count(String name) {
-        return loop.ask(() -> sends.streams().counters().of(name));
+        return loop.submitAndWait(() -> dispatcher.http2().counters().get(name));
     }
 
-    /** From another thread: ends at once, whatever is in hand. */
-    public void end() {
-        loop.ready(loop::end);
+    /** From another thread: stops at once, whatever is in flight. */
+    public void stopNow() {
+        loop.execute(loop::stop);
     }
 
     /**
@@ -263,71 +286,77 @@
      * can't be used.
      */
     public void reload() {
-        loop.ready(() -> {
+        loop.execute(() -> {
             try {
-                start = start.again();
-                discovery.moveTo(start.discovery);
-                if (sites != null && start.gateway != null) {
-                    sites.again(start.gateway);
+                config = config.reload();
+                discoveryWatcher.moveTo(config.discovery);
+                if (gateway != null && config.gateway != null) {
+                    gateway.updateKeys(config.gateway);
                 }
-                LOG.log(Level.INFO, "{0} has read its configuration again", start.name);
-            } catch (BadInput e) {
-                LOG.log(Level.WARNING, "reload: {0}; all stays as it was", e.getMessage());
+                LOG.log(Level.INFO, "config_reloaded", "router", config.name);
+            } catch (InvalidInputException e) {
+                LOG.log(Level.WARNING, "config_reload_rejected", "reason", e.getMessage());
             }
         });
     }
 
     /** From another thread: stops in order and returns when that is done. */
     public void stopAndWait() throws InterruptedException {
-        loop.ready(this::stop);
-        over.await();
+        loop.execute(this::stop);
+        stoppedLatch.await();
     }
 
     private void stop() {
-        LOG.log(Level.INFO, "{0} stops, {1} lookups and parts in hand", new Object[] {
-            start.name, turn.open()
-        });
+        LOG.log(Level.INFO, "stopping", "router", config.name, "in_flight", driver.inFlight());
         // Danger: while routers restart one after the other, the next one may stop before the one
         // before it
         // is back. Clients go on using the connections that they have, so these are served for as
         // long as
         // what comes can be answered before the process may be killed.
-        long kill = Math.min(start.longestUs, Protocol.KILL_LONGEST_US) + Protocol.KILL_AFTER_US;
-        long last = loop.now() + LAST_TAKEN_US + start.longestUs;
-        long door = loop.now() + Math.max(CLIENTS_COME_US, kill - 2 * start.longestUs / 3);
+        long killDelayUs = Math.min(config.maxDeadlineUs, ProtocolLimits.MAX_KILL_GRACE_US)
+                + ProtocolLimits.KILL_MARGIN_US;
+        long lastUs = loop.nowUs() + LAST_REQUEST_US + config.maxDeadlineUs;
+        long stopAcceptingUs = loop.nowUs()
+                + Math.max(DRAIN_NOTICE_US, killDelayUs - 2 * config.maxDeadlineUs / 3);
         // Danger: what comes late after the SIGTERM and is still unanswered as the process is
         // killed is lost.
-        long takes = Math.min(last, loop.now() + kill - (Protocol.KILL_AFTER_US - LAST_TAKEN_US));
-        loop.at(loop.now() + CLIENTS_COME_US, () -> intake.takesUntil(takes));
-        loop.at(door, intake::closeDoor);
-        loop.at(Math.max(door, loop.now() + LAST_TAKEN_US), () -> endWhenEmpty(last));
-        intake.notReady();
-        workKnown = true;
-        if (work != null) {
-            work.stops();
+        long admitUntilUs = Math.min(
+                lastUs,
+                loop.nowUs() + killDelayUs - (ProtocolLimits.KILL_MARGIN_US - LAST_REQUEST_US));
+        loop.schedule(loop.nowUs() + DRAIN_NOTICE_US, () -> acceptor.admitUntilUs(admitUntilUs));
+        loop.schedule(stopAcceptingUs, acceptor::stopAccepting);
+        loop.schedule(
+                Math.max(stopAcceptingUs, loop.nowUs() + LAST_REQUEST_US),
+                () -> stopWhenEmpty(lastUs));
+        acceptor.markNotReady();
+        maintenanceReady = true;
+        if (maintenance != null) {
+            maintenance.stopping();
         }
         if (warmup != null) {
             warmup.end(); // Who waits for it is served now, while there is time.
         }
-        listHeard();
-        if (sites != null) {
-            sites.gateway().leave();
+        listReceived();
+        if (gateway != null) {
+            gateway.gateway().startDraining();
         }
     }
 
-    private void endWhenEmpty(long last) {
-        if (intake.isEmpty() && (sites == null || sites.gateway().isEmpty())
-                || loop.now() >= last) {
-            if (work == null) {
-                loop.end();
+    private void stopWhenEmpty(long lastUs) {
+        if ((acceptor.isEmpty() && (gateway == null || gateway.gateway().isIdle()))
+                || loop.nowUs() >= lastUs) {
+            if (maintenance == null) {
+                loop.stop();
             } else {
-                work.leave();
-                loop.at(
-                        loop.now() + start.links.connectUs() / 4,
-                        loop::end); // Its last words leave first.
+                maintenance.leave();
+                loop.schedule(
+                        loop.nowUs() + config.nodeConnections.connectTimeoutUs() / 4,
+                        loop::stop); // Its last words leave first.
             }
         } else {
-            loop.at(loop.now() + start.links.connectUs() / 8, () -> endWhenEmpty(last));
+            loop.schedule(
+                    loop.nowUs() + config.nodeConnections.connectTimeoutUs() / 8,
+                    () -> stopWhenEmpty(lastUs));
         }
     }
 }
