--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -1,19 +1,15 @@
 package tinlink.router;
 
-import tinlink.decision.Index;
-import tinlink.net.BadMessage;
-import tinlink.net.Ending;
-import tinlink.net.HttpReader;
-import tinlink.net.Link;
-import tinlink.net.Loop;
+import tinlink.config.RouterConfig;
+import tinlink.net.CloseReason;
+import tinlink.net.Connection;
+import tinlink.net.EventLoop;
+import tinlink.net.EventLoopParticipant;
 import tinlink.net.Network;
-import tinlink.net.Ring;
-import tinlink.start.RouterStart;
+import tinlink.net.RingBuffer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -30,128 +26,121 @@
  *
  * <p>Danger: clients come back before a router that was killed has warmed up, and would be answered
  * with what the stand-ins here make up. So each connection of the warm-up's own shows a word that
- * nobody else knows; all others wait unread, and are handed to the real door when the warm-up is
+ * nobody else knows; all others wait unread, and are handed to the router itself when the warm-up is
  * over.
  */
-final class Warmup implements Network.Door, Loop.Turn {
-    /**
-     * What a first run costs, loading and linking, is over with the first few; each more makes a
-     * restart longer.
-     */
-    private static final int LOOKUPS = 24;
-
-    private static final int ASKERS = 4;
-    private static final int MOST_PARTS = 5;
-    /** A frame of the warm-up's own is far shorter. */
-    private static final int MOST_FRAME = 4096;
+final class Warmup implements Network.AcceptHandler, EventLoopParticipant {
     /** Begins what our own clients show; no request begins so. */
-    private static final char OURS = 1;
+    private static final char OWN_CLIENT_MARK = 1;
 
-    private final RouterStart start;
-    private final Loop loop;
+    private final RouterConfig config;
+    private final EventLoop loop;
     private final Network network;
-    private final Stages real;
-    private final Runnable then;
-    private final Stages stages;
-    private final Intake intake;
+    private final RequestPipeline servingPipeline;
+    private final Runnable whenDone;
+    private final RequestPipeline pipeline;
+    private final ClientAcceptor acceptor;
     /** Begins the ids of our own lookups. */
-    private final String word;
+    private final String idPrefix;
     /** Begins each connection of our own clients'. */
-    private final String shown;
+    private final String clientToken;
 
-    private final List<Map.Entry<String, Index>> indexes;
-    private final List<Asker> own = new ArrayList<>();
+    private final WarmupClients clients;
     /** Accepted and not known as our own; all leave when the warm-up is over. */
-    private final Set<Caller> waiting = new LinkedHashSet<>();
+    private final Set<WaitingConnection> waitingConnections = new LinkedHashSet<>();
     /** Frames come there; whoever sent them, none of it outlives the warm-up. */
-    private final List<Link> frames = new ArrayList<>();
+    private final List<Connection> nodeConnections = new ArrayList<>();
 
-    private final Loop.Timer limit;
-    private boolean over;
-    private int asked;
-    private int answered;
-    private int askers;
+    private final EventLoop.Timer timeLimit;
+    private boolean isEnded;
 
     /**
-     * @param start read for this alone, since its module is used up
-     * @param network listens already; the door is ours until the end
-     * @param real those who will serve, to whom clients that come meanwhile are handed
-     * @param then run once, when all has been played
+     * @param config read for this alone, since its module is used up
+     * @param network listens already; accepts for the warm-up until its end
+     * @param servingPipeline those who will serve, to whom clients that come meanwhile are handed
+     * @param whenDone run once, when all has been played
      */
-    Warmup(RouterStart start, Loop loop, Network network, Stages real, Runnable then)
+    Warmup(
+            RouterConfig config,
+            EventLoop loop,
+            Network network,
+            RequestPipeline servingPipeline,
+            Runnable whenDone)
             throws IOException {
-        this.start = start;
+        this.config = config;
         this.loop = loop;
         this.network = network;
-        this.real = real;
-        this.then = then;
-        word = String.format("%016x", new SplittableRandom(start.seed).split().nextLong());
-        shown = OURS + word;
-        indexes = List.copyOf(start.lookups.indexes().entrySet());
-        stages = new Stages(loop, network.apart(), start, start.built.module);
-        intake = stages.intake;
-        intake.notReady();
-        stages.turn.serves(stages.sends, () -> {}); // Its list is its own; discovery is not asked.
-        stages.turn.begins(loop.now());
-        stages.roster.known(list(network.address()));
-        for (int i = 0; i < ASKERS; i++) {
-            Asker a = new Asker();
-            a.link = network.connect(network.address(), a);
-            own.add(a);
-            askers++;
-        }
-        limit = loop.at(loop.now() + start.longestUs, this::end);
+        this.servingPipeline = servingPipeline;
+        this.whenDone = whenDone;
+        idPrefix =
+                String.format("%016x", new SplittableRandom(config.seed).split().nextLong());
+        clientToken = OWN_CLIENT_MARK + idPrefix;
+        clients = new WarmupClients(config.lookups, idPrefix, clientToken, this::end);
+        pipeline =
+                new RequestPipeline(loop, network.withoutServer(), config, config.decision.module);
+        acceptor = pipeline.acceptor;
+        acceptor.markNotReady();
+        pipeline.driver.connect(
+                pipeline.dispatcher, () -> {}); // Its list is its own; discovery is not asked.
+        pipeline.driver.turnStarted(loop.nowUs());
+        pipeline.endpointList.applyCached(endpoints(network.address()));
+        clients.connect(network, network.address());
+        timeLimit = loop.schedule(loop.nowUs() + config.maxDeadlineUs, this::end);
     }
 
-    int answered() {
-        return answered;
+    int lookupsAnswered() {
+        return clients.lookupsAnswered();
     }
 
     /** Our own connections are closed; who has come meanwhile goes on waiting. */
     void end() {
-        if (over) {
+        if (isEnded) {
             return;
         }
-        over = true;
-        loop.takeBack(limit);
-        own.forEach(a -> a.link.end(Ending.DONE));
-        stages.sends.endAll();
-        frames.forEach(l -> l.end(Ending.DONE));
-        then.run();
+        isEnded = true;
+        loop.cancel(timeLimit);
+        clients.closeAll();
+        pipeline.dispatcher.connections().closeAll();
+        nodeConnections.forEach(nodeConnection -> nodeConnection.close(CloseReason.COMPLETED));
+        whenDone.run();
     }
 
-    /** Clients that wait come to the real door, each with what it has sent. */
-    void handOver() {
-        List<Caller> clients = List.copyOf(waiting);
-        waiting.clear();
-        for (Caller c : clients) {
-            real.descriptors.clientClosed();
-            c.as = real.intake.owner();
+    /** Clients that wait are accepted by the router itself, each with what it has sent. */
+    void handOverClients() {
+        List<WaitingConnection> handedOver = List.copyOf(waitingConnections);
+        waitingConnections.clear();
+        for (WaitingConnection waiting : handedOver) {
+            servingPipeline.descriptors.clientClosed();
+            waiting.delegate = servingPipeline.acceptor.newListener();
             // Danger: its client's time runs while it waits here; answered by ours, it would come
             // too late.
-            real.intake.opened(c.link, c.as, c.link.acceptedAt(), c.said);
-            c.link.more();
+            servingPipeline.acceptor.accepted(
+                    waiting.connection,
+                    waiting.delegate,
+                    waiting.connection.acceptedAtUs(),
+                    waiting.hasSentBytes);
+            waiting.connection.resumeReading();
         }
     }
 
     @Override
-    public void begins(long nowUs) {
-        stages.turn.begins(nowUs);
+    public void turnStarted(long nowUs) {
+        pipeline.driver.turnStarted(nowUs);
     }
 
     @Override
-    public void decides() {
-        stages.turn.decides();
+    public void turnEnding() {
+        pipeline.driver.turnEnding();
     }
 
     /** A data node for each shard, at our own address. */
-    private Map<?, ?> list(InetSocketAddress at) {
-        String endpoint = at.getAddress().getHostAddress() + ":" + at.getPort();
+    private Map<?, ?> endpoints(InetSocketAddress address) {
+        String endpoint = address.getAddress().getHostAddress() + ":" + address.getPort();
         return Map.of(
                 "rev",
                 0.0,
                 "targets",
-                IntStream.range(0, start.lookups.shards())
+                IntStream.range(0, config.lookups.shardCount())
                         .mapToObj(i -> Map.of(
                                 "uid",
                                 "warm" + i,
@@ -164,28 +153,28 @@
                         .toList());
     }
 
-    // ---- The door. ----
+    // ---- Accepting. ----
 
     @Override
-    public Link.Owner owner() {
-        return new Caller();
+    public Connection.Listener newListener() {
+        return new WaitingConnection();
     }
 
     @Override
-    public void opened(Link link, Link.Owner owner) {
-        Caller c = (Caller) owner;
-        c.link = link;
-        waiting.add(c);
-        real.descriptors.clientOpened();
+    public void accepted(Connection connection, Connection.Listener listener) {
+        WaitingConnection waiting = (WaitingConnection) listener;
+        waiting.connection = connection;
+        waitingConnections.add(waiting);
+        servingPipeline.descriptors.clientOpened();
     }
 
     @Override
-    public boolean mayOpen() {
-        return real.intake.mayOpen();
+    public boolean canAccept() {
+        return servingPipeline.acceptor.canAccept();
     }
 
     @Override
-    public void acceptFailed(Throwable why) {
+    public void acceptFailed(Throwable cause) {
         end();
     }
 
@@ -193,192 +182,67 @@
      * Whoever connects: a frame's length begins with a zero byte, our own clients with their mark
      * and word.
      */
-    private final class Caller implements Link.Owner {
-        private final StringBuilder shows = new StringBuilder();
-        private Link link;
-        private Link.Owner as;
-        private boolean said;
+    private final class WaitingConnection implements Connection.Listener {
+        private final StringBuilder received = new StringBuilder();
+        private Connection connection;
+        private Connection.Listener delegate;
+        private boolean hasSentBytes;
 
         @Override
-        public void arrived(Ring in) {
-            said |= in.size() > 0;
-            if (as == null && in.size() > 0 && !over) {
+        public void bytesReceived(RingBuffer in) {
+            hasSentBytes |= in.size() > 0;
+            if (delegate == null && in.size() > 0 && !isEnded) {
                 if (in.peek() == 0) {
-                    known(new Answerer(link));
-                    frames.add(link);
-                } else if (!shows.isEmpty() || in.peek() == OURS) {
-                    show(in);
+                    delegateTo(new WarmupDataNode(connection, idPrefix));
+                    nodeConnections.add(connection);
+                } else if (!received.isEmpty() || in.peek() == OWN_CLIENT_MARK) {
+                    readToken(in);
                 }
             }
-            if (as != null) {
-                as.arrived(in);
+            if (delegate != null) {
+                delegate.bytesReceived(in);
             }
         }
 
-        private void show(Ring in) {
-            while (in.size() > 0 && shows.length() < shown.length()) {
-                shows.append((char) in.take());
+        private void readToken(RingBuffer in) {
+            while (in.size() > 0 && received.length() < clientToken.length()) {
+                received.append((char) in.take());
             }
-            if (shows.length() == shown.length()) {
-                if (shown.contentEquals(shows)) {
-                    Link.Owner client = intake.owner();
-                    known(client);
-                    intake.opened(link, client);
+            if (received.length() == clientToken.length()) {
+                if (clientToken.contentEquals(received)) {
+                    Connection.Listener client = acceptor.newListener();
+                    delegateTo(client);
+                    acceptor.accepted(connection, client);
                 } else {
-                    link.end(Ending.BAD_INPUT); // No request begins so, whoever it is.
+                    connection.close(
+                            CloseReason.PROTOCOL_ERROR); // No request begins so, whoever it is.
                 }
             }
         }
 
         /** It is not one that waits for the real door. */
-        private void known(Link.Owner who) {
-            as = who;
-            if (waiting.remove(this)) {
-                real.descriptors.clientClosed();
+        private void delegateTo(Connection.Listener listener) {
+            delegate = listener;
+            if (waitingConnections.remove(this)) {
+                servingPipeline.descriptors.clientClosed();
             }
         }
 
         @Override
-        public void idle() {
-            if (as != null) {
-                as.idle();
+        public void writesCompleted() {
+            if (delegate != null) {
+                delegate.writesCompleted();
             }
         }
 
         @Override
-        public void ended(Ending how) {
-            if (as != null) {
-                as.ended(how);
+        public void connectionClosed(CloseReason closeReason) {
+            if (delegate != null) {
+                delegate.connectionClosed(closeReason);
             } else {
-                known(null);
+                delegateTo(null);
                 network.accept(Warmup.this);
             }
         }
     }
-
-    /** A data node: answers each part, now and then with an error or by turning it away. */
-    private final class Answerer implements Link.Owner {
-        private final Link link;
-        private final byte[] length = new byte[4];
-        private int head;
-        private ByteBuffer frame;
-        private int parts;
-
-        Answerer(Link link) {
-            this.link = link;
-        }
-
-        @Override
-        public void arrived(Ring in) {
-            while (in.size() > 0) {
-                if (head < length.length) {
-                    length[head++] = in.take();
-                    if (head == length.length && !begins(ByteBuffer.wrap(length).getInt())) {
-                        return;
-                    }
-                } else {
-                    frame.put(in.takeRun(frame.remaining()));
-                    if (!frame.hasRemaining()) {
-                        head = 0;
-                        answer(new String(frame.array(), StandardCharsets.UTF_8));
-                    }
-                }
-            }
-        }
-
-        /** Danger: anybody may have sent this, not only our own. */
-        private boolean begins(int size) {
-            if (size < 0 || size > MOST_FRAME) {
-                link.end(Ending.BAD_INPUT);
-                return false;
-            }
-            frame = ByteBuffer.allocate(size);
-            return true;
-        }
-
-        private void answer(String whole) {
-            for (int at = 1; whole.charAt(0) == 'R' && at < whole.length(); parts++) {
-                int lf = whole.indexOf('\n', at);
-                String[] words =
-                        lf < 0 ? new String[0] : whole.substring(at, lf).split(" ");
-                if (words.length != 4 || !words[0].startsWith(word)) {
-                    link.end(Ending.BAD_INPUT);
-                    return;
-                }
-                at = lf + 1 + Integer.parseInt(words[3]);
-                String end = parts % 32 == 30 ? "ERROR" : parts % 32 == 14 ? "REJECTED" : "OK";
-                byte[] y = ("Y" + words[0] + " " + end + " 1 -\n" + words[0])
-                        .getBytes(StandardCharsets.UTF_8);
-                link.out().put(ByteBuffer.allocate(4).putInt(y.length).array()).put(y);
-            }
-            link.later();
-        }
-
-        @Override
-        public void ended(Ending how) {
-            // Nothing is kept of it.
-        }
-    }
-
-    /**
-     * A client that asks again as soon as it is answered; whatever the answer is, it has run the
-     * code.
-     */
-    private final class Asker implements Link.Owner, HttpReader.Sink {
-        private final HttpReader reader = HttpReader.ofAnswers(this);
-        private Link link;
-
-        @Override
-        public void up() {
-            link.out().put(shown);
-            ask();
-        }
-
-        private void ask() {
-            if (asked == LOOKUPS) {
-                return;
-            }
-            Map.Entry<String, Index> index = indexes.get(asked % indexes.size());
-            int parts = Math.min(MOST_PARTS, start.lookups.shards());
-            List<String> segments = new ArrayList<>();
-            for (int i = 0; i < parts; i++) {
-                segments.add("{\"segment\":" + i + ",\"boost\":" + 1.0 / parts + "}");
-            }
-            String body = "{\"segments\":[" + String.join(",", segments) + "],\"text\":\"warm\"}";
-            link.out()
-                    .put("POST /api HTTP/1.1\r\nHost: warm\r\nX-Call-Id: " + word + asked++
-                            + "\r\nX-Call-Class: "
-                            + index.getKey() + "\r\nX-Budget-Ms: " + index.getValue().hardUs / 1000
-                            + "\r\nIdempotency-Key: warm\r\nContent-Length: " + body.length()
-                            + "\r\n\r\n" + body);
-            link.later();
-        }
-
-        @Override
-        public void arrived(Ring in) {
-            try {
-                while (in.size() > 0) {
-                    reader.read(in);
-                }
-            } catch (BadMessage e) {
-                link.end(Ending.BAD_INPUT);
-            }
-        }
-
-        @Override
-        public void over() {
-            if (++answered == LOOKUPS) {
-                end();
-            } else {
-                ask();
-            }
-        }
-
-        @Override
-        public void ended(Ending how) {
-            if (--askers == 0) {
-                end();
-            }
-        }
-    }
 }
--- a/src/test/java/tinlink/ScenarioTest.java
+++ b/src/test/java/tinlink/ScenarioTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-import tinlink.benchlink.BenchLink;
-import tinlink.gateway.choice.ChoicePlayer;
-import tinlink.http2.EnginePlayer;
-import tinlink.http2.choice.PoolPlayer;
-import tinlink.net.Ending;
+import tinlink.config.InvalidInputException;
+import tinlink.config.RouterConfig;
+import tinlink.gateway.forwarding.ForwardingPlayer;
+import tinlink.http2.Http2ConnectionPlayer;
+import tinlink.http2.pool.ConnectionPoolPlayer;
+import tinlink.maintenance.scheduling.MaintenanceScenarioPlayer;
+import tinlink.net.CloseReason;
 import tinlink.net.ParserPlayer;
-import tinlink.start.BadInput;
-import tinlink.start.RouterStart;
-import tinlink.work.choice.OrderPlayer;
+import tinlink.simadapter.SimulatorAdapter;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -35,7 +35,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Plays every scenario: the module's through {@link Player}, the wire's through the adapter. */
+/**
+ * Plays every scenario: the module's through {@link DecisionScenarioPlayer}, the wire's through the adapter.
+ */
 class ScenarioTest {
 
     static List<Arguments> module() throws IOException {
@@ -83,35 +85,35 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void module(String title, List<String> script) {
-        new Player().play(script);
+        new DecisionScenarioPlayer().play(script);
     }
 
     /** HTTP/2 frames of a scripted server against the client's side of a connection. */
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void http2(String title, List<String> script) {
-        new EnginePlayer().play(script);
+        new Http2ConnectionPlayer().play(script);
     }
 
     /** Which connection over HTTP/2 a part call goes on. */
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void pool(String title, List<String> script) {
-        new PoolPlayer().play(script);
+        new ConnectionPoolPlayer().play(script);
     }
 
     /** The order in which machines are taken out for work. */
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void orderOfWork(String title, List<String> script) {
-        new OrderPlayer().play(script);
+        new MaintenanceScenarioPlayer().play(script);
     }
 
     /** The gateway's choices, of the near side and of the far one. */
     @ParameterizedTest(name = "{0}")
     @MethodSource
     void links(String title, List<String> script) {
-        new ChoicePlayer().play(script);
+        new ForwardingPlayer().play(script);
     }
 
     @ParameterizedTest(name = "{0}")
@@ -128,7 +130,7 @@
     @MethodSource
     @Timeout(60)
     void router(String title, List<String> script, @TempDir Path dir) throws Exception {
-        try (RouterPlayer p = new RouterPlayer(dir)) {
+        try (RouterScenarioPlayer p = new RouterScenarioPlayer(dir)) {
             p.play(script);
         }
     }
@@ -138,8 +140,9 @@
     @MethodSource
     void config(String title, List<String> script, @TempDir Path dir) throws IOException {
         Path file = Files.writeString(dir.resolve("c"), pick(script, "> "));
-        BadInput e = assertThrows(
-                BadInput.class, () -> new RouterStart(Map.of("NODE_CONFIG", file.toString())));
+        InvalidInputException e = assertThrows(
+                InvalidInputException.class,
+                () -> new RouterConfig(Map.of("NODE_CONFIG", file.toString())));
         assertEquals(pick(script, "! "), e.getMessage() + "\n");
     }
 
@@ -151,31 +154,35 @@
         Map<String, String> env =
                 Map.of("NODE_CONFIG", "deploy/example.json", "NODE_GATEWAY", file.toString());
         if (pick(script, "! ").isEmpty()) {
-            assertEquals(1, new RouterStart(env).gateway.far.size());
+            assertEquals(1, new RouterConfig(env).gateway.remoteRouters.size());
             return;
         }
-        BadInput e = assertThrows(BadInput.class, () -> new RouterStart(env));
+        InvalidInputException e =
+                assertThrows(InvalidInputException.class, () -> new RouterConfig(env));
         assertEquals(pick(script, "! "), e.getMessage().replace(file.toString(), "FILE") + "\n");
     }
 
     @Test
     void deployedFilesAreRead() {
-        RouterStart start = new RouterStart(Map.of(
+        RouterConfig config = new RouterConfig(Map.of(
                 "NODE_CONFIG", "deploy/example.json", "NODE_GATEWAY", "deploy/gateway.json5"));
         assertEquals(
                 List.of("w1", "w2"),
-                start.gateway.far.stream().map(f -> f.router()).toList());
+                config.gateway.remoteRouters.stream().map(f -> f.router()).toList());
     }
 
     /** Danger: a part call whose frame has left and that passes for one that never ran. */
     @ParameterizedTest
-    @EnumSource(Ending.class)
-    void ending(Ending how) {
-        boolean neverUp =
-                EnumSet.of(Ending.REFUSED, Ending.NOT_UP, Ending.NO_SOCKET).contains(how);
+    @EnumSource(CloseReason.class)
+    void eachCloseReasonTellsWhetherACallMayHaveRun(CloseReason closeReason) {
+        boolean neverUp = EnumSet.of(
+                        CloseReason.CONNECT_REFUSED,
+                        CloseReason.CONNECT_TIMEOUT,
+                        CloseReason.NO_DESCRIPTOR)
+                .contains(closeReason);
         for (boolean meant : new boolean[] {true, false}) {
-            assertEquals(neverUp, how.outcome(true, meant).neverRan);
-            assertTrue(how.outcome(false, meant).neverRan);
+            assertEquals(neverUp, closeReason.toOutcome(true, meant).neverRan);
+            assertTrue(closeReason.toOutcome(false, meant).neverRan);
         }
     }
 
@@ -187,7 +194,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         byte[] in = pick(lines, "> ").getBytes(StandardCharsets.UTF_8);
-        int status = new BenchLink(
+        int status = new SimulatorAdapter(
                         new ByteArrayInputStream(in),
                         out,
                         new PrintStream(err, true, StandardCharsets.UTF_8))
--- a/src/test/java/tinlink/decision/ColdSumTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -10,7 +10,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
@@ -18,7 +17,7 @@
  * Many routers, each with a module of its own, are told of one node's start. What all of them
  * together send it within any fall time stays within what the settings allow it then, and chance.
  */
-class ColdSumTest {
+class SlowStartFleetTest {
     private static final double WORK_US = 120_000;
     private static final long FALL_US = 3_000_000;
     private static final long COLD_US = 15_000_000;
@@ -27,10 +26,12 @@
     private static final int CELLS = 6;
     private static final long WARM_US = 30_000_000;
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long dueAtUs, long order, Runnable what) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return dueAtUs != other.dueAtUs
+                    ? Long.compare(dueAtUs, other.dueAtUs)
+                    : Long.compare(order, other.order);
         }
     }
 
@@ -42,8 +43,8 @@
     private long now;
     private long order;
 
-    private void at(long us, Runnable what) {
-        events.add(new Event(us, order++, what));
+    private void schedule(long dueAtUs, Runnable what) {
+        events.add(new Event(dueAtUs, order++, what));
     }
 
     private double exponential(double mean) {
@@ -82,40 +83,49 @@
                 busy++;
                 Runnable done = queue.poll();
                 // As uneven as parts are: half of it fixed.
-                at(now + (long) ((WORK_US / 2 + exponential(WORK_US / 2)) / present()), () -> {
-                    busy--;
-                    done.run();
-                    begin();
-                });
+                schedule(
+                        now + (long) ((WORK_US / 2 + exponential(WORK_US / 2)) / present()), () -> {
+                            busy--;
+                            done.run();
+                            begin();
+                        });
             }
         }
     }
 
     /** One router: its module, and what it asks for carried out at once. */
-    private final class One implements Host {
-        private final Aggregator module;
-        private final Map<DataNode, Node> known = new IdentityHashMap<>();
+    private final class One implements DecisionHandler {
+        private final QueryCoordinator module;
+        private final IdentityHashMap<DataNode, Node> known = new IdentityHashMap<>();
 
         /**
          * @param coldUs for how long nodes are cold to it; of the number of routers it is told too
          *     little
          */
         One(long coldUs) {
-            Index index = index();
-            FastestValid.Health health = new FastestValid.Health(index.softUs);
-            module = new FastestValid(
-                    new FastestValid.Rounds(5000, 3, true, true),
-                    new FastestValid.Replicas(CELLS, 1, 1, 0, 0, 0, health),
+            LookupClass lookupClass = index();
+            ReplicaHealth health = new ReplicaHealth(lookupClass.latencyObjectiveUs);
+            AttemptTiming timing = new AttemptTiming(5000);
+            SlowStart slowStart =
+                    new SlowStart(random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health);
+            module = new FastestValidCoordinator(
+                    timing,
+                    new RepeatGuard(timing, 3, true, true),
+                    new ReplicaSelector(
+                            new ReplicaDirectory(CELLS, 1, health),
+                            slowStart,
+                            new CallSharing(1, 0),
+                            0,
+                            0,
+                            health),
                     health,
-                    new FastestValid.ColdGuard(
-                            random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health),
-                    new FastestValid.Budget(0, 0, 0, 1000),
-                    new FastestValid.Admission(random.nextLong(), 0),
-                    new FastestValid.ListFollowing(random.nextLong(), false, 10_000_000));
+                    new RetryBudget(0, 0, 0, 1000),
+                    new AdmissionController(random.nextLong(), 0),
+                    new EndpointListPoller(random.nextLong(), false, 10_000_000));
         }
 
         void turn(Runnable inputs) {
-            module.clock(now);
+            module.advanceClock(now);
             inputs.run();
             while (module.decide(this)) {
                 // Carried out as it comes.
@@ -124,98 +134,98 @@
 
         void told(List<Node> some) {
             turn(() -> {
-                for (Node n : some) {
-                    DataNode d = new DataNode(nodes.indexOf(n));
-                    d.cell = n.cell;
-                    d.startedAt = n.startedAt;
-                    known.put(d, n);
-                    module.listed(d, false);
+                for (Node simulatedNode : some) {
+                    DataNode dataNode = new DataNode(nodes.indexOf(simulatedNode));
+                    dataNode.cell = simulatedNode.cell;
+                    dataNode.startedAtUs = simulatedNode.startedAt;
+                    known.put(dataNode, simulatedNode);
+                    module.onEndpoint(dataNode, false);
                 }
                 if (some.size() == 1) {
                     // It stands for the one that had its block until now.
                     DataNode before = known.keySet().stream()
-                            .filter(d -> d.id == 0)
+                            .filter(dataNode -> dataNode.nodeId == 0)
                             .findFirst()
                             .orElseThrow();
                     before.state = DataNode.State.DRAINING;
-                    module.listed(before, false);
+                    module.onEndpoint(before, false);
                 }
-                module.nodes(Aggregator.News.CHANGES);
+                module.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES);
             });
         }
 
         void asked() {
             turn(() -> {
-                Lookup lk = new Lookup();
-                lk.index = index();
-                lk.announced = 1;
-                lk.leavesAt = now + lk.index.hardUs;
-                Part p = new Part();
-                p.lookup = lk;
-                p.shard = random.nextInt(CELLS);
-                p.weight = 1;
-                module.lookup(lk);
-                module.part(p);
+                Lookup lookup = new Lookup();
+                lookup.lookupClass = index();
+                lookup.announcedParts = 1;
+                lookup.clientDeadlineUs = now + lookup.lookupClass.deadlineUs;
+                Part part = new Part();
+                part.lookup = lookup;
+                part.shard = random.nextInt(CELLS);
+                part.weight = 1;
+                module.onLookup(lookup);
+                module.onPart(part);
             });
         }
 
         @Override
-        public void send(PartCall call, long limitUs) {
-            Node n = known.get(call.node);
-            if (n.startedAt != Long.MIN_VALUE) {
+        public void send(Attempt attempt, long limitUs) {
+            Node simulatedNode = known.get(attempt.node);
+            if (simulatedNode.startedAt != Long.MIN_VALUE) {
                 cold.add(now);
             }
-            n.take(() -> turn(() -> ended(call, Outcome.SATISFIED)));
-            at(now + limitUs, () -> turn(() -> ended(call, Outcome.NO_ANSWER)));
+            simulatedNode.take(() -> turn(() -> ended(attempt, Outcome.SATISFIED)));
+            schedule(now + limitUs, () -> turn(() -> ended(attempt, Outcome.NO_ANSWER)));
         }
 
-        private void ended(PartCall call, Outcome how) {
-            if (call.outcome == null) {
-                module.outcome(call, how, now - call.sentAt, -1);
+        private void ended(Attempt attempt, Outcome outcome) {
+            if (attempt.outcome == null) {
+                module.onOutcome(attempt, outcome, now - attempt.sentAtUs, -1);
             }
         }
 
         @Override
-        public void cancel(PartCall call) {
-            at(now, () -> turn(() -> ended(call, Outcome.CANCELLED)));
+        public void cancel(Attempt attempt) {
+            schedule(now, () -> turn(() -> ended(attempt, Outcome.CANCELLED)));
         }
 
         @Override
-        public void wake(long atUs) {
-            at(atUs, () -> turn(module::timer));
+        public void wakeAt(long atUs) {
+            schedule(atUs, () -> turn(module::onTimer));
         }
 
         @Override
-        public void release(DataNode node) {
+        public void closeIdleConnections(DataNode node) {
             // There are no connections here.
         }
 
         @Override
-        public void answer(Lookup lk, boolean whole) {
+        public void answer(Lookup lookup, boolean whole) {
             // Nobody waits.
         }
 
         @Override
-        public void nack(Lookup lk, long comeBackUs) {
+        public void reject(Lookup lookup, long comeBackUs) {
             // Nobody waits.
         }
 
         @Override
-        public void abort(Lookup lk) {
+        public void abort(Lookup lookup) {
             // Nobody waits.
         }
 
         @Override
-        public void followList() {
+        public void subscribeToEndpointList() {
             // Lists are pushed here.
         }
     }
 
-    private static Index index() {
-        Index x = new Index();
-        x.softUs = 2_000_000;
-        x.hardUs = 4_000_000;
-        return x;
+    private static LookupClass index() {
+        LookupClass lookupClass = new LookupClass();
+        lookupClass.latencyObjectiveUs = 2_000_000;
+        lookupClass.deadlineUs = 4_000_000;
+        return lookupClass;
     }
 
     /**
@@ -234,10 +244,10 @@
         "100, 4, 0.6, 2900, true"
     })
     void theSumOfAllRoutersIsWithinTheBudget(
-            int of, int cores, double load, long lateMs, boolean uneven) {
+            int routerCount, int cores, double load, long lateMs, boolean uneven) {
         for (long seed = 1; seed <= 6; seed++) {
-            ColdSumTest play = new ColdSumTest();
-            double worst = play.worst(seed, of, COLD_US, cores, load, lateMs, uneven);
+            SlowStartFleetTest play = new SlowStartFleetTest();
+            double worst = play.worst(seed, routerCount, COLD_US, cores, load, lateMs, uneven);
             assertTrue(
                     worst <= 0, "seed " + seed + ": " + worst + " too many within one fall time");
             assertTrue(play.cold.size() >= 5, "seed " + seed + ": it was sent " + play.cold.size());
@@ -246,12 +256,20 @@
 
     @Test
     void withoutTheGuardTheSumIsFarOverTheBudget() {
-        assertTrue(new ColdSumTest().worst(1, 30, 0, 4, 0.9, 300, false) > 10, "the check bites");
+        assertTrue(
+                new SlowStartFleetTest().worst(1, 30, 0, 4, 0.9, 300, false) > 10,
+                "the check bites");
     }
 
     /** By how many the worst fall time is over its budget and chance. */
     private double worst(
-            long seed, int of, long coldUs, int cores, double load, long lateMs, boolean uneven) {
+            long seed,
+            int routerCount,
+            long coldUs,
+            int cores,
+            double load,
+            long lateMs,
+            boolean uneven) {
         random = new SplittableRandom(seed);
         for (int cell = 0; cell < CELLS; cell++) {
             nodes.add(new Node(cell, cores, Long.MIN_VALUE));
@@ -259,19 +277,21 @@
         List<Node> warm = List.copyOf(nodes);
         Node starts = new Node(0, cores, WARM_US);
         nodes.add(starts);
-        for (int i = 0; i < of; i++) {
+        for (int i = 0; i < routerCount; i++) {
             One one = new One(coldUs);
             routers.add(one);
-            at(0, () -> one.told(warm));
+            schedule(0, () -> one.told(warm));
             // Lists reach routers one after the other.
-            at(WARM_US + 1000 * lateMs + random.nextLong(400_000), () -> one.told(List.of(starts)));
+            schedule(
+                    WARM_US + 1000 * lateMs + random.nextLong(400_000),
+                    () -> one.told(List.of(starts)));
         }
         double gapUs = WORK_US / (load * cores * CELLS);
-        at((long) exponential(gapUs), () -> asks(gapUs, uneven));
-        while (!events.isEmpty() && events.peek().at < WARM_US + COLD_US) {
-            Event e = events.poll();
-            now = e.at;
-            e.what.run();
+        schedule((long) exponential(gapUs), () -> asks(gapUs, uneven));
+        while (!events.isEmpty() && events.peek().dueAtUs < WARM_US + COLD_US) {
+            Event event = events.poll();
+            now = event.dueAtUs;
+            event.what.run();
         }
         double worst = Double.NEGATIVE_INFINITY;
         for (int last = 0, first = 0; last < cold.size(); last++) {
@@ -288,6 +308,6 @@
     private void asks(double gapUs, boolean uneven) {
         boolean few = uneven && random.nextBoolean();
         routers.get(random.nextInt(few ? routers.size() / 4 : routers.size())).asked();
-        at(now + (long) exponential(gapUs), () -> asks(gapUs, uneven));
+        schedule(now + (long) exponential(gapUs), () -> asks(gapUs, uneven));
     }
 }
