--- a/src/main/java/tinlink/securechannel/Handshake.java
+++ b/src/main/java/tinlink/securechannel/Handshake.java
@@ -13,6 +13,7 @@
     public static final int NONCE_BYTES = 32;
     /** Of each side's proof, an HMAC-SHA256. */
     public static final int PROOF_BYTES = 32;
+
     private static final String SESSION_LABEL = "session";
 
     /** Keep a proof of one protocol and side from counting as that of another. */
