--- a/src/main/java/tinlink/policy/rollout/AbsencePolicy.java
+++ b/src/main/java/tinlink/policy/rollout/AbsencePolicy.java
@@ -1,34 +1,42 @@
 package tinlink.policy.rollout;
 
 /**
- * What a change of policy does about routers that are not heard from. Whether such a router is
- * down, paused or cut off can't be told from outside. All times are microseconds.
+ * How a policy change treats enrolled routers that have not voted on it. Other routers can't tell
+ * whether a silent router is down, paused or partitioned. All times are in microseconds.
  *
- * @param rule what is done
- * @param settleTimeoutUs a change that is not settled within it is withdrawn, whatever the rule but
- *     WAIT
- * @param voteBindingUs how long one vote binds its router; it votes again while the change is open
- * @param leaseUs FENCE: a router to which no majority has confirmed for so long that it is up to
- *     date takes no lookups; 0 for the other rules
- * @param maxClockErrorUs by how much the clocks of two machines may differ
+ * @param rule how the change proceeds without the missing votes
+ * @param settleTimeoutUs time after which the coordinator withdraws a change that can't be
+ *     committed; unused under {@link Rule#WAIT}
+ * @param voteBindingUs how long one vote binds its router; the router renews its vote while the
+ *     change is open
+ * @param leaseUs duration of a router's lease under {@link Rule#FENCE}: a router takes no lookups
+ *     if for this long no majority has confirmed that the router is up to date; 0 under the other
+ *     rules
+ * @param maxClockErrorUs upper bound on the difference between the clocks of two machines
  */
 public record AbsencePolicy(
         Rule rule, long settleTimeoutUs, long voteBindingUs, long leaseUs, long maxClockErrorUs) {
-    /** The names are those of policy documents and stored commands. */
+    /**
+     * What happens to a change while votes are missing. The names appear in policy documents and in
+     * stored commands.
+     */
     public enum Rule {
-        /** The change waits for them without a limit; an operator may withdraw it. */
+        /** The change stays open without a time limit; an operator may withdraw it. */
         WAIT,
-        /** The change is withdrawn when its time is over. */
+        /** The change is withdrawn at its settle timeout. */
         WITHDRAW,
-        /** The change takes effect without them once their leases have expired. */
+        /**
+         * The change takes effect without the missing votes, once the leases of those routers have
+         * expired.
+         */
         FENCE
     }
 
     /**
-     * Checks the times.
+     * Validates the times.
      *
-     * @throws IllegalArgumentException where a time is out of range, or there is a lease without
-     *     FENCE
+     * @throws IllegalArgumentException if a time is out of range, or if a lease is missing under
+     *     FENCE or set under another rule
      */
     public AbsencePolicy {
         if (settleTimeoutUs <= 0
@@ -36,9 +44,10 @@
                 || maxClockErrorUs < 0
                 || rule == Rule.FENCE == (leaseUs <= 0)) {
             throw new IllegalArgumentException(
-                    "absent: " + rule + " with times out of range: settle "
-                            + settleTimeoutUs + ", vote " + voteBindingUs + ", lease " + leaseUs
-                            + ", clock error " + maxClockErrorUs);
+                    "absence policy " + rule + " has a time out of range: settle timeout "
+                            + settleTimeoutUs + " us, vote binding " + voteBindingUs
+                            + " us, lease " + leaseUs + " us, clock error " + maxClockErrorUs
+                            + " us");
         }
     }
 }
