--- a/src/main/java/tinlink/policy/rollout/ChangeCoordinator.java
+++ b/src/main/java/tinlink/policy/rollout/ChangeCoordinator.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * The coordinator of an open change, in the router that leads: it confirms that it has seen the
- * proposal agreed on, commits the change once that may be, or withdraws it. No safety rests on it:
- * each command is checked by all routers alike as it is applied, and the first outcome that is
- * agreed on is final. For one thread at a time.
+ * Coordinates the open change. Only the leader's coordinator proposes commands: it confirms
+ * that the proposal is in the replicated log, commits the change as soon as {@link CommitRule}
+ * allows it, or withdraws it. Safety does not depend on the coordinator: every router validates
+ * each command when applying it, and the first outcome in the log is final. Not thread-safe.
  */
 public final class ChangeCoordinator {
     private static final int MAX_BACKOFF_STEPS = 6;
@@ -14,8 +14,8 @@
     private final long retryIntervalUs;
     private long localTimeUs;
     private long sharedTimeUs;
-    private boolean isLeader;
-    /** The change that the rest is about; empty where none is. */
+    private boolean leading;
+    /** Id of the change that the fields below refer to; empty if there is none. */
     private String changeId = "";
 
     private long firstSeenAtUs;
@@ -23,37 +23,37 @@
     private long lastProposedAtUs = Long.MIN_VALUE / 2;
 
     /**
-     * A coordinator that does not lead yet.
+     * Creates the coordinator of a router that is not the leader.
      *
-     * @param retryIntervalUs after which a command whose effect is not seen is proposed again
+     * @param retryIntervalUs time after which a command is proposed again if it has had no effect
      */
     public ChangeCoordinator(long retryIntervalUs) {
         this.retryIntervalUs = retryIntervalUs;
     }
 
     /**
-     * Sets the time of what follows, microseconds.
+     * Sets the current time for the calls that follow, in microseconds.
      *
-     * @param localUs on a clock of this machine that never goes back
-     * @param sharedUs on the clock that all machines read
+     * @param localUs time of this machine's monotonic clock
+     * @param sharedUs time of the synchronized wall clock; it may step
      */
     public void updateClocks(long localUs, long sharedUs) {
         localTimeUs = localUs;
         sharedTimeUs = sharedUs;
     }
 
-    /** Whether this router leads. */
-    public void setLeader(boolean leads) {
-        if (leads && !isLeader) {
-            changeId = ""; // Time that passed under another leader is not counted.
+    /** Sets whether this router is the leader. */
+    public void setLeader(boolean nowLeading) {
+        if (nowLeading && !leading) {
+            changeId = ""; // The settle timeout starts anew under each leader.
         }
-        isLeader = leads;
+        leading = nowLeading;
     }
 
-    /** Proposes the command that is due, if there is one. */
+    /** Proposes the command that is due, if any. Does nothing unless this router is the leader. */
     public void decide(PolicyChanges changes, CommandProposer proposer) {
         PolicyChange change = changes.openChange();
-        if (!isLeader || change == null) {
+        if (!leading || change == null) {
             return;
         }
         if (!changeId.equals(change.changeId())) {
@@ -72,20 +72,21 @@
         }
     }
 
-    /** Null while there is nothing to do but wait. */
+    /** Returns the command to propose now, or null if the coordinator has to wait. */
     private PolicyCommand nextCommand(PolicyChange change, CommitRule rule) {
         Optional<String> rejection = rule.firstRejection();
         if (rejection.isPresent()) {
             return new PolicyCommand.Abort(changeId, "refused by " + rejection.get());
         }
-        if (change.confirmedAtUs() == 0 || !rule.hasVersionInForceTakenEffect()) {
+        if (change.confirmedAtUs() == 0 || !rule.isVersionInForceEffective()) {
             return new PolicyCommand.ConfirmProposal(changeId, sharedTimeUs);
         }
         AbsencePolicy absence = change.absencePolicy();
         long earliestUs = rule.earliestCommitUs();
         if (earliestUs != CommitRule.NOT_YET) {
-            // Not in the past, where lookups were taken by the old policy. Votes on their way may
-            // reach beyond it: then it is rejected, and proposed again for a later time.
+            // The effective time must not be in the past, since lookups have been taken under the
+            // old policy until now. Votes still in transit may bind beyond the effective time; the
+            // commit is then rejected and proposed again with a later time.
             long backoffUs =
                     Math.min(commitAttempts++, MAX_BACKOFF_STEPS) * absence.voteBindingUs() / 2;
             return new PolicyCommand.Commit(
--- a/src/main/java/tinlink/policy/rollout/CommitRule.java
+++ b/src/main/java/tinlink/policy/rollout/CommitRule.java
@@ -5,21 +5,26 @@
 import java.util.Optional;
 
 /**
- * When an open change may be committed. What makes it safe: a participant that accepts binds
- * itself, so that past the time in its vote it takes no lookup by the old policy unless it knows
- * how the change ended; a change is committed for a time that no vote reaches beyond. Of a router
- * that is enrolled and has not accepted nothing is known; it has to be waited for, or its lease has
- * to have expired, which it got before the proposal was agreed on (one that it got later tells it
- * of the proposal).
+ * Determines when an open change may be committed. Once the change takes effect, no router that is
+ * unaware of the commit may take lookups under the old policy.
  *
+ * <p>A router that accepts a change is bound by its vote: after the time in the vote, it takes no
+ * lookups under the old policy unless it knows the outcome of the change. A change is therefore
+ * committed with an effective time that no vote reaches beyond. Nothing is known about an enrolled
+ * router that has not accepted: the commit has to wait for its vote or, under FENCE, for the expiry
+ * of every lease that the router may have obtained before the proposal was in the log. A lease that
+ * the router obtained later implies that the router knows the proposal.
+ *
+ * @param change the open change
  * @param inForce the version that the change would replace
+ * @param enrolledRouters the routers that take part in changes, by name
  */
 record CommitRule(
         PolicyChange change, PolicyVersion inForce, Map<String, EnrolledRouter> enrolledRouters) {
-    /** Not as things stand. */
+    /** Result of {@link #earliestCommitUs} while the change may not be committed at any time. */
     static final long NOT_YET = Long.MAX_VALUE;
 
-    /** Routers that have not accepted, in order of their names. */
+    /** Returns the routers that have not accepted the change, sorted by name. */
     List<String> pendingRouters() {
         return enrolledRouters.entrySet().stream()
                 .filter(entry -> boundUntilUs(entry.getKey(), entry.getValue()) == 0)
@@ -31,7 +36,7 @@
         return change.boundUntilUs(router, enrolled.incarnation());
     }
 
-    /** The first router that rejects the change, and why. */
+    /** Returns the name and reason of the first router that has rejected the change, if any. */
     Optional<String> firstRejection() {
         return enrolledRouters.keySet().stream()
                 .filter(change::isRejectedBy)
@@ -40,27 +45,28 @@
     }
 
     /**
-     * Whether the version in force has taken effect by a coordinator's clock. Danger: settled
-     * before that, the next one would leave a router with two to choose from and the one that holds
-     * not among them.
+     * Returns whether the effective time of the version in force has passed on a coordinator's
+     * clock. No other change may be committed earlier: a router only keeps the version in force and
+     * the previous one, so the version that still applies would be lost.
      */
-    boolean hasVersionInForceTakenEffect() {
+    boolean isVersionInForceEffective() {
         return change.confirmedAtUs()
                 >= inForce.effectiveAtUs() + inForce.absencePolicy().maxClockErrorUs();
     }
 
     /**
-     * The earliest time for which the change may be committed; {@link #NOT_YET} while it may not.
+     * Returns the earliest effective time with which the change may be committed, in microseconds
+     * on the shared clock, or {@link #NOT_YET}.
      */
     long earliestCommitUs() {
-        if (firstRejection().isPresent() || !hasVersionInForceTakenEffect()) {
+        if (firstRejection().isPresent() || !isVersionInForceEffective()) {
             return NOT_YET;
         }
         long earliestUs = 0;
         for (Map.Entry<String, EnrolledRouter> entry : enrolledRouters.entrySet()) {
             earliestUs = Math.max(earliestUs, boundUntilUs(entry.getKey(), entry.getValue()));
         }
-        // What counts is the absence policy in force, not the proposed one: the absent go by that.
+        // Absent routers still follow the absence policy in force, not the proposed one.
         AbsencePolicy absence = inForce.absencePolicy();
         if (!pendingRouters().isEmpty()) {
             if (absence.rule() != AbsencePolicy.Rule.FENCE || change.confirmedAtUs() == 0) {
