--- a/src/main/java/tinlink/policy/rollout/ChangeParticipant.java
+++ b/src/main/java/tinlink/policy/rollout/ChangeParticipant.java
@@ -1,10 +1,10 @@
 package tinlink.policy.rollout;
 
 /**
- * One router's part in changes of policy: its votes, and by which policy it takes lookups now, if
- * by any. Inputs only update what is known; what is to be sent is pulled by {@link #decide}. The
- * shared clock may step, and then nothing unsafe follows beyond the error that is stated for it.
- * For one thread at a time.
+ * One router's role in policy changes: it votes, and it determines which policy applies to a new
+ * lookup, if any. Inputs only update the state; {@link #decide} proposes the commands that follow
+ * from it. The shared clock is the synchronized wall clock of all machines. It may step, with no
+ * unsafe effect beyond the error stated in {@link AbsencePolicy#maxClockErrorUs}. Not thread-safe.
  */
 public final class ChangeParticipant {
     private static final long MICROS_PER_MILLI = 1000;
@@ -21,18 +21,21 @@
     private long localTimeUs;
     private long leaseExpiresAtUs = Long.MIN_VALUE;
     private long lastProposedAtUs = Long.MIN_VALUE / 2;
+    /** Id of the change that was checked last; empty if none was. */
     private String checkedChangeId = "";
-    /** Why the change that was checked last can't be used; empty where it can. */
+    /** Why that change can't be used by this router; empty if it can. */
     private String rejectionReason = "";
-    /** The newest epoch by which lookups were taken: it never goes back. */
+    /** The highest epoch under which this router has taken lookups; it never decreases. */
     private long newestUsedEpoch = EffectivePolicy.NO_EPOCH;
 
     /**
-     * A participant that knows of nothing yet.
+     * Creates a participant that is not enrolled yet.
      *
-     * @param incarnation names this process of the router
-     * @param startCount starts of the router, this one counted
-     * @param retryIntervalUs after which a command whose effect is not seen is proposed again
+     * @param router name of this router
+     * @param incarnation identifies this process of the router
+     * @param startCount number of starts of the router, including the current one
+     * @param retryIntervalUs time after which a command is proposed again if it has had no effect
+     * @param startChecks validates the policy of a change for this router
      */
     public ChangeParticipant(
             String router,
@@ -49,11 +52,11 @@
     }
 
     /**
-     * Sets the time of what follows, microseconds.
+     * Sets the current time for the calls that follow, in microseconds.
      *
-     * @param sharedUs on the clock that all machines read
-     * @param localUs on a clock of this machine that never goes back; what is counted on it
-     *     survives steps of the shared one
+     * @param sharedUs time of the synchronized wall clock
+     * @param localUs time of this machine's monotonic clock; durations measured on it are not
+     *     affected by steps of the shared clock
      */
     public void updateClocks(long sharedUs, long localUs) {
         sharedTimeUs = sharedUs;
@@ -61,16 +64,17 @@
     }
 
     /**
-     * A majority has confirmed that what this router has heard of is all there was, when it was
-     * asked.
+     * Extends the lease: a majority has confirmed that this router has applied every entry that was
+     * committed to the log at the time of the request.
      *
-     * @param requestedAtUs when it was asked, on the local clock
+     * @param requestedAtUs time of the request on the local clock; the lease starts then
+     * @param leaseUs duration of the lease
      */
     public void leaseGranted(long requestedAtUs, long leaseUs) {
         leaseExpiresAtUs = Math.max(leaseExpiresAtUs, requestedAtUs + leaseUs);
     }
 
-    /** Proposes the command that is due, if there is one. */
+    /** Proposes the command that is due, if any: the enrolment or a vote. */
     public void decide(PolicyChanges changes, CommandProposer proposer) {
         PolicyCommand command = nextCommand(changes);
         if (command != null) {
@@ -80,9 +84,9 @@
     }
 
     private PolicyCommand nextCommand(PolicyChanges changes) {
-        boolean isDue = localTimeUs - lastProposedAtUs >= retryIntervalUs;
+        boolean due = localTimeUs - lastProposedAtUs >= retryIntervalUs;
         if (!changes.isEnrolled(router, incarnation)) {
-            return isDue ? new PolicyCommand.Enrol(router, incarnation, startCount) : null;
+            return due ? new PolicyCommand.Enrol(router, incarnation, startCount) : null;
         }
         PolicyChange change = changes.openChange();
         if (change == null) {
@@ -91,9 +95,9 @@
         if (!checkedChangeId.equals(change.changeId())) {
             checkedChangeId = change.changeId();
             rejectionReason = startChecks.unusableReason(change);
-            isDue = true;
+            due = true;
         }
-        return isDue ? nextVote(change) : null;
+        return due ? nextVote(change) : null;
     }
 
     private PolicyCommand nextVote(PolicyChange change) {
@@ -104,16 +108,17 @@
                             change.changeId(), router, incarnation, rejectionReason);
         }
         long bindingUs = change.absencePolicy().voteBindingUs();
-        // Voted again at half of its time, so that it never runs out for want of a vote.
+        // The vote is renewed after half of its binding time, so that it never expires merely for
+        // lack of a newer vote.
         if (change.boundUntilUs(router, incarnation) >= sharedTimeUs + bindingUs / 2) {
             return null;
         }
         long boundUntilUs = sharedTimeUs + bindingUs;
-        binding.voteSent(change.changeId(), boundUntilUs, localTimeUs + bindingUs);
+        binding.recordSentVote(change.changeId(), boundUntilUs, localTimeUs + bindingUs);
         return new PolicyCommand.VoteYes(change.changeId(), router, incarnation, boundUntilUs);
     }
 
-    /** By which policy a lookup that comes now is taken. */
+    /** Returns the policy that applies to a lookup arriving now. */
     public EffectivePolicy effectivePolicy(PolicyChanges changes) {
         EffectivePolicy candidate = candidatePolicy(changes);
         if (candidate.isPresent() && candidate.epoch() < newestUsedEpoch) {
@@ -145,7 +150,7 @@
     }
 
     private boolean hasVoteExpired(PolicyChange openChange) {
-        long agreedUntilUs = openChange == null ? 0 : openChange.boundUntilUs(router, incarnation);
-        return binding.hasExpired(openChange, agreedUntilUs, sharedTimeUs, localTimeUs);
+        long loggedUntilUs = openChange == null ? 0 : openChange.boundUntilUs(router, incarnation);
+        return binding.hasExpired(openChange, loggedUntilUs, sharedTimeUs, localTimeUs);
     }
 }
--- a/src/main/java/tinlink/policy/rollout/VoteBinding.java
+++ b/src/main/java/tinlink/policy/rollout/VoteBinding.java
@@ -3,55 +3,58 @@
 import java.util.TreeMap;
 
 /**
- * By what a router has bound itself: the votes that it has sent for one change, each until a time
- * on the shared clock, and what that is on its own. Times are microseconds.
+ * The votes by which a router has bound itself to one change. The end of each vote is a time on the
+ * shared clock and is also tracked on the local clock. Times are in microseconds.
  */
 final class VoteBinding {
     /**
-     * Votes that may be on their way at a time; older ones are assumed to be the one that counts.
+     * Maximum number of votes that are tracked while they may be in transit: the first one and the
+     * most recent ones.
      */
     private static final int MAX_SENT_VOTES = 16;
 
     private String changeId = "";
     /**
-     * Ends on the local clock by ends on the shared one. Emptied as the router binds itself for
-     * another change.
+     * End of each vote on the local clock, by its end on the shared clock. Cleared when the router
+     * votes for another change.
      */
     private final TreeMap<Long, Long> localEndBySharedEnd = new TreeMap<>();
 
-    /** The change that the router has bound itself for last; empty where there is none. */
+    /** Returns the id of the change that the router has voted for last; empty if there is none. */
     String changeId() {
         return changeId;
     }
 
-    /** A vote for that change is sent that binds until these times. */
-    void voteSent(String votedChangeId, long sharedUntilUs, long localUntilUs) {
+    /** Records a vote for the change that was sent and binds the router until these times. */
+    void recordSentVote(String votedChangeId, long sharedUntilUs, long localUntilUs) {
         if (!changeId.equals(votedChangeId)) {
             changeId = votedChangeId;
             localEndBySharedEnd.clear();
         }
         localEndBySharedEnd.putIfAbsent(sharedUntilUs, localUntilUs);
         if (localEndBySharedEnd.size() > MAX_SENT_VOTES) {
-            // The first is the one that binds while none is known to be agreed on.
+            // The first vote is kept: it binds the router while no vote is known to be in the log.
             localEndBySharedEnd.remove(
                     localEndBySharedEnd.higherKey(localEndBySharedEnd.firstKey()));
         }
     }
 
     /**
-     * Whether the router's vote for the open change has run out, so that the change may have taken
-     * effect without its knowing. Danger: any of the votes that it has sent may be the last one
-     * that was agreed on; as long as it knows of none, that is the one that ends soonest.
+     * Returns whether the router's vote for the open change has expired, so that the change may
+     * have taken effect without the router's knowledge. Any vote that the router has sent may be
+     * the last one that reached the log. As long as the router knows of none in the log, it has to
+     * assume the vote that ends first.
      *
-     * @param agreedUntilUs the end of the vote that is known to be agreed on; 0 where none is
+     * @param openChange the open change; null if there is none
+     * @param loggedUntilUs end of the vote that is known to be in the log; 0 if none is
      */
     boolean hasExpired(
-            PolicyChange openChange, long agreedUntilUs, long sharedTimeUs, long localTimeUs) {
+            PolicyChange openChange, long loggedUntilUs, long sharedTimeUs, long localTimeUs) {
         if (openChange == null || !openChange.changeId().equals(changeId)) {
             return false;
         }
-        localEndBySharedEnd.headMap(agreedUntilUs, false).clear();
-        long sharedUntilUs = agreedUntilUs > 0 ? agreedUntilUs : localEndBySharedEnd.firstKey();
+        localEndBySharedEnd.headMap(loggedUntilUs, false).clear();
+        long sharedUntilUs = loggedUntilUs > 0 ? loggedUntilUs : localEndBySharedEnd.firstKey();
         Long localUntilUs = localEndBySharedEnd.get(sharedUntilUs);
         return sharedTimeUs >= sharedUntilUs
                 || (localUntilUs != null && localTimeUs >= localUntilUs);
