--- a/src/main/java/tinlink/policy/rollout/EffectivePolicy.java
+++ b/src/main/java/tinlink/policy/rollout/EffectivePolicy.java
@@ -1,21 +1,21 @@
 package tinlink.policy.rollout;
 
 /**
- * By which policy a lookup that comes now is taken.
+ * The policy that applies to a lookup arriving now.
  *
- * @param epoch {@link #NO_EPOCH} where none may be taken
- * @param unavailableReason why none may be taken; empty where one may
+ * @param epoch epoch of the policy; {@link #NO_EPOCH} if the router takes no lookups
+ * @param unavailableReason why the router takes no lookups; empty if it does
  */
 public record EffectivePolicy(long epoch, String unavailableReason) {
-    /** The epoch of no policy. */
+    /** Stands for the absence of a usable policy. */
     public static final long NO_EPOCH = -1;
 
-    /** No lookup may be taken. */
+    /** Returns the result for a router that takes no lookups. */
     public static EffectivePolicy none(String unavailableReason) {
         return new EffectivePolicy(NO_EPOCH, unavailableReason);
     }
 
-    /** Whether a lookup may be taken. */
+    /** Returns whether the router takes lookups. */
     public boolean isPresent() {
         return epoch != NO_EPOCH;
     }
--- a/src/main/java/tinlink/policy/rollout/StartChecks.java
+++ b/src/main/java/tinlink/policy/rollout/StartChecks.java
@@ -1,8 +1,8 @@
 package tinlink.policy.rollout;
 
-/** A router's own checks of a policy text, the same as at its start. */
+/** Validates a policy for this router with the same checks as at startup. */
 @FunctionalInterface
 public interface StartChecks {
-    /** Why the text of that change can't be used by this router; empty where it can. */
+    /** Returns why this router can't use the text of the change; empty if it can. */
     String unusableReason(PolicyChange change);
 }
--- a/src/main/java/tinlink/policy/rollout/VersionChecker.java
+++ b/src/main/java/tinlink/policy/rollout/VersionChecker.java
@@ -1,21 +1,25 @@
 package tinlink.policy.rollout;
 
 /**
- * Whether a router can use a version, by its start checks. Danger: a version may have taken effect
- * without this router's vote; served by it all the same, it would decide by figures that it can't
- * keep to.
+ * Checks by a router's start checks whether the router can use a version. The check is necessary
+ * because a version may take effect without this router's vote: the router would otherwise route
+ * lookups by settings that it can't comply with.
  */
 final class VersionChecker {
     private final StartChecks startChecks;
     private final long retryIntervalUs;
+    /** Digest of the version that was checked last; empty if none was. */
     private String checkedDigest = "";
+    /** Why that version can't be used; empty if it can. */
     private String unusableReason = "";
+    /** Time of the last check on the local clock, microseconds. */
     private long checkedAtUs;
 
     /**
-     * Nothing is checked yet.
+     * Creates a checker.
      *
-     * @param retryIntervalUs after which a version that was found unusable is checked again
+     * @param startChecks the router's start checks
+     * @param retryIntervalUs time after which a version that was unusable is checked again
      */
     VersionChecker(StartChecks startChecks, long retryIntervalUs) {
         this.startChecks = startChecks;
@@ -23,16 +27,16 @@
     }
 
     /**
-     * Why it can't be used; empty where it can. Epoch 0 is the router's own file, checked at its
-     * start.
+     * Returns why the version can't be used; empty if it can. Epoch 0 is always usable: it is the
+     * router's own configuration file, which was checked at startup.
      */
     String unusableReason(PolicyVersion version, long localTimeUs) {
         if (version.epoch() == 0) {
             return "";
         }
-        boolean isRecheckDue =
+        boolean recheckDue =
                 !unusableReason.isEmpty() && localTimeUs - checkedAtUs >= retryIntervalUs;
-        if (isRecheckDue || !checkedDigest.equals(version.digest())) {
+        if (recheckDue || !checkedDigest.equals(version.digest())) {
             checkedDigest = version.digest();
             checkedAtUs = localTimeUs;
             unusableReason = startChecks.unusableReason(PolicyChange.fromVersion(version));
--- a/src/main/java/tinlink/policy/rollout/VersionSelector.java
+++ b/src/main/java/tinlink/policy/rollout/VersionSelector.java
@@ -1,15 +1,15 @@
 package tinlink.policy.rollout;
 
 /**
- * Which of two versions holds: the one in force, or the one before it until the time of the newer
- * one has come. That is told by the shared clock, and, once a router has heard of the version, by
- * its own too, whatever the shared one is set to since.
+ * Selects between the version in force and the previous one, which applies until the effective time
+ * of the newer version. That time has passed when either the shared clock or the local clock has
+ * reached it: once a router knows a version, setting back the shared clock does not delay it.
  */
 final class VersionSelector {
-    /** Of the newest version that was seen before its time. */
+    /** Epoch of the newest version that was seen before its effective time; -1 if none was. */
     private long awaitedEpoch = -1;
 
-    /** When that comes on the local clock, microseconds. */
+    /** Effective time of that version on the local clock, microseconds. */
     private long awaitedUntilLocalUs;
 
     PolicyVersion select(PolicyChanges changes, long sharedTimeUs, long localTimeUs) {
