--- a/src/main/java/tinlink/policy/rollout/ChangeHistory.java
+++ b/src/main/java/tinlink/policy/rollout/ChangeHistory.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The newest changes in the order in which they were proposed, the open one among them. Bounded in
- * number.
+ * The most recent changes, open and settled, in the order in which they were proposed. A change is
+ * settled once it is in force or withdrawn.
  */
 final class ChangeHistory {
     private final int maxChanges;
-    /** Settled ones leave, oldest first, past the bound. */
+    /** Changes by id; past {@link #maxChanges} the oldest settled change is evicted. */
     private final Map<String, PolicyChange> changesById = new LinkedHashMap<>();
 
     private PolicyChange openChange;
@@ -21,7 +21,7 @@
         this.maxChanges = maxChanges;
     }
 
-    /** Null where no change has that id, or not any more. */
+    /** Returns the change with that id, or null if it is unknown or has been evicted. */
     PolicyChange get(String changeId) {
         return changesById.get(changeId);
     }
@@ -30,12 +30,12 @@
         return Collections.unmodifiableCollection(changesById.values());
     }
 
-    /** Null where all are settled. */
+    /** Returns the open change, or null if all changes are settled. */
     PolicyChange openChange() {
         return openChange;
     }
 
-    /** The open change if it has that id, or else null. */
+    /** Returns the open change if it has that id, or null otherwise. */
     PolicyChange openChange(String changeId) {
         return openChange != null && openChange.changeId().equals(changeId) ? openChange : null;
     }
@@ -46,13 +46,13 @@
         evictSettled();
     }
 
-    /** The open change is in force or withdrawn by now. */
-    void openChangeSettled() {
+    /** Marks the open change as settled, after it was put in force or withdrawn. */
+    void closeOpenChange() {
         openChange = null;
         evictSettled();
     }
 
-    /** Adds one as it stands in a snapshot. */
+    /** Adds a change that was read from a snapshot. */
     void restore(PolicyChange change) {
         changesById.put(change.changeId(), change);
         if (change.state() == PolicyChange.State.OPEN) {
--- a/src/main/java/tinlink/policy/rollout/PolicyChanges.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChanges.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * The replicated state of changes of policy: commands in one agreed order, applied alike by all
- * routers. A change is open, and then in force or withdrawn, which is final. Nothing here reads a
- * clock; times are those that participants and coordinators have written into their commands. When
- * a change may be committed is said by {@link CommitRule}. For one thread at a time.
+ * The replicated state of policy changes. All routers apply the same commands in the same order and
+ * reach the same state. A change is open until it is in force or withdrawn, which is final.
+ * Commands are applied without reading a clock: all times were set by participants and coordinators
+ * in their commands. {@link CommitRule} determines when a change may be committed. Not thread-safe.
  */
 public final class PolicyChanges {
     private static final int MAX_TEXT_LENGTH = 1 << 16;
@@ -17,15 +17,16 @@
     private final ChangeHistory history;
     private final CommandHandler handler = new CommandHandler();
     private PolicyVersion inForce;
-    /** Holds until the time of {@link #inForce} has come; null before the first change. */
+    /** Applies until the effective time of {@link #inForce}; null before the first change. */
     private PolicyVersion previous;
 
     /**
-     * The state before any command.
+     * Creates the state before any command.
      *
-     * @param maxSettledChanges that are remembered
-     * @param initialAbsencePolicy until a first change has brought its own; it has to be the same
-     *     in all routers
+     * @param maxSettledChanges number of changes past which the oldest settled change is evicted
+     * @param maxRouters number of enrolled routers past which no other router is enrolled
+     * @param initialAbsencePolicy absence policy in force before the first change; it has to be the
+     *     same on all routers
      */
     public PolicyChanges(
             int maxSettledChanges, int maxRouters, AbsencePolicy initialAbsencePolicy) {
@@ -35,63 +36,63 @@
                 0, "", "", "", "", "each router's own file", initialAbsencePolicy, 0);
     }
 
-    /** The newest version, whether its time has come or not. */
+    /** Returns the newest version, even if its effective time is still in the future. */
     public PolicyVersion inForce() {
         return inForce;
     }
 
-    /** The version before {@link #inForce}; null where there has been none. */
+    /** Returns the version before {@link #inForce}, or null before the first change. */
     public PolicyVersion previous() {
         return previous;
     }
 
-    /** The change that is not settled; null where there is none. */
+    /** Returns the open change, or null if all changes are settled. */
     public PolicyChange openChange() {
         return history.openChange();
     }
 
-    /** Null where no change has that id, or not any more. */
+    /** Returns the change with that id, or null if it is unknown or has been evicted. */
     public PolicyChange change(String changeId) {
         return history.get(changeId);
     }
 
-    /** The newest changes, oldest first. */
+    /** Returns the most recent changes, oldest first. */
     public Collection<PolicyChange> history() {
         return history.all();
     }
 
-    /** Whether that process of that router takes part in changes. */
+    /** Returns whether that process of the router takes part in changes. */
     public boolean isEnrolled(String router, String incarnation) {
         return enrolledRouters.contains(router, incarnation);
     }
 
-    /** Routers that may take lookups, by name. */
+    /** Returns the routers that take part in changes, by name; no other router takes lookups. */
     public Map<String, EnrolledRouter> enrolledRouters() {
         return enrolledRouters.byName();
     }
 
-    /** Routers that have not accepted the open change. */
+    /** Returns the routers that have not accepted the open change; empty if there is none. */
     public List<String> pendingRouters() {
         return openChange() == null ? List.of() : commitRule().pendingRouters();
     }
 
-    /** When the open change may be committed; to be asked only while there is one. */
+    /** Returns the rule for committing the open change; to be called only while there is one. */
     CommitRule commitRule() {
         return new CommitRule(openChange(), inForce, enrolledRouters.byName());
     }
 
     /**
-     * Applies one command; what is not understood changes nothing.
+     * Applies a command. An unknown or rejected command changes nothing.
      *
-     * @return what came of it, for its proposer
+     * @return the outcome, for the proposer of the command
      */
     public CommandOutcome apply(PolicyCommand command) {
         return command.dispatch(handler);
     }
 
-    /** One method for each command of the agreed log. */
+    /** Applies the commands, one method for each type. */
     private final class CommandHandler implements PolicyCommand.Handler<CommandOutcome> {
-        /** One with an id that is known is that one, however often it is proposed. */
+        /** Opens a change. Proposing the same change again is accepted without effect. */
         @Override
         public CommandOutcome onPropose(PolicyCommand.Propose command) {
             PolicyChange known = history.get(command.changeId());
@@ -119,7 +120,8 @@
             if (change == null) {
                 return Rejection.changeSettled();
             }
-            // The latest is kept: leases are older than all of them.
+            // The latest confirmation counts: a lease of a router that doesn't know the proposal is
+            // older than any of them.
             change.confirm(command.coordinatorTimeUs());
             return CommandOutcome.accepted();
         }
@@ -133,7 +135,7 @@
             if (!isEnrolled(command.router(), command.incarnation())) {
                 return Rejection.notEnrolled();
             }
-            // Danger: a vote that comes late would take back what a later one has promised.
+            // A delayed vote must not shorten the binding time of a later vote.
             long boundUntilUs = Math.max(
                     command.boundUntilUs(),
                     change.boundUntilUs(command.router(), command.incarnation()));
@@ -169,7 +171,7 @@
             }
             previous = inForce;
             inForce = change.commit(inForce.epoch() + 1, command.effectiveAtUs());
-            history.openChangeSettled();
+            history.closeOpenChange();
             return CommandOutcome.accepted();
         }
 
@@ -185,10 +187,10 @@
                 }
                 case OPEN -> {
                     change.withdraw(command.reason());
-                    history.openChangeSettled();
+                    history.closeOpenChange();
                 }
                 case WITHDRAWN -> {
-                    // It has been carried out before.
+                    // The withdrawal has already been applied.
                 }
             }
             return CommandOutcome.accepted();
@@ -210,15 +212,19 @@
         }
     }
 
-    /** All of it, each line as a list of fields; {@link #fromSnapshot} makes the same from them. */
+    /** Returns the whole state as lines, each a list of fields, for {@link #fromSnapshot}. */
     public List<List<String>> snapshot() {
         return PolicySnapshotCodec.encode(this);
     }
 
     /**
-     * The state that those lines were made from.
+     * Restores the state from the lines of a snapshot.
      *
-     * @throws IllegalArgumentException where these are no lines of {@link #snapshot}
+     * @param maxSettledChanges as for the constructor
+     * @param maxRouters as for the constructor
+     * @param initialAbsencePolicy as for the constructor
+     * @param lines the result of {@link #snapshot}
+     * @throws IllegalArgumentException if a line is not one of {@link #snapshot}
      */
     public static PolicyChanges fromSnapshot(
             int maxSettledChanges,
