--- a/src/main/java/tinlink/policy/rollout/EnrolledRouter.java
+++ b/src/main/java/tinlink/policy/rollout/EnrolledRouter.java
@@ -1,9 +1,9 @@
 package tinlink.policy.rollout;
 
 /**
- * The process of a router that takes part in changes of policy.
+ * The process of a router that takes part in policy changes.
  *
- * @param incarnation names the process
- * @param startCount starts of that router, this one counted; a later process has a higher one
+ * @param incarnation identifies the process
+ * @param startCount number of starts of the router up to and including this process
  */
 public record EnrolledRouter(String incarnation, long startCount) {}
--- a/src/main/java/tinlink/policy/rollout/EnrolledRouters.java
+++ b/src/main/java/tinlink/policy/rollout/EnrolledRouters.java
@@ -4,12 +4,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * The routers that take part in changes, by name: those that may take lookups. Bounded in number.
- */
+/** The routers that take part in policy changes. Only enrolled routers take lookups. */
 final class EnrolledRouters {
     private final int maxRouters;
-    /** Those that leave are removed. */
+    /** At most {@link #maxRouters} entries; a router that leaves is removed. */
     private final Map<String, EnrolledRouter> byName = new TreeMap<>();
 
     EnrolledRouters(int maxRouters) {
@@ -26,8 +24,9 @@
     }
 
     /**
-     * Danger: a command of an earlier process that comes late would put that one in the place of
-     * the one that runs, and what it had promised would be taken for a promise of this one's.
+     * Enrols a process of a router in place of the router's earlier process. A delayed command of
+     * an earlier process is rejected: it would replace the running process, and a vote of the
+     * earlier process would be taken for a vote that binds the running one.
      */
     CommandOutcome enrol(PolicyCommand.Enrol command) {
         EnrolledRouter known = byName.get(command.router());
@@ -41,7 +40,7 @@
         return CommandOutcome.accepted();
     }
 
-    /** Nothing is changed where another process of that router is enrolled. */
+    /** Removes the router, unless another process of it is enrolled by now. */
     CommandOutcome leave(PolicyCommand.Leave command) {
         if (contains(command.router(), command.incarnation())) {
             byName.remove(command.router());
--- a/src/main/java/tinlink/policy/rollout/PolicyChange.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyChange.java
@@ -5,25 +5,27 @@
 import java.util.TreeMap;
 
 /**
- * One proposed change of policy. It is changed by commands of the agreed log alone. Times are
- * microseconds on the clock that all machines read.
+ * A proposed policy change. Its state changes only when a command of the replicated log is applied.
+ * Times are in microseconds on the shared clock.
  */
 public final class PolicyChange {
-    /** The last two are final. The names are those of stored snapshots. */
+    /** State of a change; IN_FORCE and WITHDRAWN are final. Stored snapshots hold the names. */
     public enum State {
-        /** Votes are awaited. */
+        /** The routers are voting. */
         OPEN,
-        /** It has made an epoch. */
+        /** The change was committed as a new epoch. */
         IN_FORCE,
-        /** It never takes effect. */
+        /** The change was aborted and never takes effect. */
         WITHDRAWN
     }
 
     /**
-     * The newest vote of a router.
+     * The most recent vote of a router.
      *
-     * @param boundUntilUs until when it is bound; 0 where it rejects the change
-     * @param reason why it rejects the change; empty where it accepts
+     * @param incarnation identifies the process that voted
+     * @param accepts whether the router accepts the change
+     * @param boundUntilUs time until which the vote binds the router; 0 if it rejects the change
+     * @param reason why the router rejects the change; empty if it accepts the change
      */
     record Vote(String incarnation, boolean accepts, long boundUntilUs, String reason) {}
 
@@ -33,14 +35,14 @@
     private long epoch;
     private long effectiveAtUs;
     private long confirmedAtUs;
-    /** By router; emptied as the change is settled. */
+    /** Votes by router; cleared when the change is settled. */
     private final Map<String, Vote> votes = new TreeMap<>();
 
     PolicyChange(PolicyCommand.Propose proposal) {
         this.proposal = proposal;
     }
 
-    /** The change by which a version came, for checks of its text. */
+    /** Rebuilds the proposal behind a version, so that its text can be checked again. */
     static PolicyChange fromVersion(PolicyVersion version) {
         return new PolicyChange(new PolicyCommand.Propose(
                 version.changeId(),
@@ -52,7 +54,7 @@
                 version.absencePolicy()));
     }
 
-    /** As it stands in a snapshot, without its votes. */
+    /** Restores a change from a snapshot, without its votes. */
     static PolicyChange restore(
             PolicyCommand.Propose proposal,
             State state,
@@ -69,64 +71,65 @@
         return change;
     }
 
-    /** The id that its operator gave it. */
+    /** Returns the id, chosen by the operator who proposed the change. */
     public String changeId() {
         return proposal.changeId();
     }
 
-    /** Open, in force or withdrawn. */
+    /** Returns whether the change is open, in force or withdrawn. */
     public State state() {
         return state;
     }
 
-    /** The epoch that has to be in force for it. */
+    /** Returns the epoch that has to be in force for the change to be opened. */
     long baseEpoch() {
         return proposal.baseEpoch();
     }
 
-    /** Names the text. */
+    /** Returns the digest of the text. */
     public String digest() {
         return proposal.digest();
     }
 
-    /** The policy document. */
+    /** Returns the policy document. */
     public String text() {
         return proposal.text();
     }
 
-    /** Who proposed it. */
+    /** Returns who proposed the change. */
     public String author() {
         return proposal.author();
     }
 
-    /** Its author's reason. */
+    /** Returns the author's reason for the change. */
     public String reason() {
         return proposal.reason();
     }
 
-    /** What is done about absent routers. */
+    /** Returns the new policy on absent routers; its timeouts already apply to the vote. */
     public AbsencePolicy absencePolicy() {
         return proposal.absencePolicy();
     }
 
-    /** Why it was withdrawn; empty where it was not. */
+    /** Returns why the change was withdrawn; empty if it was not. */
     public String withdrawalReason() {
         return withdrawalReason;
     }
 
-    /** The epoch that it made; 0 where it made none. */
+    /** Returns the epoch that the change created; 0 if it is not in force. */
     public long epoch() {
         return epoch;
     }
 
-    /** Since when it is in force; 0 where it is not. */
+    /** Returns the time at which the change takes effect; 0 if it was not committed. */
     public long effectiveAtUs() {
         return effectiveAtUs;
     }
 
     /**
-     * The newest time at which a coordinator saw the proposal agreed on: leases from before are
-     * older. 0: none yet.
+     * Returns the latest time at which a coordinator has confirmed that the proposal is in the
+     * replicated log; 0 if none has. Any lease of a router that does not know the proposal was
+     * requested before this time.
      */
     long confirmedAtUs() {
         return confirmedAtUs;
@@ -136,7 +139,7 @@
         return Collections.unmodifiableMap(votes);
     }
 
-    /** Until when that incarnation of that router has bound itself; 0 where it has not. */
+    /** Returns until when the process is bound by its vote; 0 if it has not accepted the change. */
     public long boundUntilUs(String router, String incarnation) {
         Vote vote = votes.get(router);
         return vote == null || !vote.accepts() || !vote.incarnation().equals(incarnation)
@@ -149,7 +152,7 @@
         return vote != null && !vote.accepts();
     }
 
-    /** Whether it is what that command proposes, so that to propose it again changes nothing. */
+    /** Returns whether the command proposes this same change, as a repeated proposal does. */
     boolean isProposedBy(PolicyCommand.Propose command) {
         return digest().equals(command.digest()) && baseEpoch() == command.baseEpoch();
     }
@@ -162,7 +165,7 @@
         votes.put(router, vote);
     }
 
-    /** Puts the change in force and returns the version that it makes. */
+    /** Puts the change in force and returns the version that it creates. */
     PolicyVersion commit(long newEpoch, long atUs) {
         state = State.IN_FORCE;
         epoch = newEpoch;
@@ -179,9 +182,9 @@
                 effectiveAtUs);
     }
 
-    void withdraw(String why) {
+    void withdraw(String withdrawalCause) {
         state = State.WITHDRAWN;
-        withdrawalReason = why;
+        withdrawalReason = withdrawalCause;
         votes.clear();
     }
 }
