--- a/src/main/java/tinlink/policy/rollout/CommandOutcome.java
+++ b/src/main/java/tinlink/policy/rollout/CommandOutcome.java
@@ -1,8 +1,8 @@
 package tinlink.policy.rollout;
 
-/** What came of a command, the same in all routers. */
+/** The outcome of applying a command; it is the same on all routers. */
 public sealed interface CommandOutcome permits CommandOutcome.Accepted, Rejection {
-    /** The command was carried out, or had been before. */
+    /** The command was applied, or had already been applied earlier. */
     record Accepted() implements CommandOutcome {
         @Override
         public String message() {
@@ -10,11 +10,11 @@
         }
     }
 
-    /** The outcome of a command that was carried out. */
+    /** Returns the outcome of a command that was applied. */
     static CommandOutcome accepted() {
         return new Accepted();
     }
 
-    /** For whoever proposed the command; empty where it was accepted. */
+    /** Returns the message for the proposer of the command; empty if the command was accepted. */
     String message();
 }
--- a/src/main/java/tinlink/policy/rollout/CommandProposer.java
+++ b/src/main/java/tinlink/policy/rollout/CommandProposer.java
@@ -1,11 +1,11 @@
 package tinlink.policy.rollout;
 
 /**
- * Proposes a command to the agreed log. It may get lost, so it is proposed again until its effect
- * is seen.
+ * Proposes commands to the replicated log. A proposal may get lost, so the caller repeats it until
+ * the command has taken effect.
  */
 @FunctionalInterface
 public interface CommandProposer {
-    /** Proposes one command and returns at once. */
+    /** Proposes a command without waiting for the result. */
     void propose(PolicyCommand command);
 }
--- a/src/main/java/tinlink/policy/rollout/PolicyCommand.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyCommand.java
@@ -1,51 +1,54 @@
 package tinlink.policy.rollout;
 
 /**
- * A command of the agreed log that changes the state of policy ({@link PolicyChanges}). All routers
- * apply the same commands in the same order. {@link PolicyCommandCodec} says how each is written.
- * Times are microseconds on the clock that all machines read.
+ * A command of the replicated log that modifies the {@link PolicyChanges}. All routers apply the
+ * same commands in the same order. {@link PolicyCommandCodec} defines the stored format. Times are
+ * in microseconds on the shared clock.
  */
 public sealed interface PolicyCommand {
-    /** One method for each command. */
+    /** A visitor with one method for each command type. */
     interface Handler<R> {
         /** A change is proposed. */
         R onPropose(Propose command);
 
-        /** The coordinator has seen the proposal agreed on. */
+        /** A coordinator confirms that the proposal is in the replicated log. */
         R onConfirmProposal(ConfirmProposal command);
 
-        /** A participant accepts. */
+        /** A participant accepts a change. */
         R onVoteYes(VoteYes command);
 
-        /** A participant rejects. */
+        /** A participant rejects a change. */
         R onVoteNo(VoteNo command);
 
-        /** A change takes effect. */
+        /** A change is committed. */
         R onCommit(Commit command);
 
         /** A change is withdrawn. */
         R onAbort(Abort command);
 
-        /** A process takes part. */
+        /** A process of a router enrols as a participant. */
         R onEnrol(Enrol command);
 
-        /** A process takes no part any more. */
+        /** A process of a router stops being a participant. */
         R onLeave(Leave command);
 
-        /** Nothing that this build can read. */
+        /** The command is unknown to this version of the router. */
         R onUnknownCommand(UnknownCommand command);
     }
 
-    /** Calls the handler's method for this command and returns what that returns. */
+    /** Calls the handler's method for this command and returns its result. */
     <R> R dispatch(Handler<R> handler);
 
     /**
      * Opens a change.
      *
-     * @param changeId the id that its operator gave it
-     * @param baseEpoch the epoch that has to be in force
-     * @param digest names the text
-     * @param reason its author's
+     * @param changeId id of the change, chosen by the operator
+     * @param baseEpoch epoch that has to be in force for the change to be opened
+     * @param digest digest of the text
+     * @param text the policy document
+     * @param author who proposes the change
+     * @param reason the author's reason
+     * @param absencePolicy the new policy on absent routers; its timeouts already apply to the vote
      */
     record Propose(
             String changeId,
@@ -62,7 +65,7 @@
         }
     }
 
-    /** The coordinator has seen the proposal agreed on, at this time of its clock. */
+    /** Confirms that a coordinator found the proposal in the log at the given time of its clock. */
     record ConfirmProposal(String changeId, long coordinatorTimeUs) implements PolicyCommand {
         @Override
         public <R> R dispatch(Handler<R> handler) {
@@ -70,7 +73,7 @@
         }
     }
 
-    /** A participant accepts a change and is bound by that vote until the stated time. */
+    /** Accepts a change; the vote binds the participant until the given time. */
     record VoteYes(String changeId, String router, String incarnation, long boundUntilUs)
             implements PolicyCommand {
         @Override
@@ -79,7 +82,7 @@
         }
     }
 
-    /** A participant rejects a change. */
+    /** Rejects a change. */
     record VoteNo(String changeId, String router, String incarnation, String reason)
             implements PolicyCommand {
         @Override
@@ -89,8 +92,8 @@
     }
 
     /**
-     * The change takes effect at that time, if all votes that it needs are there and bind no
-     * longer.
+     * Puts a change in force from the given time on. The command is rejected if a necessary vote is
+     * missing, or if a vote or a lease reaches beyond that time.
      */
     record Commit(String changeId, long effectiveAtUs) implements PolicyCommand {
         @Override
@@ -99,7 +102,7 @@
         }
     }
 
-    /** The change is withdrawn. */
+    /** Withdraws a change. */
     record Abort(String changeId, String reason) implements PolicyCommand {
         @Override
         public <R> R dispatch(Handler<R> handler) {
@@ -108,9 +111,11 @@
     }
 
     /**
-     * A process of a router becomes a participant.
+     * Enrols a process of a router as a participant.
      *
-     * @param startCount starts of that router, this one counted
+     * @param router name of the router
+     * @param incarnation identifies the process
+     * @param startCount number of starts of the router up to and including this process
      */
     record Enrol(String router, String incarnation, long startCount) implements PolicyCommand {
         @Override
@@ -119,7 +124,7 @@
         }
     }
 
-    /** A process of a router is no participant any more. */
+    /** Removes a process of a router from the participants. */
     record Leave(String router, String incarnation) implements PolicyCommand {
         @Override
         public <R> R dispatch(Handler<R> handler) {
@@ -127,7 +132,7 @@
         }
     }
 
-    /** Something that this build can't read; it changes nothing. */
+    /** A command that this version of the router can't decode; applying it changes nothing. */
     record UnknownCommand(String text) implements PolicyCommand {
         @Override
         public <R> R dispatch(Handler<R> handler) {
--- a/src/main/java/tinlink/policy/rollout/Rejection.java
+++ b/src/main/java/tinlink/policy/rollout/Rejection.java
@@ -1,40 +1,40 @@
 package tinlink.policy.rollout;
 
 /**
- * A command was rejected and nothing was changed.
+ * The outcome of a command that was rejected and has changed nothing.
  *
- * @param message for whoever proposed it
+ * @param message explanation for the proposer of the command
  */
 public record Rejection(Reason reason, String message) implements CommandOutcome {
     /** Why a command was rejected. */
     public enum Reason {
-        /** Another change has that id. */
+        /** Another change has the id of the proposed change. */
         ID_TAKEN,
-        /** It has no id, or its text is too long. */
+        /** The proposed change has no id, or its text is too long. */
         INVALID_PROPOSAL,
-        /** One change at a time. */
+        /** Another change is open; only one may be open at a time. */
         ANOTHER_CHANGE_OPEN,
-        /** Another epoch is in force than the one that it is written against. */
+        /** The epoch in force is not the base epoch of the proposed change. */
         STALE_EPOCH,
-        /** The change is not open, or not known. */
+        /** The change is settled or unknown. */
         CHANGE_SETTLED,
         /** No change has that id. */
         UNKNOWN_CHANGE,
-        /** It can be undone by another change alone. */
+        /** The change is in force and can only be reverted by another change. */
         CHANGE_IN_FORCE,
-        /** That process of the router does not take part. */
+        /** The process that voted is not enrolled. */
         NOT_ENROLLED,
-        /** Votes or leases reach beyond that time, or are missing. */
+        /** A vote or a lease reaches beyond the effective time, or a necessary vote is missing. */
         COMMIT_TOO_EARLY,
-        /** A later process of that router takes part. */
+        /** A later process of the router is enrolled. */
         LATER_INCARNATION_ENROLLED,
-        /** The bound on routers is reached. */
+        /** The maximum number of routers is enrolled. */
         TOO_MANY_ROUTERS,
-        /** This build can't read it. */
+        /** This version of the router can't decode the command. */
         UNKNOWN_COMMAND
     }
 
-    // The messages are read by operators and their scripts: they stay as they are.
+    // Operators' scripts match these messages, so the wording must not change.
 
     static Rejection idTaken() {
         return new Rejection(Reason.ID_TAKEN, "another change has that id");
