--- a/src/main/java/tinlink/policy/rollout/PolicyCommandCodec.java
+++ b/src/main/java/tinlink/policy/rollout/PolicyCommandCodec.java
@@ -6,15 +6,16 @@
 import java.util.List;
 
 /**
- * The written form of {@link PolicyCommand}s: a list of fields. Version 1, the form of the first
- * builds, has no number: {@link #SUBJECT}, the kind, its fields. Later forms begin with {@code @}
- * and their version, which earlier builds take for a command that they don't understand.
+ * Encodes {@link PolicyCommand}s as lists of fields. Version 1 of the format has no version field:
+ * it consists of {@link #SUBJECT}, the command type and the fields of that type. Later versions
+ * begin with {@code @} and the version number; routers that only know version 1 treat such a
+ * command as unknown.
  */
 public final class PolicyCommandCodec {
-    /** The first field of all commands of version 1. */
+    /** The first field of every command in version 1. */
     public static final String SUBJECT = "policy";
 
-    // Kinds of commands as they stand in the agreed log.
+    // Command types as stored in the replicated log.
     private static final String PROPOSE = "propose";
     private static final String CONFIRM_PROPOSAL = "seen";
     private static final String VOTE_YES = "yes";
@@ -29,9 +30,9 @@
     private PolicyCommandCodec() {}
 
     /**
-     * The fields of a command; {@link #decode} makes the same from them.
+     * Encodes a command for {@link #decode}.
      *
-     * @throws IllegalArgumentException for an unknown command, which is never written
+     * @throws IllegalArgumentException if it is an {@link PolicyCommand.UnknownCommand}
      */
     public static List<String> encode(PolicyCommand command) {
         return command.dispatch(ENCODER);
@@ -99,11 +100,11 @@
 
         @Override
         public List<String> onUnknownCommand(PolicyCommand.UnknownCommand command) {
-            throw new IllegalArgumentException("not a command that is written: " + command);
+            throw new IllegalArgumentException("an unknown command can't be encoded: " + command);
         }
     }
 
-    /** Reads a command; one that can't be read is a {@link PolicyCommand.UnknownCommand}. */
+    /** Decodes a command; the result is an {@link PolicyCommand.UnknownCommand} if that fails. */
     public static PolicyCommand decode(List<String> fields) {
         try {
             return decodeVersion1(new FieldReader(fields));
@@ -113,7 +114,7 @@
     }
 
     private static PolicyCommand decodeVersion1(FieldReader reader) {
-        reader.nextText(); // The subject.
+        reader.nextText(); // Skips the subject.
         String kind = reader.nextText();
         return switch (kind) {
             case PROPOSE ->
@@ -142,7 +143,7 @@
         };
     }
 
-    /** Reads the five fields of {@link #encode(AbsencePolicy)}. */
+    /** Decodes the five fields written by {@link #encode(AbsencePolicy)}. */
     static AbsencePolicy decodeAbsencePolicy(FieldReader reader) {
         return new AbsencePolicy(
                 AbsencePolicy.Rule.valueOf(reader.nextText()),
@@ -161,7 +162,7 @@
                 Long.toString(absencePolicy.maxClockErrorUs()));
     }
 
-    /** The subject, the kind and the values, as a list that can be added to. */
+    /** Returns a modifiable list of the subject, the type and the values. */
     static List<String> fields(String kind, Object... values) {
         List<String> fields = new ArrayList<>(List.of(SUBJECT, kind));
         for (Object value : values) {
--- a/src/main/java/tinlink/policy/rollout/PolicySnapshotCodec.java
+++ b/src/main/java/tinlink/policy/rollout/PolicySnapshotCodec.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * The written form of {@link PolicyChanges}: lines, each a list of fields. It is version 1 of
- * {@link PolicyCommandCodec}, with lines of its own for versions, changes and votes.
+ * Encodes {@link PolicyChanges} as lines, each a list of fields. The format extends version 1 of
+ * {@link PolicyCommandCodec} by line types for versions, changes and votes.
  */
 final class PolicySnapshotCodec {
-    // Kinds of lines as they stand in stored snapshots.
+    // Line types as stored in snapshots.
     private static final String VERSION_IN_FORCE = "is";
     private static final String PREVIOUS_VERSION = "was";
     private static final String CHANGE = "change";
@@ -80,11 +80,15 @@
                 vote.reason());
     }
 
-    /** @throws IllegalArgumentException where these are no lines of {@link #encode} */
+    /**
+     * Restores the state from a snapshot.
+     *
+     * @throws IllegalArgumentException if a line was not written by {@link #encode}
+     */
     static void restoreInto(PolicyChanges changes, List<List<String>> lines) {
         for (List<String> line : lines) {
             FieldReader reader = new FieldReader(line);
-            reader.nextText(); // The subject.
+            reader.nextText(); // Skips the subject.
             switch (reader.nextText()) {
                 case VERSION_IN_FORCE -> changes.restoreInForce(decodeVersion(reader));
                 case PREVIOUS_VERSION -> changes.restorePrevious(decodeVersion(reader));
@@ -96,12 +100,14 @@
                 case VOTE -> {
                     PolicyChange change = changes.change(reader.nextText());
                     if (change == null) {
-                        throw new IllegalArgumentException("a vote for no change: " + line);
+                        throw new IllegalArgumentException(
+                                "policy snapshot has a vote for an unknown change: " + line);
                     }
                     change.vote(reader.nextText(), decodeVote(reader));
                 }
                 default ->
-                    throw new IllegalArgumentException("no line of a policy snapshot: " + line);
+                    throw new IllegalArgumentException(
+                            "policy snapshot has a line of an unknown type: " + line);
             }
         }
     }
