--- a/src/main/java/tinlink/policy/PolicyRolloutService.java
+++ b/src/main/java/tinlink/policy/PolicyRolloutService.java
@@ -22,8 +22,9 @@
 import java.util.logging.Level;
 
 /**
- * Changes of policy in a router that serves: carries out what {@link ChangeParticipant} and
- * {@link ChangeCoordinator} decide. Belongs to the event loop's thread.
+ * Runs policy changes in a router: proposes the commands of its {@link ChangeParticipant} and
+ * {@link ChangeCoordinator} to the replicated log, renews the lease, and determines which policy
+ * applies to new lookups. Must be used on the event loop's thread only.
  */
 public final class PolicyRolloutService implements EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.policy");
@@ -35,24 +36,30 @@
     private final ChangeCoordinator coordinator;
     private final LongSupplier sharedClockUs;
     private final long retryIntervalUs;
-    /** As of the last lookup or heartbeat. */
+    /** The policy that applied at the last lookup or heartbeat. */
     private EffectivePolicy effective = EffectivePolicy.none("");
-    /**
-     * A confirmation that was given and counts once so much of the log has been applied here; null
-     * for none.
-     */
+    /** A lease that starts to count once its log index has been applied here; null if none. */
     private PendingLease pendingLease;
 
-    private boolean isStopped;
+    private boolean stopped;
 
-    /** What was asked for at {@code requestedAtUs} on the event loop's clock. */
+    /**
+     * A lease that a majority has confirmed.
+     *
+     * @param logIndex commit index that the majority confirmed
+     * @param requestedAtUs time of the request on the event loop's clock, microseconds
+     */
     private record PendingLease(long logIndex, long requestedAtUs) {}
 
     /**
-     * The part of one router. Decides nothing before {@link #start}.
+     * Creates the service of one router.
      *
-     * @param sharedClockUs the clock that all machines read, microseconds; it may step
-     * @param retryIntervalUs after which a command whose effect is not seen is proposed again
+     * @param loop the event loop that runs the service
+     * @param clusterNode replicates the commands
+     * @param stateMachine the replicated state
+     * @param startChecks validates a policy for this router
+     * @param sharedClockUs synchronized wall clock of all machines, microseconds; it may step
+     * @param retryIntervalUs time after which a command is proposed again if it has had no effect
      */
     public PolicyRolloutService(
             EventLoop loop,
@@ -75,19 +82,19 @@
         coordinator = new ChangeCoordinator(retryIntervalUs);
     }
 
-    /** Called once, on the event loop. */
+    /** Starts the heartbeat. Must be called once, on the event loop. */
     public void start() {
         heartbeat();
     }
 
-    /** The replicated state, to be read only. */
+    /** Returns the replicated state, which the caller must not modify. */
     public PolicyChanges changes() {
         return stateMachine.changes();
     }
 
     /**
-     * By which version a lookup that comes now is taken; null where none may be, and
-     * {@link #unavailableReason} says why.
+     * Returns the version that applies to a lookup arriving now, or null if the router takes no
+     * lookups; {@link #unavailableReason} then returns the reason.
      */
     public PolicyVersion effectiveVersion() {
         participant.updateClocks(sharedClockUs.getAsLong(), loop.nowUs());
@@ -109,19 +116,19 @@
         return inForce.epoch() == current.epoch() ? inForce : changes().previous();
     }
 
-    /** Why no lookups are taken; empty where they are, as of the last that came. */
+    /** Returns why the router took no lookups at the last check; empty if it took lookups. */
     public String unavailableReason() {
         return effective.unavailableReason();
     }
 
     @Override
     public void turnStarted(long nowUs) {
-        // Nothing: it reads its clocks as it decides.
+        // The clocks are read where they are needed.
     }
 
     @Override
     public void turnEnding() {
-        if (isStopped) {
+        if (stopped) {
             return;
         }
         participant.updateClocks(sharedClockUs.getAsLong(), loop.nowUs());
@@ -138,29 +145,30 @@
     }
 
     private void heartbeat() {
-        if (isStopped) {
+        if (stopped) {
             return;
         }
         if (needsLease()) {
             requestLease();
         }
-        // So that what operators are shown is not of the last lookup, which may be long ago.
+        // Refreshes the status shown to operators; the last lookup may be long ago.
         effectiveVersion();
         loop.schedule(loop.nowUs() + retryIntervalUs / 2, this::heartbeat);
     }
 
     private boolean needsLease() {
         PolicyChange openChange = changes().openChange();
-        return fences(changes().inForce().absencePolicy())
-                || (openChange != null && fences(openChange.absencePolicy()));
+        return usesFencing(changes().inForce().absencePolicy())
+                || (openChange != null && usesFencing(openChange.absencePolicy()));
     }
 
-    private static boolean fences(AbsencePolicy absencePolicy) {
+    private static boolean usesFencing(AbsencePolicy absencePolicy) {
         return absencePolicy.rule() == AbsencePolicy.Rule.FENCE;
     }
 
     /**
-     * Asks a majority how much there is: who has applied that much is up to date as of the request.
+     * Requests the commit index confirmed by a majority. A router that has applied the log up to
+     * that index was up to date at the time of the request.
      */
     private void requestLease() {
         long requestedAtUs = loop.nowUs();
@@ -185,14 +193,17 @@
         });
     }
 
-    /** Leaves the group of participants; from here on it decides nothing. */
+    /** Removes this router from the participants and stops the service. */
     public void stop() {
-        isStopped = true;
+        stopped = true;
         propose(new PolicyCommand.Leave(
                 clusterNode.incarnation().router(), clusterNode.incarnation().toString()));
     }
 
-    /** An operator vouches that this router's process is gone: no change waits for it. */
+    /**
+     * Removes a router from the participants, so that no change waits for it. The operator has to
+     * make sure that its process has ended.
+     */
     public void removeRouter(String router) {
         EnrolledRouter enrolled = changes().enrolledRouters().get(router);
         if (enrolled != null) {
@@ -201,36 +212,38 @@
     }
 
     /**
-     * Proposes a change for an operator.
+     * Proposes a change on behalf of an operator.
      *
-     * @param onResult is given the answer, empty if it was accepted; or why that is not known
+     * @param onResult receives the answer, empty if the change was accepted, and null; or null and
+     *     the reason why the outcome is unknown
      */
     public void propose(PolicyCommand.Propose proposal, BiConsumer<String, String> onResult) {
         clusterNode.propose(PolicyStateMachine.encode(proposal), onResult);
     }
 
     /**
-     * Withdraws a change for an operator.
+     * Withdraws a change on behalf of an operator.
      *
-     * @param onResult is given the answer, empty if it was accepted; or why that is not known
+     * @param onResult receives the answer, empty if the withdrawal was accepted, and null; or null
+     *     and the reason why the outcome is unknown
      */
     public void withdraw(String changeId, String reason, BiConsumer<String, String> onResult) {
         PolicyCommand command = new PolicyCommand.Abort(changeId, reason);
         clusterNode.propose(PolicyStateMachine.encode(command), onResult);
     }
 
-    /** How this router stands, for operators. */
+    /** Returns the status of this router for operators. */
     public Map<String, Object> status() {
         return PolicyStatusView.status(changes(), effective);
     }
 
-    /** A change as far as this router has heard; null where it has not. */
+    /** Returns the status of a change, or null if this router doesn't know the change. */
     public Map<String, Object> status(String changeId) {
         PolicyChange change = changes().change(changeId);
         return change == null ? null : PolicyStatusView.change(change);
     }
 
-    /** The newest changes, oldest first. */
+    /** Returns the status of the most recent changes, oldest first. */
     public List<Object> history() {
         return changes().history().stream()
                 .<Object>map(PolicyStatusView::change)
--- a/src/main/java/tinlink/policy/PolicyStateMachine.java
+++ b/src/main/java/tinlink/policy/PolicyStateMachine.java
@@ -9,26 +9,26 @@
 
 import java.util.List;
 
-/** Changes of policy, as that which is agreed on. */
+/** The replicated state machine of policy changes. */
 public final class PolicyStateMachine implements ReplicatedStateMachine {
-    /** The first word of all its lines. */
+    /** The first field of each of its lines. */
     public static final String SUBJECT = PolicyCommandCodec.SUBJECT;
 
     private static final int MAX_SETTLED_CHANGES = 100;
     private static final int MAX_ROUTERS = 4096;
-    /** Until a first change says otherwise: the same in all routers, whatever their files say. */
+    /** Applies until the first change; it is the same on all routers, whatever their files say. */
     private static final AbsencePolicy INITIAL_ABSENCE_POLICY =
             new AbsencePolicy(AbsencePolicy.Rule.WITHDRAW, 10_000_000, 1_000_000, 0, 50_000);
 
     private PolicyChanges changes =
             new PolicyChanges(MAX_SETTLED_CHANGES, MAX_ROUTERS, INITIAL_ABSENCE_POLICY);
 
-    /** What the lines so far have made; another object after a restore. */
+    /** Returns the current state. A restore replaces the object. */
     public PolicyChanges changes() {
         return changes;
     }
 
-    /** A command as it is put to the agreed log. */
+    /** Encodes a command as a line of the replicated log. */
     static String encode(PolicyCommand command) {
         return encode(PolicyCommandCodec.encode(command));
     }
