--- a/src/main/java/tinlink/policy/PolicyStatusView.java
+++ b/src/main/java/tinlink/policy/PolicyStatusView.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * What operators are shown of policy, as JSON objects. Its keys and words are read by their
- * scripts.
+ * The status of policy changes as JSON objects for operators. Operators' scripts read the keys and
+ * the state names, so both must not change.
  */
 final class PolicyStatusView {
     private PolicyStatusView() {}
--- a/src/main/java/tinlink/policy/ProposalTerms.java
+++ b/src/main/java/tinlink/policy/ProposalTerms.java
@@ -11,17 +11,17 @@
 import java.util.Locale;
 
 /**
- * What a policy document says of its own change. All else in it is left to each router's start
- * checks.
+ * The settings in a policy document that govern its own rollout. Each router's start checks
+ * validate the rest of the document.
  *
- * @param digest names the document: SHA-256 of its text, in hex
- * @param absencePolicy what is done about routers that are absent
+ * @param digest SHA-256 of the document's text, in hex
+ * @param absencePolicy how absent routers are treated
  */
 public record ProposalTerms(String digest, AbsencePolicy absencePolicy) {
     /**
-     * Reads the terms from the text of a policy document.
+     * Parses the terms from the text of a policy document.
      *
-     * @throws tinlink.config.InvalidInputException naming the key that is wrong, and what it is
+     * @throws tinlink.config.InvalidInputException if a value is invalid; names the key and value
      */
     public static ProposalTerms parse(String text) {
         ConfigFile absent = ConfigFile.of("policy", text).object("absent");
@@ -42,9 +42,13 @@
     }
 
     /**
-     * The command that proposes the document.
+     * Returns the command that proposes the document.
      *
-     * @param text of the document that these terms are of
+     * @param changeId id of the change, chosen by the operator
+     * @param baseEpoch epoch that has to be in force for the change to be opened
+     * @param text text of the document that these terms were parsed from
+     * @param author who proposes the change
+     * @param reason the author's reason
      */
     public PolicyCommand.Propose proposal(
             String changeId, long baseEpoch, String text, String author, String reason) {
@@ -58,7 +62,7 @@
                     .formatHex(MessageDigest.getInstance("SHA-256")
                             .digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // Every Java platform has it.
+            throw new IllegalStateException(e); // Every Java platform supports SHA-256.
         }
     }
 }
