--- a/src/test/java/tinlink/policy/rollout/PolicyChangesTest.java
+++ b/src/test/java/tinlink/policy/rollout/PolicyChangesTest.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * What routers agree on about a change of policy, and by what one of them takes lookups; times in
- * us.
+ * Tests when a policy change may be committed, and which policy a participant applies meanwhile.
+ * Times are in microseconds.
  */
 class PolicyChangesTest {
     private static final AbsencePolicy WAIT =
@@ -22,20 +22,26 @@
             new AbsencePolicy(AbsencePolicy.Rule.FENCE, 3000, 600, 1500, 20);
     private PolicyChanges changes = new PolicyChanges(3, 10, WAIT);
 
-    /** Plays it, writes all of it and reads it again. */
+    /** Encodes, decodes and applies the command; then restores the state from its own snapshot. */
     private String apply(PolicyCommand command) {
         PolicyCommand decoded = PolicyCommandCodec.decode(PolicyCommandCodec.encode(command));
-        assertEquals(command, decoded, "written and read again");
+        assertEquals(command, decoded, "encoded and decoded");
         String message = changes.apply(decoded).message();
         List<List<String>> lines = changes.snapshot();
         changes = PolicyChanges.fromSnapshot(3, 10, WAIT, lines);
-        assertEquals(lines, changes.snapshot(), "written and read again");
+        assertEquals(lines, changes.snapshot(), "snapshot of the restored state");
         return message;
     }
 
-    private String propose(String id, long baseEpoch, AbsencePolicy absencePolicy) {
+    private String propose(String changeId, long baseEpoch, AbsencePolicy absencePolicy) {
         return apply(new PolicyCommand.Propose(
-                id, baseEpoch, "d" + id, "text of " + id, "op", "why", absencePolicy));
+                changeId,
+                baseEpoch,
+                "d" + changeId,
+                "text of " + changeId,
+                "op",
+                "why",
+                absencePolicy));
     }
 
     private void enrol(String... routers) {
@@ -44,13 +50,13 @@
         }
     }
 
-    private String voteYes(String id, String router, long boundUntilUs) {
-        return apply(new PolicyCommand.VoteYes(id, router, router + ".1", boundUntilUs));
+    private String voteYes(String changeId, String router, long boundUntilUs) {
+        return apply(new PolicyCommand.VoteYes(changeId, router, router + ".1", boundUntilUs));
     }
 
-    private String commit(String id, long effectiveAtUs) {
-        apply(new PolicyCommand.ConfirmProposal(id, 1000));
-        return apply(new PolicyCommand.Commit(id, effectiveAtUs));
+    private String commit(String changeId, long effectiveAtUs) {
+        apply(new PolicyCommand.ConfirmProposal(changeId, 1000));
+        return apply(new PolicyCommand.Commit(changeId, effectiveAtUs));
     }
 
     @Test
@@ -84,7 +90,7 @@
         assertEquals("it may not take hold then", commit("c1", 99_000));
         assertEquals("", apply(new PolicyCommand.Abort("c1", "refused")));
         assertEquals("that change is settled", voteYes("c1", "a", 5000));
-        assertEquals("", propose("c1", 0, WAIT), "it is known, and stays as it ended");
+        assertEquals("", propose("c1", 0, WAIT), "the change is known and stays withdrawn");
         assertEquals(PolicyChange.State.WITHDRAWN, changes.change("c1").state());
         assertEquals("it is written against epoch 4, and 0 is in force", propose("c2", 4, WAIT));
     }
@@ -107,16 +113,16 @@
     @Test
     void absentRoutersBlockTheCommitUntilTheirLeasesHaveExpired() {
         changes = new PolicyChanges(3, 10, FENCE);
-        enrol("a", "gone");
+        enrol("a", "absent");
         propose("c1", 0, FENCE);
         voteYes("c1", "a", 1100);
         assertEquals("it may not take hold then", commit("c1", 2519));
         assertEquals(
-                "", commit("c1", 2520), "seen at 1000, a lease of 1500, clocks that differ by 20");
-        // The next one waits until that one has come.
+                "", commit("c1", 2520), "confirmed at 1000, a lease of 1500, a clock error of 20");
+        // The next change can't be committed before the effective time of this one.
         propose("c2", 1, FENCE);
         voteYes("c2", "a", 3000);
-        apply(new PolicyCommand.Leave("gone", "gone.1"));
+        apply(new PolicyCommand.Leave("absent", "absent.1"));
         assertEquals("it may not take hold then", commit("c2", 9000));
         apply(new PolicyCommand.ConfirmProposal("c2", 2540));
         assertEquals("", apply(new PolicyCommand.Commit("c2", 9000)));
@@ -134,7 +140,7 @@
     @Test
     void routerIsBoundByItsFirstVoteUntilALaterOneIsKnown() {
         ChangeParticipant participant = new ChangeParticipant("a", "a.1", 1, 100, change -> "");
-        assertFalse(effectivePolicy(participant, 0, 0).isPresent(), "it is not enrolled yet");
+        assertFalse(effectivePolicy(participant, 0, 0).isPresent(), "not enrolled yet");
         enrol("a");
         assertEquals(0, effectivePolicy(participant, 100, 100).epoch());
         propose("c1", 0, WAIT);
@@ -142,14 +148,14 @@
         assertEquals(0, effectivePolicy(participant, 1500, 1500).epoch());
         assertFalse(
                 effectivePolicy(participant, 1600, 1600).isPresent(),
-                "what it said at 1000 may have been agreed on");
+                "the vote of 1000 may be the last one in the log");
         apply(sentCommands.get(sentCommands.size() - 1));
         assertTrue(
                 effectivePolicy(participant, 1650, 1650).isPresent(),
-                "a later word of it is known to be agreed");
+                "a later vote is known to be in the log");
         assertFalse(
                 effectivePolicy(participant, 900, 2300).isPresent(),
-                "the shared clock has gone back, its own has not");
+                "the vote has expired on the local clock, although the shared clock was set back");
         apply(new PolicyCommand.ConfirmProposal("c1", 3000));
         assertEquals("", apply(new PolicyCommand.Commit("c1", 4000)));
         assertEquals(0, effectivePolicy(participant, 3990, 3990).epoch());
@@ -157,7 +163,7 @@
         assertEquals(
                 1,
                 effectivePolicy(participant, 3000, 4010).epoch(),
-                "it has come, wherever the clock is set to");
+                "the version stays in force although the shared clock was set back");
     }
 
     @Test
@@ -178,8 +184,8 @@
         effectivePolicy(participant, 1500, 1500);
         assertInstanceOf(PolicyCommand.VoteNo.class, sentCommands.get(sentCommands.size() - 1));
         apply(new PolicyCommand.ConfirmProposal("big", 1500));
-        apply(new PolicyCommand.Commit(
-                "big", 3020)); // Without its word: its lease has run out by then.
+        // The commit doesn't need the router's vote, since the router's lease has expired by then.
+        apply(new PolicyCommand.Commit("big", 3020));
         participant.leaseGranted(3000, 1500);
         assertTrue(
                 effectivePolicy(participant, 3020, 3020).unavailableReason().contains("too large"),
