--- a/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
+++ b/src/test/java/tinlink/policy/PolicyFormatCompatibilityTest.java
@@ -31,13 +31,14 @@
 import java.util.stream.Stream;
 
 /**
- * Logs, snapshots and a voter's folder as the build before typed commands wrote them: they read as they did
- * then. The files under {@code policy-v1} were written by that build.
+ * Tests that log entries, snapshots and a voter's data directory in the first format can still be
+ * read with the same result. The files under {@code policy-v1} were written by a build that did
+ * not have typed commands yet.
  */
 @Timeout(60)
 class PolicyFormatCompatibilityTest {
     private static final Path RESOURCES = Path.of("src/test/resources/policy-v1");
-    /** Lines of the log before the first snapshot. */
+    /** Number of log entries that {@code snapshot-10.txt} replaces. */
     private static final int ENTRIES_BEFORE_SNAPSHOT = 10;
 
     @TempDir
@@ -83,7 +84,7 @@
                 Files.copy(file, target);
             }
         }
-        CompositeStateMachine books = books();
+        CompositeStateMachine stateMachine = stateMachine();
         EventLoop loop = new EventLoop();
         Network network = new Network(loop);
         ClusterNode clusterNode = new ClusterNode(
@@ -102,16 +103,16 @@
                 new KeyRing(
                         Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.US_ASCII)), "k"),
                 directory,
-                books,
-                books());
+                stateMachine,
+                stateMachine());
         CompletableFuture<List<String>> restoredLines = new CompletableFuture<>();
         clusterNode.setAppliedListener(() -> {
-            // Its own line is the last one: all that was kept has been played by then.
-            if (books.snapshot().stream().anyMatch(line -> line.startsWith("life\tz\t"))) {
-                restoredLines.complete(books.snapshot());
+            // The line proposed below comes last: all stored entries have been applied by then.
+            if (stateMachine.snapshot().stream().anyMatch(line -> line.startsWith("life\tz\t"))) {
+                restoredLines.complete(stateMachine.snapshot());
             }
         });
-        Thread thread = new Thread(() -> loop.run(clusterNode), "first-format");
+        Thread thread = new Thread(() -> loop.run(clusterNode), "policy-format-test");
         thread.setDaemon(true);
         thread.start();
         try {
@@ -137,7 +138,7 @@
         }
     }
 
-    private static CompositeStateMachine books() {
+    private static CompositeStateMachine stateMachine() {
         return new CompositeStateMachine(
                 new ReplicatedMaintenance(),
                 Map.of(PolicyStateMachine.SUBJECT, new PolicyStateMachine()));
--- a/src/test/java/tinlink/policy/PolicyGoldenFilesTest.java
+++ b/src/test/java/tinlink/policy/PolicyGoldenFilesTest.java
@@ -16,16 +16,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Commands, answers and snapshots of changes of policy, byte for byte as earlier builds wrote them. */
+/**
+ * Compares commands, answers and snapshots of policy changes byte for byte with golden files that
+ * earlier builds have written.
+ */
 class PolicyGoldenFilesTest {
     private static final String LOG = "policy-log.txt";
     private static final String ANSWERS = "policy-answers.txt";
     private static final String SNAPSHOTS = "policy-snapshots.txt";
-    private static final long T = 1_700_000_000_000_000L;
+    private static final long START_US = 1_700_000_000_000_000L;
     private static final String TEXT = "{\n\t\"absent\": {\"rule\": \"fence\"}, \"é\\\": 1\r\n}";
 
-    // ---- The code under test. ----
-
     private static String encode(PolicyCommand command) {
         return PolicyStateMachine.encode(command);
     }
@@ -34,7 +35,7 @@
         return PolicyCommandCodec.decode(LineCodec.decode(line));
     }
 
-    /** One replica of what is agreed. */
+    /** One replica of the state machine. */
     private static final class Replica {
         private final PolicyStateMachine stateMachine = new PolicyStateMachine();
 
@@ -51,26 +52,32 @@
         }
     }
 
-    private static AbsencePolicy absent(AbsencePolicy.Rule rule) {
-        long lease = rule == AbsencePolicy.Rule.FENCE ? 30_000_000 : 0;
-        return new AbsencePolicy(rule, 10_000_000, 1_000_000, lease, 50_000);
+    private static AbsencePolicy absencePolicy(AbsencePolicy.Rule rule) {
+        long leaseUs = rule == AbsencePolicy.Rule.FENCE ? 30_000_000 : 0;
+        return new AbsencePolicy(rule, 10_000_000, 1_000_000, leaseUs, 50_000);
     }
 
-    private static PolicyCommand propose(String id, long against, AbsencePolicy.Rule rule) {
+    private static PolicyCommand propose(String changeId, long baseEpoch, AbsencePolicy.Rule rule) {
         return new PolicyCommand.Propose(
-                id, against, "digest-" + id, TEXT, "op é", "why\tso", absent(rule));
+                changeId,
+                baseEpoch,
+                "digest-" + changeId,
+                TEXT,
+                "op é",
+                "why\tso",
+                absencePolicy(rule));
     }
 
-    private static PolicyCommand enrol(int router, long starts) {
-        return new PolicyCommand.Enrol("r" + router, life(router), starts);
+    private static PolicyCommand enrol(int router, long startCount) {
+        return new PolicyCommand.Enrol("r" + router, incarnation(router), startCount);
     }
 
-    private static String life(int router) {
+    private static String incarnation(int router) {
         return "r" + router + "#2.ab" + router;
     }
 
-    private static PolicyCommand yes(String id, int router, long until) {
-        return new PolicyCommand.VoteYes(id, "r" + router, life(router), until);
+    private static PolicyCommand voteYes(String changeId, int router, long boundUntilUs) {
+        return new PolicyCommand.VoteYes(changeId, "r" + router, incarnation(router), boundUntilUs);
     }
 
     private static List<PolicyCommand> commands() {
@@ -81,64 +88,67 @@
         all.add(new PolicyCommand.Enrol("r3", "r3#6.0", 6));
         all.add(propose("c1", 0, AbsencePolicy.Rule.WAIT));
         all.add(propose("c2", 0, AbsencePolicy.Rule.WITHDRAW));
-        all.add(new PolicyCommand.ConfirmProposal("c1", T));
-        all.add(yes("c1", 1, T + 1_000_000));
-        all.add(yes("c1", 1, T + 500_000));
-        all.add(yes("c1", 9, T));
-        all.add(new PolicyCommand.VoteNo("c1", "r2", life(2), "a key\nthat it lacks"));
-        all.add(new PolicyCommand.Commit("c1", T + 9_000_000));
-        all.add(yes("c1", 2, T + 1_100_000));
-        all.add(yes("c1", 3, T + 1_200_000));
-        all.add(new PolicyCommand.Commit("c1", T + 1_200_000));
-        all.add(new PolicyCommand.Commit("c1", T + 1_250_000));
+        all.add(new PolicyCommand.ConfirmProposal("c1", START_US));
+        all.add(voteYes("c1", 1, START_US + 1_000_000));
+        all.add(voteYes("c1", 1, START_US + 500_000));
+        all.add(voteYes("c1", 9, START_US));
+        all.add(new PolicyCommand.VoteNo("c1", "r2", incarnation(2), "a key\nthat it lacks"));
+        all.add(new PolicyCommand.Commit("c1", START_US + 9_000_000));
+        all.add(voteYes("c1", 2, START_US + 1_100_000));
+        all.add(voteYes("c1", 3, START_US + 1_200_000));
+        all.add(new PolicyCommand.Commit("c1", START_US + 1_200_000));
+        all.add(new PolicyCommand.Commit("c1", START_US + 1_250_000));
         all.add(propose("c1", 0, AbsencePolicy.Rule.WAIT));
         all.add(propose("c3", 0, AbsencePolicy.Rule.FENCE));
         all.add(propose("c3", 1, AbsencePolicy.Rule.FENCE));
-        all.add(yes("c3", 1, T + 5_000_000));
+        all.add(voteYes("c3", 1, START_US + 5_000_000));
         all.add(new PolicyCommand.Abort("c3", "by its operator"));
         all.add(new PolicyCommand.Abort("c3", "once more"));
         all.add(new PolicyCommand.Abort("c1", "too late"));
         all.add(new PolicyCommand.Abort("cx", "unknown"));
         all.add(new PolicyCommand.Leave("r2", "r2#1.0"));
-        all.add(new PolicyCommand.Leave("r2", life(2)));
+        all.add(new PolicyCommand.Leave("r2", incarnation(2)));
         all.add(propose("", 1, AbsencePolicy.Rule.WAIT));
         all.add(propose("c4", 1, AbsencePolicy.Rule.FENCE));
-        all.add(new PolicyCommand.ConfirmProposal("c4", T + 20_000_000));
-        all.add(yes("c4", 3, T + 21_000_000));
-        all.add(new PolicyCommand.VoteNo("c4", "r1", life(1), "no"));
+        all.add(new PolicyCommand.ConfirmProposal("c4", START_US + 20_000_000));
+        all.add(voteYes("c4", 3, START_US + 21_000_000));
+        all.add(new PolicyCommand.VoteNo("c4", "r1", incarnation(1), "no"));
         return all;
     }
 
-    private static final int[] SNAPSHOT_AFTER = {0, 11, 20, 31};
+    /** Numbers of applied commands after which the golden file has a snapshot. */
+    private static final int[] SNAPSHOTS_AFTER = {0, 11, 20, 31};
 
-    private static String name(int number, PolicyCommand command) {
+    private static String recordName(int number, PolicyCommand command) {
         String line = encode(command);
         return String.format("%02d-%s", number, line.split("\t", -1)[1]);
     }
 
-    private static void snapshot(Map<String, String> all, int after, Replica replica) {
-        for (int at : SNAPSHOT_AFTER) {
-            if (at == after) {
+    private static void addSnapshotIfDue(
+            Map<String, String> snapshots, int appliedCommands, Replica replica) {
+        for (int snapshotAfter : SNAPSHOTS_AFTER) {
+            if (snapshotAfter == appliedCommands) {
                 int line = 0;
                 for (String text : replica.snapshot()) {
-                    all.put(String.format("after-%02d-line-%02d", after, ++line), text);
+                    snapshots.put(
+                            String.format("after-%02d-line-%02d", appliedCommands, ++line), text);
                 }
             }
         }
     }
 
     @Test
-    void commandsAreWrittenAndAnsweredAsTheyWere() throws IOException {
+    void commandsAreEncodedAndAnsweredAsInTheGoldenFiles() throws IOException {
         Map<String, String> log = new LinkedHashMap<>();
         Map<String, String> answers = new LinkedHashMap<>();
         Map<String, String> snapshots = new LinkedHashMap<>();
         Replica replica = new Replica();
-        snapshot(snapshots, 0, replica);
+        addSnapshotIfDue(snapshots, 0, replica);
         for (PolicyCommand command : commands()) {
-            String name = name(log.size() + 1, command);
+            String name = recordName(log.size() + 1, command);
             log.put(name, encode(command));
             answers.put(name, replica.apply(encode(command)));
-            snapshot(snapshots, log.size(), replica);
+            addSnapshotIfDue(snapshots, log.size(), replica);
         }
         GoldenFile.holds(LOG, "Commands of changes of policy, in agreed order.", log);
         GoldenFile.holds(ANSWERS, "What was answered to each command.", answers);
@@ -147,38 +157,39 @@
     }
 
     @Test
-    void theLogIsReadAndPlayedAsItWas() throws IOException {
+    void goldenLogIsDecodedAndAppliedWithTheSameResults() throws IOException {
         Replica replica = new Replica();
         Map<String, String> answers = GoldenFile.read(ANSWERS);
         Map<String, String> snapshots = new LinkedHashMap<>();
-        snapshot(snapshots, 0, replica);
+        addSnapshotIfDue(snapshots, 0, replica);
         List<PolicyCommand> commands = commands();
-        int played = 0;
-        for (Map.Entry<String, String> line : GoldenFile.read(LOG).entrySet()) {
-            assertEquals(commands.get(played), decode(line.getValue()));
-            assertEquals(line.getValue(), encode(decode(line.getValue())));
-            assertEquals(answers.get(line.getKey()), replica.apply(line.getValue()), line.getKey());
-            snapshot(snapshots, ++played, replica);
+        int applied = 0;
+        for (Map.Entry<String, String> entry : GoldenFile.read(LOG).entrySet()) {
+            String line = entry.getValue();
+            assertEquals(commands.get(applied), decode(line));
+            assertEquals(line, encode(decode(line)));
+            assertEquals(answers.get(entry.getKey()), replica.apply(line), entry.getKey());
+            addSnapshotIfDue(snapshots, ++applied, replica);
         }
         assertEquals(GoldenFile.read(SNAPSHOTS), snapshots);
     }
 
     @Test
-    void snapshotsAreReadAndTheRestOfTheLogPlayedAfterThem() throws IOException {
+    void goldenSnapshotsAreRestoredAndTheRestOfTheLogIsApplied() throws IOException {
         List<String> commands = List.copyOf(GoldenFile.read(LOG).values());
         List<String> answers = List.copyOf(GoldenFile.read(ANSWERS).values());
-        for (int after : SNAPSHOT_AFTER) {
-            String name = String.format("after-%02d-", after);
+        for (int snapshotAfter : SNAPSHOTS_AFTER) {
+            String prefix = String.format("after-%02d-", snapshotAfter);
             List<String> lines = new ArrayList<>();
-            GoldenFile.read(SNAPSHOTS).forEach((line, text) -> {
-                if (line.startsWith(name)) {
+            GoldenFile.read(SNAPSHOTS).forEach((name, text) -> {
+                if (name.startsWith(prefix)) {
                     lines.add(text);
                 }
             });
             Replica replica = new Replica();
             replica.restore(lines);
             assertEquals(lines, replica.snapshot());
-            for (int i = after; i < commands.size(); i++) {
+            for (int i = snapshotAfter; i < commands.size(); i++) {
                 assertEquals(answers.get(i), replica.apply(commands.get(i)), commands.get(i));
             }
         }
