--- a/src/main/java/tinlink/storage/DurableLog.java
+++ b/src/main/java/tinlink/storage/DurableLog.java
@@ -8,37 +8,41 @@
 import java.util.List;
 
 /**
- * A log of numbered records on top of a snapshot, in a directory of its own, that survives kills
- * and crashes: what has been synced is there again after any stop.
+ * A write-ahead log of numbered records with snapshots, stored in a directory of its own. Synced
+ * records survive a kill of the process and a crash of the machine.
  *
- * <p>All calls block. One thread at a time may use it; a lock keeps other processes out. Once a
- * write or sync has failed, all later calls fail with {@link LogFailedException}: after a failed
- * sync nobody can tell what the disk holds, and to sync again would report that nothing was lost.
+ * <p>All calls block. The log is not thread-safe; a file lock excludes other processes. Once a
+ * write or sync has failed, all later writes fail with {@link LogFailedException}: after a failed
+ * sync the content of the disk is unknown, and a repeated sync could report success although data
+ * was lost.
  *
- * <p>Files: {@code log-N} begins with record N, {@code snap-N} stands for all before record N. A
- * snapshot is written to a temporary file, synced, renamed, and the directory synced, before what
- * it replaces is deleted.
+ * <p>Files: {@code log-N} starts with record N; {@code snap-N} holds the state after all records
+ * before N. A snapshot is written to a temporary file, synced and renamed, and the directory is
+ * synced, before the files that the snapshot replaces are deleted.
  */
 public final class DurableLog implements Closeable {
     private final LogDirectory directory;
     private final long maxBytes;
     private final long tornBytes;
+    /** Encoded records that were appended but not synced. */
     private final List<byte[]> pendingFrames = new ArrayList<>();
+
     private byte[] recoveredSnapshot;
     private List<byte[]> recoveredRecords;
     private LogFile logFile;
     private long nextRecordNumber;
-    /** The first write or sync that failed; null while none has. */
+    /** The failure of the first write or sync that failed; null if none has. */
     private IOException failure;
 
     /**
-     * Opens the directory, creates it where it is missing, and reads what it holds.
+     * Opens the log and recovers its content. Creates the directory if it is missing.
      *
-     * @param maxBytes bound on the log without its snapshot; past it a write fails as on a full
-     *     disk
-     * @throws CorruptLogException where what is there can't be trusted; it is left as it is then
-     * @throws LogLockedException where it is open elsewhere
-     * @throws IOException where it can't be read or written
+     * @param path the directory
+     * @param maxBytes maximum size of the log without its snapshot; a write beyond it fails as on a
+     *     full disk
+     * @throws CorruptLogException if the stored data is corrupt; it is left unchanged then
+     * @throws LogLockedException if the log is already open
+     * @throws IOException if the directory can't be read or written
      */
     public DurableLog(Path path, long maxBytes) throws IOException {
         this.maxBytes = maxBytes;
@@ -66,44 +70,44 @@
     }
 
     /**
-     * The newest snapshot as it was found at the opening; null where there was none, or after its
-     * release.
+     * Returns the newest snapshot at the time of opening; null if there was none, or after
+     * {@link #releaseRecovered}.
      */
     public byte[] recoveredSnapshot() {
         return recoveredSnapshot;
     }
 
-    /** Records after {@link #recoveredSnapshot} as they were found at the opening, in order. */
+    /** Returns the records after {@link #recoveredSnapshot} at the time of opening, in order. */
     public List<byte[]> recoveredRecords() {
         return recoveredRecords;
     }
 
-    /** Frees the memory of what was found at the opening, once it has been read. */
+    /** Releases the memory of the recovered snapshot and records. */
     public void releaseRecovered() {
         recoveredSnapshot = null;
         recoveredRecords = List.of();
     }
 
-    /** Bytes of a torn record that were cut off at the opening. */
+    /** Returns how many bytes of a torn write were truncated when the log was opened. */
     public long tornBytes() {
         return tornBytes;
     }
 
-    /** The number that the next record gets; the first record has 0. */
+    /** Returns the number of the next record; the first record has number 0. */
     public long nextRecordNumber() {
         return nextRecordNumber;
     }
 
-    /** Bytes of the log since the last snapshot, as far as they have been written. */
+    /** Returns the size of the log since the last snapshot in bytes, without pending records. */
     public long bytesSinceSnapshot() {
         return logFile.bytes();
     }
 
     /**
-     * Adds a record. It is durable once {@link #sync} has returned.
+     * Appends a record. The record is durable once {@link #sync} has returned.
      *
-     * @return its number
-     * @throws IllegalArgumentException where it is longer than 8 MiB
+     * @return the number of the record
+     * @throws IllegalArgumentException if the record is longer than 8 MiB
      */
     public long append(byte[] record) throws IOException {
         ensureUsable();
@@ -112,9 +116,9 @@
     }
 
     /**
-     * Writes all that was appended. It is on the disk when this returns.
+     * Writes all appended records to the disk before returning.
      *
-     * @throws LogFullException where it doesn't fit
+     * @throws LogFullException if the records don't fit
      */
     public void sync() throws IOException {
         ensureUsable();
@@ -131,10 +135,10 @@
     }
 
     /**
-     * Replaces all records so far by a state that stands for them. It is on the disk when this
-     * returns.
+     * Replaces all records so far by a snapshot of the state that results from them. The snapshot
+     * is on the disk when this method returns.
      *
-     * @throws IllegalArgumentException where the state is longer than 8 MiB
+     * @throws IllegalArgumentException if the state is longer than 8 MiB
      */
     public void writeSnapshot(byte[] state) throws IOException {
         sync();
--- a/src/main/java/tinlink/storage/LogDirectory.java
+++ b/src/main/java/tinlink/storage/LogDirectory.java
@@ -12,17 +12,17 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The directory of a durable log, locked against other processes for as long as it is open. */
+/** The directory of a durable log. It is locked against other processes while it is open. */
 final class LogDirectory implements Closeable {
     private static final String LOCK_FILE = "lock";
-    /** Of files that are being written; they are renamed once complete and synced. */
+    /** Suffix of files that are being written; they are renamed once complete and synced. */
     private static final String TEMPORARY_SUFFIX = ".new";
 
     private final Path path;
     private final FileChannel lockChannel;
     private final FileLock lock;
 
-    /** Its files, by the number in their names. */
+    /** The files of a log, by the record number in their names. */
     record Listing(SortedMap<Long, Path> logs, SortedMap<Long, Path> snapshots) {}
 
     private LogDirectory(Path path, FileChannel lockChannel, FileLock lock) {
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Opens and locks the directory; creates it where it is missing.
+     * Opens and locks the directory. Creates the directory if it is missing.
      *
-     * @throws LogLockedException where it is open elsewhere
+     * @throws LogLockedException if it is already open
      */
     static LogDirectory open(Path path) throws IOException {
         Files.createDirectories(path);
@@ -53,7 +53,7 @@
         try {
             acquired = lockChannel.tryLock();
         } catch (OverlappingFileLockException e) {
-            acquired = null; // Another log object of this process has it.
+            acquired = null; // Another log object of this process holds the lock.
         }
         if (acquired == null) {
             throw new LogLockedException(path);
@@ -69,13 +69,14 @@
         return path.resolve(type.fileName(number));
     }
 
-    /** Where a file is written before it gets the name that {@link #file} gives. */
+    /** Returns the path at which a file is written before it is renamed to {@link #file}. */
     Path temporaryFile(FileType type, long number) {
         return path.resolve(type.fileName(number) + TEMPORARY_SUFFIX);
     }
 
     /**
-     * Deletes temporary files that a crash has left, on which nothing rests, and lists the others.
+     * Lists the log and snapshot files. Deletes temporary files left behind by a crash, which were
+     * never part of the log.
      */
     Listing cleanAndList() throws IOException {
         Listing listing = new Listing(new TreeMap<>(), new TreeMap<>());
@@ -94,7 +95,7 @@
         return listing;
     }
 
-    /** Deletes all logs and snapshots but those of that number. */
+    /** Deletes all log and snapshot files except those with that number. */
     void deleteAllBut(long number) throws IOException {
         try (DirectoryStream<Path> entries = Files.newDirectoryStream(path, "{log,snap}-*")) {
             for (Path entry : entries) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /** What was created, renamed or deleted in the directory is on the disk when this returns. */
+    /** Syncs the creation, renaming and deletion of files in the directory to the disk. */
     void sync() throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             channel.force(true);
--- a/src/main/java/tinlink/storage/LogFile.java
+++ b/src/main/java/tinlink/storage/LogFile.java
@@ -8,11 +8,12 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 
-/** The log file that frames are appended to. Its length is bounded. */
+/** The log file to which frames are appended. The total size of the log is bounded. */
 final class LogFile implements Closeable {
     private final LogDirectory directory;
     private final FileChannel channel;
     private final long maxBytes;
+    /** Total size of all log files since the last snapshot. */
     private long bytes;
 
     private LogFile(LogDirectory directory, FileChannel channel, long bytes, long maxBytes) {
@@ -22,7 +23,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Creates the file that begins with that record. It is on the disk when this returns. */
+    /** Creates the log file that begins with that record, and syncs it and its directory. */
     static LogFile create(LogDirectory directory, long firstNumber, long maxBytes)
             throws IOException {
         FileChannel channel = FileChannel.open(
@@ -43,9 +44,9 @@
     }
 
     /**
-     * Opens the newest file that was found.
+     * Opens an existing log file for appending.
      *
-     * @param bytes of all log files that were found
+     * @param bytes total size of all existing log files since the last snapshot
      */
     static LogFile openExisting(LogDirectory directory, Path file, long bytes, long maxBytes)
             throws IOException {
@@ -54,12 +55,16 @@
         return new LogFile(directory, channel, bytes, maxBytes);
     }
 
-    /** Bytes in the log. */
+    /** Returns the total size of the log since the last snapshot, in bytes. */
     long bytes() {
         return bytes;
     }
 
-    /** @throws LogFullException where the frames don't fit; then nothing is written */
+    /**
+     * Appends the frames without syncing them.
+     *
+     * @throws LogFullException if the frames don't fit; nothing is written then
+     */
     void append(List<byte[]> frames) throws IOException {
         long addedBytes = frames.stream().mapToLong(frame -> frame.length).sum();
         if (bytes + addedBytes > maxBytes) {
@@ -69,7 +74,7 @@
         bytes += addedBytes;
     }
 
-    /** All that was appended is on the disk when this returns. */
+    /** Syncs all appended frames to the disk. */
     void sync() throws IOException {
         channel.force(false);
     }
