--- a/src/main/java/tinlink/storage/LogRecovery.java
+++ b/src/main/java/tinlink/storage/LogRecovery.java
@@ -11,9 +11,9 @@
 import java.util.SortedMap;
 
 /**
- * Reads a directory as the last process has left it. A record that was torn by a crash is cut off,
- * and with it nothing that had been synced. Corruption anywhere else is reported: to go on would
- * lose data silently.
+ * Recovers a log from its directory. A torn write at the end of the newest log file is truncated;
+ * no synced record is lost by that. Any other corruption is reported, since ignoring it would lose
+ * data silently.
  */
 final class LogRecovery {
     private final LogDirectory directory;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Reads the directory and repairs what a crash has left.
+     * Reads the directory and repairs the effects of a crash.
      *
-     * @throws CorruptLogException where what is there can't be trusted
+     * @throws CorruptLogException if the stored data is corrupt
      */
     static LogRecovery recover(LogDirectory directory) throws IOException {
         LogRecovery recovery = new LogRecovery(directory);
@@ -40,7 +40,7 @@
         return recovery;
     }
 
-    /** The state before the records; null where there is none. */
+    /** Returns the state before the first of the records; null if there is no snapshot. */
     byte[] snapshot() {
         return snapshot;
     }
@@ -53,22 +53,22 @@
         return nextRecordNumber;
     }
 
-    /** Bytes of the log files that count. */
+    /** Returns the total size of the log files since the snapshot, in bytes. */
     long logBytes() {
         return logBytes;
     }
 
-    /** Bytes that were cut off. */
+    /** Returns how many bytes of a torn write were truncated. */
     long tornBytes() {
         return tornBytes;
     }
 
-    /** The file to append to; null where one has to be created. */
+    /** Returns the log file to append to; null if one has to be created. */
     Path newestLog() {
         return newestLog;
     }
 
-    /** Files that the snapshot has replaced. */
+    /** Returns the files that the snapshot has replaced, to be deleted. */
     List<Path> obsoleteFiles() {
         return obsoleteFiles;
     }
@@ -79,8 +79,8 @@
             nextRecordNumber = files.snapshots().lastKey();
             snapshot = SnapshotFile.read(files.snapshots().get(nextRecordNumber), nextRecordNumber);
         }
-        // Older ones are there if the process ended between the snapshot's rename and their
-        // deletion.
+        // Older files are left over if the process ended after renaming the snapshot and before
+        // deleting them.
         obsoleteFiles.addAll(files.snapshots().headMap(nextRecordNumber).values());
         obsoleteFiles.addAll(files.logs().headMap(nextRecordNumber).values());
         SortedMap<Long, Path> liveLogs = files.logs().tailMap(nextRecordNumber);
@@ -106,32 +106,35 @@
         }
     }
 
-    /** @param isNewest only the newest file may have a torn end */
-    private void readLog(Path file, long firstNumber, boolean isNewest) throws IOException {
+    /** @param newest whether this is the newest log file; only that one may have a torn end */
+    private void readLog(Path file, long firstNumber, boolean newest) throws IOException {
         byte[] content = Files.readAllBytes(file);
-        boolean hasHeader = FileType.LOG.hasHeader(content, firstNumber);
-        if (!hasHeader && !(isNewest && isTorn(content, 0, firstNumber))) {
-            throw new CorruptLogException(file, 0, "it is no log of version " + FileType.VERSION);
+        boolean headerIntact = FileType.LOG.hasHeader(content, firstNumber);
+        if (!headerIntact && !(newest && isTorn(content, 0, firstNumber))) {
+            throw new CorruptLogException(
+                    file,
+                    0,
+                    "no valid header of a log file of version " + FileType.VERSION
+                            + " that begins with record " + firstNumber);
         }
-        int end = hasHeader ? readRecords(content) : 0;
+        int end = headerIntact ? readRecords(content) : 0;
         if (end < content.length) {
-            if (!isNewest || !isTorn(content, end, nextRecordNumber)) {
+            if (!newest || !isTorn(content, end, nextRecordNumber)) {
                 throw new CorruptLogException(
                         file,
                         end,
-                        "record " + nextRecordNumber + " is corrupt and others stand behind it");
+                        "record " + nextRecordNumber
+                                + " is corrupt and is not a torn write at the end of the log");
             }
             tornBytes = (long) content.length - end;
         }
-        if (end < content.length || !hasHeader) {
-            repair(file, end, hasHeader ? null : FileType.LOG.header(firstNumber));
+        if (end < content.length || !headerIntact) {
+            repair(file, end, headerIntact ? null : FileType.LOG.header(firstNumber));
         }
         logBytes += end;
     }
 
-    /**
-     * Reads records until one is not complete and returns the offset behind the last complete one.
-     */
+    /** Reads all complete records in a row and returns the offset after the last of them. */
     private int readRecords(byte[] content) {
         int offset = FileType.LOG.headerLength();
         int length = RecordFraming.frameLengthAt(content, offset, nextRecordNumber);
@@ -145,16 +148,16 @@
     }
 
     /**
-     * Whether what follows the offset is the torn end of a write. Danger: a record that was synced
-     * and is corrupt now looks like one torn by a crash, unless a complete one stands behind it.
-     * What was torn was never synced, so nothing can stand behind it.
+     * Returns whether the bytes after the offset are the torn end of a write. Without the check for
+     * a later record, a synced record that has become corrupt would be taken for a torn write. A
+     * torn write was never synced, so no complete record can follow it.
      */
     private static boolean isTorn(byte[] content, int offset, long number) {
         return RecordFraming.frameLengthAt(content, offset, number) < 0
                 && !RecordFraming.hasRecordAfter(content, offset, number);
     }
 
-    /** Cuts the file off at its end, and gives it a header where its own was torn. */
+    /** Truncates the file, and writes the header if it is missing. */
     private static void repair(Path file, int end, byte[] missingHeader) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.truncate(end);
