--- a/src/main/java/tinlink/storage/FileType.java
+++ b/src/main/java/tinlink/storage/FileType.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /**
- * The files of a durable log. Each begins with a record that tells its type, so that a renamed file
- * is noticed.
+ * The types of files of a durable log. Each file begins with a header that contains its type and
+ * number, so that a renamed file is detected.
  */
 enum FileType {
-    /** {@code log-N}: records from number N on. */
+    /** {@code log-N}: the records from number N on. */
     LOG("log-", 'l'),
-    /** {@code snap-N}: the state that stands for all records before number N. */
+    /** {@code snap-N}: the state after all records before number N. */
     SNAPSHOT("snap-", 's');
 
-    /** Version of the format of both types. */
+    /** Version of the file format, for both types. */
     static final byte VERSION = 1;
 
     private final String prefix;
@@ -27,32 +27,32 @@
         return new byte[] {'t', 'l', (byte) letter, VERSION};
     }
 
-    /** The name of the file that begins with, or stands for all before, that record. */
+    /** Returns the name of the file of this type with that record number. */
     String fileName(long number) {
         return prefix + number;
     }
 
-    /** Whether it is the name of a file of this type. */
+    /** Returns whether the name is that of a file of this type. */
     boolean isNameOf(String fileName) {
         return fileName.matches(prefix + "\\d{1,18}");
     }
 
-    /** The record number in a name of this type. */
+    /** Returns the record number in the name of a file of this type. */
     long numberIn(String fileName) {
         return Long.parseLong(fileName.substring(prefix.length()));
     }
 
-    /** The frame that a file of this type begins with. */
+    /** Returns the header of a file of this type with that record number. */
     byte[] header(long number) {
         return RecordFraming.encode(number, magic());
     }
 
-    /** Bytes of {@link #header}. */
+    /** Returns the length of {@link #header} in bytes. */
     int headerLength() {
         return RecordFraming.HEADER_BYTES + magic().length;
     }
 
-    /** Whether the content begins with {@link #header}. */
+    /** Returns whether the content begins with {@link #header}. */
     boolean hasHeader(byte[] content, long number) {
         byte[] header = header(number);
         return content.length >= header.length
--- a/src/main/java/tinlink/storage/SnapshotFile.java
+++ b/src/main/java/tinlink/storage/SnapshotFile.java
@@ -8,14 +8,14 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 
-/** Writes and reads snapshot files: a header, then one frame with the state. */
+/** Writes and reads snapshot files, which consist of a header and one frame with the state. */
 final class SnapshotFile {
     private SnapshotFile() {}
 
     /**
-     * Writes the state that stands for all records before that number. It is on the disk, complete
-     * and under its name, when this returns; after a crash within it the directory has the complete
-     * file or none.
+     * Writes the snapshot of the state after all records before that number. The complete file is
+     * on the disk under its final name when this method returns. After a crash in between, the
+     * directory holds either the complete file or none.
      */
     static void write(LogDirectory directory, long number, byte[] state) throws IOException {
         Path temporaryFile = directory.temporaryFile(FileType.SNAPSHOT, number);
@@ -37,9 +37,9 @@
     }
 
     /**
-     * The state in the file.
+     * Returns the state in the file.
      *
-     * @throws CorruptLogException where the file is not a complete snapshot of that number
+     * @throws CorruptLogException if the file is not a complete snapshot with that number
      */
     static byte[] read(Path file, long number) throws IOException {
         byte[] content = Files.readAllBytes(file);
@@ -58,7 +58,7 @@
         return new CorruptLogException(
                 file,
                 offset,
-                "it is no complete snapshot of version " + FileType.VERSION + " before record "
-                        + number);
+                "not a complete snapshot of version " + FileType.VERSION
+                        + " of the state before record " + number);
     }
 }
