--- a/src/main/java/tinlink/storage/LogFullException.java
+++ b/src/main/java/tinlink/storage/LogFullException.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** A write would take a log past its bound. Nothing of it was written. */
+/** A write would exceed the maximum size of the log. Nothing was written. */
 public final class LogFullException extends StorageException {
     private static final long serialVersionUID = 1;
 
@@ -13,25 +13,25 @@
     LogFullException(Path directory, long bytes, long addedBytes, long maxBytes) {
         super(
                 directory.toString(),
-                directory + ": the log is full with " + bytes + " of " + maxBytes + " bytes, and "
-                        + addedBytes + " more don't fit",
+                directory + ": the log has no room for " + addedBytes + " more bytes; it holds "
+                        + bytes + " of at most " + maxBytes + " bytes",
                 null);
         this.bytes = bytes;
         this.addedBytes = addedBytes;
         this.maxBytes = maxBytes;
     }
 
-    /** Bytes that the log holds. */
+    /** Returns the size of the log in bytes. */
     public long bytes() {
         return bytes;
     }
 
-    /** Bytes that were to be added. */
+    /** Returns the size of the rejected write in bytes. */
     public long addedBytes() {
         return addedBytes;
     }
 
-    /** Bytes that the log may hold. */
+    /** Returns the maximum size of the log in bytes. */
     public long maxBytes() {
         return maxBytes;
     }
--- a/src/main/java/tinlink/storage/LogLockedException.java
+++ b/src/main/java/tinlink/storage/LogLockedException.java
@@ -2,11 +2,14 @@
 
 import java.nio.file.Path;
 
-/** Another process, or another log object of this one, has the directory open. */
+/** The directory is open in another process or in another log object of this process. */
 public final class LogLockedException extends StorageException {
     private static final long serialVersionUID = 1;
 
     LogLockedException(Path directory) {
-        super(directory.toString(), directory + ": another process has it", null);
+        super(
+                directory.toString(),
+                directory + ": the log is locked by another process or by another log of this one",
+                null);
     }
 }
--- a/src/main/java/tinlink/storage/StorageException.java
+++ b/src/main/java/tinlink/storage/StorageException.java
@@ -3,8 +3,7 @@
 import java.io.IOException;
 
 /**
- * A durable log can't be opened or written to for a reason of its own, beside what the file system
- * reports.
+ * A durable log can't be opened or written to, for a reason other than an error of the file system.
  */
 public abstract sealed class StorageException extends IOException
         permits CorruptLogException, LogFailedException, LogFullException, LogLockedException {
@@ -17,7 +16,7 @@
         this.path = path;
     }
 
-    /** The file or directory that the exception is about. */
+    /** Returns the file or directory concerned. */
     public String path() {
         return path;
     }
