--- a/src/test/java/tinlink/storage/DurableLogTest.java
+++ b/src/test/java/tinlink/storage/DurableLogTest.java
@@ -16,7 +16,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The durable log against crashes at every byte, corruption, a full disk, a second user. */
+/**
+ * Tests the durable log with a write torn at any byte, corrupt files, a crash during a snapshot, a
+ * full log and a directory that is already open.
+ */
 class DurableLogTest {
     @TempDir
     Path directory;
@@ -25,23 +28,23 @@
         return new DurableLog(directory, 1 << 20);
     }
 
-    private static byte[] record(int i) {
-        return ("record " + i + " ".repeat(i % 5)).getBytes(StandardCharsets.UTF_8);
+    private static byte[] record(int number) {
+        return ("record " + number + " ".repeat(number % 5)).getBytes(StandardCharsets.UTF_8);
     }
 
-    private void writeRecords(int from, int to) throws IOException {
+    private void writeRecords(int first, int end) throws IOException {
         try (DurableLog durableLog = open()) {
-            for (int i = from; i < to; i++) {
+            for (int i = first; i < end; i++) {
                 durableLog.append(record(i));
             }
             durableLog.sync();
         }
     }
 
-    private static void assertRecords(List<byte[]> records, int from, int to) {
-        assertEquals(to - from, records.size());
-        for (int i = from; i < to; i++) {
-            assertArrayEquals(record(i), records.get(i - from));
+    private static void assertRecords(List<byte[]> records, int first, int end) {
+        assertEquals(end - first, records.size());
+        for (int i = first; i < end; i++) {
+            assertArrayEquals(record(i), records.get(i - first));
         }
     }
 
@@ -55,7 +58,7 @@
             durableLog.writeSnapshot(record(99));
             durableLog.append(record(9));
             durableLog.sync();
-            durableLog.append(record(10)); // Never synced: it may be lost.
+            durableLog.append(record(10)); // Never synced, so it may be lost.
         }
         try (DurableLog durableLog = open()) {
             assertArrayEquals(record(99), durableLog.recoveredSnapshot());
@@ -118,7 +121,7 @@
             CorruptLogException exception =
                     assertThrows(CorruptLogException.class, this::open, "byte " + offset);
             assertTrue(exception.getMessage().contains("log-0 at byte "), exception.getMessage());
-            assertArrayEquals(corrupted, Files.readAllBytes(logFile), "left as it is");
+            assertArrayEquals(corrupted, Files.readAllBytes(logFile), "not modified");
         }
         byte[] corrupted = original.clone();
         corrupted[secondRecordOffset + 5] ^= 1;
@@ -146,15 +149,14 @@
         Files.write(snapshotFile, original);
         Files.delete(directory.resolve("log-4"));
         try (DurableLog durableLog = open()) {
-            assertArrayEquals(
-                    record(50),
-                    durableLog.recoveredSnapshot()); // Stopped before its log was begun.
+            // The process may have ended before it created the log file that follows the snapshot.
+            assertArrayEquals(record(50), durableLog.recoveredSnapshot());
         }
     }
 
     /**
-     * Stopped at each step of a snapshot: the one before it stands, or the new one does, never half
-     * of either.
+     * After a crash at any step of writing a snapshot, either the old or the new state is
+     * recovered, never a mixture of both.
      */
     @Test
     void crashAtAnyStepOfASnapshotLeavesOneCompleteState() throws IOException {
@@ -165,17 +167,15 @@
             assertRecords(durableLog.recoveredRecords(), 0, 4);
             durableLog.writeSnapshot(record(7));
         }
-        Files.write(directory.resolve("log-0"), oldLogContent); // The old log was not gone yet.
+        // The process may have ended before it deleted the old log file.
+        Files.write(directory.resolve("log-0"), oldLogContent);
         try (DurableLog durableLog = open()) {
             assertArrayEquals(record(7), durableLog.recoveredSnapshot());
             assertEquals(List.of(), durableLog.recoveredRecords());
         }
         assertTrue(Files.notExists(directory.resolve("log-0")));
         Files.delete(directory.resolve("snap-4"));
-        assertThrows(
-                CorruptLogException.class,
-                this::open,
-                "a log that does not begin at the beginning");
+        assertThrows(CorruptLogException.class, this::open, "the first records are missing");
     }
 
     @Test
@@ -190,7 +190,7 @@
             assertThrows(
                     LogFailedException.class,
                     durableLog::sync,
-                    "a failed sync is not tried again as if nothing was lost");
+                    "a repeated sync must not succeed after data may have been lost");
             assertThrows(LogFailedException.class, () -> durableLog.append(record(1)));
         }
         try (DurableLog durableLog = open()) {
--- a/src/test/java/tinlink/storage/StorageGoldenFilesTest.java
+++ b/src/test/java/tinlink/storage/StorageGoldenFilesTest.java
@@ -18,20 +18,23 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Files of the durable log and its snapshot, byte for byte as earlier builds wrote them. */
+/**
+ * Compares the files of the durable log byte for byte with golden files that earlier builds have
+ * written.
+ */
 class StorageGoldenFilesTest {
     private static final String FILE = "storage-files.txt";
     private static final byte[] STATE = "all that came before é".getBytes(StandardCharsets.UTF_8);
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    private DurableLog open(String name) throws IOException {
-        return new DurableLog(folder.resolve(name), 1 << 20);
+    private DurableLog open(String logName) throws IOException {
+        return new DurableLog(directory.resolve(logName), 1 << 20);
     }
 
-    private String bytes(String name, String file) throws IOException {
-        return GoldenFile.hex(Files.readAllBytes(folder.resolve(name).resolve(file)));
+    private String hexOfFile(String logName, String file) throws IOException {
+        return GoldenFile.hex(Files.readAllBytes(directory.resolve(logName).resolve(file)));
     }
 
     private static byte[] record(int number) {
@@ -42,47 +45,47 @@
         return record;
     }
 
-    private List<String> names(String name) throws IOException {
-        try (Stream<Path> files = Files.list(folder.resolve(name))) {
-            return files.map(p -> p.getFileName().toString()).sorted().toList();
+    private List<String> fileNames(String logName) throws IOException {
+        try (Stream<Path> files = Files.list(directory.resolve(logName))) {
+            return files.map(file -> file.getFileName().toString()).sorted().toList();
         }
     }
 
     @Test
-    void filesAreWrittenAsTheyWere() throws IOException {
+    void filesAreWrittenAsInTheGoldenFile() throws IOException {
         Map<String, String> all = new LinkedHashMap<>();
         try (DurableLog log = open("written")) {
-            all.put("segment-without-records", bytes("written", "log-0"));
+            all.put("segment-without-records", hexOfFile("written", "log-0"));
             for (int i = 0; i < 3; i++) {
                 assertEquals(i, log.append(record(i)));
             }
             log.sync();
-            all.put("segment-of-three-records", bytes("written", "log-0"));
+            all.put("segment-of-three-records", hexOfFile("written", "log-0"));
             log.writeSnapshot(STATE);
-            all.put("snapshot-after-three-records", bytes("written", "snap-3"));
+            all.put("snapshot-after-three-records", hexOfFile("written", "snap-3"));
             log.append(record(3));
             log.sync();
-            all.put("segment-after-the-snapshot", bytes("written", "log-3"));
-            assertEquals(List.of("lock", "log-3", "snap-3"), names("written"));
+            all.put("segment-after-the-snapshot", hexOfFile("written", "log-3"));
+            assertEquals(List.of("lock", "log-3", "snap-3"), fileNames("written"));
         }
         GoldenFile.holds(FILE, "Files of a folder that survives crashes, in hex.", all);
     }
 
-    private void place(String name, String file, String record) throws IOException {
-        Path at = folder.resolve(name).resolve(file);
-        Files.createDirectories(at.getParent());
-        Files.write(at, GoldenFile.bytes(GoldenFile.read(FILE).get(record)));
+    private void writeGoldenFile(String logName, String file, String record) throws IOException {
+        Path path = directory.resolve(logName).resolve(file);
+        Files.createDirectories(path.getParent());
+        Files.write(path, GoldenFile.bytes(GoldenFile.read(FILE).get(record)));
     }
 
     @Test
-    void filesAreReadAsTheyWere() throws IOException {
-        place("empty", "log-0", "segment-without-records");
+    void goldenFilesAreRecovered() throws IOException {
+        writeGoldenFile("empty", "log-0", "segment-without-records");
         try (DurableLog log = open("empty")) {
             assertEquals(List.of(), log.recoveredRecords());
             assertEquals(0, log.nextRecordNumber());
             assertEquals(0, log.tornBytes());
         }
-        place("three", "log-0", "segment-of-three-records");
+        writeGoldenFile("three", "log-0", "segment-of-three-records");
         try (DurableLog log = open("three")) {
             assertNull(log.recoveredSnapshot());
             assertEquals(3, log.recoveredRecords().size());
@@ -94,9 +97,9 @@
         }
         assertEquals(
                 GoldenFile.read(FILE).get("snapshot-after-three-records"),
-                bytes("three", "snap-3"));
-        place("both", "snap-3", "snapshot-after-three-records");
-        place("both", "log-3", "segment-after-the-snapshot");
+                hexOfFile("three", "snap-3"));
+        writeGoldenFile("both", "snap-3", "snapshot-after-three-records");
+        writeGoldenFile("both", "log-3", "segment-after-the-snapshot");
         try (DurableLog log = open("both")) {
             assertArrayEquals(STATE, log.recoveredSnapshot());
             assertEquals(1, log.recoveredRecords().size());
