--- a/src/main/java/tinlink/securechannel/Handshake.java
+++ b/src/main/java/tinlink/securechannel/Handshake.java
@@ -4,19 +4,26 @@
 import java.util.function.Supplier;
 
 /**
- * One handshake between two routers: the initiator has sent HELLO, the responder CHALLENGE, each with a fresh
- * nonce, and each proves with a shared key that it has seen both, so that a recorded handshake proves
- * nothing. HMAC-SHA256 under the key of that id. Not thread-safe.
+ * The authentication handshake between two routers. The initiator sends HELLO and the responder
+ * sends CHALLENGE, each with a fresh nonce. Each side then proves that it has the shared key by an
+ * HMAC-SHA256 over both messages; because of the nonces, the proofs of a recorded handshake can't
+ * be replayed. Not thread-safe.
  */
 public final class Handshake {
-    /** Of each side's nonce. */
+    /** Length of a nonce. */
     public static final int NONCE_BYTES = 32;
-    /** Of each side's proof, an HMAC-SHA256. */
+    /** Length of a proof, which is an HMAC-SHA256. */
     public static final int PROOF_BYTES = 32;
 
     private static final String SESSION_LABEL = "session";
 
-    /** Keep a proof of one protocol and side from counting as that of another. */
+    /**
+     * Labels of the proofs. They differ for each protocol and side, so that a proof of one protocol
+     * or side is not valid for another.
+     *
+     * @param responder label of the responder's proof
+     * @param initiator label of the initiator's proof
+     */
     public record Labels(String responder, String initiator) {}
 
     private final Supplier<KeyRing> keys;
@@ -26,12 +33,13 @@
     private final byte[] challenge;
 
     /**
-     * The handshake once both of its first messages are known.
+     * Creates the handshake once HELLO and CHALLENGE are known.
      *
-     * @param keys the ring as it is at each step; a key may be removed from it in between
-     * @param keyId the key that the initiator has named
-     * @param hello the body of HELLO
-     * @param challenge the body of CHALLENGE, up to the responder's proof
+     * @param keys returns the current key ring; a key may be removed from it during the handshake
+     * @param keyId id of the key that the initiator has named
+     * @param labels labels of the protocol
+     * @param hello body of HELLO
+     * @param challenge body of CHALLENGE before the responder's proof
      */
     public Handshake(
             Supplier<KeyRing> keys, String keyId, Labels labels, byte[] hello, byte[] challenge) {
@@ -42,27 +50,27 @@
         this.challenge = challenge;
     }
 
-    /** Returns a nonce for one handshake. */
+    /** Returns a new nonce for one handshake. */
     public static byte[] newNonce(SecureRandom random) {
         byte[] nonce = new byte[NONCE_BYTES];
         random.nextBytes(nonce);
         return nonce;
     }
 
-    /** Returns the proof of the side that has sent CHALLENGE. */
+    /** Returns the proof of the responder. */
     public byte[] responderProof() {
         return keys.get().proof(keyId, labels.responder(), hello, challenge);
     }
 
-    /** False also where the key is no longer in the ring. */
+    /** Returns whether the responder's proof is valid; false if the key was removed. */
     public boolean isResponderProof(byte[] proof) {
         return keys.get().contains(keyId) && KeyRing.constantTimeEquals(proof, responderProof());
     }
 
     /**
-     * The proof of the side that has sent HELLO.
+     * Returns the proof of the initiator.
      *
-     * @param claims what the initiator says besides, in its last message before the proof
+     * @param claims other fields that the proof covers, from the message that carries the proof
      */
     public byte[] initiatorProof(byte[]... claims) {
         byte[][] proven = new byte[2 + claims.length][];
@@ -72,13 +80,13 @@
         return keys.get().proof(keyId, labels.initiator(), proven);
     }
 
-    /** False also where the key is no longer in the ring. */
+    /** Returns whether the initiator's proof is valid; false if the key was removed. */
     public boolean isInitiatorProof(byte[] proof, byte[]... claims) {
         return keys.get().contains(keyId)
                 && KeyRing.constantTimeEquals(proof, initiatorProof(claims));
     }
 
-    /** From which both sides derive the keys of the two directions. */
+    /** Returns the secret from which both sides derive the keys of the two directions. */
     public byte[] sessionSecret() {
         return keys.get().proof(keyId, SESSION_LABEL, hello, challenge);
     }
--- a/src/main/java/tinlink/securechannel/Hmac.java
+++ b/src/main/java/tinlink/securechannel/Hmac.java
@@ -8,13 +8,13 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** HMAC-SHA256 as proofs, session keys and tags use it. */
+/** HMAC-SHA256 for proofs, session keys and tags. */
 final class Hmac {
     private static final String ALGORITHM = "HmacSHA256";
 
     private Hmac() {}
 
-    /** A function under that key, for one thread. */
+    /** Returns an HMAC function with that key; it is not thread-safe. */
     static Mac withKey(byte[] key) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
@@ -22,13 +22,13 @@
             return mac;
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(
-                    "this JVM has no " + ALGORITHM, e); // Every Java platform has to have it.
+                    "this JVM does not support " + ALGORITHM, e); // Every Java platform has to.
         }
     }
 
     /**
-     * Over a label and parts; each part is preceded by its length, so that no two lists of parts
-     * are alike.
+     * Returns the HMAC of a label and parts. The length of each part is included, so that different
+     * lists of parts never result in the same input.
      */
     static byte[] compute(byte[] key, String label, byte[]... parts) {
         Mac mac = withKey(key);
@@ -41,7 +41,8 @@
     }
 
     /**
-     * Danger: a comparison that ends at the first wrong byte tells a guesser how far it was right.
+     * Compares in constant time. The time of a comparison that ends at the first difference tells
+     * an attacker how many bytes of a guess are correct.
      */
     static boolean constantTimeEquals(byte[] first, byte[] second) {
         return MessageDigest.isEqual(first, second);
