--- a/src/main/java/tinlink/securechannel/FrameFormat.java
+++ b/src/main/java/tinlink/securechannel/FrameFormat.java
@@ -1,24 +1,25 @@
 package tinlink.securechannel;
 
 /**
- * A frame on a connection between two routers, all numbers big-endian: the length of what follows
- * (4 bytes), the message type (1), the message body, and, once both sides are authenticated, an
- * authentication tag (16).
+ * The format of a frame on a connection between two routers. A frame consists of a length (4
+ * bytes), the message type (1 byte), the message body and, once both sides are authenticated, an
+ * authentication tag (16 bytes). The length covers everything after itself. All numbers are
+ * big-endian.
  */
 public final class FrameFormat {
     static final int LENGTH_BYTES = Integer.BYTES;
     static final int TYPE_BYTES = Byte.BYTES;
-    /** What a message costs on the connection beside its body and tag. */
+    /** Bytes of a frame before the message body. */
     public static final int HEADER_BYTES = LENGTH_BYTES + TYPE_BYTES;
-    /** The first bytes of an HMAC-SHA256. */
+    /** Length of a tag, which is an HMAC-SHA256 truncated to its first bytes. */
     public static final int TAG_BYTES = 16;
 
     private FrameFormat() {}
 
     /**
-     * What stands before the body.
+     * Returns the bytes before the message body.
      *
-     * @param bodyAndTagBytes length of what follows the type
+     * @param bodyAndTagBytes length of the message body and the tag
      */
     static byte[] header(byte type, int bodyAndTagBytes) {
         int length = TYPE_BYTES + bodyAndTagBytes;
--- a/src/main/java/tinlink/securechannel/FrameReader.java
+++ b/src/main/java/tinlink/securechannel/FrameReader.java
@@ -6,33 +6,40 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts the bytes of a connection into frames and bounds their length. Belongs to the event loop's
- * thread.
+ * Splits the bytes received on a connection into frames, and bounds the length of a frame. Must be
+ * used on the event loop's thread only.
  */
 final class FrameReader {
-    /** Is given the frames. */
+    /** Receives the frames. */
     interface Handler {
         /**
-         * A frame is complete.
+         * Called for each complete frame.
          *
-         * @param frame the frame without its length: type, body, and the tag if there is one
-         * @throws MessageRejectedException where the frame is not one that may come now
+         * @param type the message type
+         * @param frame the frame without its length field: type, body, and the tag if there is one
+         * @throws MessageRejectedException if the frame is not allowed in the current state
          */
         void onFrame(byte type, byte[] frame) throws MessageRejectedException;
     }
 
     private final Handler handler;
     private final int maxAuthenticatedLength;
+    /** Maximum length of a frame at present, without its length field. */
     private int maxLength;
+    /** How many bytes of the length field of the current frame have been read. */
     private int lengthBytesRead;
+    /** The length field of the current frame, as far as it has been read. */
     private int length;
-    /** Bytes of the frame that is coming in; null while its length is. */
+    /** The current frame without its length field; null until the length field is complete. */
     private ByteBuffer frame;
 
     /**
-     * @param maxHandshakeLength bytes that a frame may have until the other side is authenticated,
-     *     so that an unknown one can't make this side hold much
-     * @param maxAuthenticatedLength bytes that it may have after that
+     * Creates a reader. Lengths are in bytes and don't include the length field.
+     *
+     * @param handler receives the frames
+     * @param maxHandshakeLength maximum length of a frame until the peer is authenticated, which
+     *     bounds the memory that an unknown peer can make this side allocate
+     * @param maxAuthenticatedLength maximum length of a frame after that
      */
     FrameReader(Handler handler, int maxHandshakeLength, int maxAuthenticatedLength) {
         this.handler = handler;
@@ -40,20 +47,20 @@
         this.maxAuthenticatedLength = maxAuthenticatedLength;
     }
 
-    /** From here on frames may have the length of an authenticated peer's. */
+    /** Raises the maximum length of a frame to that of an authenticated peer. */
     void peerAuthenticated() {
         maxLength = maxAuthenticatedLength;
     }
 
-    /** Whether no frame has begun that is not complete yet. */
+    /** Returns whether the bytes read so far end with a complete frame. */
     boolean isAtFrameBoundary() {
         return lengthBytesRead == 0;
     }
 
     /**
-     * Takes all bytes that are there.
+     * Consumes all received bytes.
      *
-     * @throws MessageRejectedException where a length is out of bounds
+     * @throws MessageRejectedException if the length of a frame is out of bounds
      */
     void read(RingBuffer received) throws MessageRejectedException {
         while (received.size() > 0) {
@@ -76,8 +83,8 @@
         length = (length << Byte.SIZE) | (next & 0xff);
         if (++lengthBytesRead == FrameFormat.LENGTH_BYTES) {
             if (length < FrameFormat.TYPE_BYTES || length > maxLength) {
-                throw MessageCodec.malformed("a message of length " + length + ", allowed "
-                        + FrameFormat.TYPE_BYTES + " to " + maxLength);
+                throw MessageCodec.malformed("frame length " + length + " is not between "
+                        + FrameFormat.TYPE_BYTES + " and " + maxLength);
             }
             frame = ByteBuffer.allocate(length);
         }
--- a/src/main/java/tinlink/securechannel/MessageCodec.java
+++ b/src/main/java/tinlink/securechannel/MessageCodec.java
@@ -8,45 +8,47 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The fields that messages between routers are made of. Numbers are big-endian; a text is its
- * length (1 byte, of a long text 4) and so many bytes of UTF-8. Reads past the end of a buffer
- * throw {@link java.nio.BufferUnderflowException}, which closes the connection as a malformed
- * message does.
+ * Encodes and decodes the fields of messages between routers. Numbers are big-endian. A text
+ * consists of its length in bytes (1 byte, or 4 bytes for a long text) and its UTF-8 bytes. Reading
+ * past the end of a buffer throws {@link java.nio.BufferUnderflowException}, which closes the
+ * connection like a malformed message.
  */
 public class MessageCodec {
     private static final int MAX_TEXT_BYTES = 255;
-    /** The status that a client would get; between routers it has no use. */
+    /** HTTP status that the exception requires; connections between routers don't use it. */
     private static final int BAD_REQUEST = 400;
 
-    /** For subclasses that name the messages of one protocol. */
+    /** For subclasses that define the messages of one protocol. */
     protected MessageCodec() {}
 
     /**
      * Reads a text of at most 255 bytes.
      *
-     * @throws MessageRejectedException where it is not UTF-8, or goes past the message's end
+     * @throws MessageRejectedException if it is not UTF-8 or exceeds the message
      */
     public static String readText(ByteBuffer buffer) throws MessageRejectedException {
         return decodeUtf8(slice(buffer, buffer.get() & 0xff));
     }
 
     /**
-     * Reads a text of at most that many bytes.
+     * Reads a long text.
      *
-     * @throws MessageRejectedException where it has more, or as {@link #readText}
+     * @param maxLength maximum length in bytes
+     * @throws MessageRejectedException if it is too long or not UTF-8, or exceeds the message
      */
     public static String readLongText(ByteBuffer buffer, int maxLength)
             throws MessageRejectedException {
         int length = buffer.getInt();
         if (length < 0 || length > maxLength) {
-            throw malformed("a text of " + length + " bytes");
+            throw malformed("text length " + length + " is not between 0 and " + maxLength);
         }
         return decodeUtf8(slice(buffer, length));
     }
 
     private static ByteBuffer slice(ByteBuffer buffer, int length) throws MessageRejectedException {
         if (length > buffer.remaining()) {
-            throw malformed("a text of " + length + " bytes past the message's end");
+            throw malformed("text of " + length + " bytes exceeds the remaining "
+                    + buffer.remaining() + " bytes of the message");
         }
         ByteBuffer slice = buffer.slice().limit(length);
         buffer.position(buffer.position() + length);
@@ -54,38 +56,39 @@
     }
 
     /**
-     * Reads all of the bytes.
+     * Decodes all remaining bytes as UTF-8.
      *
-     * @throws MessageRejectedException where they are not UTF-8
+     * @throws MessageRejectedException if they are not UTF-8
      */
     public static String decodeUtf8(ByteBuffer bytes) throws MessageRejectedException {
         try {
             return JsonReader.decodeUtf8(bytes);
         } catch (CharacterCodingException e) {
-            throw malformed("a text that is not UTF-8");
+            throw malformed("text is not valid UTF-8");
         }
     }
 
     /**
-     * Reads so many bytes.
+     * Reads that many bytes.
      *
-     * @throws MessageRejectedException where fewer are left
+     * @throws MessageRejectedException if fewer bytes remain
      */
     public static byte[] readBytes(ByteBuffer buffer, int length) throws MessageRejectedException {
         if (length < 0 || length > buffer.remaining()) {
-            throw malformed("cut short: " + length + " bytes of " + buffer.remaining());
+            throw malformed("field of " + length + " bytes exceeds the remaining "
+                    + buffer.remaining() + " bytes of the message");
         }
         byte[] value = new byte[length];
         buffer.get(value);
         return value;
     }
 
-    /** For a message that the protocol does not allow. */
+    /** Returns the exception for a message that violates the protocol. */
     public static MessageRejectedException malformed(String problem) {
         return new MessageRejectedException(BAD_REQUEST, problem);
     }
 
-    /** Builds a message, field by field. Grows as needed; bounds are the sender's own. */
+    /** Builds a message field by field. The size of the message is not bounded. */
     public static final class Builder {
         private static final int INITIAL_BYTES = 128;
 
@@ -98,56 +101,57 @@
             return buffer;
         }
 
-        /** The lowest 8 bits. */
+        /** Appends the lowest 8 bits. */
         public Builder putByte(int value) {
             withRoomFor(Byte.BYTES).put((byte) value);
             return this;
         }
 
-        /** The lowest 16 bits. */
+        /** Appends the lowest 16 bits. */
         public Builder putShort(int value) {
             withRoomFor(Short.BYTES).putShort((short) value);
             return this;
         }
 
-        /** All 32 bits. */
+        /** Appends 32 bits. */
         public Builder putInt(int value) {
             withRoomFor(Integer.BYTES).putInt(value);
             return this;
         }
 
-        /** All 64 bits. */
+        /** Appends 64 bits. */
         public Builder putLong(long value) {
             withRoomFor(Long.BYTES).putLong(value);
             return this;
         }
 
         /**
-         * A text with its length of 1 byte.
+         * Appends a text with a length of 1 byte.
          *
-         * @throws IllegalArgumentException where it has more than 255 bytes of UTF-8
+         * @throws IllegalArgumentException if it has more than 255 bytes of UTF-8
          */
         public Builder putText(String value) {
             byte[] encoded = value.getBytes(StandardCharsets.UTF_8);
             if (encoded.length > MAX_TEXT_BYTES) {
-                throw new IllegalArgumentException("a text of " + encoded.length + " bytes");
+                throw new IllegalArgumentException("text has " + encoded.length
+                        + " bytes of UTF-8, more than the maximum of " + MAX_TEXT_BYTES);
             }
             return putByte(encoded.length).putBytes(encoded);
         }
 
-        /** A text with its length of 4 bytes. */
+        /** Appends a text with a length of 4 bytes. */
         public Builder putLongText(String value) {
             byte[] encoded = value.getBytes(StandardCharsets.UTF_8);
             return putInt(encoded.length).putBytes(encoded);
         }
 
-        /** As they are, without their length. */
+        /** Appends the bytes without a length. */
         public Builder putBytes(byte[] value) {
             withRoomFor(value.length).put(value);
             return this;
         }
 
-        /** The message. Called once, at the end. */
+        /** Returns the message. Must be called once, at the end. */
         public byte[] build() {
             byte[] message = new byte[buffer.position()];
             buffer.flip().get(message);
