--- a/src/main/java/tinlink/securechannel/FrameAuthenticator.java
+++ b/src/main/java/tinlink/securechannel/FrameAuthenticator.java
@@ -6,26 +6,30 @@
 import javax.crypto.Mac;
 
 /**
- * The tags of the frames that go one way on one connection. Danger: a byte that was changed on the
- * way must not become a value, nor may a frame come twice, out of order or from elsewhere; so each
- * tag covers the number of its frame, and each direction has a key of its own. Belongs to the event
- * loop's thread.
+ * Computes the authentication tags of the frames in one direction of one connection. A frame that
+ * was modified, replayed, reordered or taken from elsewhere must not be accepted. Therefore each
+ * tag covers the number of its frame, and each direction has its own key. Must be used on the event
+ * loop's thread only.
  */
 public final class FrameAuthenticator {
     private static final int NUMBER_AND_TYPE_BYTES = Long.BYTES + Byte.BYTES;
 
     private final Mac mac;
+    /** Number of the next frame; the first frame has number 0. */
     private long frameNumber;
 
-    /** For the frames of one direction, from the first one on. */
+    /** Creates the authenticator for the frames of one direction, starting with the first. */
     public FrameAuthenticator(byte[] key) {
         mac = Hmac.withKey(key);
     }
 
     /**
-     * The tag of the next frame.
+     * Returns the tag of the next frame.
      *
-     * @param body holds the message's body, {@code length} bytes from the offset on
+     * @param type the message type
+     * @param body array that holds the message body
+     * @param offset position of the message body in the array
+     * @param length length of the message body in bytes
      */
     public byte[] nextTag(byte type, byte[] body, int offset, int length) {
         mac.update(ByteBuffer.allocate(NUMBER_AND_TYPE_BYTES)
--- a/src/main/java/tinlink/securechannel/SecureSession.java
+++ b/src/main/java/tinlink/securechannel/SecureSession.java
@@ -13,9 +13,9 @@
 import java.util.logging.Logger;
 
 /**
- * One connection between two routers, on either side: messages in frames, each with a tag once both
- * sides are authenticated. Which messages there are, the handshake's too, is up to its subclasses.
- * Belongs to the event loop's thread.
+ * One side of a connection between two routers. Messages are sent in frames, which have an
+ * authentication tag once both sides are authenticated. Subclasses define the messages, including
+ * those of the handshake. Must be used on the event loop's thread only.
  */
 public abstract class SecureSession implements Connection.Listener, FrameReader.Handler {
     private static final byte[] NO_TAG = {};
@@ -23,24 +23,25 @@
     private final EventLoop loop;
     private final FrameReader frameReader;
     private final long messageTimeoutUs;
-    /** Null until {@link #attach}. */
+    /** The connection; null until {@link #attach}. */
     protected Connection connection;
 
-    /** Null until both sides are authenticated. */
-    private SessionKeys keys;
+    /** Authenticators of the frames; null until both sides are authenticated. */
+    private SessionAuthenticators authenticators;
     /**
-     * Runs until both sides are authenticated, and from then on while a frame has begun and is not
-     * complete.
+     * Closes the connection if the next message of the handshake is late or, once both sides are
+     * authenticated, if a frame is not completed in time. Null while neither is awaited.
      */
     private EventLoop.Timer deadline;
 
     /**
-     * A session without a connection yet.
+     * Creates a session without a connection. Lengths are in bytes and don't include the length
+     * field of a frame.
      *
-     * @param messageTimeoutUs within which a frame that has begun has to be complete, microseconds
-     * @param maxHandshakeLength bytes of a frame, without its length, until both sides are
-     *     authenticated
-     * @param maxAuthenticatedLength bytes of a frame after that
+     * @param messageTimeoutUs time within which a frame has to be complete after its first byte,
+     *     microseconds
+     * @param maxHandshakeLength maximum length of a frame until both sides are authenticated
+     * @param maxAuthenticatedLength maximum length of a frame after that
      */
     protected SecureSession(
             EventLoop loop,
@@ -53,16 +54,17 @@
     }
 
     /**
-     * Called once, before anything is sent.
+     * Sets the connection. Must be called once, before a message is sent.
      *
-     * @param handshakeTimeoutUs for the handshake's next message
+     * @param handshakeTimeoutUs time within which the next message of the handshake has to arrive,
+     *     microseconds
      */
     public void attach(Connection connection, long handshakeTimeoutUs) {
         this.connection = connection;
         restartHandshakeDeadline(handshakeTimeoutUs);
     }
 
-    /** The next message of the handshake has to come within that time, microseconds from now. */
+    /** Requires the next message of the handshake within that time from now, microseconds. */
     protected void restartHandshakeDeadline(long handshakeTimeoutUs) {
         closeAfter(handshakeTimeoutUs, CloseReason.CONNECT_TIMEOUT);
     }
@@ -78,13 +80,13 @@
     }
 
     /**
-     * Both sides are authenticated: from here on each frame has a tag.
+     * Adds a tag to each frame from now on. Must be called once both sides are authenticated.
      *
-     * @param secret of this connection alone
-     * @param isInitiator whether this side has opened the connection
+     * @param secret session secret of this connection
+     * @param initiator whether this side has opened the connection
      */
-    protected void enableAuthentication(byte[] secret, boolean isInitiator) {
-        keys = SessionKeys.derive(secret, isInitiator);
+    protected void enableAuthentication(byte[] secret, boolean initiator) {
+        authenticators = SessionAuthenticators.derive(secret, initiator);
         frameReader.peerAuthenticated();
         cancelDeadline();
     }
@@ -96,24 +98,26 @@
         }
     }
 
-    /** Whether both sides have been authenticated, even if the connection is closed by now. */
+    /** Returns whether both sides were authenticated, even if the connection is closed by now. */
     public boolean wasAuthenticated() {
-        return keys != null;
+        return authenticators != null;
     }
 
-    /** Whether both sides are authenticated and the connection is open. */
+    /** Returns whether both sides are authenticated and the connection is open. */
     public boolean isAuthenticated() {
-        return keys != null && !connection.isClosed();
+        return authenticators != null && !connection.isClosed();
     }
 
-    /** Bytes that wait to be taken by the kernel. */
+    /** Returns how many bytes are buffered and not yet written to the socket. */
     public int outboundBacklogBytes() {
         return connection.out().size();
     }
 
     /** Sends a message and returns the position in the outbound stream at which it ends. */
     public long send(byte type, byte[] body) {
-        byte[] tag = keys == null ? NO_TAG : keys.outbound().nextTag(type, body, 0, body.length);
+        byte[] tag = authenticators == null
+                ? NO_TAG
+                : authenticators.outbound().nextTag(type, body, 0, body.length);
         RingBuffer out = connection.out();
         out.put(FrameFormat.header(type, body.length + tag.length));
         out.put(body).put(tag);
@@ -136,8 +140,8 @@
             if (frameReader.isAtFrameBoundary()) {
                 cancelDeadline();
             } else {
-                // Danger: a frame that stops in its middle, or whose length was changed on the way,
-                // holds up all behind it.
+                // A frame that is never completed blocks all frames behind it. It may be truncated,
+                // or its length field may have been modified in transit.
                 closeAfter(messageTimeoutUs, CloseReason.PROTOCOL_ERROR);
             }
         }
@@ -145,24 +149,26 @@
 
     @Override
     public void onFrame(byte type, byte[] frame) throws MessageRejectedException {
-        int bodyEnd = keys == null ? frame.length : verifyTag(type, frame);
+        int bodyEnd = authenticators == null ? frame.length : verifyTag(type, frame);
         if (!connection.isClosed()) {
             int bodyBytes = bodyEnd - FrameFormat.TYPE_BYTES;
             onMessage(type, ByteBuffer.wrap(frame, FrameFormat.TYPE_BYTES, bodyBytes), frame);
         }
     }
 
-    /** Where the body ends and the tag begins; the tag is right. */
+    /** Verifies the tag and returns the position at which the body ends and the tag begins. */
     private int verifyTag(byte type, byte[] frame) throws MessageRejectedException {
         int bodyEnd = frame.length - FrameFormat.TAG_BYTES;
         if (bodyEnd < FrameFormat.TYPE_BYTES) {
-            throw MessageCodec.malformed("a frame of " + frame.length + " bytes has no tag");
+            throw MessageCodec.malformed(
+                    "frame of " + frame.length + " bytes is too short to have a tag");
         }
-        byte[] expected = keys.inbound()
+        byte[] expected = authenticators
+                .inbound()
                 .nextTag(type, frame, FrameFormat.TYPE_BYTES, bodyEnd - FrameFormat.TYPE_BYTES);
         byte[] actual = Arrays.copyOfRange(frame, bodyEnd, frame.length);
         if (!KeyRing.constantTimeEquals(expected, actual)) {
-            throw MessageCodec.malformed("a wrong authentication tag");
+            throw MessageCodec.malformed("frame has a wrong authentication tag");
         }
         return bodyEnd;
     }
@@ -174,25 +180,25 @@
     }
 
     /**
-     * A message has come, and its tag is right where there has to be one.
+     * Handles a message. If both sides are authenticated, its tag has been verified.
      *
+     * @param type the message type
      * @param body the message without type and tag
-     * @param frame type, body and tag as they came
-     * @throws MessageRejectedException where the message is not allowed; the connection is closed
-     *     then
+     * @param frame the received type, body and tag
+     * @throws MessageRejectedException if the message is not allowed; the connection is then closed
      */
     protected abstract void onMessage(byte type, ByteBuffer body, byte[] frame)
             throws MessageRejectedException;
 
-    /** The connection is closed; called once. */
+    /** Called once, when the connection has been closed. */
     protected abstract void onClosed(CloseReason closeReason);
 
-    /** The other side's name, for logs. */
+    /** Returns the name of the peer, for logs. */
     protected abstract String peerName();
 
-    /** Counts an event of that name. */
+    /** Increments the counter with that name. */
     protected abstract void incrementCounter(String counter);
 
-    /** Where events of this session are logged. */
+    /** Returns the logger for events of this session. */
     protected abstract Logger logger();
 }
--- a/src/main/java/tinlink/securechannel/UnauthenticatedSessions.java
+++ b/src/main/java/tinlink/securechannel/UnauthenticatedSessions.java
@@ -6,19 +6,21 @@
 import java.util.Set;
 
 /**
- * Sessions that were accepted and have not authenticated yet, oldest first; each leaves as it does, or ends.
- * Danger: connections that never authenticate would hold all capacity; the oldest gives way.
+ * The accepted sessions that are not authenticated yet. Their number is bounded, since connections
+ * that never authenticate would otherwise occupy all capacity. Beyond the bound, the oldest session
+ * is closed.
  */
 public final class UnauthenticatedSessions {
     private final int maxSessions;
+    /** Oldest first. A session is removed once it is authenticated or closed. */
     private final Set<SecureSession> sessions = new LinkedHashSet<>();
 
-    /** None yet, and room for so many. */
+    /** Creates an empty set. */
     public UnauthenticatedSessions(int maxSessions) {
         this.maxSessions = maxSessions;
     }
 
-    /** Closes the oldest where there are too many. */
+    /** Adds a session, and closes the oldest session if there are too many. */
     public void add(SecureSession session) {
         sessions.add(session);
         if (sessions.size() > maxSessions) {
@@ -26,17 +28,17 @@
         }
     }
 
-    /** It has authenticated, or ended. */
+    /** Removes a session that has been authenticated or closed. */
     public void remove(SecureSession session) {
         sessions.remove(session);
     }
 
-    /** Returns how many there are. */
+    /** Returns the number of sessions. */
     public int size() {
         return sessions.size();
     }
 
-    /** Closes all, as the router stops. */
+    /** Closes all sessions; called when the router stops. */
     public void closeAll() {
         Set.copyOf(sessions).forEach(session -> session.close(CloseReason.COMPLETED));
     }
