--- a/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
+++ b/src/test/java/tinlink/securechannel/SecureChannelGoldenFilesTest.java
@@ -34,7 +34,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
 
-/** Proofs, seals and frames of links between routers, byte for byte as earlier builds made them. */
+/**
+ * Compares proofs, authentication tags and frames of connections between routers byte for byte with
+ * golden files that earlier builds have written.
+ */
 @Timeout(30)
 class SecureChannelGoldenFilesTest {
     private static final byte[] SECRET = ascii("a secret that both sides know....");
@@ -83,50 +86,52 @@
         });
     }
 
-    // ---- What messages are made of. ----
+    // ---- Fields of messages ----
 
-    private static Map<String, String> pieces() {
+    private static Map<String, String> encodedFields() {
         Map<String, String> all = new LinkedHashMap<>();
-        all.put("one-byte", made(new MessageCodec.Builder().putByte(0xfe)));
-        all.put("two-bytes", made(new MessageCodec.Builder().putShort(0x0102)));
-        all.put("four-bytes", made(new MessageCodec.Builder().putInt(0x01020304)));
-        all.put("eight-bytes", made(new MessageCodec.Builder().putLong(0x0102030405060708L)));
-        all.put("text", made(new MessageCodec.Builder().putText("router é")));
-        all.put("long-text", made(new MessageCodec.Builder().putLongText("line é\twith a tab")));
-        all.put("raw-bytes", made(new MessageCodec.Builder().putBytes(new byte[] {9, 8, 7})));
+        all.put("one-byte", encoded(new MessageCodec.Builder().putByte(0xfe)));
+        all.put("two-bytes", encoded(new MessageCodec.Builder().putShort(0x0102)));
+        all.put("four-bytes", encoded(new MessageCodec.Builder().putInt(0x01020304)));
+        all.put("eight-bytes", encoded(new MessageCodec.Builder().putLong(0x0102030405060708L)));
+        all.put("text", encoded(new MessageCodec.Builder().putText("router é")));
+        all.put("long-text", encoded(new MessageCodec.Builder().putLongText("line é\twith a tab")));
+        all.put("raw-bytes", encoded(new MessageCodec.Builder().putBytes(new byte[] {9, 8, 7})));
         all.put(
                 "past-the-first-buffer",
-                made(new MessageCodec.Builder().putBytes(body(3)).putLong(-2).putText("")));
+                encoded(new MessageCodec.Builder().putBytes(body(3)).putLong(-2).putText("")));
         return all;
     }
 
-    private static String made(MessageCodec.Builder out) {
-        return GoldenFile.hex(out.build());
+    private static String encoded(MessageCodec.Builder builder) {
+        return GoldenFile.hex(builder.build());
     }
 
     @Test
-    void piecesOfMessagesAreWrittenAndReadAsTheyWere() throws Exception {
+    void fieldsAreEncodedAndDecodedAsInTheGoldenFile() throws Exception {
         String file = "channel-pieces.txt";
-        GoldenFile.holds(file, "Pieces of messages between routers, in hex.", pieces());
-        Map<String, ByteBuffer> in = new LinkedHashMap<>();
-        GoldenFile.read(file).forEach((k, v) -> in.put(k, ByteBuffer.wrap(GoldenFile.bytes(v))));
-        assertEquals((byte) 0xfe, in.get("one-byte").get());
-        assertEquals(0x0102, in.get("two-bytes").getShort());
-        assertEquals(0x01020304, in.get("four-bytes").getInt());
-        assertEquals(0x0102030405060708L, in.get("eight-bytes").getLong());
-        assertEquals("router é", MessageCodec.readText(in.get("text")));
-        assertEquals("line é\twith a tab", MessageCodec.readLongText(in.get("long-text"), 100));
-        assertArrayEquals(new byte[] {9, 8, 7}, MessageCodec.readBytes(in.get("raw-bytes"), 3));
-        assertArrayEquals(body(3), MessageCodec.readBytes(in.get("past-the-first-buffer"), 120));
-        assertEquals(-2, in.get("past-the-first-buffer").getLong());
-        assertEquals("", MessageCodec.readText(in.get("past-the-first-buffer")));
-        in.forEach((name, rest) -> assertEquals(0, rest.remaining(), name));
+        GoldenFile.holds(file, "Pieces of messages between routers, in hex.", encodedFields());
+        Map<String, ByteBuffer> fields = new LinkedHashMap<>();
+        GoldenFile.read(file)
+                .forEach((name, hex) -> fields.put(name, ByteBuffer.wrap(GoldenFile.bytes(hex))));
+        assertEquals((byte) 0xfe, fields.get("one-byte").get());
+        assertEquals(0x0102, fields.get("two-bytes").getShort());
+        assertEquals(0x01020304, fields.get("four-bytes").getInt());
+        assertEquals(0x0102030405060708L, fields.get("eight-bytes").getLong());
+        assertEquals("router é", MessageCodec.readText(fields.get("text")));
+        assertEquals("line é\twith a tab", MessageCodec.readLongText(fields.get("long-text"), 100));
+        assertArrayEquals(new byte[] {9, 8, 7}, MessageCodec.readBytes(fields.get("raw-bytes"), 3));
+        assertArrayEquals(
+                body(3), MessageCodec.readBytes(fields.get("past-the-first-buffer"), 120));
+        assertEquals(-2, fields.get("past-the-first-buffer").getLong());
+        assertEquals("", MessageCodec.readText(fields.get("past-the-first-buffer")));
+        fields.forEach((name, rest) -> assertEquals(0, rest.remaining(), name));
     }
 
-    // ---- Proofs and seals. ----
+    // ---- Proofs and authentication tags ----
 
     @Test
-    void proofsAndSealsAreAsTheyWere() throws Exception {
+    void proofsAndTagsAreAsInTheGoldenFile() throws Exception {
         KeyRing keys = new KeyRing(
                 Map.of("k1", ascii("0123456789abcdef"), "k2", ascii("fedcba9876543210")), "k2");
         Map<String, String> all = new LinkedHashMap<>();
@@ -137,42 +142,43 @@
         all.put("key-of-one-direction", GoldenFile.hex(KeyRing.mac(SECRET, "to the far side")));
         FrameAuthenticator authenticator = new FrameAuthenticator(SECRET);
         for (int i = 0; i < FRAMES; i++) {
-            byte[] b = body(i);
-            all.put("seal-" + i, GoldenFile.hex(authenticator.nextTag(type(i), b, 0, b.length)));
+            byte[] body = body(i);
+            byte[] tag = authenticator.nextTag(type(i), body, 0, body.length);
+            all.put("seal-" + i, GoldenFile.hex(tag));
         }
         GoldenFile.holds("channel-proofs.txt", "HMAC-SHA256 proofs and seals, in hex.", all);
     }
 
-    // ---- Frames on a connection. ----
+    // ---- Frames on a connection ----
 
-    /** One side of a connection; what it hears is written down. */
-    private static final class Side extends SecureSession {
+    /** The session under test; it records the messages and events that it receives. */
+    private static final class RecordingSession extends SecureSession {
         private static final Logger LOG = Logger.getLogger("tinlink.golden");
-        final CompletableFuture<Void> up = new CompletableFuture<>();
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        final CompletableFuture<Void> connected = new CompletableFuture<>();
+        final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
-        Side(EventLoop loop) {
+        RecordingSession(EventLoop loop) {
             super(loop, 5_000_000, 1 << 10, 1 << 16);
         }
 
-        void seals(boolean near) {
-            enableAuthentication(SECRET, near);
+        void authenticate(boolean initiator) {
+            enableAuthentication(SECRET, initiator);
         }
 
         @Override
         public void connected() {
-            up.complete(null);
+            connected.complete(null);
         }
 
         @Override
         protected void onMessage(byte type, ByteBuffer body, byte[] frame)
                 throws MessageRejectedException {
-            heard.add(shown(type, MessageCodec.readBytes(body, body.remaining())));
+            events.add(message(type, MessageCodec.readBytes(body, body.remaining())));
         }
 
         @Override
-        protected void onClosed(CloseReason how) {
-            heard.add("over");
+        protected void onClosed(CloseReason closeReason) {
+            events.add("closed");
         }
 
         @Override
@@ -181,8 +187,8 @@
         }
 
         @Override
-        protected void incrementCounter(String what) {
-            heard.add(what);
+        protected void incrementCounter(String counter) {
+            events.add(counter);
         }
 
         @Override
@@ -191,41 +197,41 @@
         }
     }
 
-    private static String shown(byte type, byte[] body) {
+    private static String message(byte type, byte[] body) {
         return type + " " + GoldenFile.hex(body);
     }
 
-    /** A side of the code under test, with a plain socket at its other end. */
+    /** A connection between the session under test and a plain socket. */
     private final class Connection implements AutoCloseable {
-        final Side side = new Side(loop);
+        final RecordingSession session = new RecordingSession(loop);
         final Socket socket;
-        final DataInputStream in;
+        final DataInputStream input;
 
         Connection() throws Exception {
             try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
+                InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
                 loop.execute(() -> {
                     try {
-                        side.attach(network.connect(at, side), 5_000_000);
+                        session.attach(network.connect(address, session), 5_000_000);
                     } catch (IOException e) {
-                        side.up.completeExceptionally(e);
+                        session.connected.completeExceptionally(e);
                     }
                 });
                 socket = server.accept();
                 socket.setSoTimeout(5000);
             }
-            in = new DataInputStream(socket.getInputStream());
-            side.up.get(5, TimeUnit.SECONDS);
+            input = new DataInputStream(socket.getInputStream());
+            session.connected.get(5, TimeUnit.SECONDS);
         }
 
-        String frame() throws IOException {
-            byte[] head = in.readNBytes(4);
-            byte[] rest = in.readNBytes(ByteBuffer.wrap(head).getInt());
-            return GoldenFile.hex(head) + GoldenFile.hex(rest);
+        String readFrame() throws IOException {
+            byte[] length = input.readNBytes(4);
+            byte[] rest = input.readNBytes(ByteBuffer.wrap(length).getInt());
+            return GoldenFile.hex(length) + GoldenFile.hex(rest);
         }
 
-        String heard() throws InterruptedException {
-            return side.heard.poll(5, TimeUnit.SECONDS);
+        String nextEvent() throws InterruptedException {
+            return session.events.poll(5, TimeUnit.SECONDS);
         }
 
         @Override
@@ -234,28 +240,28 @@
         }
     }
 
-    private List<String> writes(boolean near) throws Exception {
+    private List<String> sentFrames(boolean initiator) throws Exception {
         List<String> frames = new ArrayList<>();
-        try (Connection c = new Connection()) {
+        try (Connection connection = new Connection()) {
             loop.execute(() -> {
-                c.side.send(type(0), body(1));
-                c.side.seals(near);
+                connection.session.send(type(0), body(1));
+                connection.session.authenticate(initiator);
                 for (int i = 0; i < FRAMES; i++) {
-                    c.side.send(type(i), body(i));
+                    connection.session.send(type(i), body(i));
                 }
             });
             for (int i = 0; i < FRAMES + 1; i++) {
-                frames.add(c.frame());
+                frames.add(connection.readFrame());
             }
         }
         return frames;
     }
 
     @Test
-    void framesAreWrittenAndReadAsTheyWere() throws Exception {
+    void framesAreSentAndReceivedAsInTheGoldenFile() throws Exception {
         Map<String, String> all = new LinkedHashMap<>();
         for (String side : List.of("near", "far")) {
-            List<String> frames = writes(side.equals("near"));
+            List<String> frames = sentFrames(side.equals("near"));
             all.put(side + "-unsealed", frames.get(0));
             for (int i = 0; i < FRAMES; i++) {
                 all.put(side + "-sealed-" + i, frames.get(i + 1));
@@ -265,36 +271,43 @@
         GoldenFile.holds(file, "Whole frames by a fixed secret, in hex.", all);
         Map<String, String> golden = GoldenFile.read(file);
         for (String side : List.of("near", "far")) {
-            hears(golden, side);
+            assertFramesAreReceived(golden, side);
         }
     }
 
-    /** What the one side has written, the other reads; no changed byte is read as if it were none. */
-    private void hears(Map<String, String> golden, String side) throws Exception {
-        try (Connection c = new Connection()) {
-            c.socket.getOutputStream().write(GoldenFile.bytes(golden.get(side + "-unsealed")));
-            assertEquals(shown(type(0), body(1)), c.heard());
-            CompletableFuture<Void> sealed = new CompletableFuture<>();
+    /**
+     * Checks that the other side receives the frames of one side, and that it closes the connection
+     * on a frame with a corrupted tag.
+     */
+    private void assertFramesAreReceived(Map<String, String> golden, String side) throws Exception {
+        try (Connection connection = new Connection()) {
+            connection
+                    .socket
+                    .getOutputStream()
+                    .write(GoldenFile.bytes(golden.get(side + "-unsealed")));
+            assertEquals(message(type(0), body(1)), connection.nextEvent());
+            CompletableFuture<Void> authenticated = new CompletableFuture<>();
             loop.execute(() -> {
-                c.side.seals(side.equals("far"));
-                sealed.complete(null);
+                connection.session.authenticate(side.equals("far"));
+                authenticated.complete(null);
             });
-            sealed.get(5, TimeUnit.SECONDS);
+            authenticated.get(5, TimeUnit.SECONDS);
             for (int i = 0; i < FRAMES; i++) {
-                c.socket
+                connection
+                        .socket
                         .getOutputStream()
                         .write(GoldenFile.bytes(golden.get(side + "-sealed-" + i)));
-                assertEquals(shown(type(i), body(i)), c.heard());
+                assertEquals(message(type(i), body(i)), connection.nextEvent());
             }
-            assertTrue(c.side.heard.isEmpty());
+            assertTrue(connection.session.events.isEmpty());
         }
-        try (Connection c = new Connection()) {
+        try (Connection connection = new Connection()) {
             byte[] corrupted = GoldenFile.bytes(golden.get(side + "-sealed-0"));
             corrupted[corrupted.length - 1] ^= 1;
-            loop.execute(() -> c.side.seals(side.equals("far")));
-            c.socket.getOutputStream().write(corrupted);
-            assertEquals("malformed", c.heard());
-            assertEquals("over", c.heard());
+            loop.execute(() -> connection.session.authenticate(side.equals("far")));
+            connection.socket.getOutputStream().write(corrupted);
+            assertEquals("malformed", connection.nextEvent());
+            assertEquals("closed", connection.nextEvent());
         }
     }
 }
