--- a/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * The data nodes that all routers have agreed on, and a digest of them by which two routers find out that
- * they mean the same set. Immutable.
+ * An immutable set of the data nodes that the replicated maintenance state holds. Two routers compare their
+ * sets by digest.
  */
 public final class AgreedNodes {
     private final TreeMap<String, Machine> byId = new TreeMap<>();
@@ -23,25 +23,25 @@
     }
 
     /**
-     * The data nodes among the machines.
+     * Returns the set of the data nodes among the machines.
      *
-     * @param machines all that are agreed on; routers among them are skipped
+     * @param machines the machines of the replicated state; routers are skipped
      */
     public static AgreedNodes from(Collection<Machine> machines) {
         return new AgreedNodes(machines);
     }
 
-    /** 64 bits; the same for the same nodes, in whatever order they were agreed on. */
+    /** Returns a 64-bit hash of the nodes; it does not depend on their order. */
     public long digest() {
         return digest;
     }
 
-    /** The node with that id; null where there is none. */
+    /** Returns the data node with this id, or null if there is none. */
     public Machine node(String nodeId) {
         return byId.get(nodeId);
     }
 
-    /** All nodes, by their ids. */
+    /** Returns all data nodes, sorted by id. */
     public Collection<Machine> all() {
         return byId.values();
     }
--- a/src/main/java/tinlink/maintenance/scheduling/CommandOutcome.java
+++ b/src/main/java/tinlink/maintenance/scheduling/CommandOutcome.java
@@ -1,8 +1,8 @@
 package tinlink.maintenance.scheduling;
 
-/** What came of a command, the same in all routers. */
+/** The result of applying a command; all routers get the same result. */
 public sealed interface CommandOutcome {
-    /** The command was carried out, or had been before. */
+    /** The command was applied, or an equal one had been applied before. */
     record Accepted() implements CommandOutcome {
         @Override
         public String message() {
@@ -11,9 +11,10 @@
     }
 
     /**
-     * The command was not carried out, or not in full.
+     * The command was rejected, in whole or in part.
      *
-     * @param detail what exactly is rejected; may be empty
+     * @param detail what was rejected, for example the ids of machines; appended to the reason's message; may
+     *     be empty
      */
     record Rejected(Rejection reason, String detail) implements CommandOutcome {
         @Override
@@ -22,21 +23,21 @@
         }
     }
 
-    /** The command was carried out. */
+    /** Returns the outcome of an accepted command. */
     static CommandOutcome accepted() {
         return new Accepted();
     }
 
-    /** The command was rejected for that reason. */
+    /** Returns the outcome of a rejected command, without detail. */
     static CommandOutcome rejected(Rejection reason) {
         return new Rejected(reason, "");
     }
 
-    /** The command was rejected for that reason, which the detail ends. */
+    /** Returns the outcome of a rejected command; the detail ends the message. */
     static CommandOutcome rejected(Rejection reason, String detail) {
         return new Rejected(reason, detail);
     }
 
-    /** For whoever proposed the command; empty where it was accepted. */
+    /** Returns the text that the proposer of the command receives; empty if the command was accepted. */
     String message();
 }
