--- a/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DisruptionBudget.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** How many machines of each failure domain are available now, against how many have to be. */
+/**
+ * Counts the available machines of each failure domain and compares the counts with the minimums that {@link
+ * DisruptionLimits} sets.
+ */
 final class DisruptionBudget {
     private static final class Count {
         int total;
@@ -14,34 +17,42 @@
     }
 
     private final DisruptionLimits limits;
-    /** As many as there are blocks, zones and sites. */
+    /**
+     * By failure domain, in the order in which the machines name the domains. Its size is bounded by the
+     * numbers of cells, zones and sites.
+     */
     private final Map<FailureDomain, Count> counts = new LinkedHashMap<>();
 
-    /** @param isAvailable whether a machine counts */
+    /** @param available returns whether a machine counts as available */
     DisruptionBudget(
-            DisruptionLimits limits, Collection<Machine> machines, Predicate<Machine> isAvailable) {
+            DisruptionLimits limits, Collection<Machine> machines, Predicate<Machine> available) {
         this.limits = limits;
         for (Machine machine : machines) {
-            int available = isAvailable.test(machine) ? 1 : 0;
+            int increment = available.test(machine) ? 1 : 0;
             for (FailureDomain domain : FailureDomain.containing(machine)) {
                 Count count = counts.computeIfAbsent(domain, d -> new Count());
                 count.total++;
-                count.available += available;
+                count.available += increment;
             }
         }
     }
 
-    /** The first limit that is violated as it is, for operators; empty where all hold. */
+    /** Returns a description of the first limit that is violated already; empty if none is. */
     Optional<String> violation() {
         return counts.keySet().stream()
-                // Voters with none to spare are no reason to stop maintenance elsewhere.
+                // Voters that cannot spare a member do not block maintenance of other machines.
                 .filter(domain -> domain.kind() != FailureDomain.Kind.VOTERS)
                 .filter(domain -> counts.get(domain).available < minimum(domain))
                 .findFirst()
                 .map(this::describe);
     }
 
-    /** The first limit that would be violated without this machine, which counts now. */
+    /**
+     * Returns a description of the first limit that would be violated without this machine; empty if none
+     * would be.
+     *
+     * @param machine a machine that is counted as available
+     */
     Optional<String> violationWithout(Machine machine) {
         return FailureDomain.containing(machine).stream()
                 .filter(domain -> counts.get(domain).available - 1 < minimum(domain))
@@ -49,7 +60,7 @@
                 .map(this::describe);
     }
 
-    /** The machine, which counted, is not available from now on. */
+    /** Counts a machine, which was counted as available, as unavailable from now on. */
     void remove(Machine machine) {
         FailureDomain.containing(machine).forEach(domain -> counts.get(domain).available--);
     }
@@ -58,6 +69,7 @@
         return limits.minimum(domain, counts.get(domain).total);
     }
 
+    /** The text becomes part of a task's reason, which is stored, so its wording must not change. */
     private String describe(FailureDomain domain) {
         Count count = counts.get(domain);
         return domain + ": " + count.available + " of " + count.total + " are sound and here, "
--- a/src/main/java/tinlink/maintenance/scheduling/DisruptionLimits.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DisruptionLimits.java
@@ -1,16 +1,17 @@
 package tinlink.maintenance.scheduling;
 
 /**
- * What has to stay available while machines are out, and how large the state of maintenance may grow.
+ * The limits on maintenance: how many machines must stay available, and how large the replicated maintenance
+ * state may grow. Times are microseconds of agreed time ({@link MaintenanceState#agreedTimeUs}).
  *
- * @param minReplicas healthy data nodes that each card block keeps
- * @param minZoneShare share of its data nodes, and of its routers, that each zone keeps
- * @param minSiteShare the same for each site
- * @param warmUpUs how long a machine that came back has to have been healthy before it counts
- * @param grantTimeoutUs how long a grant may wait to be started
- * @param agingStepUs after so long a task counts as one step more urgent
- * @param maxTasks tasks above which finished requests are forgotten, the oldest first
- * @param maxEntries open tasks, machines and routers, each
+ * @param minReplicas number of available data nodes that each cell keeps
+ * @param minZoneShare share of its data nodes, and of its routers, that each zone keeps available, 0 to 1
+ * @param minSiteShare share of its data nodes, and of its routers, that each site keeps available, 0 to 1
+ * @param warmUpUs time for which a returned machine must have been healthy before it counts as available
+ * @param grantTimeoutUs time after which a grant that has not been started ends
+ * @param agingStepUs waiting time that raises the urgency of a task by 1
+ * @param maxTasks number of tasks above which finished requests are dropped, the oldest first
+ * @param maxEntries maximum number of open tasks, of machines and of routers, each
  */
 public record DisruptionLimits(
         int minReplicas,
@@ -21,17 +22,24 @@
         long agingStepUs,
         int maxTasks,
         int maxEntries) {
-    /** Before any have been agreed on: machines may become known, nothing else. Compared by identity. */
+    /**
+     * The limits before any have been agreed on. They allow machines to be registered, but no tasks. Compared
+     * by identity.
+     */
     static final DisruptionLimits UNSET = new DisruptionLimits(0, 0, 0, 1, 1, 1, 0, 1 << 14);
 
-    /** What a share of many may be off by through rounding. */
+    /** Tolerance for the rounding error of a share multiplied by a number of machines. */
     private static final double ROUNDING_ERROR = 1e-9;
 
-    /** The machines of a failure domain that have to stay available. A site keeps one in any case. */
+    /**
+     * Returns how many machines of a failure domain must stay available. A site keeps at least one.
+     *
+     * @param total number of machines in the domain, available or not
+     */
     int minimum(FailureDomain domain, int total) {
         return switch (domain.kind()) {
             case BLOCK -> minReplicas;
-            case VOTERS -> total / 2 + 2; // A majority, and one to spare.
+            case VOTERS -> total / 2 + 2; // A majority and one spare.
             case ZONE_NODES, ZONE_ROUTERS -> roundedUp(minZoneShare, total);
             case SITE_NODES, SITE_ROUTERS -> Math.max(1, roundedUp(minSiteShare, total));
         };
--- a/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
+++ b/src/main/java/tinlink/maintenance/scheduling/FailureDomain.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Machines of one sort that must not lose too many of them at once.
+ * A group of machines of one kind of which a minimum must stay available.
  *
- * @param name of the block, zone or site; empty for the voters
+ * @param name the cell's number, the zone or the site; empty for the voters
  */
 record FailureDomain(Kind kind, String name) {
-    /** What the machines have in common. */
+    /** What the machines share. A block is the data nodes of one cell, which hold the same shards. */
     enum Kind {
         BLOCK,
         VOTERS,
@@ -18,7 +18,7 @@
         SITE_ROUTERS
     }
 
-    /** All domains that a machine belongs to. */
+    /** Returns all failure domains that a machine belongs to. */
     static List<FailureDomain> containing(Machine machine) {
         if (!machine.isRouter()) {
             return List.of(
@@ -33,7 +33,7 @@
                 : List.of(zone, site);
     }
 
-    /** As operators read it. */
+    /** The text becomes part of a task's reason, which is stored, so its wording must not change. */
     @Override
     public String toString() {
         return switch (kind) {
