--- a/src/main/java/tinlink/maintenance/scheduling/DrainController.java
+++ b/src/main/java/tinlink/maintenance/scheduling/DrainController.java
@@ -8,67 +8,78 @@
 import java.util.TreeSet;
 
 /**
- * What one router does by the agreed state: which data nodes it cordons, when it confirms that it has nothing
- * in flight there, and when it drains its own clients. It acts by what it knows to be agreed, never by a
- * time.
+ * Derives from the replicated maintenance state what one router does: which data nodes it cordons, when it
+ * confirms that it has nothing in flight at them, and when it drains its own clients. These decisions depend
+ * on the state alone, never on elapsed time.
  *
- * <p>What it proposes may get lost, so it proposes it again while it still follows from the state. An old
- * copy of the state does no harm: a grant that has ended is rejected as it is started, and a router that
- * drains by a task that was cancelled counts as out until it has confirmed that it serves. Belongs to one
- * thread.
+ * <p>Proposals can be lost, so the controller repeats a proposal for as long as it follows from the state. An
+ * outdated copy of the state does no harm: starting a grant that has ended is rejected, and a router that
+ * drains for a cancelled task counts as out until it confirms that it serves. Not thread-safe.
  */
 public final class DrainController {
-    /** Carries out what is decided. */
+    /** Carries out the decisions. */
     public interface DrainHandler {
-        /** Proposes a command to whoever leads; it may get lost. */
+        /** Proposes a command to the leader; the proposal may be lost. */
         void propose(MaintenanceCommand command);
 
-        /** Whether nothing new goes to this data node from now on, or again as usual. */
+        /** Cordons a data node, which then gets no new attempts, or ends its cordon. */
         void setCordoned(String machine, boolean cordoned);
 
-        /** Whether this router lets its clients finish and go from now on, or serves them again. */
+        /** Drains this router, which finishes the requests of its clients, or lets it serve again. */
         void setDraining(boolean draining);
 
-        /** Has {@link #decide} called at that time, microseconds. */
+        /**
+         * Schedules a call of {@link DrainController#decide}.
+         *
+         * @param atUs microseconds of the clock of {@link DrainController#setTime}
+         */
         void wakeAt(long atUs);
     }
 
-    /** What this router has in flight. */
+    /** Counts what this router has in flight. */
     public interface InFlightCounts {
-        /** Parts in flight at this data node, or queued for it. */
+        /** Returns the number of parts in flight at this data node or queued for it. */
         int partsInFlight(String machine);
 
-        /** Clients that are connected, and parts in flight for them at any data node. */
+        /** Returns the number of connected clients plus the parts in flight for them at any data node. */
         int clientsInFlight();
     }
 
-    /** What follows from the state for this router. */
+    /** The actions that follow from the state for this router. */
     private static final class Plan {
         final Set<String> cordons = new TreeSet<>();
         final List<MaintenanceCommand> proposals = new ArrayList<>();
-        boolean drain;
+        boolean draining;
     }
 
     private final String router;
     private final String incarnation;
     private final long retryIntervalUs;
+    /** Data nodes that the previous incarnation cordoned; in force until this incarnation is registered. */
     private final Set<String> restoredCordons;
+    /** Data nodes that this router cordons now. */
     private final Set<String> cordoned = new TreeSet<>();
+
     private boolean draining;
-    /** When each command was last proposed; those that no longer follow leave. */
+    /**
+     * By command: when this router last proposed it, microseconds. Commands that no longer follow from the
+     * state are removed.
+     */
     private final Map<MaintenanceCommand, Long> proposedAtUs = new HashMap<>();
 
     private long nowUs;
+    /** When the handler has last been asked to call {@link #decide}, microseconds; initially never. */
     private long wakeAtUs = Long.MAX_VALUE;
 
-    /** @param retryIntervalUs what got lost is proposed again after so long, microseconds */
+    /** @param retryIntervalUs time after which a proposal is repeated, microseconds */
     public DrainController(String router, String incarnation, long retryIntervalUs) {
         this(router, incarnation, retryIntervalUs, Set.of());
     }
 
     /**
-     * @param retryIntervalUs what got lost is proposed again after so long, microseconds
-     * @param restoredCordons what the previous incarnation cordoned: so does this one until it knows better
+     * @param retryIntervalUs time after which a proposal is repeated, microseconds
+     * @param restoredCordons data nodes that the previous incarnation cordoned; this incarnation cordons them
+     *     until it is registered
      */
     public DrainController(
             String router, String incarnation, long retryIntervalUs, Set<String> restoredCordons) {
@@ -79,34 +90,34 @@
     }
 
     /**
-     * Sets the time of what is decided from here on, in microseconds.
+     * Sets the time that the next decisions use.
      *
-     * @param timeUs of a clock that only goes forward
+     * @param timeUs microseconds of a monotonic clock
      */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
 
-    /** Whether this router drains its clients. */
+    /** Returns whether this router drains its clients. */
     public boolean isDraining() {
         return draining;
     }
 
     /**
-     * Danger: a router that has just started knows of no maintenance, and nobody waits for its confirmation,
-     * since only its previous incarnation is known; what it sends goes to machines that are out. So it serves
-     * once its incarnation is agreed on, or has been awaited for long enough: serving never depends on
-     * consensus.
+     * Returns whether the state names this incarnation of the router. Before that, the router may know of no
+     * maintenance, and drains wait only for its previous incarnation, so that the router could send to
+     * machines that are out. The router therefore starts to serve once it is registered, or after a bounded
+     * wait, since serving must never depend on consensus.
      */
     public boolean isRegistered(MaintenanceState state) {
         return state.isCurrent(router, incarnation);
     }
 
-    /** Carries out one decision; false when there is none. */
+    /** Passes one decision to the handler; returns false if there is none. */
     public boolean decide(MaintenanceState state, InFlightCounts inFlight, DrainHandler handler) {
         Plan plan = plan(state, inFlight);
         return updateCordons(plan.cordons, handler)
-                || updateDraining(plan.drain, handler)
+                || updateDraining(plan.draining, handler)
                 || propose(plan.proposals, handler);
     }
 
@@ -123,15 +134,15 @@
                 continue;
             }
             if (!machine.isRouter()) {
-                planNode(task, inFlight, plan);
+                planNodeTask(task, inFlight, plan);
             } else if (machine.id().equals(router)) {
-                planOwn(task, registered, inFlight, plan);
+                planOwnTask(task, registered, inFlight, plan);
             }
         }
         return plan;
     }
 
-    private void planNode(MaintenanceTask task, InFlightCounts inFlight, Plan plan) {
+    private void planNodeTask(MaintenanceTask task, InFlightCounts inFlight, Plan plan) {
         String node = task.machine();
         if (task.isCordoned()) {
             plan.cordons.add(node);
@@ -143,17 +154,15 @@
         }
     }
 
-    private void planOwn(
+    private void planOwnTask(
             MaintenanceTask task, boolean registered, InFlightCounts inFlight, Plan plan) {
         boolean started = task.isStartedBy(incarnation);
         TaskState taskState = task.state();
-        // Danger: started again while it is out, it would serve, and its operator, who has been
-        // told that it is
-        // out, would take it from under its clients. Only by a state that knows of this start: one
-        // from before
-        // it is history.
-        boolean isOut = registered && task.isOut();
-        plan.drain |= isOut || (started && taskState != TaskState.RETURNING);
+        // A router that is restarted while it is out must not serve: its operator, who has been
+        // told that it is out, would cut off its clients. The state must name this incarnation,
+        // because a state from before its start may be outdated.
+        boolean out = registered && task.isOut();
+        plan.draining |= out || (started && taskState != TaskState.RETURNING);
         if (taskState == TaskState.GRANTED || (taskState == TaskState.DRAINING && !started)) {
             plan.proposals.add(
                     new MaintenanceCommand.StartDrain(router, task.fencingToken(), incarnation));
