--- a/src/main/java/tinlink/maintenance/scheduling/Grant.java
+++ b/src/main/java/tinlink/maintenance/scheduling/Grant.java
@@ -5,12 +5,15 @@
 import java.util.Set;
 
 /**
- * The newest grant of a task, and who acts by it. Its other fields keep their values when it has ended, until
- * the next one.
+ * The newest grant of a task, and the progress of the routers under it. When a grant ends, its fencing token
+ * becomes 0; the other fields keep their values until the next grant.
  */
 final class Grant {
     private long fencingToken;
-    /** Routers, with their incarnations, that have nothing in flight at the machine any more. */
+    /**
+     * The routers, each with its incarnation, that have confirmed that they have nothing in flight at the
+     * machine. Emptied by the next grant and when the task is finished.
+     */
     private final Set<String> drainedBy = new LinkedHashSet<>();
 
     private String startedBy = "";
@@ -19,7 +22,7 @@
 
     Grant() {}
 
-    /** A copy that changes on its own from here. */
+    /** Creates an independent copy. */
     Grant(Grant other) {
         fencingToken = other.fencingToken;
         drainedBy.addAll(other.drainedBy);
@@ -28,12 +31,16 @@
         servingAgain = other.servingAgain;
     }
 
-    /** Begins the next one. */
-    void renew(long newToken, boolean hasFailed) {
+    /**
+     * Replaces this grant by the next one, which no router has started.
+     *
+     * @param unhealthy whether the machine is unhealthy now
+     */
+    void renew(long newToken, boolean unhealthy) {
         fencingToken = newToken;
         drainedBy.clear();
         startedBy = "";
-        machineHadFailed = hasFailed;
+        machineHadFailed = unhealthy;
         servingAgain = false;
     }
 
@@ -41,12 +48,15 @@
         fencingToken = 0;
     }
 
-    /** Rises with each grant of the fleet; 0 where none holds. What comes with another is rejected. */
+    /**
+     * Returns the token, which is higher than that of any earlier grant of the fleet; 0 if no grant is held.
+     * Commands that carry another token are rejected.
+     */
     long fencingToken() {
         return fencingToken;
     }
 
-    /** The incarnation of a router that drains itself by this grant; empty where none does yet. */
+    /** Returns the incarnation of the router that drains itself under this grant; empty if none does yet. */
     String startedBy() {
         return startedBy;
     }
@@ -55,7 +65,7 @@
         startedBy = incarnation;
     }
 
-    /** Whether that incarnation of that router has nothing in flight at the machine any more. */
+    /** Returns whether this incarnation of the router has confirmed that it has nothing in flight there. */
     boolean isDrainedBy(String router, String incarnation) {
         return drainedBy.contains(entry(router, incarnation));
     }
@@ -72,12 +82,12 @@
         return router + " " + incarnation;
     }
 
-    /** Whether the machine was unhealthy when it was granted, so that no limit was checked. */
+    /** Returns whether the machine was unhealthy when it was granted, so that no limit was checked. */
     boolean machineHadFailed() {
         return machineHadFailed;
     }
 
-    /** Whether the router that the task is for has said itself that it serves again. */
+    /** Returns whether the router that the task is for has confirmed that it serves again. */
     boolean isServingAgain() {
         return servingAgain;
     }
@@ -86,14 +96,14 @@
         servingAgain = true;
     }
 
-    /** As it stands in snapshots. */
+    /** Returns the drain confirmations in the form that snapshots have. */
     String storedDrainedBy() {
         return String.join(",", drainedBy);
     }
 
-    /** Sets all but the token, which {@link #renew} sets, as a snapshot has it. */
-    void restore(boolean isServing, String startedByIncarnation, String storedDrainedBy) {
-        servingAgain = isServing;
+    /** Restores from a snapshot what {@link #renew} does not set. */
+    void restore(boolean serving, String startedByIncarnation, String storedDrainedBy) {
+        servingAgain = serving;
         startedBy = startedByIncarnation;
         if (!storedDrainedBy.isEmpty()) {
             drainedBy.addAll(List.of(storedDrainedBy.split(",")));
--- a/src/main/java/tinlink/maintenance/scheduling/GrantScheduler.java
+++ b/src/main/java/tinlink/maintenance/scheduling/GrantScheduler.java
@@ -5,12 +5,14 @@
 import java.util.Optional;
 
 /**
- * Which waiting tasks are granted, and in which order: the most urgent first, as far as the limits allow. The
- * same state gives the same grants in all routers. Urgency rises with the time waited (aging), so that a task
- * that is easily granted can't be passed over for ever; one that has waited for long keeps its place free.
+ * Grants waiting tasks, the most urgent first, as far as the limits allow. The same state gives the same
+ * grants in all routers. Urgency rises with the waiting time (aging), so that no task is passed over forever;
+ * capacity is reserved for a task that has waited long and still cannot be granted.
+ *
+ * <p>The reasons that it sets are stored with the tasks, so their wording must not change.
  */
 final class GrantScheduler {
-    /** A task that has waited for so many steps of aging has capacity reserved for it. */
+    /** Number of aging steps after which capacity is reserved for a waiting task. */
     private static final int STARVATION_AGING_STEPS = 2;
 
     private final MaintenanceState state;
@@ -19,7 +21,7 @@
         this.state = state;
     }
 
-    /** Grants what can be granted now, and sets the reason of what can't. */
+    /** Grants all waiting tasks that can be granted now, and sets the reason of the others. */
     void grantWaiting() {
         List<MaintenanceTask> waiting = state.openTasks().stream()
                 .filter(task -> task.state() == TaskState.WAITING)
@@ -45,8 +47,7 @@
         if (state.activeTask(task.machine()) != null) {
             task.setReason("other work is being done on it");
         } else if (!state.isHealthy(task.machine())) {
-            // A machine that has failed counts for nothing already; taking it out loses nothing
-            // more.
+            // A failed machine is unavailable already; taking it out costs no availability.
             grant(task, machine, true);
         } else if (violation.isPresent()) {
             task.setReason("nothing is granted while " + violation.get());
@@ -56,6 +57,7 @@
         }
     }
 
+    /** Returns whether the limits allow the task; otherwise sets its reason. */
     private boolean fits(MaintenanceTask task, Machine machine, DisruptionBudget budget) {
         Optional<String> violation = budget.violationWithout(machine);
         if (violation.isEmpty()) {
@@ -63,29 +65,34 @@
         }
         task.setReason("without it " + violation.get());
         if (waitedUs(task) >= STARVATION_AGING_STEPS * state.limits().agingStepUs()) {
-            budget.remove(
-                    machine); // Its capacity is reserved: less urgent tasks that need it wait.
+            // The machine's capacity is reserved: less urgent tasks that need it wait.
+            budget.remove(machine);
         }
         return false;
     }
 
-    private void grant(MaintenanceTask task, Machine machine, boolean hasFailed) {
-        task.grant().renew(state.nextFencingToken(), hasFailed);
+    private void grant(MaintenanceTask task, Machine machine, boolean unhealthy) {
+        task.grant().renew(state.nextFencingToken(), unhealthy);
         task.setReason("");
         task.setDeadlineUs(state.agreedTimeUs() + state.limits().grantTimeoutUs());
         state.enter(task, TaskState.GRANTED);
         if (!machine.isRouter()) {
-            startDrain(task); // Nobody has to be up for it: all routers cordon it from here on.
+            // A data node takes no part in its drain: all routers cordon it from now on.
+            startDrain(task);
         }
     }
 
-    /** The grant is acted by, and ends by time no more. */
+    /** Starts the drain of a granted task; from now on its grant does not time out. */
     void startDrain(MaintenanceTask task) {
         state.enter(task, TaskState.DRAINING);
         task.setDeadlineUs(MaintenanceTask.NEVER);
     }
 
-    /** Why the machine can't be granted even with all machines available; empty where it can. */
+    /**
+     * Returns why a machine could not be granted even if all machines were available; empty if it could be.
+     *
+     * @param machineId empty if the request names no machine
+     */
     Optional<String> impossibleBecause(String machineId) {
         if (machineId.isEmpty()) {
             return Optional.of("it names no machine");
@@ -100,9 +107,9 @@
     }
 
     /**
-     * The limit that is violated without this machine as things are now, if it counts itself. Danger: a
-     * machine that has failed is granted whatever its block lacks; healthy again, it is what the block has
-     * left.
+     * Returns a description of the limit that would be violated now without this machine, which is counted as
+     * available; empty if none would be. A failed machine is granted without a check of the limits, but if it
+     * becomes healthy again, its block may depend on it.
      */
     Optional<String> violationWithout(Machine machine) {
         return new DisruptionBudget(
