--- a/src/main/java/tinlink/maintenance/scheduling/Machine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/Machine.java
@@ -1,35 +1,36 @@
 package tinlink.maintenance.scheduling;
 
 /**
- * A machine that may be taken out for maintenance, as all routers agree on it.
+ * A machine that can be taken out for maintenance, as the replicated state describes it.
  *
- * @param cell the card block that it holds a replica of; below 0 for a router
- * @param voter whether it is a router that votes in consensus
+ * @param cell number of the cell that a data node belongs to; negative for a router
+ * @param voter whether the machine is a router that votes in consensus
  */
 public record Machine(
         String id, Kind kind, int cell, String zone, String site, String model, boolean voter) {
-    /** What a machine does. */
+    /** The role of a machine. */
     public enum Kind {
-        /** Holds a replica of a card block. */
+        /** A data node, which holds a replica of the shards of its cell. */
         NODE,
-        /** Sends queries on to data nodes. */
+        /** A router, which sends the parts of lookups to data nodes. */
         ROUTER
     }
 
-    /** @throws IllegalArgumentException where the id is empty */
+    /** @throws IllegalArgumentException if the id is empty */
     public Machine {
         if (id.isEmpty()) {
-            throw new IllegalArgumentException("a machine without a name");
+            throw new IllegalArgumentException("machine id must not be empty: " + kind + " in zone "
+                    + zone + ", site " + site);
         }
     }
 
-    /** Whether it is a router, and no data node. */
+    /** Returns whether the machine is a router rather than a data node. */
     public boolean isRouter() {
         return kind == Kind.ROUTER;
     }
 
-    /** The same, as one that votes or does not. */
-    Machine withVoter(boolean isVoter) {
-        return isVoter == voter ? this : new Machine(id, kind, cell, zone, site, model, isVoter);
+    /** Returns this machine with another value of {@link #voter}. */
+    Machine withVoter(boolean votes) {
+        return votes == voter ? this : new Machine(id, kind, cell, zone, site, model, votes);
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MachineTable.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineTable.java
@@ -5,15 +5,21 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** The machines agreed on, and since when each has been healthy or unhealthy, in agreed microseconds. */
+/**
+ * The machines of the replicated state, and since when each has been healthy or unhealthy, in microseconds of
+ * agreed time.
+ */
 final class MachineTable {
-    /** By id. One that is on no list any more leaves once no task for it is active. */
+    /**
+     * By machine id; bounded by {@link DisruptionLimits#maxEntries}. A machine that is no longer on the
+     * endpoint lists is removed once no task for it is active.
+     */
     private final Map<String, Machine> machines = new TreeMap<>();
-    /** Of unhealthy machines; leaves with the machine. */
+    /** By id of an unhealthy machine; an entry is removed with its machine. */
     private final Map<String, Long> unhealthySince = new TreeMap<>();
-    /** When a machine last became healthy; leaves with the machine. */
+    /** By machine id, when the machine last became healthy; an entry is removed with its machine. */
     private final Map<String, Long> healthySince = new TreeMap<>();
-    /** Computed when it is asked for; null after the machines have changed. */
+    /** Cache of {@link #agreedNodes()}; null until it is requested after a change of the machines. */
     private AgreedNodes agreedNodes;
 
     void copyFrom(MachineTable other) {
@@ -26,7 +32,7 @@
         return machines.values();
     }
 
-    /** The machine with that id; null where there is none. */
+    /** Returns the machine with this id, or null if there is none. */
     Machine get(String machineId) {
         return machines.get(machineId);
     }
@@ -38,7 +44,7 @@
         return agreedNodes;
     }
 
-    /** Adds or replaces a machine; a new one counts as healthy. */
+    /** Adds or replaces a machine; a new machine counts as healthy. */
     void put(Machine machine, long nowUs) {
         agreedNodes = null;
         if (machines.put(machine.id(), machine) == null) {
@@ -46,7 +52,7 @@
         }
     }
 
-    /** Returns whether there was such a machine. */
+    /** Removes a machine; returns false if there was none with this id. */
     boolean remove(String machineId) {
         if (machines.remove(machineId) == null) {
             return false;
@@ -61,9 +67,9 @@
         return !unhealthySince.containsKey(machineId);
     }
 
-    /** Since when it has been healthy; that other time where nothing is known of it. */
-    long healthySinceUs(String machineId, long otherwise) {
-        return healthySince.getOrDefault(machineId, otherwise);
+    /** Returns since when a machine has been healthy, or the default if that is not known. */
+    long healthySinceUs(String machineId, long defaultUs) {
+        return healthySince.getOrDefault(machineId, defaultUs);
     }
 
     void setHealth(String machineId, boolean healthy, long nowUs) {
