--- a/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
@@ -7,54 +7,59 @@
 import java.util.TreeMap;
 
 /**
- * Which machines this router watches, and whether it finds them healthy. Each machine is watched by a few
- * routers, chosen alike by all from the names alone ({@link WatcherAssignment}); where one of those fails,
- * the next takes over. Free of I/O: probes are pulled, and their results, and those of the calls that are
- * made anyway, are passed in. Belongs to one thread.
+ * Determines which machines this router watches, and whether the data nodes among them are healthy. Each
+ * machine is watched by a few routers, which all routers derive alike from the names alone ({@link
+ * WatcherAssignment}); if one of them fails, the next one takes over. The class does no I/O: the caller runs
+ * the probes that {@link #decide} starts, and passes in their results and those of the router's attempts. Not
+ * thread-safe.
  */
 public final class MachineFailureDetector {
-    /** Carries out a probe; its end is passed to {@link #onProbeResult}. */
+    /** Runs a probe and passes its result to {@link #onProbeResult}. */
     public interface Prober {
-        /** Starts one probe of that machine. */
+        /** Starts one probe of the machine. */
         void probe(String machine);
     }
 
-    /** What is known of one machine. */
-    private static final class ProbeHistory {
-        /** Probes that failed in a row; below 0 none has ended yet. */
+    /** The recent results of probes and attempts at one data node. Times are microseconds. */
+    private static final class NodeHistory {
+        /** Number of consecutive failed probes; -1 until the first probe has ended. */
         int failedProbes = -1;
-        /** Calls that failed in a row; emptied by one that is answered, or by time. */
-        int failedCalls;
+        /** Number of consecutive failed attempts; reset by an answered attempt and by expiry. */
+        int failedAttempts;
 
-        long firstFailedCallUs;
-        long lastFailedCallUs;
+        long firstFailedAttemptUs;
+        long lastFailedAttemptUs;
         long nextProbeUs;
         boolean healthy = true;
     }
 
-    /** So many calls have to fail in a row before they count. */
-    private static final int CALL_FAILURE_THRESHOLD = 4;
-    /** Failed calls expire after so many rounds with none made: nothing goes there any more. */
-    private static final int CALL_FAILURE_EXPIRY_ROUNDS = 8;
+    /** Number of consecutive failed attempts from which they count against a data node. */
+    private static final int ATTEMPT_FAILURE_THRESHOLD = 4;
+    /**
+     * Number of probe intervals after which failed attempts expire if none follows: a data node that gets no
+     * attempts any more cannot answer one.
+     */
+    private static final int ATTEMPT_FAILURE_EXPIRY_INTERVALS = 8;
 
     private final String router;
     private final WatcherAssignment assignment;
     private final long probeIntervalUs;
     private final int probeFailureThreshold;
-    /** By data node that this router watches. */
-    private final Map<String, ProbeHistory> histories = new TreeMap<>();
+    /** By id of a data node that this router watches. */
+    private final Map<String, NodeHistory> histories = new TreeMap<>();
 
-    /** Data nodes on this router's list. */
+    /** Ids of the data nodes on this router's endpoint list. */
     private final Set<String> nodes = new HashSet<>();
-    /** Other routers, as far as they are known, whether they answer or not. */
+    /** Names of the other known routers, whether they answer or not. */
     private final Set<String> otherRouters = new HashSet<>();
 
     private long nowUs;
 
     /**
-     * @param watchers routers that watch one machine
-     * @param probeIntervalUs between two probes of it, microseconds
-     * @param probeFailureThreshold failed probes in a row make it unhealthy; one that succeeds, healthy again
+     * @param watchers number of routers that watch one machine
+     * @param probeIntervalUs time between two probes of a data node, microseconds
+     * @param probeFailureThreshold number of consecutive failed probes that make a data node unhealthy; one
+     *     successful probe makes it healthy again
      */
     public MachineFailureDetector(
             String router, int watchers, long probeIntervalUs, int probeFailureThreshold) {
@@ -65,20 +70,20 @@
     }
 
     /**
-     * Sets the time of what is decided from here on, in microseconds.
+     * Sets the time that the next results and decisions have.
      *
-     * @param timeUs of a clock that only goes forward
+     * @param timeUs microseconds of a monotonic clock
      */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
 
     /**
-     * Sets who watches, and what there is to watch.
+     * Sets the routers that watch machines, and the machines that are watched.
      *
-     * @param alive routers that answer; this one counts in any case
-     * @param known all other routers that are known, whether they answer or not
-     * @param listed data nodes on this router's list
+     * @param alive routers that answer; this router counts as one, whether it is contained or not
+     * @param known all other known routers, whether they answer or not
+     * @param listed ids of the data nodes on this router's endpoint list
      */
     public void assign(
             Collection<String> alive, Collection<String> known, Collection<String> listed) {
@@ -101,9 +106,10 @@
         }
     }
 
-    private ProbeHistory newHistory(String node) {
-        ProbeHistory history = new ProbeHistory();
-        // Danger: routers that take over together would all probe in the same instant.
+    private NodeHistory newHistory(String node) {
+        NodeHistory history = new NodeHistory();
+        // The offset keeps routers that take over at the same time from probing in the same
+        // instant.
         long weight = WatcherAssignment.weight(router, node);
         history.nextProbeUs = nowUs + Math.floorMod(weight, Math.max(1, probeIntervalUs));
         return history;
@@ -113,60 +119,64 @@
         return set.size() == distinct.size() && set.containsAll(distinct);
     }
 
-    /** Whether this router watches the machine. */
+    /** Returns whether this router watches the machine. */
     public boolean watches(String machine) {
         return assignment.watches(machine);
     }
 
-    /** A probe has ended. */
+    /** Records the result of a probe. */
     public void onProbeResult(String machine, boolean answered) {
-        ProbeHistory history = histories.get(machine);
+        NodeHistory history = histories.get(machine);
         if (history != null) {
             history.failedProbes = answered ? 0 : Math.max(0, history.failedProbes) + 1;
             updateHealth(history, answered);
         }
     }
 
-    /** A call has ended there; those that were never sent or were cancelled are not passed in. */
+    /**
+     * Records the result of an attempt at a data node. Attempts that were not sent or were cancelled are not
+     * passed in.
+     */
     public void onCallResult(String machine, boolean answered) {
-        ProbeHistory history = histories.get(machine);
+        NodeHistory history = histories.get(machine);
         if (history == null) {
             return;
         }
         if (answered) {
-            history.failedCalls = 0;
+            history.failedAttempts = 0;
         } else {
-            if (history.failedCalls++ == 0) {
-                history.firstFailedCallUs = nowUs;
+            if (history.failedAttempts++ == 0) {
+                history.firstFailedAttemptUs = nowUs;
             }
-            history.lastFailedCallUs = nowUs;
+            history.lastFailedAttemptUs = nowUs;
         }
         updateHealth(history, answered);
     }
 
     /**
-     * Danger: a node whose process stands still goes on being connected to, by its machine's kernel; only the
-     * calls show it. And one slow answer is no failure: calls count once several in a row have failed for
-     * longer than a round.
+     * Updates the health after a result. Failed attempts count besides failed probes, because the kernel of a
+     * machine whose data node process hangs still accepts connections, so that probes succeed. One slow
+     * answer is no failure: attempts count only if several consecutive ones fail over more than one probe
+     * interval.
      */
-    private void updateHealth(ProbeHistory history, boolean answered) {
-        boolean callsFail = history.failedCalls >= CALL_FAILURE_THRESHOLD
-                && history.lastFailedCallUs - history.firstFailedCallUs > probeIntervalUs;
-        if (history.failedProbes >= probeFailureThreshold || callsFail) {
+    private void updateHealth(NodeHistory history, boolean answered) {
+        boolean attemptsFail = history.failedAttempts >= ATTEMPT_FAILURE_THRESHOLD
+                && history.lastFailedAttemptUs - history.firstFailedAttemptUs > probeIntervalUs;
+        if (history.failedProbes >= probeFailureThreshold || attemptsFail) {
             history.healthy = false;
-        } else if (answered && history.failedProbes <= 0 && history.failedCalls == 0) {
+        } else if (answered && history.failedProbes <= 0 && history.failedAttempts == 0) {
             history.healthy = true;
         }
     }
 
-    /** Starts one probe that is due; false where none is. */
+    /** Starts one probe that is due; returns false if none is. */
     public boolean decide(Prober prober) {
-        for (Map.Entry<String, ProbeHistory> entry : histories.entrySet()) {
-            ProbeHistory history = entry.getValue();
-            if (history.failedCalls > 0
-                    && nowUs - history.lastFailedCallUs
-                            > CALL_FAILURE_EXPIRY_ROUNDS * probeIntervalUs) {
-                history.failedCalls = 0;
+        for (Map.Entry<String, NodeHistory> entry : histories.entrySet()) {
+            NodeHistory history = entry.getValue();
+            if (history.failedAttempts > 0
+                    && nowUs - history.lastFailedAttemptUs
+                            > ATTEMPT_FAILURE_EXPIRY_INTERVALS * probeIntervalUs) {
+                history.failedAttempts = 0;
             }
             if (nowUs >= history.nextProbeUs) {
                 history.nextProbeUs = nowUs + probeIntervalUs;
@@ -177,7 +187,7 @@
         return false;
     }
 
-    /** By data node, whether it is healthy; of those with no probe ended yet nothing is known. */
+    /** Returns by data node whether it is healthy; data nodes without a finished probe are left out. */
     public Map<String, Boolean> observations() {
         Map<String, Boolean> healthyByNode = new TreeMap<>();
         histories.forEach((node, history) -> {
--- a/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
+++ b/src/main/java/tinlink/maintenance/scheduling/WatcherAssignment.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 
 /**
- * Which machines one router watches, by rendezvous hashing: a machine is watched by the few routers with the
- * lowest weights for it, so that a router that comes or goes moves only what it watches itself. Kept up as
- * routers and machines come and go: one that comes costs a hash for each machine (or router), not one for
- * each pair of them. Belongs to one thread.
+ * Determines which machines one router watches, by rendezvous hashing: a machine is watched by the few
+ * routers with the lowest weights for it, so that a router that joins or leaves changes only the watchers of
+ * the machines that it watches itself. The assignment is updated incrementally: a new router costs one hash
+ * for each machine, and a new machine one for each router, instead of one for each pair. Not thread-safe.
  *
  * <p>Source: D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998).
  */
 public final class WatcherAssignment {
-    /** What is known of one machine. */
+    /** The rank of this router among the watchers of one machine. */
     private static final class Ranking {
         final long ownWeight;
-        /** Routers with a lower weight than this one. */
-        int ahead;
+        /** Number of other routers with a lower weight for the machine, the machine itself left out. */
+        int rank;
 
         Ranking(long ownWeight) {
             this.ownWeight = ownWeight;
@@ -30,43 +30,43 @@
 
     private final String router;
     private final int watchers;
-    private final long ownPrefix;
-    /** Other routers, each with the hash of its name; as many as are alive. */
-    private final Map<String, Long> prefixes = new HashMap<>();
-    /** By id; as many as are to be watched. */
+    private final long ownNameHash;
+    /** By name of another live router, the unfinished hash of its name. */
+    private final Map<String, Long> nameHashes = new HashMap<>();
+    /** By id of a machine that is to be watched. */
     private final Map<String, Ranking> rankings = new HashMap<>();
 
     /**
-     * @param router the one whose machines these are
-     * @param watchers routers that watch one machine
+     * @param router name of the router whose machines are determined
+     * @param watchers number of routers that watch one machine
      */
     WatcherAssignment(String router, int watchers) {
         this.router = router;
         this.watchers = watchers;
-        ownPrefix = prefix(router);
+        ownNameHash = nameHash(router);
     }
 
-    /** Sets the routers that watch; this one counts whether it is named or not. */
+    /** Sets the routers that watch machines; this router counts as one, whether it is contained or not. */
     void setRouters(Collection<String> alive) {
         Set<String> others = new HashSet<>(alive);
         others.remove(router);
-        prefixes.entrySet().removeIf(other -> {
-            boolean leaves = !others.contains(other.getKey());
-            if (leaves) {
+        nameHashes.entrySet().removeIf(other -> {
+            boolean left = !others.contains(other.getKey());
+            if (left) {
                 adjustRankings(other.getKey(), other.getValue(), -1);
             }
-            return leaves;
+            return left;
         });
         for (String other : others) {
-            if (!prefixes.containsKey(other)) {
-                long prefix = prefix(other);
-                prefixes.put(other, prefix);
-                adjustRankings(other, prefix, 1);
+            if (!nameHashes.containsKey(other)) {
+                long nameHash = nameHash(other);
+                nameHashes.put(other, nameHash);
+                adjustRankings(other, nameHash, 1);
             }
         }
     }
 
-    /** Sets the machines that are watched. */
+    /** Sets the machines that are to be watched. */
     void setMachines(Set<String> machines) {
         rankings.keySet().retainAll(machines);
         for (String machine : machines) {
@@ -76,35 +76,35 @@
         }
     }
 
-    /** Whether this router is one of those that watch the machine; nobody watches itself. */
+    /** Returns whether this router watches the machine; no router watches itself. */
     boolean watches(String machine) {
         Ranking ranking = rankings.get(machine);
-        return ranking != null && !machine.equals(router) && ranking.ahead < watchers;
+        return ranking != null && !machine.equals(router) && ranking.rank < watchers;
     }
 
     private Ranking ranking(String machine) {
-        Ranking ranking = new Ranking(weight(ownPrefix, machine));
-        prefixes.forEach((other, prefix) -> {
-            if (!other.equals(machine) && weight(prefix, machine) < ranking.ownWeight) {
-                ranking.ahead++;
+        Ranking ranking = new Ranking(weight(ownNameHash, machine));
+        nameHashes.forEach((other, nameHash) -> {
+            if (!other.equals(machine) && weight(nameHash, machine) < ranking.ownWeight) {
+                ranking.rank++;
             }
         });
         return ranking;
     }
 
-    private void adjustRankings(String other, long prefix, int change) {
+    private void adjustRankings(String other, long nameHash, int change) {
         rankings.forEach((machine, ranking) -> {
-            if (!other.equals(machine) && weight(prefix, machine) < ranking.ownWeight) {
-                ranking.ahead += change;
+            if (!other.equals(machine) && weight(nameHash, machine) < ranking.ownWeight) {
+                ranking.rank += change;
             }
         });
     }
 
     /**
-     * All routers that watch the machine, computed from scratch.
+     * Returns all routers that watch the machine, computed without an incremental assignment.
      *
-     * @param routers all that share the machines
-     * @param watchers routers that watch one machine
+     * @param routers names of all routers that watch machines
+     * @param watchers number of routers that watch one machine
      */
     public static List<String> watchers(Collection<String> routers, String machine, int watchers) {
         List<String> others = new ArrayList<>();
@@ -118,30 +118,30 @@
         if (others.size() <= watchers) {
             return others;
         }
-        long highest = weights.stream()
+        long highestWeight = weights.stream()
                 .sorted()
                 .skip(Math.max(0, watchers - 1))
                 .findFirst()
                 .orElseThrow();
         List<String> watching = new ArrayList<>();
         for (int i = 0; i < others.size(); i++) {
-            if (watchers > 0 && weights.get(i) <= highest) {
+            if (watchers > 0 && weights.get(i) <= highestWeight) {
                 watching.add(others.get(i));
             }
         }
         return watching;
     }
 
-    /** The router's weight for the machine, never below 0. */
+    /** Returns the weight of the router for the machine, which is never negative. */
     static long weight(String router, String machine) {
-        return weight(prefix(router), machine);
+        return weight(nameHash(router), machine);
     }
 
-    private static long prefix(String router) {
+    private static long nameHash(String router) {
         return StableHash.append(StableHash.append(StableHash.START, router), "\n");
     }
 
-    private static long weight(long prefix, String machine) {
-        return StableHash.finish(StableHash.append(prefix, machine)) & Long.MAX_VALUE;
+    private static long weight(long nameHash, String machine) {
+        return StableHash.finish(StableHash.append(nameHash, machine)) & Long.MAX_VALUE;
     }
 }
