--- a/src/main/java/tinlink/maintenance/scheduling/MachineReport.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineReport.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * What a router reports to the leader, again and again, since reports get lost. Its sender is known from the
- * link. {@link MachineReportCodec} says how each is written.
+ * A report of a router to the leader. Routers repeat their reports, since reports can be lost. The sender is
+ * not part of a report: it is the authenticated peer of the connection. {@link MachineReportCodec} defines
+ * the encoding.
  */
 public sealed interface MachineReport
         permits MachineReport.Health,
@@ -15,18 +16,22 @@
                 NodeListDifference,
                 MachineReport.Self,
                 MachineReport.Departure {
-    /** Whether the machines that the sender watches are healthy, by their ids. */
+    /**
+     * The health of the machines that the sender watches.
+     *
+     * @param healthyByMachine by machine id, whether the machine is healthy
+     */
     record Health(Map<String, Boolean> healthyByMachine) implements MachineReport {
-        /** Copies the map, in its order. */
+        /** Copies the map and keeps its order. */
         public Health {
             healthyByMachine = Collections.unmodifiableMap(new LinkedHashMap<>(healthyByMachine));
         }
     }
 
     /**
-     * The sender's list of data nodes in full, as builds before {@link NodeListDifference} report it.
+     * The full endpoint list of the sender. Only builds from before {@link NodeListDifference} send it.
      *
-     * @param site the sender's own
+     * @param site the sender's site
      */
     record FullNodeList(String site, List<Machine> nodes) implements MachineReport {
         /** Copies the list. */
@@ -35,9 +40,9 @@
         }
     }
 
-    /** The sender itself, as a machine. */
+    /** The description of the sender as a machine. */
     record Self(Machine router) implements MachineReport {}
 
-    /** The sender has let its last client go, and ends. */
+    /** The sender has served its last client and terminates. */
     record Departure(String incarnation) implements MachineReport {}
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
@@ -11,8 +11,9 @@
 import java.util.Optional;
 
 /**
- * The written form of {@link MachineReport}s: a line of fields, the kind first. It is sent between builds, so
- * its words stay; a kind that is not known is ignored, which leaves room for later forms.
+ * Encodes a {@link MachineReport} as a line of fields, of which the first is the kind. Routers of different
+ * builds exchange these lines, so the kinds must not change; reports of an unknown kind are ignored, so that
+ * later builds can add kinds.
  */
 public final class MachineReportCodec {
     private static final String HEALTH = "saw";
@@ -20,11 +21,11 @@
     private static final String LIST_DIFFERENCE = "list-difference";
     private static final String SELF = "self";
     private static final String DEPARTURE = "left";
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private MachineReportCodec() {}
 
-    /** Returns the line of a report; {@link #decode} makes the same report from it. */
+    /** Returns the line from which {@link #decode} restores an equal report. */
     public static String encode(MachineReport report) {
         List<Object> fields = new ArrayList<>();
         if (report instanceof MachineReport.Health healthReport) {
@@ -56,17 +57,17 @@
         return LineCodec.encode(fields.toArray());
     }
 
-    /** Reads a report; empty where it can't be read or is of a kind that this build does not know. */
+    /** Decodes a line; returns empty if the line is malformed or of a kind unknown to this build. */
     public static Optional<MachineReport> decode(String line) {
         FieldReader fields = new FieldReader(LineCodec.decode(line));
         try {
             return switch (fields.nextText()) {
-                case HEALTH -> Optional.of(health(fields.remaining()));
+                case HEALTH -> Optional.of(decodeHealth(fields.remaining()));
                 case FULL_LIST ->
                     Optional.of(new MachineReport.FullNodeList(
-                            fields.nextText(), machines(fields.remaining())));
-                case LIST_DIFFERENCE -> Optional.of(difference(fields));
-                case SELF -> Optional.of(new MachineReport.Self(machine(fields.nextText())));
+                            fields.nextText(), decodeMachines(fields.remaining())));
+                case LIST_DIFFERENCE -> Optional.of(decodeDifference(fields));
+                case SELF -> Optional.of(new MachineReport.Self(decodeMachine(fields.nextText())));
                 case DEPARTURE -> Optional.of(new MachineReport.Departure(fields.nextText()));
                 default -> Optional.empty();
             };
@@ -75,7 +76,7 @@
         }
     }
 
-    private static MachineReport health(List<String> pairs) {
+    private static MachineReport decodeHealth(List<String> pairs) {
         Map<String, Boolean> healthyByMachine = new LinkedHashMap<>();
         for (int i = 0; i + 1 < pairs.size(); i += 2) {
             healthyByMachine.put(pairs.get(i), Boolean.parseBoolean(pairs.get(i + 1)));
@@ -83,9 +84,9 @@
         return new MachineReport.Health(healthyByMachine);
     }
 
-    private static NodeListDifference difference(FieldReader fields) {
+    private static NodeListDifference decodeDifference(FieldReader fields) {
         String site = fields.nextText();
-        long basisDigest = Long.parseUnsignedLong(fields.nextText(), HEX);
+        long basisDigest = Long.parseUnsignedLong(fields.nextText(), HEX_RADIX);
         int addedCount = fields.nextInt();
         List<String> nodes = fields.remaining();
         int missingCount = nodes.size() - addedCount;
@@ -93,22 +94,25 @@
                 || addedCount > NodeListDifference.MAX_NODES
                 || missingCount < 0
                 || missingCount > NodeListDifference.MAX_NODES) {
-            throw new IllegalArgumentException("too many nodes in one report, or too few");
+            throw new IllegalArgumentException("list-difference report: expected 0 to "
+                    + NodeListDifference.MAX_NODES + " added and missing nodes each, found "
+                    + addedCount + " and " + missingCount);
         }
         return new NodeListDifference(
                 site,
                 basisDigest,
-                machines(nodes.subList(0, addedCount)),
+                decodeMachines(nodes.subList(0, addedCount)),
                 new LinkedHashSet<>(nodes.subList(addedCount, nodes.size())));
     }
 
-    private static List<Machine> machines(List<String> lines) {
-        return lines.stream().map(MachineReportCodec::machine).toList();
+    private static List<Machine> decodeMachines(List<String> lines) {
+        return lines.stream().map(MachineReportCodec::decodeMachine).toList();
     }
 
-    private static Machine machine(String line) {
+    private static Machine decodeMachine(String line) {
         FieldReader fields = new FieldReader(LineCodec.decode(line));
-        fields.nextText(); // The kind, which is that of a command.
+        // The line is that of a command that registers a machine, so it begins with a kind.
+        fields.nextText();
         return MaintenanceCommandCodec.machine(fields);
     }
 }
