--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
@@ -20,9 +20,10 @@
 import java.util.List;
 
 /**
- * The written form of {@link MaintenanceCommand}s: a line of fields, the kind first. This is version 1, which
- * has no number; it is stored and sent between builds, so its words stay. A later form would begin with
- * {@code @} and its version, which earlier builds take for a command that they don't know.
+ * Encodes a {@link MaintenanceCommand} as a line of fields, of which the first is the kind. Lines are stored
+ * and exchanged between builds, so the kinds must not change. This is version 1, whose lines carry no version
+ * number; lines of a later version would begin with {@code @} and the version, which earlier builds treat as
+ * an unknown command.
  */
 public final class MaintenanceCommandCodec {
     static final String LIMITS = "bounds";
@@ -44,9 +45,9 @@
     private MaintenanceCommandCodec() {}
 
     /**
-     * Returns the line of a command; {@link #decode} makes the same command from it.
+     * Returns the line from which {@link #decode} restores an equal command.
      *
-     * @throws IllegalArgumentException for an {@link Unknown}, which is never proposed
+     * @throws IllegalArgumentException if the command is an {@link Unknown}, which is never proposed
      */
     public static String encode(MaintenanceCommand command) {
         if (command instanceof SetLimits setLimits) {
@@ -75,11 +76,11 @@
                     completeWork.machine(),
                     completeWork.lost() ? LOST : RETURNED);
         }
-        return encodeProgress(command);
+        return encodeDrainProgress(command);
     }
 
-    /** What routers say of a drain. */
-    private static String encodeProgress(MaintenanceCommand command) {
+    /** Encodes the commands by which routers report the progress of a drain. */
+    private static String encodeDrainProgress(MaintenanceCommand command) {
         if (command instanceof StartDrain startDrain) {
             return LineCodec.encode(
                     START_DRAIN,
@@ -96,10 +97,11 @@
         } else if (command instanceof ConfirmServing confirmServing) {
             return LineCodec.encode(SERVING, confirmServing.router(), confirmServing.incarnation());
         }
-        throw new IllegalArgumentException("not a command that is written: " + command);
+        throw new IllegalArgumentException(
+                "expected a command that can be proposed, found " + command);
     }
 
-    /** Reads a command; one that can't be read is an {@link Unknown}. */
+    /** Decodes a line; a line that cannot be decoded becomes an {@link Unknown}. */
     public static MaintenanceCommand decode(String line) {
         FieldReader fields = new FieldReader(LineCodec.decode(line));
         String kind = fields.nextText();
@@ -134,7 +136,7 @@
         };
     }
 
-    /** The line of a machine: of its command, of a snapshot, and inside reports. */
+    /** Returns the line of a machine as it is in commands, in snapshots and in reports. */
     static String machine(Machine machine) {
         return LineCodec.encode(
                 MACHINE,
@@ -147,7 +149,7 @@
                 machine.voter());
     }
 
-    /** Reads a machine from the fields after the kind. */
+    /** Decodes a machine from the fields that follow the kind. */
     static Machine machine(FieldReader fields) {
         return new Machine(
                 fields.nextText(),
@@ -159,7 +161,7 @@
                 fields.nextBoolean());
     }
 
-    /** The line of a request: of its command, and of a snapshot. */
+    /** Returns the line of a request as it is in commands and in snapshots. */
     static String request(MaintenanceRequest request) {
         return LineCodec.encode(
                 REQUEST,
@@ -172,7 +174,7 @@
                 request.reason());
     }
 
-    /** Reads a request from the fields after the kind. */
+    /** Decodes a request from the fields that follow the kind. */
     static MaintenanceRequest request(FieldReader fields) {
         String requestId = fields.nextText();
         String machines = fields.nextText();
@@ -186,7 +188,7 @@
                 fields.nextText());
     }
 
-    /** The line of the limits: of their command, and of a snapshot. */
+    /** Returns the line of limits as it is in commands and in snapshots. */
     static String limits(DisruptionLimits limits) {
         return LineCodec.encode(
                 LIMITS,
@@ -200,7 +202,7 @@
                 limits.maxEntries());
     }
 
-    /** Reads limits from the fields after the kind. */
+    /** Decodes limits from the fields that follow the kind. */
     static DisruptionLimits limits(FieldReader fields) {
         return new DisruptionLimits(
                 fields.nextInt(),
