--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCoordinator.java
@@ -8,29 +8,36 @@
 import java.util.TreeMap;
 
 /**
- * What the leader proposes: the limits, once; what routers report of machines, aggregated; which routers
- * there are; and what time has passed. It decides nothing by it: the state machine does, in all routers
- * alike. Reports get lost and come late, so they are repeated, and old ones expire. Belongs to one thread.
+ * Computes the commands that the leader proposes: the initial limits, the machines and their health as
+ * aggregated from the routers' reports, the routers that join and leave, and the elapsed time. What follows
+ * from them for tasks is decided by the state machine, identically in all routers. Reports can be lost or
+ * late, so routers repeat them, and old ones expire. Not thread-safe.
  */
 public final class MaintenanceCoordinator {
-    /** Proposes a command; {@link #onProposalCompleted} is called as it has been agreed, or has not. */
+    /** Proposes commands to the cluster. */
     public interface Proposer {
-        /** Proposes one command. */
+        /**
+         * Proposes one command. When it has been committed or has failed, {@link
+         * MaintenanceCoordinator#onProposalCompleted} has to be called.
+         */
         void propose(MaintenanceCommand command);
     }
 
-    /** Commands that are proposed at a time; what more there is follows. */
+    /** Maximum number of commands in one round; further commands follow in later rounds. */
     private static final int MAX_PROPOSALS_PER_ROUND = 64;
-    /** A result that has not come after so many rounds won't. */
+    /** Number of rounds after which the results of proposals are no longer awaited. */
     private static final int PROPOSAL_TIMEOUT_ROUNDS = 20;
 
     private final DisruptionLimits limits;
     private final ObservationAggregator observations;
     private final long roundIntervalUs;
     private final int maxEntries;
-    /** By name, as each reports itself; as many as there are routers. */
+    /** By router name, the last report of the router on itself; bounded by {@link #maxEntries}. */
     private final Map<String, Machine> routers = new LinkedHashMap<>();
-    /** Incarnations of routers that have reported that they end, by name; emptied as that is agreed. */
+    /**
+     * By router name, the incarnation that has reported its termination; bounded by {@link #maxEntries}. An
+     * entry is removed once the replicated state no longer holds the incarnation.
+     */
     private final Map<String, String> departures = new TreeMap<>();
 
     private long nowUs;
@@ -42,10 +49,10 @@
     private Set<String> voters = Set.of();
 
     /**
-     * @param limits as the leader's file has them; the first ones agreed on hold, whoever leads
-     * @param roundIntervalUs between two rounds of proposals, microseconds
-     * @param reportExpiryUs how long a report counts, microseconds
-     * @param maxEntries routers, and machines, that reports are kept of
+     * @param limits limits from this router's configuration; proposed only if none have been agreed on
+     * @param roundIntervalUs time between two rounds of proposals, microseconds
+     * @param reportExpiryUs time after which a report no longer counts, microseconds
+     * @param maxEntries maximum number of routers, and of machines, of which reports are held
      */
     public MaintenanceCoordinator(
             DisruptionLimits limits, long roundIntervalUs, long reportExpiryUs, int maxEntries) {
@@ -56,72 +63,72 @@
     }
 
     /**
-     * Sets the time of what is decided from here on, in microseconds.
+     * Sets the time that the next reports and decisions have.
      *
-     * @param timeUs of a clock that only goes forward
+     * @param timeUs microseconds of a monotonic clock
      */
     public void setTime(long timeUs) {
         nowUs = timeUs;
     }
 
     /**
-     * Whether this router leads now. Danger: time that passed under another leader, or none, must not be
-     * counted by this one: grants would end that nobody could start.
+     * Sets whether this router is the leader now. A new leader does not count the time that passed under
+     * another leader or without one, because grants would end that no router could start.
      */
-    public void setLeader(boolean isLeader) {
-        if (isLeader && !leader) {
+    public void setLeader(boolean leading) {
+        if (leading && !leader) {
             lastTickUs = nowUs;
             pendingProposals = 0;
             routers.clear();
         }
-        leader = isLeader;
+        leader = leading;
     }
 
-    /** Who votes now: what a router reports of itself may be behind. */
+    /** Sets the current voters; what a router reports about itself may be outdated. */
     public void setVoters(Set<String> names) {
         voters = names;
     }
 
     /**
-     * A router has reported what it sees.
+     * Records a report of a router.
      *
-     * @param from proved by its key; it reports itself alone
+     * @param sender name of the sender, which the transport has authenticated; it may describe only itself
      */
-    public void onReport(String from, MachineReport report) {
+    public void onReport(String sender, MachineReport report) {
         if (report instanceof MachineReport.Health health) {
             health.healthyByMachine()
                     .forEach((machine, healthy) ->
-                            observations.onObservation(from, machine, healthy, nowUs));
+                            observations.onObservation(sender, machine, healthy, nowUs));
         } else if (report instanceof MachineReport.FullNodeList list) {
-            observations.onNodeList(from, list.site(), list.nodes(), nowUs);
+            observations.onNodeList(sender, list.site(), list.nodes(), nowUs);
         } else if (report instanceof NodeListDifference difference) {
-            observations.onDifference(from, difference, nowUs);
+            observations.onDifference(sender, difference, nowUs);
         } else if (report instanceof MachineReport.Self self) {
-            onSelfReport(from, self.router());
+            onSelfReport(sender, self.router());
         } else if (report instanceof MachineReport.Departure departure
                 && departures.size() < maxEntries) {
-            departures.put(from, departure.incarnation());
+            departures.put(sender, departure.incarnation());
         }
     }
 
-    private void onSelfReport(String from, Machine router) {
+    private void onSelfReport(String sender, Machine router) {
         if (router.isRouter()
-                && router.id().equals(from)
-                && (routers.size() < maxEntries || routers.containsKey(from))) {
-            routers.put(from, router);
+                && router.id().equals(sender)
+                && (routers.size() < maxEntries || routers.containsKey(sender))) {
+            routers.put(sender, router);
         }
     }
 
-    /** One of its proposals has been agreed, or has not. */
+    /** Records that one proposal has been committed or has failed. */
     public void onProposalCompleted() {
         pendingProposals = Math.max(0, pendingProposals - 1);
     }
 
-    /** Proposes one round's commands; false where there is nothing to propose now. */
+    /** Proposes the commands of one round; returns false if there is nothing to propose now. */
     public boolean decide(MaintenanceState state, Proposer proposer) {
-        boolean waits = pendingProposals > 0
+        boolean awaitingResults = pendingProposals > 0
                 && nowUs - pendingSinceUs < PROPOSAL_TIMEOUT_ROUNDS * roundIntervalUs;
-        if (!leader || nowUs < nextRoundUs || waits) {
+        if (!leader || nowUs < nextRoundUs || awaitingResults) {
             return false;
         }
         nextRoundUs = nowUs + roundIntervalUs;
@@ -135,14 +142,15 @@
     private List<MaintenanceCommand> proposals(MaintenanceState state) {
         List<MaintenanceCommand> commands = new ArrayList<>();
         if (!state.hasLimits()) {
+            // Registrations are checked against the limits, so all other commands come later.
             commands.add(new MaintenanceCommand.SetLimits(limits));
-            return commands; // Machines are counted against them: all else comes after.
+            return commands;
         }
         observations.setAgreedNodes(state.agreedNodes());
-        addRouters(state, commands);
+        addRouterChanges(state, commands);
         commands.addAll(observations.proposals(state, nowUs));
         if (state.openTasks().isEmpty()) {
-            lastTickUs = nowUs; // Nothing waits for time to pass.
+            lastTickUs = nowUs; // Without open tasks, no decision depends on time.
         } else if (commands.size() < MAX_PROPOSALS_PER_ROUND) {
             commands.add(new MaintenanceCommand.AdvanceTime(nowUs - lastTickUs));
             lastTickUs = nowUs;
@@ -152,7 +160,7 @@
                 : commands;
     }
 
-    private void addRouters(MaintenanceState state, List<MaintenanceCommand> commands) {
+    private void addRouterChanges(MaintenanceState state, List<MaintenanceCommand> commands) {
         departures
                 .values()
                 .removeIf(incarnation -> state.incarnations().noneMatch(incarnation::equals));
--- a/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
@@ -9,28 +9,35 @@
 import java.util.TreeMap;
 
 /**
- * What several routers report of machines, aggregated by the leader into what all are to agree on. One
- * router's report is not enough, in either direction; old reports expire. Times are microseconds of one
- * clock.
+ * Aggregates the routers' reports on machines, at the leader, into the commands that adapt the replicated
+ * state to them. A change needs the reports of a majority of the reporting routers, in either direction; old
+ * reports expire. Times are microseconds of one monotonic clock.
  */
 final class ObservationAggregator {
-    /** What one router reports of one machine. */
+    /** The report of one router on the health of one machine. */
     private record Observation(boolean healthy, long atUs) {}
 
+    /** The report of one router of its full endpoint list. */
     private record NodeList(String site, Collection<Machine> nodes, long atUs) {}
 
     private final long expiryUs;
     private final int maxEntries;
-    /** By machine, by router: the newest one. Expired ones leave as they are looked at. */
+    /**
+     * By machine id and router name, the newest observation. Both levels are bounded by {@link #maxEntries};
+     * {@link #proposals} removes expired observations.
+     */
     private final Map<String, Map<String, Observation>> observations = new TreeMap<>();
-    /** By router: its full list of data nodes. Expired ones leave as they are looked at. */
+    /**
+     * By router name, its full endpoint list; bounded by {@link #maxEntries}. {@link #proposals} removes
+     * expired lists.
+     */
     private final Map<String, NodeList> nodeLists = new LinkedHashMap<>();
-    /** Lists that were reported as a difference to the agreed nodes. */
+    /** Endpoint lists that were reported as a difference to the agreed nodes. */
     private final NodeListVotes differenceVotes;
 
     /**
-     * @param expiryUs how long a report counts
-     * @param maxEntries machines, and routers, that reports are kept of
+     * @param expiryUs time after which a report no longer counts
+     * @param maxEntries maximum number of machines, and of routers, of which reports are held
      */
     ObservationAggregator(long expiryUs, int maxEntries) {
         this.expiryUs = expiryUs;
@@ -38,18 +45,19 @@
         differenceVotes = new NodeListVotes(expiryUs, maxEntries);
     }
 
-    /** Sets the nodes that are agreed on now, to which differences are reported. */
+    /** Sets the current agreed nodes, to which differences are reported. */
     void setAgreedNodes(AgreedNodes nodes) {
         differenceVotes.setAgreedNodes(nodes);
     }
 
-    /** A router's list as it differs from the agreed nodes. */
+    /** Records the endpoint list of a router as a difference to the agreed nodes. */
     void onDifference(String router, NodeListDifference difference, long nowUs) {
         if (differenceVotes.onReport(router, difference, nowUs)) {
             nodeLists.remove(router);
         }
     }
 
+    /** Records whether a router has found a machine healthy. */
     void onObservation(String router, String machine, boolean healthy, long nowUs) {
         if (observations.size() < maxEntries || observations.containsKey(machine)) {
             Map<String, Observation> byRouter =
@@ -61,9 +69,9 @@
     }
 
     /**
-     * A router's full list as it is now.
+     * Records the full endpoint list of a router.
      *
-     * @param site the router's own
+     * @param site the router's site
      */
     void onNodeList(String router, String site, Collection<Machine> nodes, long nowUs) {
         if (nodeLists.size() < maxEntries || nodeLists.containsKey(router)) {
@@ -72,7 +80,7 @@
         }
     }
 
-    /** Commands by which what is agreed on becomes what is reported; none where they are the same. */
+    /** Returns the commands that adapt the state to the reports; none if the two agree. */
     List<MaintenanceCommand> proposals(MaintenanceState state, long nowUs) {
         List<MaintenanceCommand> proposals = new ArrayList<>();
         addListChanges(state, nowUs, proposals);
@@ -81,7 +89,7 @@
             if (byRouter == null) {
                 continue;
             }
-            byRouter.values().removeIf(one -> nowUs - one.atUs() > expiryUs);
+            byRouter.values().removeIf(observation -> nowUs - observation.atUs() > expiryUs);
             if (byRouter.isEmpty()) {
                 observations.remove(machine.id());
                 continue;
@@ -91,14 +99,18 @@
         return proposals;
     }
 
-    /** Danger: one router that is cut off would count half the fleet out, or count a dead machine in. */
+    /**
+     * Proposes the other health if most of the reporting routers report it. A single report must not suffice:
+     * a router that is cut off from the others would make half of the fleet unhealthy, or a dead machine
+     * healthy.
+     */
     private static void addHealthChange(
             String machine,
             boolean wasHealthy,
             Map<String, Observation> byRouter,
             List<MaintenanceCommand> proposals) {
         long agreeing = byRouter.values().stream()
-                .filter(one -> one.healthy() == wasHealthy)
+                .filter(observation -> observation.healthy() == wasHealthy)
                 .count();
         long differing = byRouter.size() - agreeing;
         if (differing > agreeing) {
@@ -107,18 +119,19 @@
     }
 
     /**
-     * Danger: lists differ by seconds; a node that one router has heard of first, or still has, is no change.
-     * And sites may have lists of their own: of its nodes the routers of a site decide, and where none of
-     * them is heard nothing is known to have gone.
+     * Proposes to add and to remove data nodes as most reporting routers of their site list them. A single
+     * list must not suffice, because the routers' lists are updated seconds apart. Sites may have different
+     * lists, so only the routers of a site count for its nodes; if none of them reports, no node of the site
+     * is removed.
      */
     private void addListChanges(
             MaintenanceState state, long nowUs, List<MaintenanceCommand> proposals) {
         nodeLists.values().removeIf(list -> nowUs - list.atUs() > expiryUs);
         differenceVotes.expire(nowUs);
-        ListVotes votes = countVotes();
+        ListCounts counts = countLists();
         Map<String, Machine> changed = new TreeMap<>();
-        votes.listed.forEach((machine, count) -> {
-            if (2 * count > votes.voters.get(machine.site())
+        counts.listed.forEach((machine, count) -> {
+            if (2 * count > counts.reporters.get(machine.site())
                     && !machine.equals(state.machine(machine.id()))) {
                 changed.put(machine.id(), machine);
             }
@@ -128,22 +141,27 @@
         for (Machine machine : state.machines()) {
             if (!machine.isRouter()
                     && state.activeTask(machine.id()) == null
-                    && 2 * votes.missing(machine) > votes.voters.getOrDefault(machine.site(), 0)) {
+                    && 2 * counts.missing(machine)
+                            > counts.reporters.getOrDefault(machine.site(), 0)) {
                 proposals.add(new MaintenanceCommand.RemoveMachine(machine.id()));
             }
         }
     }
 
-    /** How many routers' lists hold, or lack, each node. */
-    private static final class ListVotes {
-        /** By site: its routers that report full lists, and those that report a list of either form. */
+    /** Counts of the routers whose lists contain, or lack, each data node. */
+    private static final class ListCounts {
+        /** By site, the routers that report full lists. */
         final Map<String, Integer> fullLists = new TreeMap<>();
-
-        final Map<String, Integer> voters = new TreeMap<>();
+        /** By site, the routers that report a list in either form. */
+        final Map<String, Integer> reporters = new TreeMap<>();
+        /** By id of a data node, the full lists that contain it. */
         final Map<String, Integer> onFullLists = new TreeMap<>();
+        /** By data node, the lists that contain it with these properties, as far as reports name it. */
         final Map<Machine, Integer> listed = new HashMap<>();
+        /** By id of a data node, the differences that report it as missing. */
         final Map<String, Integer> missingByDifference = new HashMap<>();
 
+        /** Returns the number of routers of the data node's site whose lists lack it. */
         int missing(Machine machine) {
             return fullLists.getOrDefault(machine.site(), 0)
                     - onFullLists.getOrDefault(machine.id(), 0)
@@ -151,21 +169,21 @@
         }
     }
 
-    private ListVotes countVotes() {
-        ListVotes votes = new ListVotes();
+    private ListCounts countLists() {
+        ListCounts counts = new ListCounts();
         for (NodeList list : nodeLists.values()) {
-            votes.fullLists.merge(list.site(), 1, Integer::sum);
+            counts.fullLists.merge(list.site(), 1, Integer::sum);
             for (Machine machine : list.nodes()) {
                 if (machine.site().equals(list.site())) {
-                    votes.listed.merge(machine, 1, Integer::sum);
-                    votes.onFullLists.merge(machine.id(), 1, Integer::sum);
+                    counts.listed.merge(machine, 1, Integer::sum);
+                    counts.onFullLists.merge(machine.id(), 1, Integer::sum);
                 }
             }
         }
-        votes.voters.putAll(votes.fullLists);
-        differenceVotes.countVoters(votes.voters);
-        differenceVotes.countListed(votes.listed);
-        differenceVotes.countMissing(votes.missingByDifference);
-        return votes;
+        counts.reporters.putAll(counts.fullLists);
+        differenceVotes.countVoters(counts.reporters);
+        differenceVotes.countListed(counts.listed);
+        differenceVotes.countMissing(counts.missingByDifference);
+        return counts;
     }
 }
