--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceRequest.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceRequest.java
@@ -3,13 +3,16 @@
 import java.util.List;
 
 /**
- * What an operator has asked for.
+ * An operator's request to take machines out for maintenance.
  *
- * @param id the operator's own; the same one submitted twice is one request
- * @param machines ids, as they were selected when the request was made
- * @param durationUs how long each machine is out, microseconds
- * @param startWithinUs each task has to have started so long after the request; Long.MAX_VALUE for whenever
+ * @param id chosen by the operator; a repeated request with the same id has no effect
+ * @param machines ids of the machines that were selected when the request was submitted
+ * @param durationUs time for which each machine is out, microseconds
+ * @param startWithinUs time after the submission within which each task has to start, microseconds;
+ *     Long.MAX_VALUE for no limit
  * @param urgency 0 to {@link #MAX_URGENCY}
+ * @param author name of the operator
+ * @param reason why the operator takes the machines out, as free text
  */
 public record MaintenanceRequest(
         String id,
@@ -19,10 +22,13 @@
         int urgency,
         String author,
         String reason) {
-    /** The most urgent. */
+    /** The urgency of the most urgent requests. */
     public static final int MAX_URGENCY = 9;
 
-    /** @throws IllegalArgumentException where something is out of range */
+    /**
+     * @throws IllegalArgumentException if a value is out of range; an operator receives the message over the
+     *     control interface, so its wording must not change
+     */
     public MaintenanceRequest {
         machines = List.copyOf(machines);
         if (id.isEmpty() || durationUs <= 0 || urgency < 0 || urgency > MAX_URGENCY) {
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
@@ -1,8 +1,8 @@
 package tinlink.maintenance.scheduling;
 
 /**
- * The maintenance of one machine of a request. Nothing of it changes but by commands of the agreed log. Times
- * are microseconds of agreed time.
+ * The maintenance of one machine of a request. Only commands of the replicated log change a task. Times are
+ * microseconds of agreed time ({@link MaintenanceState#agreedTimeUs}).
  */
 public final class MaintenanceTask {
     /** A deadline that is never reached. */
@@ -20,7 +20,7 @@
     private boolean requeueOnReturn;
     private boolean cancelOnReturn;
 
-    /** @param sequenceNumber in the order in which tasks were requested */
+    /** @param sequenceNumber rises with each task in the order of the requests */
     MaintenanceTask(
             MaintenanceRequest request, String machine, long requestedAtUs, long sequenceNumber) {
         this.request = request;
@@ -31,7 +31,7 @@
         stateSinceUs = requestedAtUs;
     }
 
-    /** A copy that changes on its own from here. */
+    /** Creates an independent copy. */
     MaintenanceTask(MaintenanceTask other) {
         request = other.request;
         machine = other.machine;
@@ -46,52 +46,55 @@
         cancelOnReturn = other.cancelOnReturn;
     }
 
-    /** The request that it belongs to. */
+    /** Returns the request that the task belongs to. */
     public MaintenanceRequest request() {
         return request;
     }
 
-    /** The machine's id; empty where the request names none. */
+    /** Returns the id of the machine; empty if the request names none. */
     public String machine() {
         return machine;
     }
 
-    /** Its state now. */
+    /** Returns the current state. */
     public TaskState state() {
         return state;
     }
 
-    /** Why it stands as it does, for operators; may be empty. */
+    /**
+     * Returns why the task is in its state; may be empty. Reasons are stored in snapshots and shown to
+     * operators, so their wording must not change.
+     */
     public String reason() {
         return reason;
     }
 
-    /** Of its newest grant; 0 where it holds none. */
+    /** Returns the fencing token of the grant; 0 if the task holds none. */
     public long fencingToken() {
         return grant.fencingToken();
     }
 
-    /** Whether that incarnation of that router has nothing in flight at the machine any more. */
+    /** Returns whether this incarnation of the router has confirmed that it has nothing in flight there. */
     public boolean isDrainedBy(String router, String incarnation) {
         return grant.isDrainedBy(router, incarnation);
     }
 
-    /** Whether that incarnation of the router that the task is for drains itself by its grant. */
+    /** Returns whether this incarnation of the router to be taken out has started to drain itself. */
     public boolean isStartedBy(String incarnation) {
         return grant.startedBy().equals(incarnation);
     }
 
-    /** Whether the router that the task is for has said itself that it serves again. */
+    /** Returns whether the router that was taken out has confirmed that it serves again. */
     public boolean isServingAgain() {
         return grant.isServingAgain();
     }
 
-    /** When it came to its state. */
+    /** Returns when the task entered its state. */
     public long stateSinceUs() {
         return stateSinceUs;
     }
 
-    /** Whether its machine can't be counted on. */
+    /** Returns whether the task makes its machine unavailable. */
     public boolean isActive() {
         return switch (state) {
             case GRANTED, DRAINING, OUT, RETURNING -> true;
@@ -100,17 +103,17 @@
         };
     }
 
-    /** Whether no router is to send its machine anything new. */
+    /** Returns whether routers must not send new attempts to the machine. */
     public boolean isCordoned() {
         return isActive() && state != TaskState.RETURNING;
     }
 
-    /** Whether nothing of it changes any more. */
+    /** Returns whether the task has reached a state that it never leaves. */
     public boolean isFinished() {
         return state != TaskState.WAITING && !isActive();
     }
 
-    /** Whether its operator may have the machine. */
+    /** Returns whether the operator may work on the machine. */
     public boolean isOut() {
         return state == TaskState.OUT || (state == TaskState.OVERDUE && isActive());
     }
@@ -127,17 +130,19 @@
         return sequenceNumber;
     }
 
-    /** Until when a grant may be started; of a machine that is out, until when it has to be back. */
+    /**
+     * Returns until when a grant has to be started; for a machine that is out, until when it has to return.
+     */
     long deadlineUs() {
         return deadlineUs;
     }
 
-    /** Whether it was called back while it drained, and waits again once its machine is back. */
+    /** Returns whether the grant was revoked during the drain: the task waits again after the return. */
     boolean isRequeuedOnReturn() {
         return requeueOnReturn;
     }
 
-    /** Whether it was cancelled while it drained, which ends it once its machine is back. */
+    /** Returns whether the task was cancelled during the drain: it ends after the return. */
     boolean isCancelledOnReturn() {
         return cancelOnReturn;
     }
@@ -158,7 +163,7 @@
         cancelOnReturn = cancel;
     }
 
-    /** Only {@link TaskTable} calls this: it keeps an index by state. */
+    /** Sets the state. {@link TaskTable} must do this for the tasks in it, since it caches by state. */
     void setState(TaskState state, long sinceUs) {
         this.state = state;
         stateSinceUs = sinceUs;
--- a/src/main/java/tinlink/maintenance/scheduling/Rejection.java
+++ b/src/main/java/tinlink/maintenance/scheduling/Rejection.java
@@ -1,28 +1,31 @@
 package tinlink.maintenance.scheduling;
 
-/** Why a command was rejected; the same in all routers. */
+/**
+ * The reason why a command was rejected; all routers get the same reason. Operators and other routers receive
+ * the messages, so their wording must not change.
+ */
 public enum Rejection {
-    /** The limits differ from those agreed on. */
+    /** The limits differ from the agreed ones. */
     LIMITS_ALREADY_SET("other bounds are agreed on"),
-    /** Nothing may be requested before limits are agreed on. */
+    /** No request is accepted before limits are agreed on. */
     LIMITS_NOT_SET("no bounds are agreed on yet: ask again"),
-    /** As many machines are known as the limits allow. */
+    /** The number of machines has reached the limit. */
     TOO_MANY_MACHINES("too many machines"),
-    /** As many routers are known as the limits allow. */
+    /** The number of routers has reached the limit. */
     TOO_MANY_ROUTERS("too many routers"),
-    /** As many tasks are open as the limits allow. */
+    /** The open tasks and those of the request would exceed the limit. */
     TOO_MANY_TASKS("too much work is asked for"),
-    /** A request with that id says otherwise. */
+    /** The id belongs to a request with other content. */
     REQUEST_ID_TAKEN("another request has that id"),
-    /** No such request is known, or not any more. */
+    /** No request has the id, or it has been dropped. */
     UNKNOWN_REQUEST("no request has that id"),
-    /** Of a cancelled request, these machines are out; its other tasks have been cancelled. */
+    /** These machines of a cancelled request are out; its other tasks have been cancelled. */
     ALREADY_OUT("out already, say done when it is back: "),
-    /** Of a completed request, this machine is not out; those that are have been completed. */
+    /** This machine of a completed request is not out yet; the command has been applied to the others. */
     NOT_OUT_YET("not out yet: "),
-    /** The fencing token or the incarnation is not the one that the grant holds for now. */
+    /** The fencing token or the incarnation is outdated, or the grant has ended. */
     GRANT_ENDED("that grant is over"),
-    /** No task for that router is returning, or its incarnation is not the newest. */
+    /** No task for the router is returning, or its incarnation is not the newest. */
     NOT_RETURNING("nothing of it is returning"),
     /** The command could not be decoded. */
     UNKNOWN_COMMAND("not understood: ");
@@ -33,7 +36,7 @@
         this.message = message;
     }
 
-    /** For an operator; what is rejected follows where it ends in a colon. */
+    /** Returns the message for operators; where it ends in a colon, what was rejected follows. */
     String message() {
         return message;
     }
--- a/src/main/java/tinlink/maintenance/scheduling/TaskState.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskState.java
@@ -3,25 +3,28 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** The state of the maintenance of one machine; the same for all routers. */
+/** The state of a {@link MaintenanceTask}; all routers see the same state. */
 public enum TaskState {
-    /** It has not been granted yet. */
+    /** The task has not been granted yet. */
     WAITING("WAITING"),
-    /** It may start; nothing has been done by it yet. */
+    /** The task has been granted, and its drain has not been started yet. */
     GRANTED("GRANTED"),
-    /** No router sends the machine anything new; a router lets its clients finish and go. */
+    /** The machine drains: routers cordon a data node, and a router finishes its clients' requests. */
     DRAINING("DRAINING"),
-    /** Its operator may take the machine. */
+    /** The operator may work on the machine. */
     OUT("OUT"),
-    /** Its operator has given the machine back, which counts as out until it has warmed up. */
+    /** The machine returns, after its work or a revoked drain; it is unavailable until it has warmed up. */
     RETURNING("RETURNING"),
-    /** Its machine is back and has warmed up. */
+    /** The machine has returned and has warmed up. */
     COMPLETED("BACK"),
-    /** It can never be granted, or names no machine. */
+    /** The task can never be granted, or names no machine. */
     REJECTED("REFUSED"),
-    /** Its operator has taken it back. */
+    /** The operator has cancelled the task. */
     CANCELLED("CALLED_OFF"),
-    /** It has not started in time, which ends it; or the machine is out for longer than was asked. */
+    /**
+     * The task has not started in time, or its operator has given the machine up; both end it. Or the machine
+     * has been out for longer than requested, and stays unavailable.
+     */
     OVERDUE("OVERDUE");
 
     private final String storedName;
@@ -30,24 +33,25 @@
         this.storedName = storedName;
     }
 
-    /** As it stands in snapshots. */
+    /** Returns the name that snapshots contain; earlier builds have stored it, so it must not change. */
     String storedName() {
         return storedName;
     }
 
     /**
-     * The state with that name in snapshots.
+     * Returns the state with this name in snapshots.
      *
-     * @throws IllegalArgumentException where there is none
+     * @throws IllegalArgumentException if there is none
      */
     static TaskState ofStoredName(String name) {
         return Arrays.stream(values())
                 .filter(state -> state.storedName.equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("not a state of a task: " + name));
+                .orElseThrow(() -> new IllegalArgumentException(
+                        "maintenance snapshot: unknown task state: " + name));
     }
 
-    /** As operators read it. */
+    /** Returns the name that operators see. */
     public String label() {
         return storedName.toLowerCase(Locale.ROOT).replace('_', ' ');
     }
