--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
@@ -7,26 +7,26 @@
 import java.util.stream.Stream;
 
 /**
- * What all routers have agreed on about maintenance: limits, machines, routers, requests with their tasks,
- * and agreed time. It changes only through {@link MaintenanceStateMachine}; others read it. Belongs to one
- * thread.
+ * The replicated state of maintenance: limits, machines, routers, requests with their tasks, and agreed time.
+ * All routers reach it by applying the commands of the replicated log. Only {@link MaintenanceStateMachine}
+ * changes it; all other classes read it. Not thread-safe.
  */
 public final class MaintenanceState {
     private DisruptionLimits limits;
     private final MachineTable machines = new MachineTable();
-    /** Routers that may serve clients: of each its newest incarnation. */
+    /** By name of a router that may serve clients, its newest incarnation. */
     private final Map<String, String> incarnations = new TreeMap<>();
 
     private final TaskTable tasks = new TaskTable();
     private long agreedTimeUs;
     private long lastFencingToken;
 
-    /** @param limits {@link DisruptionLimits#UNSET} where none have been agreed on */
+    /** @param limits {@link DisruptionLimits#UNSET} if none have been agreed on */
     MaintenanceState(DisruptionLimits limits) {
         this.limits = limits;
     }
 
-    /** A copy that changes on its own from here; what never changes is shared. */
+    /** Returns an independent copy, which shares only immutable objects. */
     MaintenanceState copy() {
         MaintenanceState copy = new MaintenanceState(limits);
         copy.machines.copyFrom(machines);
@@ -37,76 +37,76 @@
         return copy;
     }
 
-    /** Those that were agreed on; nothing is granted before. */
+    /** Returns the agreed limits, or {@link DisruptionLimits#UNSET} before any have been agreed on. */
     public DisruptionLimits limits() {
         return limits;
     }
 
-    /** Whether limits have been agreed on. */
+    /** Returns whether limits have been agreed on. */
     @SuppressWarnings("ReferenceEquality") // UNSET is one object; agreed limits may equal it.
     public boolean hasLimits() {
         return limits != DisruptionLimits.UNSET;
     }
 
     /**
-     * Agreed time, microseconds: the sum of what leaders say has passed, by clocks that only go forward. It
-     * stands still while there is no leader.
+     * Returns agreed time in microseconds: the sum of the times that leaders have measured by their monotonic
+     * clocks and committed to the log. It stops while there is no leader, or no open task.
      */
     public long agreedTimeUs() {
         return agreedTimeUs;
     }
 
-    /** Of each router that may serve clients, its newest incarnation. */
+    /** Returns the newest incarnation of each router that may serve clients. */
     public Stream<String> incarnations() {
         return incarnations.values().stream();
     }
 
-    /** The incarnation of a router that counts as one that may serve clients; null where none does. */
+    /** Returns the newest incarnation of a router that may serve clients, or null if there is none. */
     public String incarnation(String router) {
         return incarnations.get(router);
     }
 
-    /** Whether this incarnation of this router counts as one that may serve clients. */
+    /** Returns whether this incarnation is the newest one of a router that may serve clients. */
     public boolean isCurrent(String router, String incarnation) {
         return incarnation.equals(incarnations.get(router));
     }
 
-    /** The data nodes among the machines, against which lists are compared; cached until they change. */
+    /** Returns the data nodes among the machines, with which endpoint lists are compared; cached. */
     public AgreedNodes agreedNodes() {
         return machines.agreedNodes();
     }
 
-    /** All machines, by their ids. */
+    /** Returns all machines, sorted by id. */
     public Collection<Machine> machines() {
         return machines.all();
     }
 
-    /** The machine with that id; null where there is none. */
+    /** Returns the machine with this id, or null if there is none. */
     public Machine machine(String machineId) {
         return machines.get(machineId);
     }
 
-    /** Whether the machine is healthy, by what most of those that watch it have found. */
+    /** Returns whether the machine is healthy, as most of the routers that watch it have reported it. */
     public boolean isHealthy(String machine) {
         return machines.isHealthy(machine);
     }
 
-    /** The tasks of each request, the oldest request first. */
+    /** Returns the tasks of each request, the oldest request first. */
     public Collection<List<MaintenanceTask>> requests() {
         return tasks.requests();
     }
 
-    /** The tasks of a request; empty where it is not known, or not any more. */
+    /** Returns the tasks of a request; empty if the request is unknown or has been dropped. */
     public List<MaintenanceTask> tasksOf(String request) {
         return tasks.tasksOf(request);
     }
 
-    /** A copy of the tasks that are not finished, in the order in which they were requested. */
+    /** Returns a copy of the list of unfinished tasks, in the order of their requests. */
     public List<MaintenanceTask> openTasks() {
         return tasks.open();
     }
 
-    /** The task by which a machine can't be counted on; null where there is none. */
+    /** Returns the task that makes a machine unavailable, or null if there is none. */
     public MaintenanceTask activeTask(String machine) {
         return tasks.activeTask(machine);
     }
@@ -148,7 +148,7 @@
         tasks.enter(task, state, agreedTimeUs);
     }
 
-    /** Enters a state in which the task is finished. */
+    /** Moves the task to a final state. */
     void finish(MaintenanceTask task, TaskState state, String reason) {
         tasks.finish(task, state, reason, agreedTimeUs);
     }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
@@ -21,24 +21,28 @@
 import java.util.TreeSet;
 
 /**
- * The replicated state machine of maintenance: which machines are taken out, and when. All routers agree on
- * the commands and on their order; each applies them through this and comes to the same grants. Nothing here
- * reads a clock. Belongs to one thread.
+ * The replicated state machine that decides which machines are taken out for maintenance, and when. All
+ * routers apply the commands of the replicated log in the same order and so compute the same grants; the
+ * class reads no clock. Not thread-safe.
  */
 public final class MaintenanceStateMachine {
-    /** No command advances agreed time by more, microseconds. */
+    /** Maximum time by which one command advances agreed time, microseconds. */
     public static final long MAX_TICK_US = 1_000_000;
 
     private final MaintenanceState state;
     private final GrantScheduler grants;
     private final TaskLifecycle lifecycle;
 
-    /** Of a fleet that has agreed on nothing yet, not even on its limits. */
+    /** Creates the initial state, without limits. */
     public MaintenanceStateMachine() {
         this(DisruptionLimits.UNSET);
     }
 
-    /** @param limits as if they had been agreed on */
+    /**
+     * Creates an initial state in which limits are set already.
+     *
+     * @param limits the limits that count as agreed on
+     */
     public MaintenanceStateMachine(DisruptionLimits limits) {
         this(new MaintenanceState(limits));
     }
@@ -50,30 +54,30 @@
     }
 
     /**
-     * Goes on from a snapshot.
+     * Restores the state machine from a snapshot.
      *
-     * @throws IllegalArgumentException where these are no lines of {@link #snapshot}
+     * @throws IllegalArgumentException if {@link #snapshot} cannot have returned the lines
      */
     public static MaintenanceStateMachine restore(List<String> snapshot) {
         return new MaintenanceStateMachine(MaintenanceSnapshotCodec.decode(snapshot));
     }
 
-    /** A copy that goes on on its own from here. */
+    /** Returns an independent copy. */
     public MaintenanceStateMachine copy() {
         return new MaintenanceStateMachine(state.copy());
     }
 
-    /** All of the state, as lines. */
+    /** Returns the whole state as lines. */
     public List<String> snapshot() {
         return MaintenanceSnapshotCodec.encode(state);
     }
 
-    /** What is agreed on now; it changes with each command. */
+    /** Returns the current state; the same object changes with each command. */
     public MaintenanceState state() {
         return state;
     }
 
-    /** Applies the next command. */
+    /** Applies the next command of the log. */
     public CommandOutcome apply(MaintenanceCommand command) {
         if (command instanceof SetLimits setLimits) {
             return setLimits(setLimits.limits());
@@ -109,17 +113,18 @@
         } else if (command instanceof CompleteWork completeWork) {
             return complete(completeWork);
         }
-        throw new IllegalArgumentException("not a command of maintenance: " + command);
+        throw new IllegalArgumentException("unexpected maintenance command: " + command);
     }
 
-    private CommandOutcome advanced() {
+    private CommandOutcome advanceAndAccept() {
         lifecycle.advanceAll();
         return CommandOutcome.accepted();
     }
 
     /**
-     * Danger: routers whose files differ would come to different grants; so limits are agreed on like all
-     * else. The first ones hold; what changes them is a change of policy.
+     * Sets the limits if none are set. They are agreed on like all other state, because routers whose
+     * configuration files differ would otherwise compute different grants. The first limits stay in force; to
+     * change them is a change of policy.
      */
     private CommandOutcome setLimits(DisruptionLimits proposed) {
         if (!state.hasLimits()) {
@@ -131,26 +136,26 @@
     }
 
     /**
-     * Danger: a leader that stood still, or whose machine slept, would end grants that nobody could start; so
-     * one command advances time by so much at most.
+     * Advances agreed time by at most {@link #MAX_TICK_US}. Without this bound, a leader that was paused, or
+     * whose machine was suspended, would end grants that no router had a chance to start.
      */
     private CommandOutcome advanceTime(long elapsedUs) {
         state.advanceTime(Math.max(0, Math.min(elapsedUs, MAX_TICK_US)));
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome registerMachine(Machine machine) {
-        boolean isNew = state.machine(machine.id()) == null;
-        if (isNew && state.machines().size() >= state.limits().maxEntries()) {
+        boolean added = state.machine(machine.id()) == null;
+        if (added && state.machines().size() >= state.limits().maxEntries()) {
             return CommandOutcome.rejected(Rejection.TOO_MANY_MACHINES);
         }
         state.machineTable().put(machine, state.agreedTimeUs());
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome removeMachine(String machineId) {
-        // Danger: a machine that is out is off the lists as well; forgotten, its block would look
-        // complete.
+        // A machine that is out is missing from the endpoint lists too. It must stay known, or its
+        // block would look complete without it.
         if (state.activeTask(machineId) == null && state.machineTable().remove(machineId)) {
             for (MaintenanceTask task : state.openTasks()) {
                 if (task.machine().equals(machineId)) {
@@ -158,29 +163,29 @@
                 }
             }
         }
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome setHealth(SetHealth command) {
         state.machineTable().setHealth(command.machine(), command.healthy(), state.agreedTimeUs());
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome registerRouter(RegisterRouter command) {
-        boolean isNew = state.incarnation(command.router()) == null;
-        if (isNew && state.routers().size() >= state.limits().maxEntries()) {
+        boolean added = state.incarnation(command.router()) == null;
+        if (added && state.routers().size() >= state.limits().maxEntries()) {
             return CommandOutcome.rejected(Rejection.TOO_MANY_ROUTERS);
         }
         state.routers().put(command.router(), command.incarnation());
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome removeRouter(RemoveRouter command) {
         state.routers().remove(command.router(), command.incarnation());
-        return advanced();
+        return advanceAndAccept();
     }
 
-    /** A request with an id that is known is that one; one that says otherwise is rejected. */
+    /** Accepts a repeated request without effect, and rejects another request with a known id. */
     private CommandOutcome submit(MaintenanceRequest request) {
         List<MaintenanceTask> known = state.tasksOf(request.id());
         if (!known.isEmpty()) {
@@ -203,7 +208,7 @@
                     .ifPresent(reason -> state.finish(task, TaskState.REJECTED, reason));
         }
         state.taskTable().dropFinished(state.limits().maxTasks());
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome cancel(CancelRequest command) {
@@ -248,9 +253,9 @@
     }
 
     /**
-     * This incarnation of the router acts by that grant from now on. What comes by an older grant is
-     * rejected; and what a router reads of a drain that an earlier incarnation of it started may be an old
-     * copy.
+     * Records that this incarnation of the router acts under the grant; commands under an older grant are
+     * rejected. A restarted router starts its drain anew, because the drain of its previous incarnation may
+     * come from an outdated copy of the state.
      */
     private CommandOutcome startDrain(StartDrain command) {
         MaintenanceTask task = state.activeTask(command.router());
@@ -262,7 +267,7 @@
             grants.startDrain(task);
         }
         task.grant().start(command.incarnation());
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome confirmDrained(ConfirmDrained command) {
@@ -272,11 +277,13 @@
             return CommandOutcome.rejected(Rejection.GRANT_ENDED);
         }
         task.grant().confirmDrained(command.router(), command.incarnation());
-        return advanced();
+        return advanceAndAccept();
     }
 
     /**
-     * Whether a task, null where there is none, holds that grant, and its router is no earlier incarnation.
+     * Returns whether the task holds the grant with this token, and the router's incarnation is its newest.
+     *
+     * @param task null if there is none
      */
     private boolean holds(
             MaintenanceTask task, long fencingToken, String router, String incarnation) {
@@ -285,7 +292,7 @@
                 && state.isCurrent(router, incarnation);
     }
 
-    /** A router serves again only once it says so: until then it may still be closing its listener. */
+    /** Records that a router serves again; until it confirms that, it may still be closing its listener. */
     private CommandOutcome confirmServing(ConfirmServing command) {
         MaintenanceTask task = state.activeTask(command.router());
         if (task == null
@@ -294,7 +301,7 @@
             return CommandOutcome.rejected(Rejection.NOT_RETURNING);
         }
         task.grant().confirmServing();
-        return advanced();
+        return advanceAndAccept();
     }
 
     private CommandOutcome complete(CompleteWork command) {
@@ -308,7 +315,7 @@
                 continue;
             }
             if (task.isActive() && command.lost()) {
-                loseMachine(task);
+                removeLostMachine(task);
             } else if (task.isOut()) {
                 state.enter(task, TaskState.RETURNING);
             } else if (!task.isFinished() && task.state() != TaskState.RETURNING) {
@@ -321,7 +328,7 @@
                 : CommandOutcome.rejected(Rejection.NOT_OUT_YET, notOutYet);
     }
 
-    private void loseMachine(MaintenanceTask task) {
+    private void removeLostMachine(MaintenanceTask task) {
         state.finish(
                 task,
                 TaskState.OVERDUE,
