--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceSnapshotCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceSnapshotCodec.java
@@ -7,9 +7,10 @@
 import java.util.List;
 
 /**
- * The written form of {@link MaintenanceState}: lines of fields, the kind first. Lines of commands ({@link
- * MaintenanceCommandCodec}) stand for what those set. Snapshots are stored and sent between builds, so the
- * words stay; the first line has the version.
+ * Encodes the {@link MaintenanceState} as lines of fields, of which the first is the kind. Limits, machines,
+ * routers and requests have the lines of the commands that set them ({@link MaintenanceCommandCodec}).
+ * Snapshots are stored and exchanged between builds, so the kinds must not change; the first line contains
+ * the version.
  */
 final class MaintenanceSnapshotCodec {
     private static final String VERSION = "1";
@@ -42,12 +43,12 @@
                         new MaintenanceCommand.RegisterRouter(router, incarnation))));
         for (List<MaintenanceTask> tasks : state.requests()) {
             lines.add(MaintenanceCommandCodec.request(tasks.get(0).request()));
-            tasks.forEach(task -> lines.add(encode(task)));
+            tasks.forEach(task -> lines.add(encodeTask(task)));
         }
         return lines;
     }
 
-    private static String encode(MaintenanceTask task) {
+    private static String encodeTask(MaintenanceTask task) {
         return LineCodec.encode(
                 TASK,
                 task.request().id(),
@@ -67,7 +68,7 @@
                 task.grant().storedDrainedBy());
     }
 
-    /** @throws IllegalArgumentException where these are no lines of {@link #encode} */
+    /** @throws IllegalArgumentException if {@link #encode} cannot have returned the lines */
     static MaintenanceState decode(List<String> lines) {
         Decoder decoder = new Decoder();
         lines.forEach(decoder::read);
@@ -75,10 +76,10 @@
         return decoder.state;
     }
 
-    /** What has been read so far. */
+    /** Builds the state from one line after the other. */
     private static final class Decoder {
         final MaintenanceState state = new MaintenanceState(DisruptionLimits.UNSET);
-        /** The request that the next tasks belong to; null before the first one. */
+        /** The request to which the next tasks belong; null before the first request. */
         private MaintenanceRequest request;
 
         private long nextSequenceNumber;
@@ -100,26 +101,31 @@
                     state.routers().put(fields.nextText(), fields.nextText());
                 case MaintenanceCommandCodec.REQUEST ->
                     request = MaintenanceCommandCodec.request(fields);
-                case TASK -> state.taskTable().restore(task(fields, request));
-                default -> throw new IllegalArgumentException("not a line of a snapshot: " + line);
+                case TASK -> state.taskTable().restore(decodeTask(fields, request));
+                default ->
+                    throw new IllegalArgumentException(
+                            "maintenance snapshot: line of an unknown kind: " + line);
             }
         }
 
         private void readCounters(FieldReader fields) {
             String version = fields.nextText();
             if (!version.equals(VERSION)) {
-                throw new IllegalArgumentException("a snapshot of version " + version);
+                throw new IllegalArgumentException(
+                        "maintenance snapshot: expected version " + VERSION + ", found " + version);
             }
             state.restoreCounters(fields.nextLong(), fields.nextLong());
             nextSequenceNumber = fields.nextLong();
         }
     }
 
-    /** @param request that the task has to belong to; null where there is none */
-    private static MaintenanceTask task(FieldReader fields, MaintenanceRequest request) {
+    /** @param request the request to which the task must belong; null if none has been decoded */
+    private static MaintenanceTask decodeTask(FieldReader fields, MaintenanceRequest request) {
         String requestId = fields.nextText();
         if (request == null || !request.id().equals(requestId)) {
-            throw new IllegalArgumentException("a task without its request: " + requestId);
+            throw new IllegalArgumentException("maintenance snapshot: a task of request "
+                    + requestId + " follows "
+                    + (request == null ? "no request" : "request " + request.id()));
         }
         String machine = fields.nextText();
         long requestedAtUs = fields.nextLong();
--- a/src/main/java/tinlink/maintenance/scheduling/TaskTable.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskTable.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests that are known and their tasks; states of tasks change only through it. */
+/** All known requests and their tasks. The states of tasks change only through this class. */
 final class TaskTable {
-    /** By id of the request, the oldest first; see {@link #dropFinished}. */
+    /** By request id, its tasks; the oldest request first. {@link #dropFinished} bounds their number. */
     private final Map<String, List<MaintenanceTask>> requests = new LinkedHashMap<>();
-    /** Tasks that are not finished, in the order in which they were requested. */
+    /** The unfinished tasks, in the order of their requests. */
     private final List<MaintenanceTask> open = new ArrayList<>();
     /**
-     * Active tasks by machine; null after a change until somebody asks. Danger: searched for among all open
-     * tasks for each one that waits, a thousand requests made each command a million steps.
+     * Cache of the active tasks by machine id; null after a change until the next query. Without the cache,
+     * each waiting task would search all open tasks: with 1000 requests, 1,000,000 steps for each command.
      */
     private Map<String, MaintenanceTask> activeTasks;
 
@@ -25,38 +25,39 @@
     private long nextSequenceNumber;
 
     void copyFrom(TaskTable other) {
-        other.requests.values().forEach(tasks -> tasks.forEach(this::addTo));
-        other.open.forEach(task -> open.add(copyOf(task, other)));
+        other.requests.values().forEach(tasks -> tasks.forEach(this::addCopyOf));
+        other.open.forEach(task -> open.add(ownCopyOf(task, other)));
         taskCount = other.taskCount;
         nextSequenceNumber = other.nextSequenceNumber;
     }
 
-    private void addTo(MaintenanceTask task) {
+    private void addCopyOf(MaintenanceTask task) {
         requests.computeIfAbsent(task.request().id(), id -> new ArrayList<>())
                 .add(new MaintenanceTask(task));
     }
 
-    private MaintenanceTask copyOf(MaintenanceTask task, TaskTable other) {
+    /** Returns the copy of another table's task that this table holds. */
+    private MaintenanceTask ownCopyOf(MaintenanceTask task, TaskTable other) {
         String requestId = task.request().id();
         return requests.get(requestId).get(other.requests.get(requestId).indexOf(task));
     }
 
-    /** The tasks of each request. */
+    /** Returns the tasks of each request, the oldest request first. */
     Collection<List<MaintenanceTask>> requests() {
         return requests.values();
     }
 
-    /** The tasks of a request; empty where it is not known, or not any more. */
+    /** Returns the tasks of a request; empty if the request is unknown or has been dropped. */
     List<MaintenanceTask> tasksOf(String request) {
         return requests.getOrDefault(request, List.of());
     }
 
-    /** A copy of the tasks that are not finished. */
+    /** Returns a copy of the list of unfinished tasks, in the order of their requests. */
     List<MaintenanceTask> open() {
         return List.copyOf(open);
     }
 
-    /** The active task for a machine; null where there is none. */
+    /** Returns the active task for a machine, or null if there is none. */
     MaintenanceTask activeTask(String machine) {
         if (activeTasks == null) {
             activeTasks = new HashMap<>();
@@ -73,7 +74,7 @@
         return nextSequenceNumber;
     }
 
-    /** Adds a task that waits. */
+    /** Adds a waiting task. */
     MaintenanceTask add(MaintenanceRequest request, String machine, long nowUs) {
         MaintenanceTask task = new MaintenanceTask(request, machine, nowUs, nextSequenceNumber++);
         restore(task);
@@ -85,7 +86,7 @@
         task.setState(state, nowUs);
     }
 
-    /** Enters a state in which the task is finished. */
+    /** Moves the task to a final state. */
     void finish(MaintenanceTask task, TaskState state, String reason, long nowUs) {
         enter(task, state, nowUs);
         task.setReason(reason);
@@ -94,7 +95,10 @@
         open.remove(task);
     }
 
-    /** Drops requests of which all tasks are finished, the oldest first, down to so many tasks. */
+    /**
+     * Drops requests whose tasks are all finished, the oldest first, until at most this many tasks are left
+     * or no such request is.
+     */
     void dropFinished(int maxTasks) {
         Iterator<List<MaintenanceTask>> oldestFirst = requests.values().iterator();
         while (oldestFirst.hasNext() && taskCount > maxTasks) {
@@ -114,9 +118,9 @@
         }
     }
 
-    /** Ends a restore. */
-    void restored(long sequenceNumber) {
-        nextSequenceNumber = sequenceNumber;
+    /** Completes a restore, after all tasks have been restored. */
+    void restored(long nextNumber) {
+        nextSequenceNumber = nextNumber;
         open.sort(Comparator.comparingLong(MaintenanceTask::sequenceNumber));
     }
 }
