--- a/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
@@ -5,9 +5,11 @@
 import java.util.Optional;
 
 /**
- * Moves tasks from state to state, as agreed time, health and confirmations allow after each command. What is
- * safe rests on the order of commands alone: a grant that has not been started may end by time; one that has
- * counts as active until its machine has come back and been healthy for as long as the limits say.
+ * Moves tasks from state to state after each command, as agreed time, health and confirmations allow. Safety
+ * depends on the order of commands alone: time ends only a grant that has not been started; after that, the
+ * task counts as active until its machine has returned and has been healthy for the warm-up time.
+ *
+ * <p>The reasons that it sets are stored with the tasks, so their wording must not change.
  */
 final class TaskLifecycle {
     private final MaintenanceState state;
@@ -18,11 +20,12 @@
         this.grants = grants;
     }
 
-    /** Moves all open tasks as far as they get now. */
+    /** Moves all open tasks on as far as possible, and grants waiting ones. */
     void advanceAll() {
         state.openTasks().forEach(this::advance);
         grants.grantWaiting();
-        // What has just been granted is out at once where nobody has anything in flight there.
+        // A machine that has just been granted is out at once if no router has to confirm its
+        // drain.
         for (MaintenanceTask task : state.openTasks()) {
             if (task.state() == TaskState.DRAINING) {
                 advance(task);
@@ -65,31 +68,31 @@
         if (machine != null && state.isHealthy(task.machine())) {
             Optional<String> violation = grants.violationWithout(machine);
             if (violation.isPresent()) {
-                callBack(task, machine, violation.get());
+                revokeGrant(task, machine, violation.get());
                 return;
             }
         }
-        List<String> undrained = routersNotDrained(task);
-        if (undrained.isEmpty()) {
+        List<String> unconfirmed = routersNotDrained(task);
+        if (unconfirmed.isEmpty()) {
             task.setReason("");
             state.enter(task, TaskState.OUT);
             task.setDeadlineUs(state.agreedTimeUs() + task.request().durationUs());
         } else {
-            task.setReason("not yet done with it: " + String.join(", ", undrained));
+            task.setReason("not yet done with it: " + String.join(", ", unconfirmed));
         }
     }
 
     /**
-     * Danger: another machine has failed since the grant; taken now, this one is what is left. Its operator
-     * has not been told that it is out, so it may serve on.
+     * Revokes the grant of a draining machine on which a failure domain depends since another machine has
+     * failed. The machine may serve on, because its operator has not been told that it is out.
      */
-    private void callBack(MaintenanceTask task, Machine machine, String violation) {
+    private void revokeGrant(MaintenanceTask task, Machine machine, String violation) {
         String reason = task.grant().machineHadFailed()
                 ? "it was granted as one that had failed, and is sound again"
                 : "called back, since without it " + violation;
         if (machine.isRouter()) {
-            // It may have drained its clients by now, and counts again only once it says that it
-            // serves.
+            // The router may have drained its clients already, so it counts as available only
+            // after it has confirmed that it serves again.
             task.setReason(reason);
             task.requeueOnReturn(true);
             state.enter(task, TaskState.RETURNING);
@@ -105,7 +108,7 @@
     }
 
     private void advanceReturn(MaintenanceTask task) {
-        if (!isWarm(task)) {
+        if (!isWarmedUp(task)) {
             return;
         }
         if (task.isRequeuedOnReturn()) {
@@ -118,8 +121,8 @@
         }
     }
 
-    /** Whether the machine is back and has been healthy for as long as the limits say. */
-    private boolean isWarm(MaintenanceTask task) {
+    /** Returns whether the machine has returned and has been healthy for the warm-up time. */
+    private boolean isWarmedUp(MaintenanceTask task) {
         Machine machine = state.machine(task.machine());
         if (machine == null || !state.isHealthy(task.machine())) {
             return false;
@@ -134,27 +137,27 @@
                         + state.limits().warmUpUs();
     }
 
-    /** Routers that have not confirmed yet that they have nothing in flight at the machine. */
+    /** Returns the routers that still have to confirm that they have nothing in flight at the machine. */
     private List<String> routersNotDrained(MaintenanceTask task) {
         Machine machine = state.machine(task.machine());
-        List<String> undrained = new ArrayList<>();
+        List<String> unconfirmed = new ArrayList<>();
         state.routers().forEach((router, incarnation) -> {
-            // A router's clients are its own; to a data node any router may send.
-            boolean concerned = (machine != null && machine.isRouter())
+            // Only the router itself has its clients in flight; any router may send to a data node.
+            boolean confirmationNeeded = (machine != null && machine.isRouter())
                     ? router.equals(task.machine())
                     : maySend(router, incarnation);
-            if (concerned && !task.isDrainedBy(router, incarnation)) {
-                undrained.add(router);
+            if (confirmationNeeded && !task.isDrainedBy(router, incarnation)) {
+                unconfirmed.add(router);
             }
         });
-        return undrained;
+        return unconfirmed;
     }
 
-    /** All routers but those that are drained themselves, and have not been started again since. */
+    /** Returns whether a router may send to data nodes: not while it is drained, unless it has restarted. */
     private boolean maySend(String router, String incarnation) {
-        MaintenanceTask own = state.activeTask(router);
-        return own == null
-                || own.state() == TaskState.RETURNING
-                || !own.isDrainedBy(router, incarnation);
+        MaintenanceTask ownTask = state.activeTask(router);
+        return ownTask == null
+                || ownTask.state() == TaskState.RETURNING
+                || !ownTask.isDrainedBy(router, incarnation);
     }
 }
