--- a/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
@@ -6,41 +6,46 @@
 import java.util.Map;
 
 /**
- * What routers report of the list of data nodes, as a difference to what is agreed on. A report counts only
- * if it is against a set of agreed nodes that the leader has had of late: the two are told apart by digest.
+ * The newest reports of the routers' endpoint lists as differences to the agreed nodes. A report counts only
+ * if its basis is a set of agreed nodes that the leader has had recently; sets are identified by digest.
  *
- * <p>Danger: what is agreed on changes while reports are on their way. A report says nothing of a node that
- * was agreed on after its basis, so it must not be taken for one that the node has gone. For this each node
- * has the number of the set with which it came, and each report that of its basis.
+ * <p>The agreed nodes change while reports are in transit. A report does not cover a node that was agreed on
+ * after the report's basis, and must not remove it. The sets are therefore numbered: the class stores for
+ * each node the number of the set that introduced it, and for each report the number of its basis.
  */
 final class NodeListVotes {
-    /** Sets of agreed nodes that a report may still be against; routers lag by a few at the most. */
+    /**
+     * Number of recent sets of agreed nodes that a report may have as its basis. The copy of the state in a
+     * router is behind the leader's by a few sets at most.
+     */
     private static final int MAX_BASES = 64;
 
     private record Report(NodeListDifference difference, long basisNumber, long atUs) {}
 
     private final long expiryUs;
     private final int maxRouters;
-    /** By router: its newest report. Expired ones leave as they are looked at. */
+    /**
+     * By router name, its newest report; bounded by {@link #maxRouters}. {@link #expire} removes old reports.
+     */
     private final Map<String, Report> reports = new LinkedHashMap<>();
-    /** By digest: the number of a set of agreed nodes. The oldest leave past the bound. */
+    /** By digest of a set of agreed nodes, the number of the set; holds the newest {@link #MAX_BASES}. */
     private final Map<Long, Long> basisNumbers = new LinkedHashMap<>();
-    /** By node agreed on: the number of the set with which it came. */
+    /** By id of an agreed node, the number of the set that introduced it or changed its properties. */
     private final Map<String, Long> agreedSince = new HashMap<>();
 
     private AgreedNodes agreedNodes;
     private long newestBasis;
 
     /**
-     * @param expiryUs how long a report counts, microseconds
-     * @param maxRouters routers that reports are kept of
+     * @param expiryUs time after which a report no longer counts, microseconds
+     * @param maxRouters maximum number of routers of which reports are held
      */
     NodeListVotes(long expiryUs, int maxRouters) {
         this.expiryUs = expiryUs;
         this.maxRouters = maxRouters;
     }
 
-    /** Sets the nodes that are agreed on now. */
+    /** Sets the current agreed nodes. */
     void setAgreedNodes(AgreedNodes nodes) {
         if (agreedNodes != null && agreedNodes.digest() == nodes.digest()) {
             return;
@@ -63,9 +68,9 @@
     }
 
     /**
-     * Takes a report.
+     * Records a report.
      *
-     * @return false where it is against a set of nodes that is not known here, so that it does not count
+     * @return false if the report does not count, because its basis is unknown or too many routers report
      */
     boolean onReport(String router, NodeListDifference difference, long nowUs) {
         Long basisNumber = basisNumbers.get(difference.basisDigest());
@@ -76,23 +81,26 @@
         return true;
     }
 
-    /** The router's report does not count any more. */
+    /** Removes the report of a router. */
     void forget(String router) {
         reports.remove(router);
     }
 
-    /** Drops reports that are too old to count. */
+    /** Removes reports that are too old to count. */
     void expire(long nowUs) {
         reports.values().removeIf(report -> nowUs - report.atUs() > expiryUs);
     }
 
-    /** Adds, by site, the routers that have reported. */
-    void countVoters(Map<String, Integer> voters) {
+    /** Adds to the counts, by site, the routers that have reported. */
+    void countVoters(Map<String, Integer> reporters) {
         reports.values()
-                .forEach(report -> voters.merge(report.difference().site(), 1, Integer::sum));
+                .forEach(report -> reporters.merge(report.difference().site(), 1, Integer::sum));
     }
 
-    /** Adds, by node, the routers that list it though it is not agreed on, or not as it is listed. */
+    /**
+     * Adds to the counts, by node, the routers whose lists have it, if the node is not agreed on or is agreed
+     * on with other properties.
+     */
     void countListed(Map<Machine, Integer> listed) {
         for (Report report : reports.values()) {
             for (Machine node : report.difference().added()) {
@@ -103,7 +111,7 @@
         }
     }
 
-    /** Adds, by the id of an agreed node, the routers of its site that don't list it. */
+    /** Adds to the counts, by id of an agreed node, the routers of its site whose lists lack it. */
     void countMissing(Map<String, Integer> missing) {
         for (Report report : reports.values()) {
             for (String nodeId : report.difference().missing()) {
