--- a/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
@@ -13,9 +13,12 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 
-/** Who looks after which machine and what it finds; what a leader puts to the vote. */
+/**
+ * Tests the assignment of watchers to machines, the failure detector, and the commands that the leader's
+ * coordinator proposes.
+ */
 class FailureDetectorAndCoordinatorTest {
-    private static final DisruptionLimits BOUNDS =
+    private static final DisruptionLimits LIMITS =
             new DisruptionLimits(2, 0.5, 0.5, 1_000_000, 4_000_000, 20_000_000, 100, 100);
     private static final List<String> ROUTERS =
             IntStream.range(0, 20).mapToObj(i -> "r" + i).toList();
@@ -38,10 +41,10 @@
             assertTrue(
                     watchersAfterwards.containsAll(
                             watchers.stream().filter(fewer::contains).toList()),
-                    "moved without need");
+                    "the machine lost a watcher that has not left");
         }
         assertTrue(load.values().stream().allMatch(n -> n > 10 && n < 60), load.toString());
-        assertFalse(WatcherDefinition.watches("r1", ROUTERS, "r1", 3), "nobody looks after itself");
+        assertFalse(WatcherDefinition.watches("r1", ROUTERS, "r1", 3), "no router watches itself");
     }
 
     private final List<String> probes = new ArrayList<>();
@@ -59,7 +62,7 @@
         assertEquals(
                 Map.of(),
                 failureDetector.observations(),
-                "nothing is said before a probe has ended");
+                "no observation before a probe has ended");
         failureDetector.onProbeResult("a", true);
         failureDetector.onProbeResult("a", false);
         assertEquals(Map.of("a", true), failureDetector.observations());
@@ -69,14 +72,17 @@
         assertEquals(Map.of("a", true), failureDetector.observations());
         failureDetector.setTime(7000);
         while (failureDetector.decide(probes::add)) {
-            // Each is noted.
+            // The list records each probe.
         }
         assertEquals(List.of("a"), probes);
         failureDetector.assign(List.of(), List.of(), List.of());
-        assertEquals(Map.of(), failureDetector.observations(), "what is off the list is forgotten");
+        assertEquals(
+                Map.of(),
+                failureDetector.observations(),
+                "a data node that is not on the list is not observed");
     }
 
-    /** Fails without the calls: a process that stands still is still connected to. */
+    /** The kernel accepts connections for a hung process, so probes alone would find it healthy. */
     @Test
     void consecutiveFailedCallsCountThoughProbesSucceed() {
         MachineFailureDetector failureDetector = onlyWatcher();
@@ -89,7 +95,7 @@
         assertEquals(Map.of("a", false), failureDetector.observations());
         failureDetector.onCallResult("a", true);
         assertEquals(Map.of("a", true), failureDetector.observations());
-        // A burst of failures within one round is one event, not several.
+        // Failures within one probe interval count as a single failure.
         for (int i = 0; i < 6; i++) {
             failureDetector.onCallResult("a", false);
         }
@@ -111,7 +117,7 @@
         while (coordinator.decide(
                 stateMachine.state(),
                 command -> proposed.add(MaintenanceCommandCodec.encode(command)))) {
-            // Each is noted.
+            // The list records each proposal.
         }
         proposed.forEach(line -> {
             assertEquals("", apply(stateMachine, line));
@@ -119,24 +125,24 @@
         });
     }
 
-    private static Machine node(String id, String site) {
-        return new Machine(id, Machine.Kind.NODE, 0, "z", site, "m", false);
+    private static Machine node(String nodeId, String site) {
+        return new Machine(nodeId, Machine.Kind.NODE, 0, "z", site, "m", false);
     }
 
     @Test
     void limitsAreProposedFirstAndNoRequestIsAcceptedBefore() {
-        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
+        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(LIMITS, 100, 10_000, 100);
         MaintenanceStateMachine stateMachine = new MaintenanceStateMachine();
         String request = MaintenanceCommandCodec.encode(new MaintenanceCommand.SubmitRequest(
                 new MaintenanceRequest("q", List.of("a"), 1, Long.MAX_VALUE, 5, "op", "why")));
         assertEquals("no bounds are agreed on yet: ask again", apply(stateMachine, request));
         coordinator.setTime(1000);
         decide(coordinator, stateMachine);
-        assertEquals(List.of(), proposed, "it does not lead");
+        assertEquals(List.of(), proposed, "this router is not the leader");
         coordinator.setLeader(true);
         decide(coordinator, stateMachine);
         assertEquals(
-                List.of(MaintenanceCommandCodec.encode(new MaintenanceCommand.SetLimits(BOUNDS))),
+                List.of(MaintenanceCommandCodec.encode(new MaintenanceCommand.SetLimits(LIMITS))),
                 proposed);
         assertEquals("", apply(stateMachine, request));
         DisruptionLimits other = new DisruptionLimits(1, 0.5, 0.5, 1, 1, 1, 100, 100);
@@ -146,14 +152,14 @@
                         stateMachine,
                         MaintenanceCommandCodec.encode(new MaintenanceCommand.SetLimits(other))));
         assertEquals(
-                BOUNDS,
+                LIMITS,
                 MaintenanceStateMachine.restore(stateMachine.snapshot()).state().limits());
     }
 
     @Test
     void onlyRoutersOfTheSameSiteCountForANodeAndSilenceRemovesNothing() {
-        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
-        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
+        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(LIMITS, 100, 10_000, 100);
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(LIMITS);
         coordinator.setTime(1000);
         coordinator.setLeader(true);
         report(
@@ -173,8 +179,10 @@
                         "s1", List.of(node("b", "s1"), node("c", "s1")))));
         decide(coordinator, stateMachine);
         assertEquals(
-                2, stateMachine.state().machines().size(), "c is on one list of two: " + proposed);
-        // Site s1 is not heard any more, and its machines stay known.
+                2,
+                stateMachine.state().machines().size(),
+                "c is on only one of two lists: " + proposed);
+        // No router of site s1 reports any more, so its machines stay.
         coordinator.setTime(20_000);
         report(
                 coordinator,
@@ -188,8 +196,8 @@
 
     @Test
     void aRouterReportsOnlyItselfAndTimeUnderAnotherLeaderIsNotCounted() {
-        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(BOUNDS, 100, 10_000, 100);
-        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
+        MaintenanceCoordinator coordinator = new MaintenanceCoordinator(LIMITS, 100, 10_000, 100);
+        MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(LIMITS);
         Machine machine = new Machine("r1", Machine.Kind.ROUTER, -1, "z", "s0", "router", true);
         coordinator.setTime(1000);
         coordinator.setLeader(true);
@@ -214,7 +222,8 @@
         report(coordinator, "r1", MachineReportCodec.encode(new MachineReport.Departure("1")));
         coordinator.setTime(901_000);
         decide(coordinator, stateMachine);
-        assertEquals(0, stateMachine.state().incarnations().count(), "it has said that it ends");
+        assertEquals(
+                0, stateMachine.state().incarnations().count(), "r1 has reported its termination");
     }
 
     private static void requestOneOfThreeNodes(MaintenanceStateMachine stateMachine) {
--- a/src/test/java/tinlink/maintenance/scheduling/WatcherDefinition.java
+++ b/src/test/java/tinlink/maintenance/scheduling/WatcherDefinition.java
@@ -2,11 +2,14 @@
 
 import java.util.Collection;
 
-/** Who watches a machine, by the definition alone: what the code that keeps it up is compared with. */
+/** The definition of which routers watch a machine, as the reference for incremental implementations. */
 public final class WatcherDefinition {
     private WatcherDefinition() {}
 
-    /** Whether fewer than that many other routers have a lower weight; nobody watches itself. */
+    /**
+     * Returns whether a router watches a machine: fewer than {@code watchers} other routers have a lower
+     * weight for the machine. No router watches itself.
+     */
     public static boolean watches(
             String router, Collection<String> routers, String machine, int watchers) {
         long ownWeight = WatcherAssignment.weight(router, machine);
