--- a/src/test/java/tinlink/maintenance/scheduling/MachineReportCodecTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/MachineReportCodecTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Each report's line, as builds before typed reports wrote and read it. */
+/** Compares the line of each report with the line that earlier builds write and read. */
 class MachineReportCodecTest {
     private static final Machine NODE =
             new Machine("n1", Machine.Kind.NODE, 7, "z1", "s1", "m", false);
@@ -44,9 +44,11 @@
 
     @ParameterizedTest
     @MethodSource("lines")
-    void eachReportIsEncodedAndDecodedAsItWas(Map.Entry<String, MachineReport> one) {
-        assertEquals(one.getKey(), MachineReportCodec.encode(one.getValue()));
-        assertEquals(Optional.of(one.getValue()), MachineReportCodec.decode(one.getKey()));
+    void eachReportKeepsItsEncoding(Map.Entry<String, MachineReport> lineAndReport) {
+        assertEquals(lineAndReport.getKey(), MachineReportCodec.encode(lineAndReport.getValue()));
+        assertEquals(
+                Optional.of(lineAndReport.getValue()),
+                MachineReportCodec.decode(lineAndReport.getKey()));
     }
 
     @ParameterizedTest
@@ -64,7 +66,7 @@
                 "list-difference\ts0\t0\t5\tmachine",
                 "list-difference\ts0\t1f\t-1"
             })
-    void aReportThatCanNotBeReadIsIgnored(String line) {
+    void malformedReportsAreIgnored(String line) {
         assertEquals(Optional.empty(), MachineReportCodec.decode(line));
     }
 }
--- a/src/test/java/tinlink/maintenance/scheduling/MaintenanceCommandCodecTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/MaintenanceCommandCodecTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Each command's line, as builds before typed commands wrote and read it. */
+/** Compares the line of each command with the line that earlier builds write and read. */
 class MaintenanceCommandCodecTest {
     private static final Machine NODE =
             new Machine("n1", Machine.Kind.NODE, 7, "z1", "s1", "m\tx", false);
@@ -63,12 +63,17 @@
 
     @ParameterizedTest
     @MethodSource("lines")
-    void eachCommandIsEncodedAndDecodedAsItWas(Map.Entry<String, MaintenanceCommand> one) {
-        assertEquals(one.getKey(), MaintenanceCommandCodec.encode(one.getValue()));
-        assertEquals(one.getValue(), MaintenanceCommandCodec.decode(one.getKey()));
+    void eachCommandKeepsItsEncoding(Map.Entry<String, MaintenanceCommand> lineAndCommand) {
+        assertEquals(
+                lineAndCommand.getKey(), MaintenanceCommandCodec.encode(lineAndCommand.getValue()));
+        assertEquals(
+                lineAndCommand.getValue(), MaintenanceCommandCodec.decode(lineAndCommand.getKey()));
     }
 
-    /** A line that lacks a field, has one that is no number or out of range, is told whole. */
+    /**
+     * A line in which a field is missing, is not a number or is out of range is rejected with a message that
+     * contains the whole line.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -83,7 +88,7 @@
                 "done\tq1\tn1",
                 "bounds\t2\t0.5"
             })
-    void aLineThatCanNotBeReadIsRejectedWithAllOfIt(String line) {
+    void aMalformedLineIsRejectedWithAMessageThatContainsIt(String line) {
         assertEquals(new MaintenanceCommand.Unknown(line), MaintenanceCommandCodec.decode(line));
         assertEquals("not understood: " + line, apply(line));
     }
@@ -99,7 +104,7 @@
         List<String> before = stateMachine.snapshot();
         String message =
                 stateMachine.apply(MaintenanceCommandCodec.decode(line)).message();
-        assertEquals(before, stateMachine.snapshot(), "it changes nothing");
+        assertEquals(before, stateMachine.snapshot(), "an unknown command changes nothing");
         return message;
     }
 
@@ -111,7 +116,7 @@
     }
 
     @Test
-    void whatCouldNotBeReadIsNeverWritten() {
+    void anUnknownCommandCannotBeEncoded() {
         MaintenanceCommand unknown = new MaintenanceCommand.Unknown("x");
         assertThrows(IllegalArgumentException.class, () -> MaintenanceCommandCodec.encode(unknown));
     }
