--- a/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
+++ b/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
@@ -11,8 +11,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays a scenario of the order of work; docs/scenarios.md has the notation. Each step is written
- * and read again.
+ * Plays a scenario of maintenance commands, in the notation of docs/scenarios.md. After each command, the
+ * state is written to a snapshot and restored from it.
  */
 public final class MaintenanceScenarioPlayer {
     private DisruptionLimits limits =
@@ -24,89 +24,96 @@
         Scenarios.play(script, ";", this::step);
     }
 
-    private void step(String[] words) {
-        switch (words[0]) {
+    private void step(String[] tokens) {
+        switch (tokens[0]) {
             case "bounds" -> {
                 limits = new DisruptionLimits(
-                        Integer.parseInt(words[1]),
-                        Double.parseDouble(words[2]),
-                        Double.parseDouble(words[3]),
-                        us(words[4]),
-                        us(words[5]),
-                        us(words[6]),
-                        Integer.parseInt(words[7]),
-                        Integer.parseInt(words[8]));
+                        Integer.parseInt(tokens[1]),
+                        Double.parseDouble(tokens[2]),
+                        Double.parseDouble(tokens[3]),
+                        microseconds(tokens[4]),
+                        microseconds(tokens[5]),
+                        microseconds(tokens[6]),
+                        Integer.parseInt(tokens[7]),
+                        Integer.parseInt(tokens[8]));
                 stateMachine = new MaintenanceStateMachine(limits);
             }
             case "node" ->
                 apply(MaintenanceCommandCodec.machine(new Machine(
-                        words[1],
+                        tokens[1],
                         Machine.Kind.NODE,
-                        Integer.parseInt(words[2]),
-                        words[3],
-                        words.length > 4 ? words[4] : "s",
+                        Integer.parseInt(tokens[2]),
+                        tokens[3],
+                        tokens.length > 4 ? tokens[4] : "s",
                         "n",
                         false)));
             case "router" -> {
                 apply(MaintenanceCommandCodec.machine(new Machine(
-                        words[1], Machine.Kind.ROUTER, -1, words[2], "s", "r", words.length > 3)));
+                        tokens[1],
+                        Machine.Kind.ROUTER,
+                        -1,
+                        tokens[2],
+                        "s",
+                        "r",
+                        tokens.length > 3)));
                 apply(MaintenanceCommandCodec.encode(
-                        new MaintenanceCommand.RegisterRouter(words[1], "1")));
+                        new MaintenanceCommand.RegisterRouter(tokens[1], "1")));
             }
             case "ask" ->
                 apply(MaintenanceCommandCodec.request(new MaintenanceRequest(
-                        words[1],
-                        words[2].equals("-") ? List.of() : List.of(words[2].split(",")),
-                        us(words[3]),
-                        words.length > 5 ? us(words[5]) : Long.MAX_VALUE,
-                        words.length > 4 ? Integer.parseInt(words[4]) : 5,
+                        tokens[1],
+                        tokens[2].equals("-") ? List.of() : List.of(tokens[2].split(",")),
+                        microseconds(tokens[3]),
+                        tokens.length > 5 ? microseconds(tokens[5]) : Long.MAX_VALUE,
+                        tokens.length > 4 ? Integer.parseInt(tokens[4]) : 5,
                         "op",
                         "why")));
             case "tick" -> {
-                for (long left = words.length < 2 ? 0 : us(words[1]);
-                        left > 0;
-                        left -= MaintenanceStateMachine.MAX_TICK_US) {
+                for (long remainingUs = tokens.length < 2 ? 0 : microseconds(tokens[1]);
+                        remainingUs > 0;
+                        remainingUs -= MaintenanceStateMachine.MAX_TICK_US) {
                     apply(MaintenanceCommandCodec.encode(new MaintenanceCommand.AdvanceTime(
-                            Math.min(left, MaintenanceStateMachine.MAX_TICK_US))));
+                            Math.min(remainingUs, MaintenanceStateMachine.MAX_TICK_US))));
                 }
-                if (words.length < 2) {
+                if (tokens.length < 2) {
                     apply("tick");
                 }
             }
             case "is" ->
                 assertEquals(
-                        words[2],
-                        state(words[1]),
-                        () -> words[1] + ": " + task(words[1]).reason());
+                        tokens[2],
+                        state(tokens[1]),
+                        () -> tokens[1] + ": " + task(tokens[1]).reason());
             case "why" ->
                 assertTrue(
-                        task(words[1]).reason().contains(rest(words, 2)),
-                        () -> task(words[1]).reason());
+                        task(tokens[1]).reason().contains(rest(tokens, 2)),
+                        () -> task(tokens[1]).reason());
             case "said" ->
                 assertTrue(
-                        response.contains(rest(words, 1))
-                                && response.isEmpty() == (words.length == 1),
+                        response.contains(rest(tokens, 1))
+                                && response.isEmpty() == (tokens.length == 1),
                         () -> response);
-            case "fence" -> assertEquals(words[2], Long.toString(task(words[1]).fencingToken()));
-            default -> apply(LineCodec.encode((Object[]) words));
+            case "fence" ->
+                assertEquals(tokens[2], Long.toString(task(tokens[1]).fencingToken()));
+            default -> apply(LineCodec.encode((Object[]) tokens));
         }
     }
 
-    private static String rest(String[] words, int from) {
-        return Arrays.stream(words, from, words.length).collect(Collectors.joining(" "));
+    private static String rest(String[] tokens, int from) {
+        return Arrays.stream(tokens, from, tokens.length).collect(Collectors.joining(" "));
     }
 
-    private static long us(String ms) {
-        return 1000 * Long.parseLong(ms);
+    private static long microseconds(String milliseconds) {
+        return 1000 * Long.parseLong(milliseconds);
     }
 
-    /** As "q1" for its one piece, or "q1/n1". */
+    /** Returns the first task of a request that is named as "q1", or the task of a machine as "q1/n1". */
     private MaintenanceTask task(String name) {
-        String[] words = name.split("/", 0);
-        return stateMachine.state().tasksOf(words[0]).stream()
-                .filter(task -> words.length == 1 || task.machine().equals(words[1]))
+        String[] ids = name.split("/", 0);
+        return stateMachine.state().tasksOf(ids[0]).stream()
+                .filter(task -> ids.length == 1 || task.machine().equals(ids[1]))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no piece " + name));
+                .orElseThrow(() -> new AssertionError("no task " + name));
     }
 
     private String state(String name) {
@@ -117,6 +124,6 @@
         response = stateMachine.apply(MaintenanceCommandCodec.decode(line)).message();
         List<String> lines = stateMachine.snapshot();
         stateMachine = MaintenanceStateMachine.restore(lines);
-        assertEquals(lines, stateMachine.snapshot(), "written and read again");
+        assertEquals(lines, stateMachine.snapshot(), "a restored state has the same snapshot");
     }
 }
