--- a/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/NodeListReportsTest.java
@@ -19,15 +19,18 @@
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 
-/** Lists of data nodes told as differences, and machines shared out among watchers step by step. */
+/**
+ * Tests endpoint lists that are reported as differences to the agreed nodes, and the incremental assignment
+ * of watchers to machines.
+ */
 class NodeListReportsTest {
-    private static final DisruptionLimits BOUNDS =
+    private static final DisruptionLimits LIMITS =
             new DisruptionLimits(2, 0.5, 0.5, 1_000_000, 4_000_000, 20_000_000, 100, 10_000);
-    private static final long OLD_US = 10_000;
-    private static final String KIND = "list-difference";
+    private static final long REPORT_EXPIRY_US = 10_000;
+    private static final String DIFFERENCE_KIND = "list-difference";
 
-    private static Machine node(String id, String site, int cell) {
-        return new Machine(id, Machine.Kind.NODE, cell, "z", site, "m", false);
+    private static Machine node(String nodeId, String site, int cell) {
+        return new Machine(nodeId, Machine.Kind.NODE, cell, "z", site, "m", false);
     }
 
     private static String apply(MaintenanceStateMachine stateMachine, String line) {
@@ -46,28 +49,28 @@
         return IntStream.range(0, count).mapToObj(i -> node("n" + i, site, 0)).toList();
     }
 
-    /** A leader, and the order as it is agreed on at once. */
+    /** The coordinator of a leader, and a state machine that applies its proposals at once. */
     private static final class Fixture {
         final MaintenanceCoordinator coordinator =
-                new MaintenanceCoordinator(BOUNDS, 100, OLD_US, 10_000);
-        final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(BOUNDS);
+                new MaintenanceCoordinator(LIMITS, 100, REPORT_EXPIRY_US, 10_000);
+        final MaintenanceStateMachine stateMachine = new MaintenanceStateMachine(LIMITS);
         final List<String> proposed = new ArrayList<>();
-        long now = 1000;
+        long nowUs = 1000;
 
         Fixture() {
             coordinator.setLeader(true);
             runRound();
         }
 
-        /** One beat of the leader's; what it proposes is agreed on. */
+        /** Runs one round of the leader and applies its proposals. */
         void runRound() {
-            now += 100;
-            coordinator.setTime(now);
+            nowUs += 100;
+            coordinator.setTime(nowUs);
             proposed.clear();
             while (coordinator.decide(
                     stateMachine.state(),
                     command -> proposed.add(MaintenanceCommandCodec.encode(command)))) {
-                // Each is noted.
+                // The list records each proposal.
             }
             proposed.forEach(line -> {
                 assertEquals("", apply(stateMachine, line));
@@ -88,9 +91,9 @@
         }
 
         Set<String> agreedIds() {
-            Set<String> all = new TreeSet<>();
-            stateMachine.state().machines().forEach(machine -> all.add(machine.id()));
-            return all;
+            Set<String> ids = new TreeSet<>();
+            stateMachine.state().machines().forEach(machine -> ids.add(machine.id()));
+            return ids;
         }
     }
 
@@ -108,20 +111,20 @@
 
     @Test
     void anOversizedOrTruncatedReportIsIgnored() {
-        List<String> tooMany = new ArrayList<>(List.of(KIND, "s0", "1f", "0"));
+        List<String> tooMany = new ArrayList<>(List.of(DIFFERENCE_KIND, "s0", "1f", "0"));
         IntStream.range(0, NodeListDifference.MAX_NODES + 1).forEach(i -> tooMany.add("n" + i));
         assertEquals(Optional.empty(), decode(tooMany));
-        List<String> negative = List.of(KIND, "s0", "1f", "-1");
+        List<String> negative = List.of(DIFFERENCE_KIND, "s0", "1f", "-1");
         assertEquals(Optional.empty(), decode(negative));
         Fixture fixture = new Fixture();
-        report(fixture.coordinator, "r1", KIND + "\ts0");
-        report(fixture.coordinator, "r1", KIND + "\ts0\tnothex\t0");
-        report(fixture.coordinator, "r1", KIND + "\ts0\t0\t5\tmachine");
+        report(fixture.coordinator, "r1", DIFFERENCE_KIND + "\ts0");
+        report(fixture.coordinator, "r1", DIFFERENCE_KIND + "\ts0\tnothex\t0");
+        report(fixture.coordinator, "r1", DIFFERENCE_KIND + "\ts0\t0\t5\tmachine");
         fixture.runRound();
         assertEquals(Set.of(), fixture.agreedIds());
     }
 
-    /** What the mechanism is for: fails with whole lists, which grow with the nodes. */
+    /** Reports must not grow with the number of data nodes, as full lists do. */
     @Test
     void aReportWithoutChangesHasTheSameSizeAtAnyNumberOfNodes() {
         int few = steadyReport(100).length();
@@ -171,7 +174,10 @@
         assertEquals(Set.of("n0", "n1", "new"), fixture.agreedIds());
     }
 
-    /** Fails without {@code agreedSince}: late reports would take away the node that is back. */
+    /**
+     * A late report, whose basis is older than the return of a node, must not remove the node again: {@code
+     * agreedSince} prevents this.
+     */
     @Test
     void staleReportsDoNotRemoveANodeThatHasComeBack() {
         Fixture fixture = new Fixture();
@@ -205,7 +211,7 @@
         List<Machine> all = nodes(2, "s0");
         fixture.deliverFromAll(fixture.difference("s0", all));
         fixture.runRound();
-        fixture.now += 2 * OLD_US;
+        fixture.nowUs += 2 * REPORT_EXPIRY_US;
         fixture.runRound();
         NodeListDifference unknownBasis =
                 new NodeListDifference("s0", 77, List.of(), Set.of("n0", "n1"));
@@ -232,13 +238,13 @@
                 MachineReportCodec.encode(new MachineReport.FullNodeList("s0", all.subList(0, 1))));
         fixture.deliver("new", fixture.difference("s0", all));
         fixture.runRound();
-        assertEquals(2, fixture.agreedIds().size(), "one of two");
+        assertEquals(2, fixture.agreedIds().size(), "only one of two routers has removed n1");
         fixture.deliver("new", fixture.difference("s0", all.subList(0, 1)));
         fixture.runRound();
         assertEquals(Set.of("n0"), fixture.agreedIds());
     }
 
-    /** Reports get lost, come late and come twice; once all is quiet what is agreed on is the list. */
+    /** After a phase in which reports are lost, late and repeated, the agreed nodes equal the list. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void agreedNodesConvergeToTheList(long seed) {
@@ -248,19 +254,20 @@
         Set<String> listed = new TreeSet<>();
         for (int round = 0; round < 400; round++) {
             if (round < 300 && random.nextInt(4) == 0) {
-                String id = "n" + random.nextInt(300);
-                if (!listed.add(id)) {
-                    listed.remove(id);
+                String nodeId = "n" + random.nextInt(300);
+                if (!listed.add(nodeId)) {
+                    listed.remove(nodeId);
                 }
             }
-            List<Machine> list = listed.stream().map(id -> node(id, "s0", 0)).toList();
+            List<Machine> list =
+                    listed.stream().map(nodeId -> node(nodeId, "s0", 0)).toList();
             for (int r = 0; r < 5; r++) {
                 inTransit.add(fixture.difference("s0", list));
                 boolean lost = round < 300 && random.nextInt(3) == 0;
                 if (!lost) {
                     boolean late = round < 300 && random.nextInt(3) == 0;
-                    int at = late ? random.nextInt(inTransit.size()) : inTransit.size() - 1;
-                    fixture.deliver("r" + r, inTransit.get(at));
+                    int index = late ? random.nextInt(inTransit.size()) : inTransit.size() - 1;
+                    fixture.deliver("r" + r, inTransit.get(index));
                 }
             }
             while (inTransit.size() > 20) {
@@ -271,7 +278,7 @@
         assertEquals(listed, fixture.agreedIds());
     }
 
-    /** Kept up step by step it is what the rule says of the whole. */
+    /** After any sequence of changes, the incremental assignment equals the definition. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void incrementalWatcherAssignmentEqualsTheDefinition(long seed) {
