--- a/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/AgreedNodes.java
@@ -47,7 +47,7 @@
     }
 
     private static long hash(Machine machine) {
-        return StableHash.finish(
-                StableHash.append(StableHash.START, MaintenanceCommandCodec.machine(machine)));
+        return StableHash.finish(StableHash.append(
+                StableHash.START, MaintenanceCommandCodec.encodeMachine(machine)));
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/Grant.java
+++ b/src/main/java/tinlink/maintenance/scheduling/Grant.java
@@ -17,7 +17,7 @@
     private final Set<String> drainedBy = new LinkedHashSet<>();
 
     private String startedBy = "";
-    private boolean machineHadFailed;
+    private boolean unhealthyWhenGranted;
     private boolean servingAgain;
 
     Grant() {}
@@ -27,7 +27,7 @@
         fencingToken = other.fencingToken;
         drainedBy.addAll(other.drainedBy);
         startedBy = other.startedBy;
-        machineHadFailed = other.machineHadFailed;
+        unhealthyWhenGranted = other.unhealthyWhenGranted;
         servingAgain = other.servingAgain;
     }
 
@@ -40,7 +40,7 @@
         fencingToken = newToken;
         drainedBy.clear();
         startedBy = "";
-        machineHadFailed = unhealthy;
+        unhealthyWhenGranted = unhealthy;
         servingAgain = false;
     }
 
@@ -83,8 +83,8 @@
     }
 
     /** Returns whether the machine was unhealthy when it was granted, so that no limit was checked. */
-    boolean machineHadFailed() {
-        return machineHadFailed;
+    boolean wasUnhealthyWhenGranted() {
+        return unhealthyWhenGranted;
     }
 
     /** Returns whether the router that the task is for has confirmed that it serves again. */
--- a/src/main/java/tinlink/maintenance/scheduling/GrantScheduler.java
+++ b/src/main/java/tinlink/maintenance/scheduling/GrantScheduler.java
@@ -93,7 +93,7 @@
      *
      * @param machineId empty if the request names no machine
      */
-    Optional<String> impossibleBecause(String machineId) {
+    Optional<String> rejectionReason(String machineId) {
         if (machineId.isEmpty()) {
             return Optional.of("it names no machine");
         }
--- a/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineReportCodec.java
@@ -37,7 +37,9 @@
         } else if (report instanceof MachineReport.FullNodeList fullNodeList) {
             fields.add(FULL_LIST);
             fields.add(fullNodeList.site());
-            fullNodeList.nodes().forEach(node -> fields.add(MaintenanceCommandCodec.machine(node)));
+            fullNodeList
+                    .nodes()
+                    .forEach(node -> fields.add(MaintenanceCommandCodec.encodeMachine(node)));
         } else if (report instanceof NodeListDifference nodeListDifference) {
             fields.add(LIST_DIFFERENCE);
             fields.add(nodeListDifference.site());
@@ -45,11 +47,11 @@
             fields.add(nodeListDifference.added().size());
             nodeListDifference
                     .added()
-                    .forEach(node -> fields.add(MaintenanceCommandCodec.machine(node)));
+                    .forEach(node -> fields.add(MaintenanceCommandCodec.encodeMachine(node)));
             nodeListDifference.missing().stream().sorted().forEach(fields::add);
         } else if (report instanceof MachineReport.Self selfReport) {
             fields.add(SELF);
-            fields.add(MaintenanceCommandCodec.machine(selfReport.router()));
+            fields.add(MaintenanceCommandCodec.encodeMachine(selfReport.router()));
         } else if (report instanceof MachineReport.Departure departure) {
             fields.add(DEPARTURE);
             fields.add(departure.incarnation());
@@ -113,6 +115,6 @@
         FieldReader fields = new FieldReader(LineCodec.decode(line));
         // The line is that of a command that registers a machine, so it begins with a kind.
         fields.nextText();
-        return MaintenanceCommandCodec.machine(fields);
+        return MaintenanceCommandCodec.decodeMachine(fields);
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceCommandCodec.java
@@ -51,11 +51,11 @@
      */
     public static String encode(MaintenanceCommand command) {
         if (command instanceof SetLimits setLimits) {
-            return limits(setLimits.limits());
+            return encodeLimits(setLimits.limits());
         } else if (command instanceof AdvanceTime advanceTime) {
             return LineCodec.encode(ADVANCE_TIME, advanceTime.elapsedUs());
         } else if (command instanceof RegisterMachine registerMachine) {
-            return machine(registerMachine.machine());
+            return encodeMachine(registerMachine.machine());
         } else if (command instanceof RemoveMachine removeMachine) {
             return LineCodec.encode(REMOVE_MACHINE, removeMachine.machine());
         } else if (command instanceof SetHealth setHealth) {
@@ -66,7 +66,7 @@
             return LineCodec.encode(
                     REMOVE_ROUTER, removeRouter.router(), removeRouter.incarnation());
         } else if (command instanceof SubmitRequest submitRequest) {
-            return request(submitRequest.request());
+            return encodeRequest(submitRequest.request());
         } else if (command instanceof CancelRequest cancelRequest) {
             return LineCodec.encode(CANCEL, cancelRequest.request(), cancelRequest.reason());
         } else if (command instanceof CompleteWork completeWork) {
@@ -114,14 +114,14 @@
 
     private static MaintenanceCommand decode(String kind, FieldReader fields) {
         return switch (kind) {
-            case LIMITS -> new SetLimits(limits(fields));
+            case LIMITS -> new SetLimits(decodeLimits(fields));
             case ADVANCE_TIME -> new AdvanceTime(fields.nextLong());
-            case MACHINE -> new RegisterMachine(machine(fields));
+            case MACHINE -> new RegisterMachine(decodeMachine(fields));
             case REMOVE_MACHINE -> new RemoveMachine(fields.nextText());
             case HEALTH -> new SetHealth(fields.nextText(), fields.nextBoolean());
             case ROUTER -> new RegisterRouter(fields.nextText(), fields.nextText());
             case REMOVE_ROUTER -> new RemoveRouter(fields.nextText(), fields.nextText());
-            case REQUEST -> new SubmitRequest(request(fields));
+            case REQUEST -> new SubmitRequest(decodeRequest(fields));
             case CANCEL -> new CancelRequest(fields.nextText(), fields.nextText());
             case START_DRAIN ->
                 new StartDrain(fields.nextText(), fields.nextLong(), fields.nextText());
@@ -137,7 +137,7 @@
     }
 
     /** Returns the line of a machine as it is in commands, in snapshots and in reports. */
-    static String machine(Machine machine) {
+    static String encodeMachine(Machine machine) {
         return LineCodec.encode(
                 MACHINE,
                 machine.id(),
@@ -150,7 +150,7 @@
     }
 
     /** Decodes a machine from the fields that follow the kind. */
-    static Machine machine(FieldReader fields) {
+    static Machine decodeMachine(FieldReader fields) {
         return new Machine(
                 fields.nextText(),
                 Machine.Kind.valueOf(fields.nextText()),
@@ -162,7 +162,7 @@
     }
 
     /** Returns the line of a request as it is in commands and in snapshots. */
-    static String request(MaintenanceRequest request) {
+    static String encodeRequest(MaintenanceRequest request) {
         return LineCodec.encode(
                 REQUEST,
                 request.id(),
@@ -175,7 +175,7 @@
     }
 
     /** Decodes a request from the fields that follow the kind. */
-    static MaintenanceRequest request(FieldReader fields) {
+    static MaintenanceRequest decodeRequest(FieldReader fields) {
         String requestId = fields.nextText();
         String machines = fields.nextText();
         return new MaintenanceRequest(
@@ -189,7 +189,7 @@
     }
 
     /** Returns the line of limits as it is in commands and in snapshots. */
-    static String limits(DisruptionLimits limits) {
+    static String encodeLimits(DisruptionLimits limits) {
         return LineCodec.encode(
                 LIMITS,
                 limits.minReplicas(),
@@ -203,7 +203,7 @@
     }
 
     /** Decodes limits from the fields that follow the kind. */
-    static DisruptionLimits limits(FieldReader fields) {
+    static DisruptionLimits decodeLimits(FieldReader fields) {
         return new DisruptionLimits(
                 fields.nextInt(),
                 fields.nextDouble(),
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceSnapshotCodec.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceSnapshotCodec.java
@@ -30,19 +30,20 @@
                 state.lastFencingToken(),
                 state.taskTable().nextSequenceNumber()));
         if (state.hasLimits()) {
-            lines.add(MaintenanceCommandCodec.limits(state.limits()));
+            lines.add(MaintenanceCommandCodec.encodeLimits(state.limits()));
         }
         MachineTable machines = state.machineTable();
-        machines.all().forEach(machine -> lines.add(MaintenanceCommandCodec.machine(machine)));
+        machines.all()
+                .forEach(machine -> lines.add(MaintenanceCommandCodec.encodeMachine(machine)));
         machines.forEachUnhealthySince(
                 (machine, us) -> lines.add(LineCodec.encode(UNHEALTHY_SINCE, machine, us)));
         machines.forEachHealthySince(
                 (machine, us) -> lines.add(LineCodec.encode(HEALTHY_SINCE, machine, us)));
-        state.routers()
+        state.incarnationByRouter()
                 .forEach((router, incarnation) -> lines.add(MaintenanceCommandCodec.encode(
                         new MaintenanceCommand.RegisterRouter(router, incarnation))));
         for (List<MaintenanceTask> tasks : state.requests()) {
-            lines.add(MaintenanceCommandCodec.request(tasks.get(0).request()));
+            lines.add(MaintenanceCommandCodec.encodeRequest(tasks.get(0).request()));
             tasks.forEach(task -> lines.add(encodeTask(task)));
         }
         return lines;
@@ -62,7 +63,7 @@
                 task.deadlineUs(),
                 task.isCancelledOnReturn(),
                 task.isServingAgain(),
-                task.grant().machineHadFailed(),
+                task.grant().wasUnhealthyWhenGranted(),
                 task.isRequeuedOnReturn(),
                 task.grant().startedBy(),
                 task.grant().storedDrainedBy());
@@ -72,7 +73,7 @@
     static MaintenanceState decode(List<String> lines) {
         Decoder decoder = new Decoder();
         lines.forEach(decoder::read);
-        decoder.state.taskTable().restored(decoder.nextSequenceNumber);
+        decoder.state.taskTable().finishRestore(decoder.nextSequenceNumber);
         return decoder.state;
     }
 
@@ -90,17 +91,17 @@
             switch (fields.nextText()) {
                 case COUNTERS -> readCounters(fields);
                 case MaintenanceCommandCodec.LIMITS ->
-                    state.setLimits(MaintenanceCommandCodec.limits(fields));
+                    state.setLimits(MaintenanceCommandCodec.decodeLimits(fields));
                 case MaintenanceCommandCodec.MACHINE ->
-                    machines.restore(MaintenanceCommandCodec.machine(fields));
+                    machines.restore(MaintenanceCommandCodec.decodeMachine(fields));
                 case UNHEALTHY_SINCE ->
                     machines.restoreUnhealthySince(fields.nextText(), fields.nextLong());
                 case HEALTHY_SINCE ->
                     machines.restoreHealthySince(fields.nextText(), fields.nextLong());
                 case MaintenanceCommandCodec.ROUTER ->
-                    state.routers().put(fields.nextText(), fields.nextText());
+                    state.incarnationByRouter().put(fields.nextText(), fields.nextText());
                 case MaintenanceCommandCodec.REQUEST ->
-                    request = MaintenanceCommandCodec.request(fields);
+                    request = MaintenanceCommandCodec.decodeRequest(fields);
                 case TASK -> state.taskTable().restore(decodeTask(fields, request));
                 default ->
                     throw new IllegalArgumentException(
@@ -136,10 +137,10 @@
         long fencingToken = fields.nextLong();
         task.setState(taskState, fields.nextLong());
         task.setDeadlineUs(fields.nextLong());
-        task.cancelOnReturn(fields.nextBoolean());
+        task.setCancelledOnReturn(fields.nextBoolean());
         boolean servingAgain = fields.nextBoolean();
         task.grant().renew(fencingToken, fields.nextBoolean());
-        task.requeueOnReturn(fields.nextBoolean());
+        task.setRequeuedOnReturn(fields.nextBoolean());
         task.grant().restore(servingAgain, fields.nextText(), fields.nextText());
         return task;
     }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceState.java
@@ -15,7 +15,7 @@
     private DisruptionLimits limits;
     private final MachineTable machines = new MachineTable();
     /** By name of a router that may serve clients, its newest incarnation. */
-    private final Map<String, String> incarnations = new TreeMap<>();
+    private final Map<String, String> incarnationByRouter = new TreeMap<>();
 
     private final TaskTable tasks = new TaskTable();
     private long agreedTimeUs;
@@ -30,7 +30,7 @@
     MaintenanceState copy() {
         MaintenanceState copy = new MaintenanceState(limits);
         copy.machines.copyFrom(machines);
-        copy.incarnations.putAll(incarnations);
+        copy.incarnationByRouter.putAll(incarnationByRouter);
         copy.tasks.copyFrom(tasks);
         copy.agreedTimeUs = agreedTimeUs;
         copy.lastFencingToken = lastFencingToken;
@@ -58,17 +58,17 @@
 
     /** Returns the newest incarnation of each router that may serve clients. */
     public Stream<String> incarnations() {
-        return incarnations.values().stream();
+        return incarnationByRouter.values().stream();
     }
 
     /** Returns the newest incarnation of a router that may serve clients, or null if there is none. */
     public String incarnation(String router) {
-        return incarnations.get(router);
+        return incarnationByRouter.get(router);
     }
 
     /** Returns whether this incarnation is the newest one of a router that may serve clients. */
     public boolean isCurrent(String router, String incarnation) {
-        return incarnation.equals(incarnations.get(router));
+        return incarnation.equals(incarnationByRouter.get(router));
     }
 
     /** Returns the data nodes among the machines, with which endpoint lists are compared; cached. */
@@ -119,8 +119,8 @@
         agreedTimeUs += elapsedUs;
     }
 
-    Map<String, String> routers() {
-        return incarnations;
+    Map<String, String> incarnationByRouter() {
+        return incarnationByRouter;
     }
 
     MachineTable machineTable() {
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceStateMachine.java
@@ -173,15 +173,15 @@
 
     private CommandOutcome registerRouter(RegisterRouter command) {
         boolean added = state.incarnation(command.router()) == null;
-        if (added && state.routers().size() >= state.limits().maxEntries()) {
+        if (added && state.incarnationByRouter().size() >= state.limits().maxEntries()) {
             return CommandOutcome.rejected(Rejection.TOO_MANY_ROUTERS);
         }
-        state.routers().put(command.router(), command.incarnation());
+        state.incarnationByRouter().put(command.router(), command.incarnation());
         return advanceAndAccept();
     }
 
     private CommandOutcome removeRouter(RemoveRouter command) {
-        state.routers().remove(command.router(), command.incarnation());
+        state.incarnationByRouter().remove(command.router(), command.incarnation());
         return advanceAndAccept();
     }
 
@@ -204,7 +204,7 @@
                 request.machines().isEmpty() ? Set.of("") : new TreeSet<>(request.machines());
         for (String machine : machines) {
             MaintenanceTask task = state.taskTable().add(request, machine, state.agreedTimeUs());
-            grants.impossibleBecause(machine)
+            grants.rejectionReason(machine)
                     .ifPresent(reason -> state.finish(task, TaskState.REJECTED, reason));
         }
         state.taskTable().dropFinished(state.limits().maxTasks());
@@ -247,8 +247,8 @@
     }
 
     private static void cancelOnReturn(MaintenanceTask task, String reason) {
-        task.cancelOnReturn(true);
-        task.requeueOnReturn(false);
+        task.setCancelledOnReturn(true);
+        task.setRequeuedOnReturn(false);
         task.setReason(reason);
     }
 
@@ -334,6 +334,6 @@
                 TaskState.OVERDUE,
                 "given up by its operator: the machine does not come back");
         removeMachine(task.machine());
-        state.routers().remove(task.machine());
+        state.incarnationByRouter().remove(task.machine());
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MaintenanceTask.java
@@ -17,8 +17,8 @@
     private String reason = "";
     private long stateSinceUs;
     private long deadlineUs;
-    private boolean requeueOnReturn;
-    private boolean cancelOnReturn;
+    private boolean requeuedOnReturn;
+    private boolean cancelledOnReturn;
 
     /** @param sequenceNumber rises with each task in the order of the requests */
     MaintenanceTask(
@@ -42,8 +42,8 @@
         reason = other.reason;
         stateSinceUs = other.stateSinceUs;
         deadlineUs = other.deadlineUs;
-        requeueOnReturn = other.requeueOnReturn;
-        cancelOnReturn = other.cancelOnReturn;
+        requeuedOnReturn = other.requeuedOnReturn;
+        cancelledOnReturn = other.cancelledOnReturn;
     }
 
     /** Returns the request that the task belongs to. */
@@ -139,12 +139,12 @@
 
     /** Returns whether the grant was revoked during the drain: the task waits again after the return. */
     boolean isRequeuedOnReturn() {
-        return requeueOnReturn;
+        return requeuedOnReturn;
     }
 
     /** Returns whether the task was cancelled during the drain: it ends after the return. */
     boolean isCancelledOnReturn() {
-        return cancelOnReturn;
+        return cancelledOnReturn;
     }
 
     void setReason(String reason) {
@@ -155,12 +155,12 @@
         this.deadlineUs = deadlineUs;
     }
 
-    void requeueOnReturn(boolean requeue) {
-        requeueOnReturn = requeue;
+    void setRequeuedOnReturn(boolean requeued) {
+        requeuedOnReturn = requeued;
     }
 
-    void cancelOnReturn(boolean cancel) {
-        cancelOnReturn = cancel;
+    void setCancelledOnReturn(boolean cancelled) {
+        cancelledOnReturn = cancelled;
     }
 
     /** Sets the state. {@link TaskTable} must do this for the tasks in it, since it caches by state. */
--- a/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
@@ -92,7 +92,7 @@
     }
 
     /** Adds to the counts, by site, the routers that have reported. */
-    void countVoters(Map<String, Integer> reporters) {
+    void countReporters(Map<String, Integer> reporters) {
         reports.values()
                 .forEach(report -> reporters.merge(report.difference().site(), 1, Integer::sum));
     }
--- a/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
@@ -33,7 +33,7 @@
      */
     private final Map<String, NodeList> nodeLists = new LinkedHashMap<>();
     /** Endpoint lists that were reported as a difference to the agreed nodes. */
-    private final NodeListVotes differenceVotes;
+    private final NodeListVotes differenceReports;
 
     /**
      * @param expiryUs time after which a report no longer counts
@@ -42,17 +42,17 @@
     ObservationAggregator(long expiryUs, int maxEntries) {
         this.expiryUs = expiryUs;
         this.maxEntries = maxEntries;
-        differenceVotes = new NodeListVotes(expiryUs, maxEntries);
+        differenceReports = new NodeListVotes(expiryUs, maxEntries);
     }
 
     /** Sets the current agreed nodes, to which differences are reported. */
     void setAgreedNodes(AgreedNodes nodes) {
-        differenceVotes.setAgreedNodes(nodes);
+        differenceReports.setAgreedNodes(nodes);
     }
 
     /** Records the endpoint list of a router as a difference to the agreed nodes. */
     void onDifference(String router, NodeListDifference difference, long nowUs) {
-        if (differenceVotes.onReport(router, difference, nowUs)) {
+        if (differenceReports.onReport(router, difference, nowUs)) {
             nodeLists.remove(router);
         }
     }
@@ -75,7 +75,7 @@
      */
     void onNodeList(String router, String site, Collection<Machine> nodes, long nowUs) {
         if (nodeLists.size() < maxEntries || nodeLists.containsKey(router)) {
-            differenceVotes.forget(router);
+            differenceReports.forget(router);
             nodeLists.put(router, new NodeList(site, List.copyOf(nodes), nowUs));
         }
     }
@@ -127,7 +127,7 @@
     private void addListChanges(
             MaintenanceState state, long nowUs, List<MaintenanceCommand> proposals) {
         nodeLists.values().removeIf(list -> nowUs - list.atUs() > expiryUs);
-        differenceVotes.expire(nowUs);
+        differenceReports.expire(nowUs);
         ListCounts counts = countLists();
         Map<String, Machine> changed = new TreeMap<>();
         counts.listed.forEach((machine, count) -> {
@@ -181,9 +181,9 @@
             }
         }
         counts.reporters.putAll(counts.fullLists);
-        differenceVotes.countVoters(counts.reporters);
-        differenceVotes.countListed(counts.listed);
-        differenceVotes.countMissing(counts.missingByDifference);
+        differenceReports.countReporters(counts.reporters);
+        differenceReports.countListed(counts.listed);
+        differenceReports.countMissing(counts.missingByDifference);
         return counts;
     }
 }
--- a/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskLifecycle.java
@@ -87,14 +87,14 @@
      * failed. The machine may serve on, because its operator has not been told that it is out.
      */
     private void revokeGrant(MaintenanceTask task, Machine machine, String violation) {
-        String reason = task.grant().machineHadFailed()
+        String reason = task.grant().wasUnhealthyWhenGranted()
                 ? "it was granted as one that had failed, and is sound again"
                 : "called back, since without it " + violation;
         if (machine.isRouter()) {
             // The router may have drained its clients already, so it counts as available only
             // after it has confirmed that it serves again.
             task.setReason(reason);
-            task.requeueOnReturn(true);
+            task.setRequeuedOnReturn(true);
             state.enter(task, TaskState.RETURNING);
         } else {
             requeue(task, reason);
@@ -112,7 +112,7 @@
             return;
         }
         if (task.isRequeuedOnReturn()) {
-            task.requeueOnReturn(false);
+            task.setRequeuedOnReturn(false);
             requeue(task, task.reason());
         } else if (task.isCancelledOnReturn()) {
             state.finish(task, TaskState.CANCELLED, task.reason());
@@ -141,7 +141,7 @@
     private List<String> routersNotDrained(MaintenanceTask task) {
         Machine machine = state.machine(task.machine());
         List<String> unconfirmed = new ArrayList<>();
-        state.routers().forEach((router, incarnation) -> {
+        state.incarnationByRouter().forEach((router, incarnation) -> {
             // Only the router itself has its clients in flight; any router may send to a data node.
             boolean confirmationNeeded = (machine != null && machine.isRouter())
                     ? router.equals(task.machine())
--- a/src/main/java/tinlink/maintenance/scheduling/TaskTable.java
+++ b/src/main/java/tinlink/maintenance/scheduling/TaskTable.java
@@ -119,7 +119,7 @@
     }
 
     /** Completes a restore, after all tasks have been restored. */
-    void restored(long nextNumber) {
+    void finishRestore(long nextNumber) {
         nextSequenceNumber = nextNumber;
         open.sort(Comparator.comparingLong(MaintenanceTask::sequenceNumber));
     }
--- a/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
@@ -84,7 +84,7 @@
 
     /** The kernel accepts connections for a hung process, so probes alone would find it healthy. */
     @Test
-    void consecutiveFailedCallsCountThoughProbesSucceed() {
+    void consecutiveFailedAttemptsCountThoughProbesSucceed() {
         MachineFailureDetector failureDetector = onlyWatcher();
         failureDetector.onProbeResult("a", true);
         for (int i = 0; i < 6; i++) {
--- a/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
+++ b/src/test/java/tinlink/maintenance/scheduling/MaintenanceScenarioPlayer.java
@@ -39,7 +39,7 @@
                 stateMachine = new MaintenanceStateMachine(limits);
             }
             case "node" ->
-                apply(MaintenanceCommandCodec.machine(new Machine(
+                apply(MaintenanceCommandCodec.encodeMachine(new Machine(
                         tokens[1],
                         Machine.Kind.NODE,
                         Integer.parseInt(tokens[2]),
@@ -48,7 +48,7 @@
                         "n",
                         false)));
             case "router" -> {
-                apply(MaintenanceCommandCodec.machine(new Machine(
+                apply(MaintenanceCommandCodec.encodeMachine(new Machine(
                         tokens[1],
                         Machine.Kind.ROUTER,
                         -1,
@@ -60,7 +60,7 @@
                         new MaintenanceCommand.RegisterRouter(tokens[1], "1")));
             }
             case "ask" ->
-                apply(MaintenanceCommandCodec.request(new MaintenanceRequest(
+                apply(MaintenanceCommandCodec.encodeRequest(new MaintenanceRequest(
                         tokens[1],
                         tokens[2].equals("-") ? List.of() : List.of(tokens[2].split(",")),
                         microseconds(tokens[3]),
