--- a/src/main/java/tinlink/maintenance/scheduling/NodeListVotes.java
+++ b/src/main/java/tinlink/maintenance/scheduling/NodeListDifferenceReports.java
@@ -13,7 +13,7 @@
  * after the report's basis, and must not remove it. The sets are therefore numbered: the class stores for
  * each node the number of the set that introduced it, and for each report the number of its basis.
  */
-final class NodeListVotes {
+final class NodeListDifferenceReports {
     /**
      * Number of recent sets of agreed nodes that a report may have as its basis. The copy of the state in a
      * router is behind the leader's by a few sets at most.
@@ -40,7 +40,7 @@
      * @param expiryUs time after which a report no longer counts, microseconds
      * @param maxRouters maximum number of routers of which reports are held
      */
-    NodeListVotes(long expiryUs, int maxRouters) {
+    NodeListDifferenceReports(long expiryUs, int maxRouters) {
         this.expiryUs = expiryUs;
         this.maxRouters = maxRouters;
     }
--- a/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
+++ b/src/main/java/tinlink/maintenance/scheduling/ObservationAggregator.java
@@ -33,7 +33,7 @@
      */
     private final Map<String, NodeList> nodeLists = new LinkedHashMap<>();
     /** Endpoint lists that were reported as a difference to the agreed nodes. */
-    private final NodeListVotes differenceReports;
+    private final NodeListDifferenceReports differenceReports;
 
     /**
      * @param expiryUs time after which a report no longer counts
@@ -42,7 +42,7 @@
     ObservationAggregator(long expiryUs, int maxEntries) {
         this.expiryUs = expiryUs;
         this.maxEntries = maxEntries;
-        differenceReports = new NodeListVotes(expiryUs, maxEntries);
+        differenceReports = new NodeListDifferenceReports(expiryUs, maxEntries);
     }
 
     /** Sets the current agreed nodes, to which differences are reported. */
