--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -171,7 +171,7 @@
 
     /** A call has ended at a data node. */
     public void onCallResult(String machine, boolean answered) {
-        failureDetector.onCallResult(machine, answered);
+        failureDetector.onAttemptResult(machine, answered);
     }
 
     // ---- Its part in a turn of the event loop. ----
--- a/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
+++ b/src/main/java/tinlink/maintenance/scheduling/MachineFailureDetector.java
@@ -137,7 +137,7 @@
      * Records the result of an attempt at a data node. Attempts that were not sent or were cancelled are not
      * passed in.
      */
-    public void onCallResult(String machine, boolean answered) {
+    public void onAttemptResult(String machine, boolean answered) {
         NodeHistory history = histories.get(machine);
         if (history == null) {
             return;
--- a/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
+++ b/src/test/java/tinlink/maintenance/scheduling/FailureDetectorAndCoordinatorTest.java
@@ -89,15 +89,15 @@
         failureDetector.onProbeResult("a", true);
         for (int i = 0; i < 6; i++) {
             failureDetector.setTime(6000 + 400 * i);
-            failureDetector.onCallResult("a", false);
+            failureDetector.onAttemptResult("a", false);
             failureDetector.onProbeResult("a", true);
         }
         assertEquals(Map.of("a", false), failureDetector.observations());
-        failureDetector.onCallResult("a", true);
+        failureDetector.onAttemptResult("a", true);
         assertEquals(Map.of("a", true), failureDetector.observations());
         // Failures within one probe interval count as a single failure.
         for (int i = 0; i < 6; i++) {
-            failureDetector.onCallResult("a", false);
+            failureDetector.onAttemptResult("a", false);
         }
         assertEquals(Map.of("a", true), failureDetector.observations());
     }
