--- a/src/main/java/tinlink/cluster/consensus/CompositeStateMachine.java
+++ b/src/main/java/tinlink/cluster/consensus/CompositeStateMachine.java
@@ -7,29 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * Several state machines that share one order of lines, told apart by the first field of a line. All
- * routers of a cluster have the same ones, whether they make use of them or not.
+ * Replicates several state machines by one log: the first field of a line selects the state machine that
+ * applies the line. All routers of a cluster have the same state machines, whether they use them or not.
  */
 public final class CompositeStateMachine implements ReplicatedStateMachine {
     private final ReplicatedStateMachine defaultStateMachine;
-    private final Map<String, ReplicatedStateMachine> byPrefix;
+    /** Sorted, so that the same states give the same snapshot on every router. */
+    private final Map<String, ReplicatedStateMachine> stateMachineByFirstField;
 
     /**
-     * Puts them together.
+     * Combines state machines.
      *
-     * @param defaultStateMachine has all lines whose first field is none of the others'
-     * @param byPrefix the others by that field
+     * @param defaultStateMachine applies the lines whose first field is no key of the map
+     * @param stateMachineByFirstField the other state machines, by the first field of their lines
      */
     public CompositeStateMachine(
             ReplicatedStateMachine defaultStateMachine,
-            Map<String, ReplicatedStateMachine> byPrefix) {
+            Map<String, ReplicatedStateMachine> stateMachineByFirstField) {
         this.defaultStateMachine = defaultStateMachine;
-        this.byPrefix = new TreeMap<>(byPrefix);
+        this.stateMachineByFirstField = new TreeMap<>(stateMachineByFirstField);
     }
 
     private ReplicatedStateMachine stateMachineFor(String line) {
         int tab = line.indexOf('\t');
-        return byPrefix.getOrDefault(tab < 0 ? line : line.substring(0, tab), defaultStateMachine);
+        String firstField = tab < 0 ? line : line.substring(0, tab);
+        return stateMachineByFirstField.getOrDefault(firstField, defaultStateMachine);
     }
 
     @Override
@@ -40,16 +42,20 @@
     @Override
     public List<String> snapshot() {
         List<String> lines = new ArrayList<>(defaultStateMachine.snapshot());
-        byPrefix.values().forEach(stateMachine -> lines.addAll(stateMachine.snapshot()));
+        stateMachineByFirstField
+                .values()
+                .forEach(stateMachine -> lines.addAll(stateMachine.snapshot()));
         return lines;
     }
 
     @Override
     public void restore(List<String> lines) {
-        Map<ReplicatedStateMachine, List<String>> linesOf = new LinkedHashMap<>();
-        linesOf.put(defaultStateMachine, new ArrayList<>());
-        byPrefix.values().forEach(stateMachine -> linesOf.put(stateMachine, new ArrayList<>()));
-        lines.forEach(line -> linesOf.get(stateMachineFor(line)).add(line));
-        linesOf.forEach(ReplicatedStateMachine::restore);
+        Map<ReplicatedStateMachine, List<String>> linesByStateMachine = new LinkedHashMap<>();
+        linesByStateMachine.put(defaultStateMachine, new ArrayList<>());
+        stateMachineByFirstField
+                .values()
+                .forEach(stateMachine -> linesByStateMachine.put(stateMachine, new ArrayList<>()));
+        lines.forEach(line -> linesByStateMachine.get(stateMachineFor(line)).add(line));
+        linesByStateMachine.forEach(ReplicatedStateMachine::restore);
     }
 }
