--- a/src/main/java/tinlink/cluster/consensus/FieldReader.java
+++ b/src/main/java/tinlink/cluster/consensus/FieldReader.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Reads the fields of a decoded line (LineCodec) one after the other. Fields past those that
- * are asked for are skipped, so that a later build may append some. Not safe for use by several threads.
+ * Reads the fields of a line decoded by {@link LineCodec}, in order. Fields after the last one that is read
+ * are ignored, so that a later version may append fields. Not safe for use by several threads.
  */
 public final class FieldReader {
     private final List<String> fields;
-    private int next;
+    private int nextIndex;
 
-    /** Reads from the first of these fields on. */
+    /** A reader that begins at the first field. */
     public FieldReader(List<String> fields) {
         this.fields = fields;
     }
@@ -18,19 +18,20 @@
     /**
      * Returns the next field.
      *
-     * @throws IllegalArgumentException where there is none
+     * @throws IllegalArgumentException if there are no more fields
      */
     public String nextText() {
-        if (next >= fields.size()) {
-            throw new IllegalArgumentException("field " + next + " is missing");
+        if (nextIndex >= fields.size()) {
+            throw new IllegalArgumentException("expected a field at index " + nextIndex
+                    + ", found a line of " + fields.size() + " fields");
         }
-        return fields.get(next++);
+        return fields.get(nextIndex++);
     }
 
     /**
      * Returns the next field as a decimal number.
      *
-     * @throws IllegalArgumentException where there is none, or it is no such number
+     * @throws IllegalArgumentException if there are no more fields, or the field is not a long
      */
     public long nextLong() {
         return Long.parseLong(nextText());
@@ -39,7 +40,7 @@
     /**
      * Returns the next field as a decimal number.
      *
-     * @throws IllegalArgumentException where there is none, or it is no such number
+     * @throws IllegalArgumentException if there are no more fields, or the field is not an int
      */
     public int nextInt() {
         return Integer.parseInt(nextText());
@@ -48,7 +49,7 @@
     /**
      * Returns the next field as a floating point number.
      *
-     * @throws IllegalArgumentException where there is none, or it is no such number
+     * @throws IllegalArgumentException if there are no more fields, or the field is not a number
      */
     public double nextDouble() {
         return Double.parseDouble(nextText());
@@ -57,16 +58,16 @@
     /**
      * Returns whether the next field is {@code true}.
      *
-     * @throws IllegalArgumentException where there is none
+     * @throws IllegalArgumentException if there are no more fields
      */
     public boolean nextBoolean() {
         return Boolean.parseBoolean(nextText());
     }
 
-    /** Returns all fields that have not been read yet. */
+    /** Reads and returns all fields that have not been read yet. */
     public List<String> remaining() {
-        List<String> rest = fields.subList(next, fields.size());
-        next = fields.size();
-        return rest;
+        List<String> remaining = fields.subList(nextIndex, fields.size());
+        nextIndex = fields.size();
+        return remaining;
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/LineCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/LineCodec.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Fields in a line, as lines are agreed on and stored: separated by tabs; tabs, ends of lines and
- * backslashes are escaped by a backslash.
+ * Encodes fields as one line, the form of log entries and of stored state. Fields are separated by tabs;
+ * tabs, line feeds, carriage returns and backslashes in a field are escaped by a backslash.
  */
 public final class LineCodec {
     private LineCodec() {}
 
-    /** The line of these fields, as {@link String#valueOf(Object)} has each. */
+    /** Encodes the {@link String#valueOf(Object)} of each field. */
     public static String encode(Object... fields) {
         StringBuilder line = new StringBuilder();
         for (int i = 0; i < fields.length; i++) {
@@ -24,30 +24,30 @@
 
     private static void appendEscaped(StringBuilder line, String field) {
         for (int i = 0; i < field.length(); i++) {
-            char next = field.charAt(i);
-            switch (next) {
+            char character = field.charAt(i);
+            switch (character) {
                 case '\\' -> line.append("\\\\");
                 case '\t' -> line.append("\\t");
                 case '\n' -> line.append("\\n");
                 case '\r' -> line.append("\\r");
-                default -> line.append(next);
+                default -> line.append(character);
             }
         }
     }
 
-    /** The fields of a line, one at least; any text is a line. */
+    /** Decodes the fields of a line. Any text is a valid line, and a line has at least one field. */
     public static List<String> decode(String line) {
         List<String> fields = new ArrayList<>();
         StringBuilder field = new StringBuilder();
         for (int i = 0; i < line.length(); i++) {
-            char next = line.charAt(i);
-            if (next == '\t') {
+            char character = line.charAt(i);
+            if (character == '\t') {
                 fields.add(field.toString());
                 field.setLength(0);
-            } else if (next == '\\' && i + 1 < line.length()) {
+            } else if (character == '\\' && i + 1 < line.length()) {
                 field.append(unescaped(line.charAt(++i)));
             } else {
-                field.append(next);
+                field.append(character);
             }
         }
         fields.add(field.toString());
