--- a/src/main/java/tinlink/cluster/consensus/LearnerLog.java
+++ b/src/main/java/tinlink/cluster/consensus/LearnerLog.java
@@ -5,15 +5,17 @@
 import java.util.List;
 
 /**
- * What was agreed on, as far as this router has learned it, for itself and for routers that don't vote: the
- * newest lines one by one, and the state after them. Event loop's thread only.
+ * The committed lines that this router has learned: the state machine to which all of them are applied, and
+ * the newest lines one by one. The router uses the log itself, and serves it to routers that don't vote
+ * (learners). Confined to the event loop's thread.
  */
 public final class LearnerLog {
     /**
-     * What a router lacks.
+     * What a learner is missing.
      *
-     * @param index up to which all is in it
-     * @param isSnapshot the lines are the state as of that index, instead of those that lead up to it
+     * @param index the log index up to which the learner is complete with this batch
+     * @param isSnapshot whether the lines are a snapshot of the state at that index, instead of the lines
+     *     that the learner has not applied yet
      */
     public record Batch(long index, boolean isSnapshot, List<String> lines) {}
 
@@ -21,32 +23,33 @@
 
     private final int maxLines;
     private final ReplicatedStateMachine stateMachine;
-    /** The newest, bounded. */
+    /** The newest lines, oldest first; at most {@link #maxLines}. Empty lines are left out. */
     private final ArrayDeque<LogLine> lines = new ArrayDeque<>();
 
+    /** Index of the last line that was applied; 0 before the first. */
     private long index;
-    /** Lines after this index are all there. */
+    /** All lines with a higher index that were applied are in {@link #lines}. */
     private long completeAfter;
 
     /**
-     * Begins before the first line.
+     * An empty log.
      *
-     * @param maxLines lines that are kept one by one
+     * @param maxLines number of lines that are kept one by one
      */
     public LearnerLog(ReplicatedStateMachine stateMachine, int maxLines) {
         this.stateMachine = stateMachine;
         this.maxLines = maxLines;
     }
 
-    /** Up to which all has been applied. */
+    /** Returns the log index up to which all lines have been applied. */
     public long index() {
         return index;
     }
 
     /**
-     * Applies a line; the same one may come twice.
+     * Applies the line at a log index, unless the line has been applied before.
      *
-     * @return whether it was new
+     * @return whether the line was new
      */
     public boolean append(long newIndex, String line) {
         if (newIndex <= index) {
@@ -64,9 +67,9 @@
     }
 
     /**
-     * Takes up a state.
+     * Replaces the state by a snapshot, unless all lines up to its index have been applied before.
      *
-     * @return whether it was new
+     * @return whether the snapshot was newer
      */
     public boolean restore(long newIndex, List<String> snapshot) {
         if (newIndex <= index) {
@@ -79,7 +82,7 @@
         return true;
     }
 
-    /** What a router lacks that has learned all up to that index; null where it is nothing. */
+    /** Returns what a learner is missing after the given index; null if it is missing nothing. */
     public Batch batchAfter(long learnedIndex) {
         if (learnedIndex >= index) {
             return null;
@@ -97,10 +100,11 @@
     }
 
     /**
-     * Applies what a voter has sent to a router that does not vote.
+     * Applies a batch that a voter has sent to this router, which does not vote.
      *
-     * @param requestedAfter the index that was asked for: lines that don't begin there are passed over
-     * @return whether something was new
+     * @param requestedAfter the index after which lines were requested; lines are ignored if this log has
+     *     moved on since the request
+     * @return whether the batch was new
      */
     public boolean appendBatch(long requestedAfter, Batch batch) {
         if (batch.isSnapshot()) {
@@ -110,8 +114,8 @@
             return false;
         }
         batch.lines().forEach(stateMachine::apply);
-        // Danger: which line has which index is not in it; passed on from here some would be
-        // applied twice.
+        // The batch does not say which index each line has. If this router served its lines one by
+        // one, other learners would apply some of them twice.
         lines.clear();
         completeAfter = batch.index();
         index = batch.index();
--- a/src/main/java/tinlink/cluster/consensus/LogPosition.java
+++ b/src/main/java/tinlink/cluster/consensus/LogPosition.java
@@ -1,21 +1,22 @@
 package tinlink.cluster.consensus;
 
 /**
- * How far a voter's disk is, or is known to have been.
+ * The position that the log on a voter's disk has, or is known by other voters to have reached.
  *
- * @param term the highest in which it took part
- * @param confirmedIndex the end of the log that it confirmed in that term
+ * @param term the highest term in which the voter took part
+ * @param confirmedIndex the end of the log that the voter acknowledged in that term; 0 for none
  */
 public record LogPosition(int term, long confirmedIndex) {
-    /** Whether a disk that is at that position can have been at this one. */
-    boolean isWithin(LogPosition disk) {
-        return term < disk.term || (term == disk.term && confirmedIndex <= disk.confirmedIndex);
+    /** Whether a disk that is at {@code diskPosition} now may have been at this position before. */
+    boolean isWithin(LogPosition diskPosition) {
+        return term < diskPosition.term
+                || (term == diskPosition.term && confirmedIndex <= diskPosition.confirmedIndex);
     }
 
-    /** The further of the two. */
+    /** Returns the later of two positions. */
     public LogPosition max(LogPosition other) {
-        boolean isFurther =
+        boolean otherLater =
                 other.term > term || (other.term == term && other.confirmedIndex > confirmedIndex);
-        return isFurther ? other : this;
+        return otherLater ? other : this;
     }
 }
