--- a/src/main/java/tinlink/cluster/consensus/RaftCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftCodec.java
@@ -26,48 +26,52 @@
 import java.util.List;
 
 /**
- * The messages of Raft as bytes: type, sender, term, then the fields of the library's message. The group is
- * not written, since a connection between two routers belongs to one cluster; the version is that of its
- * handshake.
+ * Encodes the Raft messages of the MicroRaft library: type, sender, term, then the fields of the message. The
+ * Raft group is left out, since a connection between two routers belongs to one cluster; the version of the
+ * format is that of the connection's handshake.
  */
 public final class RaftCodec {
-    /** One operation is no longer, nor is a chunk of a snapshot; UTF-8. */
+    /** Longest text of a log entry or of a snapshot chunk, in bytes of UTF-8. */
     public static final int MAX_TEXT_BYTES = RaftModelCodec.MAX_TEXT_BYTES;
 
     static final Object GROUP_ID = "tinlink";
 
-    private static final int MAX_ENTRIES = 4096;
+    private static final int MAX_ENTRIES_PER_REQUEST = 4096;
 
     private RaftCodec() {}
 
-    /** The voter that a message is for, as it stands before it. */
+    /**
+     * Reads the voter to whom a message is addressed, which precedes the message in its frame.
+     *
+     * @throws MessageRejectedException if the voter is malformed
+     */
     public static Voter voter(ByteBuffer buffer) throws MessageRejectedException {
         return RaftModelCodec.decodeVoter(buffer);
     }
 
     /**
-     * Writes a message.
+     * Encodes a message.
      *
-     * @throws IllegalArgumentException where the library has a message that is not known here
+     * @throws IllegalArgumentException if the message is of a type that this codec doesn't know
      */
     public static byte[] encode(RaftMessage message) {
         MessageCodec.Builder out = new MessageCodec.Builder();
         if (message instanceof AppendEntriesRequest request) {
             encode(out, request);
         } else if (message instanceof AppendEntriesSuccessResponse response) {
-            header(out, RaftMessageType.APPEND_SUCCESS, response)
+            encodeHeader(out, RaftMessageType.APPEND_SUCCESS, response)
                     .putLong(response.getLastLogIndex())
                     .putLong(response.getQuerySequenceNumber())
                     .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse response) {
-            header(out, RaftMessageType.APPEND_FAILURE, response)
+            encodeHeader(out, RaftMessageType.APPEND_FAILURE, response)
                     .putLong(response.getExpectedNextIndex())
                     .putLong(response.getQuerySequenceNumber())
                     .putLong(response.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest request) {
             encode(out, request);
         } else if (message instanceof InstallSnapshotResponse response) {
-            header(out, RaftMessageType.INSTALL_SNAPSHOT_RESPONSE, response)
+            encodeHeader(out, RaftMessageType.INSTALL_SNAPSHOT_RESPONSE, response)
                     .putLong(response.getSnapshotIndex())
                     .putInt(response.getRequestedSnapshotChunkIndex())
                     .putLong(response.getQuerySequenceNumber())
@@ -80,30 +84,30 @@
 
     private static void encodeElection(MessageCodec.Builder out, RaftMessage message) {
         if (message instanceof PreVoteRequest request) {
-            header(out, RaftMessageType.PRE_VOTE_REQUEST, request)
+            encodeHeader(out, RaftMessageType.PRE_VOTE_REQUEST, request)
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
-            header(out, RaftMessageType.PRE_VOTE_RESPONSE, response)
+            encodeHeader(out, RaftMessageType.PRE_VOTE_RESPONSE, response)
                     .putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof VoteRequest request) {
-            header(out, RaftMessageType.VOTE_REQUEST, request)
+            encodeHeader(out, RaftMessageType.VOTE_REQUEST, request)
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex())
                     .putByte(request.isSticky() ? 1 : 0);
         } else if (message instanceof VoteResponse response) {
-            header(out, RaftMessageType.VOTE_RESPONSE, response)
+            encodeHeader(out, RaftMessageType.VOTE_RESPONSE, response)
                     .putByte(response.isGranted() ? 1 : 0);
         } else if (message instanceof TriggerLeaderElectionRequest request) {
-            header(out, RaftMessageType.TRIGGER_ELECTION, request)
+            encodeHeader(out, RaftMessageType.TRIGGER_ELECTION, request)
                     .putInt(request.getLastLogTerm())
                     .putLong(request.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException("a Raft message of an unknown type: " + message);
+            throw new IllegalArgumentException("unknown type of Raft message: " + message);
         }
     }
 
-    private static MessageCodec.Builder header(
+    private static MessageCodec.Builder encodeHeader(
             MessageCodec.Builder out, RaftMessageType type, RaftMessage message) {
         return out.putByte(type.code)
                 .putText(message.getSender().toString())
@@ -111,7 +115,7 @@
     }
 
     private static void encode(MessageCodec.Builder out, AppendEntriesRequest request) {
-        header(out, RaftMessageType.APPEND_REQUEST, request)
+        encodeHeader(out, RaftMessageType.APPEND_REQUEST, request)
                 .putInt(request.getPreviousLogTerm())
                 .putLong(request.getPreviousLogIndex())
                 .putLong(request.getCommitIndex())
@@ -122,7 +126,7 @@
     }
 
     private static void encode(MessageCodec.Builder out, InstallSnapshotRequest request) {
-        header(out, RaftMessageType.INSTALL_SNAPSHOT_REQUEST, request)
+        encodeHeader(out, RaftMessageType.INSTALL_SNAPSHOT_REQUEST, request)
                 .putByte(request.isSenderLeader() ? 1 : 0)
                 .putInt(request.getSnapshotTerm())
                 .putLong(request.getSnapshotIndex())
@@ -138,9 +142,10 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws MessageRejectedException where it is malformed; a buffer that is too short throws its own
+     * @throws MessageRejectedException if the message is malformed
+     * @throws java.nio.BufferUnderflowException if the message ends before its last field
      */
     public static RaftMessage decode(ByteBuffer buffer) throws MessageRejectedException {
         int code = buffer.get();
@@ -167,7 +172,7 @@
         long commitIndex = buffer.getLong();
         long querySequenceNumber = buffer.getLong();
         long flowControlSequenceNumber = buffer.getLong();
-        int count = RaftModelCodec.decodeCount(buffer, MAX_ENTRIES);
+        int count = RaftModelCodec.decodeCount(buffer, MAX_ENTRIES_PER_REQUEST);
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(RaftModelCodec.decodeEntry(buffer));
@@ -212,7 +217,7 @@
 
     private static RaftMessage installSnapshotRequest(ByteBuffer buffer, Voter sender, int term)
             throws MessageRejectedException {
-        boolean isSenderLeader = buffer.get() == 1;
+        boolean senderLeader = buffer.get() == 1;
         int snapshotTerm = buffer.getInt();
         long snapshotIndex = buffer.getLong();
         int chunkCount = buffer.getInt();
@@ -226,7 +231,7 @@
                 .setGroupId(GROUP_ID)
                 .setSender(sender)
                 .setTerm(term)
-                .setSenderLeader(isSenderLeader)
+                .setSenderLeader(senderLeader)
                 .setSnapshotTerm(snapshotTerm)
                 .setSnapshotIndex(snapshotIndex)
                 .setTotalSnapshotChunkCount(chunkCount)
--- a/src/main/java/tinlink/cluster/consensus/RaftModelCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftModelCodec.java
@@ -18,12 +18,12 @@
 import java.util.List;
 
 /**
- * What the messages of Raft and the records of a voter are made of: voters, views of the group, log entries
- * and chunks of snapshots. An operation is a text, or a change of who votes.
+ * Encodes what Raft messages and stored Raft records share: voters, views of the group's members, log entries
+ * and snapshot chunks. The operation of a log entry is a text or a membership change.
  */
 final class RaftModelCodec {
     static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
-    /** One operation is no longer, nor is a chunk of a snapshot. */
+    /** Longest text of a log entry or of a snapshot chunk, in bytes of UTF-8. */
     static final int MAX_TEXT_BYTES = 1 << 20;
 
     private static final int MAX_VOTERS = 64;
@@ -32,11 +32,11 @@
 
     private RaftModelCodec() {}
 
-    /** A count that is no larger than that. */
+    /** @throws MessageRejectedException if the count is negative or over {@code max} */
     static int decodeCount(ByteBuffer buffer, int max) throws MessageRejectedException {
         int count = buffer.getInt();
         if (count < 0 || count > max) {
-            throw MessageCodec.malformed("a list of " + count);
+            throw MessageCodec.malformed("expected 0 to " + max + " elements, found " + count);
         }
         return count;
     }
@@ -97,7 +97,7 @@
                 .build();
     }
 
-    /** The library's modes are numbered in their order. */
+    /** A membership change mode of the library is encoded by its ordinal. */
     @SuppressWarnings("EnumOrdinal")
     private static void encodeOperation(MessageCodec.Builder out, Object operation) {
         if (operation instanceof UpdateRaftGroupMembersOp update) {
@@ -111,7 +111,7 @@
         }
     }
 
-    @SuppressWarnings("EnumOrdinal") // As above.
+    @SuppressWarnings("EnumOrdinal") // As in encodeOperation.
     private static Object decodeOperation(ByteBuffer buffer) throws MessageRejectedException {
         if (buffer.get() == TEXT_OPERATION) {
             return MessageCodec.readLongText(buffer, MAX_TEXT_BYTES);
@@ -121,7 +121,7 @@
         Voter voter = decodeVoter(buffer);
         int mode = buffer.get();
         if (mode < 0 || mode >= MembershipChangeMode.values().length) {
-            throw MessageCodec.malformed("a membership change of mode " + mode);
+            throw MessageCodec.malformed("unknown membership change mode " + mode);
         }
         return MODEL_FACTORY
                 .createUpdateRaftGroupMembersOpBuilder()
