--- a/src/main/java/tinlink/cluster/consensus/RaftExecutor.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftExecutor.java
@@ -11,22 +11,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The thread and the clock of Raft. The library counts in whole seconds; here one of its seconds is as long
- * as is configured. The clock only goes on, whatever the wall clock does.
+ * The thread and the clock that the Raft library runs on. The library's timeouts are whole seconds; here the
+ * length of a library second is configurable. The clock is monotonic and ignores changes of the wall clock.
  */
 public final class RaftExecutor extends Clock implements RaftNodeExecutor {
     private static final int SHUTDOWN_TIMEOUT_S = 1;
 
-    /** Real seconds in one of the library's. */
+    /** Real seconds per library second. */
     private final double secondScale;
 
     private final ScheduledThreadPoolExecutor executor;
     private final long startNanos = System.nanoTime();
 
     /**
-     * Has its thread from the first task on.
+     * An executor that starts its thread with the first task.
      *
-     * @param librarySecondUs how long one of the library's seconds is
+     * @param librarySecondUs length of a library second, in microseconds
      */
     public RaftExecutor(long librarySecondUs) {
         secondScale = librarySecondUs / 1e6;
@@ -49,22 +49,22 @@
         try {
             executor.execute(task);
         } catch (RejectedExecutionException e) {
-            // It is shut down; nothing of the replica matters any more.
+            // The executor is shut down, so the replica needs the task no more.
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // A task that is scheduled is never cancelled.
+    @SuppressWarnings("FutureReturnValueIgnored") // Scheduled tasks are never cancelled.
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
             executor.schedule(
                     task, (long) (unit.toMicros(delay) * secondScale), TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
-            // As above.
+            // The executor is shut down, so the replica needs the task no more.
         }
     }
 
-    /** Takes no further task; the one that runs is waited for, since it may be writing, a second at most. */
+    /** Drops further tasks, and waits up to a second for the running task, which may be writing to disk. */
     public void shutdown() {
         executor.shutdown();
         try {
@@ -89,6 +89,7 @@
         return Instant.ofEpochMilli(millis());
     }
 
+    /** Returns the library milliseconds since this executor was made. */
     @Override
     public long millis() {
         return (long) ((System.nanoTime() - startNanos) / 1e6 / secondScale);
