--- a/src/main/java/tinlink/cluster/consensus/RaftMessageType.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftMessageType.java
@@ -3,7 +3,7 @@
 import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 
-/** The messages of Raft; each begins with its code. */
+/** Types of Raft messages. An encoded message begins with the code of its type. */
 enum RaftMessageType {
     APPEND_REQUEST(1),
     APPEND_SUCCESS(2),
@@ -22,13 +22,13 @@
         this.code = code;
     }
 
-    /** @throws MessageRejectedException where there is none with that code */
+    /** @throws MessageRejectedException if no type has that code */
     static RaftMessageType withCode(int code) throws MessageRejectedException {
         for (RaftMessageType type : values()) {
             if (type.code == code) {
                 return type;
             }
         }
-        throw MessageCodec.malformed("a Raft message of type " + code);
+        throw MessageCodec.malformed("unknown Raft message type " + code);
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/RaftRecordCodec.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftRecordCodec.java
@@ -13,16 +13,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The records of a voter's store as bytes: their type, then what the type has. */
+/**
+ * Encodes the records of a {@link RaftStateStore}: the code of the record's type, then the fields of that
+ * type. The methods that decode start after the code.
+ */
 final class RaftRecordCodec {
     private RaftRecordCodec() {}
 
-    private static MessageCodec.Builder record(RaftRecordType type) {
+    private static MessageCodec.Builder newRecord(RaftRecordType type) {
         return new MessageCodec.Builder().putByte(type.code);
     }
 
     static byte[] encodeEndpoint(RaftEndpointPersistentState endpoint) {
-        return record(RaftRecordType.ENDPOINT)
+        return newRecord(RaftRecordType.ENDPOINT)
                 .putText(endpoint.getLocalEndpoint().toString())
                 .putByte(endpoint.isVoting() ? 1 : 0)
                 .build();
@@ -39,13 +42,13 @@
     }
 
     static byte[] encodeGroupMembers(RaftGroupMembersView view) {
-        MessageCodec.Builder out = record(RaftRecordType.GROUP_MEMBERS);
+        MessageCodec.Builder out = newRecord(RaftRecordType.GROUP_MEMBERS);
         RaftModelCodec.encodeView(out, view);
         return out.build();
     }
 
     static byte[] encodeTerm(RaftTermPersistentState term) {
-        MessageCodec.Builder out = record(RaftRecordType.TERM)
+        MessageCodec.Builder out = newRecord(RaftRecordType.TERM)
                 .putInt(term.getTerm())
                 .putByte(term.getVotedFor() == null ? 0 : 1);
         return (term.getVotedFor() == null
@@ -55,17 +58,17 @@
     }
 
     static RaftTermPersistentState decodeTerm(ByteBuffer buffer) throws MessageRejectedException {
-        int number = buffer.getInt();
+        int termNumber = buffer.getInt();
         Voter votedFor = buffer.get() == 0 ? null : RaftModelCodec.decodeVoter(buffer);
         return RaftModelCodec.MODEL_FACTORY
                 .createRaftTermPersistentStateBuilder()
-                .setTerm(number)
+                .setTerm(termNumber)
                 .setVotedFor(votedFor)
                 .build();
     }
 
     static byte[] encodeEntries(List<LogEntry> entries) {
-        MessageCodec.Builder out = record(RaftRecordType.ENTRIES).putInt(entries.size());
+        MessageCodec.Builder out = newRecord(RaftRecordType.ENTRIES).putInt(entries.size());
         entries.forEach(entry -> RaftModelCodec.encodeEntry(out, entry));
         return out.build();
     }
@@ -79,13 +82,13 @@
     }
 
     static byte[] encodeChunk(SnapshotChunk chunk) {
-        MessageCodec.Builder out = record(RaftRecordType.SNAPSHOT_CHUNK);
+        MessageCodec.Builder out = newRecord(RaftRecordType.SNAPSHOT_CHUNK);
         RaftModelCodec.encodeChunk(out, chunk);
         return out.build();
     }
 
-    /** A record that has nothing but an index of the log. */
+    /** Encodes a record whose only field is a log index. */
     static byte[] encodeIndex(RaftRecordType type, long index) {
-        return record(type).putLong(index).build();
+        return newRecord(type).putLong(index).build();
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/RaftRecordType.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftRecordType.java
@@ -3,15 +3,23 @@
 import tinlink.net.MessageRejectedException;
 import tinlink.securechannel.MessageCodec;
 
-/** The records of a voter's store; each begins with its code. */
+/** Types of the records in a {@link RaftStateStore}. An encoded record begins with the code of its type. */
 enum RaftRecordType {
+    /** The voter as which this disk takes part. */
     ENDPOINT(1),
+    /** The members of the group at its first start. */
     GROUP_MEMBERS(2),
+    /** The current term, and the vote that was granted in it. */
     TERM(3),
+    /** Log entries that were appended. */
     ENTRIES(4),
+    /** A chunk of a snapshot. */
     SNAPSHOT_CHUNK(5),
+    /** Removes the log entries from an index on. */
     TRUNCATE_FROM(6),
+    /** Removes the log entries up to and including an index. */
     TRUNCATE_UNTIL(7),
+    /** Deletes the chunks of the snapshot at an index. */
     DELETE_CHUNKS(8);
 
     final int code;
@@ -20,13 +28,13 @@
         this.code = code;
     }
 
-    /** @throws MessageRejectedException where there is none with that code */
+    /** @throws MessageRejectedException if no type has that code */
     static RaftRecordType withCode(int code) throws MessageRejectedException {
         for (RaftRecordType type : values()) {
             if (type.code == code) {
                 return type;
             }
         }
-        throw MessageCodec.malformed("a record of type " + code);
+        throw MessageCodec.malformed("unknown Raft record type " + code);
     }
 }
