--- a/src/main/java/tinlink/cluster/consensus/RaftReplica.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftReplica.java
@@ -31,10 +31,9 @@
 import java.util.function.Supplier;
 
 /**
- * One voter's replica of the agreed log, on the library's implementation of Raft. Time, chance, the thread
- * and the way to others come from outside: in service a thread of its own and the connections between
- * routers, in a simulation the simulated ones. Methods may be called from any thread, results come on the
- * executor's.
+ * One voter's replica of the log, on the MicroRaft library. Executor, clock, random numbers and transport are
+ * passed in: a router passes a thread of its own and its connections to other routers, a simulation passes
+ * simulated ones. Methods may be called from any thread; callbacks run on the executor's thread.
  *
  * <p>Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014).
  */
@@ -42,7 +41,8 @@
     /**
      * What a replica runs on.
      *
-     * @param sender sends a message to a voter, on the executor's thread; it may get lost
+     * @param sender sends a message to a voter, on the executor's thread; the message may be lost
+     * @param reachable whether a message to a voter can be sent at the moment
      */
     public record Environment(
             RaftNodeExecutor executor,
@@ -51,25 +51,32 @@
             BiConsumer<Voter, RaftMessage> sender,
             Predicate<Voter> reachable) {}
 
-    /** Is notified of what was agreed on, on the executor's thread, in order. */
+    /** Is notified of committed lines in the order of the log, on the executor's thread. */
     public interface Listener {
         /**
-         * A line has been applied.
+         * A committed line has been applied.
          *
-         * @param line empty where a leader has begun its term
+         * @param line empty if a new leader has started its term with it
          */
         void onApplied(long index, String line);
 
-        /** The state is these lines, as of that index; lines that were not applied one by one are in it. */
+        /**
+         * A snapshot has replaced the state.
+         *
+         * @param index the log index up to which all lines are part of the snapshot, also those that were
+         *     never passed to {@link #onApplied}
+         * @param lines the state at that index
+         */
         void onRestored(long index, List<String> lines);
     }
 
+    // Milliseconds and seconds of the environment's clock.
     private static final int ELECTION_TIMEOUT_MS = 1000;
     private static final int HEARTBEAT_PERIOD_S = 1;
     private static final int HEARTBEAT_TIMEOUT_S = 4;
-    /** A follower that does not miss a leader that is silent for so many timeouts never will. */
+    /** Heartbeat timeouts after which a follower that still follows a silent leader is stuck. */
     private static final int STUCK_AFTER_TIMEOUTS = 3;
-    /** So often in a row it may refuse to go on from the same index. */
+    /** Append failures in a row, all expecting the same log index, after which a follower is stuck. */
     private static final int MAX_REPEATED_APPEND_FAILURES = 10;
 
     private final Environment environment;
@@ -79,17 +86,16 @@
     private volatile RaftNode node;
     private volatile boolean restarting;
     private volatile boolean terminated;
-    /** On the executor's thread. */
+    /** Used on the executor's thread alone, as is the next field. */
     private int repeatedAppendFailures;
-
-    private long failedNextIndex;
+    /** The log index that the last append failure expected. */
+    private long lastExpectedIndex;
 
     /**
-     * Takes up what is stored; begins with {@link #start}.
+     * Restores the replica from its store; the replica takes part from {@link #start} on.
      *
-     * @param initialVoters who votes at the very first start of the group; without effect where
-     *     something is stored
-     * @param snapshotIntervalLines lines between two snapshots
+     * @param initialVoters the voters at the first start of the group; ignored if the store has a state
+     * @param snapshotIntervalLines number of committed lines between two snapshots
      */
     public RaftReplica(
             Voter self,
@@ -148,42 +154,44 @@
     }
 
     /**
-     * How far a message shows its sender's disk to be; null where it shows nothing. A request for a
-     * pre-vote names a term that is not on any disk yet.
+     * Returns the position that the log on the sender's disk must have reached for the sender to send the
+     * message; null if the message proves none. A pre-vote request proves none, since its term has not been
+     * stored yet.
      */
     public static LogPosition confirmedPosition(RaftMessage message) {
         if (message instanceof AppendEntriesSuccessResponse response) {
             return new LogPosition(message.getTerm(), response.getLastLogIndex());
         }
-        boolean isTermPersisted = message instanceof VoteRequest
+        boolean termPersisted = message instanceof VoteRequest
                 || (message instanceof VoteResponse response && response.isGranted())
                 || message instanceof AppendEntriesRequest;
-        return isTermPersisted ? new LogPosition(message.getTerm(), 0) : null;
+        return termPersisted ? new LogPosition(message.getTerm(), 0) : null;
     }
 
-    /** Begins to take part; once, on any thread. */
-    @SuppressWarnings("FutureReturnValueIgnored") // Its state is looked at by restartIfStuck.
+    /** Starts to take part. To be called once, on any thread. */
+    @SuppressWarnings(
+            "FutureReturnValueIgnored") // The state of the node is checked by restartIfStuck.
     public void start() {
         node.start();
     }
 
-    /** Takes no part any more; what runs on the executor may still end. */
-    @SuppressWarnings("FutureReturnValueIgnored") // Nothing follows its end.
+    /** Stops the replica for good. A task that runs on the executor may still complete. */
+    @SuppressWarnings("FutureReturnValueIgnored") // Nothing is done after the termination.
     public void terminate() {
         terminated = true;
         node.terminate();
     }
 
-    /** Its group has gone on without it. */
+    /** Whether the replica no longer takes part, for example because its voter was removed. */
     public boolean isTerminated() {
         return !restarting && RaftNodeStatus.isTerminal(node.getStatus());
     }
 
     /**
-     * Looks whether this voter still notices that its leader is silent; to be called periodically. Danger:
-     * after it has taken a snapshot the library's follower may stop to look (seen in a seeded simulation:
-     * no vote was asked for in thirty seconds without a leader), and a group of such followers never gets
-     * another leader. Such a one is restarted from what is stored.
+     * Restarts the replica from its store if it doesn't notice that its leader is silent. To be called
+     * periodically. After a snapshot, a follower of the library may stop checking for heartbeats of its
+     * leader (in a seeded simulation, no vote was requested in thirty seconds without a leader), and a group
+     * of such followers never elects another leader.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void restartIfStuck() {
@@ -207,17 +215,17 @@
     }
 
     /**
-     * Danger: a follower that took a snapshot of another voter while entries of a leader without a majority
-     * followed it in its log may refuse what follows the snapshot for ever (seen in a seeded simulation: a
-     * voter that confirmed nothing any more). What is stored has no such entries, so it is restarted from
-     * that.
+     * Counts append failures, and restarts the replica from its store when they repeat. A follower of the
+     * library that installs another voter's snapshot, while its own log has later entries of a leader that
+     * had no majority, may reject the entries after the snapshot forever (in a seeded simulation, such a
+     * voter acknowledged nothing any more). {@link StoredRaftState} drops the entries of that leader.
      */
     private void countAppendFailures(RaftMessage message) {
         if (message instanceof AppendEntriesFailureResponse failure) {
-            repeatedAppendFailures = failure.getExpectedNextIndex() == failedNextIndex
+            repeatedAppendFailures = failure.getExpectedNextIndex() == lastExpectedIndex
                     ? repeatedAppendFailures + 1
                     : 0;
-            failedNextIndex = failure.getExpectedNextIndex();
+            lastExpectedIndex = failure.getExpectedNextIndex();
             if (repeatedAppendFailures >= MAX_REPEATED_APPEND_FAILURES
                     && !restarting
                     && !terminated) {
@@ -230,7 +238,7 @@
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // The new node is looked at by restartIfStuck.
+    @SuppressWarnings("FutureReturnValueIgnored") // The new node is checked by restartIfStuck.
     private void restart(RaftNode current) {
         if (restarting || terminated || current != node) {
             return;
@@ -238,7 +246,8 @@
         restarting = true;
         current.terminate().whenComplete((result, failure) -> {
             if (!terminated) {
-                stateMachine.restore(List.of()); // What is stored is replayed from its beginning.
+                // The new node replays the stored state from its beginning.
+                stateMachine.restore(List.of());
                 node = nodeFactory.get();
                 restarting = false;
                 node.start();
@@ -246,17 +255,17 @@
         });
     }
 
-    /** What this voter keeps to from now on. */
+    /** Sets the floor that this voter observes from now on. */
     public void setFloor(RecoveryFloor newFloor) {
         recoveryFilter.setFloor(newFloor);
     }
 
-    /** Whether its log is as far as what it keeps to. */
+    /** Whether this voter's log has reached its floor. */
     public boolean hasReachedFloor() {
         return recoveryFilter.hasReachedFloor();
     }
 
-    /** Takes in a message of another voter, unless what this one keeps to forbids it. */
+    /** Handles a message of another voter, unless this voter's floor forbids it. */
     public void receive(RaftMessage message) {
         if (recoveryFilter.mayReceive(message)) {
             node.handle(message);
@@ -266,8 +275,8 @@
     /**
      * Proposes a line.
      *
-     * @param onResult the state machine's reply once the line is agreed on, with null; else null with
-     *     why it is not, or is not known to be. On the executor's thread
+     * @param onResult called on the executor's thread: with the state machine's reply and null once the line
+     *     is committed, or with null and the reason why it is not, or is not known to be
      */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void propose(String line, BiConsumer<String, Throwable> onResult) {
@@ -277,10 +286,11 @@
     }
 
     /**
-     * Confirms with a majority up to which index all was agreed on before this call, and applies it here;
-     * only the leader can.
+     * Confirms with a majority the commit index as of this call, and applies the log up to it here; succeeds
+     * on the leader only.
      *
-     * @param onResult the index with null, or null with why it is not confirmed. On the executor's thread
+     * @param onResult called on the executor's thread: with the index and null, or with null and the reason
+     *     why the index is not confirmed
      */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void confirmCommitIndex(BiConsumer<Long, Throwable> onResult) {
@@ -289,36 +299,36 @@
                         onResult.accept(result == null ? null : result.getCommitIndex(), failure));
     }
 
-    /** Null where none is known. */
+    /** The leader as far as this replica knows; null if it knows of none. */
     public Voter leader() {
         return (Voter) node.getTerm().getLeaderEndpoint();
     }
 
-    /** The term that it is in. */
+    /** The current term of this replica. */
     public int term() {
         return node.getTerm().getTerm();
     }
 
-    /** As which voter it takes part. */
+    /** The voter as which this replica takes part. */
     public Voter self() {
         return (Voter) node.getLocalEndpoint();
     }
 
-    /** Whether it leads, as far as it knows. */
+    /** Whether this replica is the leader, as far as it knows. */
     public boolean isLeader() {
         return self().equals(leader());
     }
 
-    /** Who votes, by the last change that was agreed on. */
+    /** The members of the group after the last committed membership change. */
     public RaftGroupMembers committedMembers() {
         return node.getCommittedMembers();
     }
 
     /**
-     * Adds or removes a voter; one change at a time, on the leader.
+     * Adds or removes a voter; succeeds on the leader only, one change at a time.
      *
-     * @param onResult empty with null, or null with why the change is not known to be agreed on. On the
-     *     executor's thread
+     * @param onResult called on the executor's thread: with an empty text and null once the change is
+     *     committed, or with null and the reason why it is not known to be
      */
     @SuppressWarnings("FutureReturnValueIgnored") // The callback is given failures.
     public void changeMembership(
