--- a/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
+++ b/src/main/java/tinlink/cluster/consensus/RaftStateStore.java
@@ -17,34 +17,34 @@
 import java.util.List;
 
 /**
- * What a voter must not forget: who it is, its term and vote, the log and the last snapshot. Stored as
- * records that are replayed at the start; the log below the last snapshot goes as that is complete. Belongs
- * to the thread of Raft once the replica runs, but for {@link #logEnd}.
+ * The persistent state of a voter: its identity, its term and vote, its log and its last snapshot. The state
+ * is stored as records that are replayed at the start. Log entries before a snapshot are deleted once the
+ * snapshot is complete. Confined to the Raft thread once the replica runs, except for {@link #logEnd}.
  */
 public final class RaftStateStore implements RaftStore {
-    /** Where records go: a store on disk, or one in memory in simulated time. */
+    /** Stores records: on disk, or in memory in a simulation. */
     public interface RecordLog {
-        /** Written behind those before it; may be lost until {@link #sync}. */
+        /** Appends a record, which a crash may lose until {@link #sync} returns. */
         void append(byte[] record) throws IOException;
 
-        /** Returns once all that was appended outlasts a crash. */
+        /** Returns once all appended records survive a crash. */
         void sync() throws IOException;
 
-        /** This state takes the place of all records before it, at once, and outlasts a crash. */
+        /** Replaces all records by a state, atomically; the state survives a crash once this returns. */
         void compactTo(byte[] state) throws IOException;
     }
 
     private final RecordLog recordLog;
     private final StoredRaftState state = new StoredRaftState();
-    /** Where the log ends, for other threads. */
+    /** Updated by the Raft thread, read by others. */
     private volatile RecoveryFloor logEnd;
 
     /**
-     * Replays what was stored before.
+     * Restores the state by replaying stored records.
      *
-     * @param compacted as {@link RecordLog#compactTo} was last given it; null for none
-     * @param recordsSince what has been appended since
-     * @throws IOException where a record is not as it was written
+     * @param compacted the state that was last passed to {@link RecordLog#compactTo}; null for none
+     * @param recordsSince the records that have been appended since, in order
+     * @throws IOException if a record can't be decoded
      */
     public RaftStateStore(RecordLog recordLog, byte[] compacted, List<byte[]> recordsSince)
             throws IOException {
@@ -60,29 +60,29 @@
                 state.replay(ByteBuffer.wrap(record));
             }
         } catch (MessageRejectedException | BufferUnderflowException e) {
-            throw new IOException(
-                    "a record of the agreement is not as it was written: " + e.getMessage(), e);
+            throw new IOException("a stored Raft record can't be decoded: " + e.getMessage(), e);
         }
         logEnd = state.logEnd();
     }
 
-    /** Null where nothing has been stored yet. */
+    /** The state from which a replica is restored; null if the first start has not been stored yet. */
     RestoredRaftState restoredState() {
         return state.restoredState();
     }
 
-    /** Its term and the end of its log; from any thread. */
+    /** The current term and the end of the log. May be called from any thread. */
     public RecoveryFloor logEnd() {
         return logEnd;
     }
 
-    /** As which voter this disk has taken part; null where it never has. */
+    /** The voter as which this disk has taken part; null if it never has. */
     public Voter localVoter() {
         return state.localVoter();
     }
 
     /**
-     * The highest term, and the end of the log: what others may know of this disk from before this process.
+     * The highest term and the end of the log: the latest position of this disk that other voters may know
+     * from before this process was started.
      */
     public LogPosition lastPosition() {
         return state.lastPosition();
@@ -132,7 +132,7 @@
         persist(RaftRecordCodec.encodeIndex(RaftRecordType.TRUNCATE_FROM, index));
     }
 
-    /** A snapshot stands for what was there before: the one moment at which the log is compacted. */
+    /** Called once a snapshot replaces the entries up to the index. Only then are the records compacted. */
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
         persist(RaftRecordCodec.encodeIndex(RaftRecordType.TRUNCATE_UNTIL, index));
--- a/src/main/java/tinlink/cluster/consensus/StoredRaftState.java
+++ b/src/main/java/tinlink/cluster/consensus/StoredRaftState.java
@@ -18,26 +18,35 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the records of a voter's store add up to. One thread at a time. */
+/** The state that the records of a {@link RaftStateStore} describe. Not safe for use by several threads. */
 final class StoredRaftState {
-    /** The entries of a compacted log are written in records of about so many characters. */
-    private static final int MAX_ENTRIES_RECORD_CHARS = 1 << 20;
+    /** Approximate length of a record with log entries in a compacted state, in characters. */
+    private static final int ENTRIES_RECORD_CHARS = 1 << 20;
 
     private RaftEndpointPersistentState endpoint;
     private RaftGroupMembersView groupMembers;
     private RaftTermPersistentState term;
-    /** As long as the log since its last snapshot. */
+    /** Log entries by index; those before the last snapshot are removed. */
     private final TreeMap<Long, LogEntry> log = new TreeMap<>();
-    /** Of the newest snapshot, and of one that is being received; others are deleted. */
+    /**
+     * Chunks by number, of each snapshot by log index: of the newest snapshot, and of one that is being
+     * received. The chunks of older snapshots are deleted.
+     */
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
+    /**
+     * Applies an encoded record to the state.
+     *
+     * @throws MessageRejectedException if the record can't be decoded
+     */
     void replay(ByteBuffer record) throws MessageRejectedException {
         switch (RaftRecordType.withCode(record.get())) {
             case ENDPOINT -> endpoint = RaftRecordCodec.decodeEndpoint(record);
             case GROUP_MEMBERS -> groupMembers = RaftModelCodec.decodeView(record);
             case TERM -> term = RaftRecordCodec.decodeTerm(record);
             case ENTRIES ->
-                RaftRecordCodec.decodeEntries(record).forEach(e -> log.put(e.getIndex(), e));
+                RaftRecordCodec.decodeEntries(record)
+                        .forEach(entry -> log.put(entry.getIndex(), entry));
             case SNAPSHOT_CHUNK -> replayChunk(RaftModelCodec.decodeChunk(record));
             case TRUNCATE_FROM -> log.tailMap(record.getLong(), true).clear();
             case TRUNCATE_UNTIL -> log.headMap(record.getLong(), true).clear();
@@ -46,22 +55,23 @@
     }
 
     /**
-     * Danger: a snapshot that another voter has taken stands for entries that this log does not have, or
-     * has otherwise. What follows it in this log is then of a leader that was not followed by a majority;
-     * found after a restart, it would be taken for what follows the snapshot.
+     * Adds a chunk, and clears the log if the chunk completes a snapshot whose last entry is missing in the
+     * log or has another term there. Such a snapshot was taken by another voter, and what follows it in this
+     * log comes from a leader that had no majority. After a restart, these entries would be taken for the
+     * entries that follow the snapshot.
      */
     private void replayChunk(SnapshotChunk chunk) {
         TreeMap<Integer, SnapshotChunk> received =
-                chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>());
+                chunks.computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>());
         received.put(chunk.getSnapshotChunkIndex(), chunk);
-        LogEntry existing = log.get(chunk.getIndex());
-        boolean isSameTerm = existing != null && existing.getTerm() == chunk.getTerm();
-        if (received.size() == chunk.getSnapshotChunkCount() && !isSameTerm) {
+        LogEntry lastIncluded = log.get(chunk.getIndex());
+        boolean sameTerm = lastIncluded != null && lastIncluded.getTerm() == chunk.getTerm();
+        if (received.size() == chunk.getSnapshotChunkCount() && !sameTerm) {
             log.clear();
         }
     }
 
-    /** Null where nothing has been stored yet. */
+    /** The state from which a replica is restored; null if the first start has not been stored yet. */
     RestoredRaftState restoredState() {
         if (endpoint == null || groupMembers == null || term == null) {
             return null;
@@ -73,6 +83,7 @@
         return new RestoredRaftState(endpoint, groupMembers, term, snapshot, entries);
     }
 
+    /** Null if there is no complete snapshot. */
     private SnapshotEntry newestCompleteSnapshot() {
         for (Map<Integer, SnapshotChunk> chunksByNumber : chunks.descendingMap().values()) {
             SnapshotChunk first = chunksByNumber.values().iterator().next();
@@ -89,7 +100,7 @@
         return null;
     }
 
-    /** Null where this disk has never voted. */
+    /** The voter as which this disk has taken part; null if it never has. */
     Voter localVoter() {
         return endpoint == null ? null : (Voter) endpoint.getLocalEndpoint();
     }
@@ -98,7 +109,7 @@
         return term == null ? 0 : term.getTerm();
     }
 
-    /** The term, and the last entry of log or snapshot. */
+    /** The current term, and the last entry of the log or of the newest snapshot, whichever is later. */
     RecoveryFloor logEnd() {
         int lastTerm = 0;
         long lastIndex = 0;
@@ -114,31 +125,31 @@
         return new RecoveryFloor(termNumber(), lastTerm, lastIndex);
     }
 
-    /** The highest term, and the end of the log: what others may know of this disk. */
+    /** The highest term and the end of the log: the latest position of this disk that others may know. */
     LogPosition lastPosition() {
         long lastIndex = log.isEmpty() ? chunks.isEmpty() ? 0 : chunks.lastKey() : log.lastKey();
         return new LogPosition(termNumber(), lastIndex);
     }
 
-    /** All of it, as records that replay to the same. */
+    /** Encodes the state as records that restore it when replayed, each after its length in bytes. */
     byte[] encode() {
         MessageCodec.Builder out = new MessageCodec.Builder();
-        append(out, RaftRecordCodec.encodeEndpoint(endpoint));
-        append(out, RaftRecordCodec.encodeGroupMembers(groupMembers));
+        appendRecord(out, RaftRecordCodec.encodeEndpoint(endpoint));
+        appendRecord(out, RaftRecordCodec.encodeGroupMembers(groupMembers));
         if (term != null) {
-            append(out, RaftRecordCodec.encodeTerm(term));
+            appendRecord(out, RaftRecordCodec.encodeTerm(term));
         }
         chunks.values()
                 .forEach(snapshot -> snapshot.values()
-                        .forEach(chunk -> append(out, RaftRecordCodec.encodeChunk(chunk))));
+                        .forEach(chunk -> appendRecord(out, RaftRecordCodec.encodeChunk(chunk))));
         List<LogEntry> batch = new ArrayList<>();
         long chars = 0;
         for (Iterator<LogEntry> iterator = log.values().iterator(); iterator.hasNext(); ) {
             LogEntry entry = iterator.next();
             batch.add(entry);
             chars += entry.getOperation() instanceof String line ? line.length() : 0;
-            if (chars > MAX_ENTRIES_RECORD_CHARS || !iterator.hasNext()) {
-                append(out, RaftRecordCodec.encodeEntries(batch));
+            if (chars > ENTRIES_RECORD_CHARS || !iterator.hasNext()) {
+                appendRecord(out, RaftRecordCodec.encodeEntries(batch));
                 batch.clear();
                 chars = 0;
             }
@@ -146,7 +157,7 @@
         return out.build();
     }
 
-    private static void append(MessageCodec.Builder out, byte[] record) {
+    private static void appendRecord(MessageCodec.Builder out, byte[] record) {
         out.putInt(record.length).putBytes(record);
     }
 }
