--- a/src/main/java/tinlink/cluster/consensus/RecoveryFilter.java
+++ b/src/main/java/tinlink/cluster/consensus/RecoveryFilter.java
@@ -6,7 +6,10 @@
 import io.microraft.model.message.RaftMessage;
 import io.microraft.model.message.VoteRequest;
 
-/** Keeps a replica to its {@link RecoveryFloor}: which messages it may send and receive. From any thread. */
+/**
+ * Makes a replica observe its {@link RecoveryFloor} by filtering the messages that it sends and receives.
+ * Safe for use by several threads.
+ */
 final class RecoveryFilter {
     private final RaftStateStore stateStore;
     private volatile RecoveryFloor floor = RecoveryFloor.NONE;
@@ -19,29 +22,31 @@
         floor = newFloor;
     }
 
-    /** Whether the log is as far as the floor. */
+    /** Whether the log has reached the floor. */
     boolean hasReachedFloor() {
         RecoveryFloor logEnd = stateStore.logEnd();
         return floor.mayCampaign(logEnd.lastTerm(), logEnd.lastIndex());
     }
 
-    /** It asks nobody for a vote before it is as far as others were. */
+    /** Whether the message may be sent; votes and pre-votes may be requested once the log is at the floor. */
     boolean maySend(RaftMessage message) {
         return !(message instanceof PreVoteRequest || message instanceof VoteRequest)
                 || hasReachedFloor();
     }
 
+    /** Whether the message may be handled: vote and pre-vote requests, and a leader's log, obey the floor. */
     boolean mayReceive(RaftMessage message) {
-        RecoveryFloor current = floor;
+        RecoveryFloor currentFloor = floor;
         if (message instanceof VoteRequest request) {
-            return current.mayGrant(
+            return currentFloor.mayGrant(
                     request.getTerm(), request.getLastLogTerm(), request.getLastLogIndex());
         }
         if (message instanceof PreVoteRequest request) {
-            return current.mayAnswerPreVote(request.getLastLogTerm(), request.getLastLogIndex());
+            return currentFloor.mayAnswerPreVote(
+                    request.getLastLogTerm(), request.getLastLogIndex());
         }
-        boolean isFromLeader = message instanceof AppendEntriesRequest
+        boolean sentByLeader = message instanceof AppendEntriesRequest
                 || message instanceof InstallSnapshotRequest;
-        return !isFromLeader || current.mayFollow(message.getTerm());
+        return !sentByLeader || currentFloor.mayFollow(message.getTerm());
     }
 }
--- a/src/test/java/tinlink/cluster/consensus/RecoveryFloorTest.java
+++ b/src/test/java/tinlink/cluster/consensus/RecoveryFloorTest.java
@@ -8,7 +8,7 @@
 
 import java.util.List;
 
-/** What a voter that was started again holds to. */
+/** The floor that a restarted voter observes. */
 class RecoveryFloorTest {
     private static final List<RecoveryFloor> ANSWERS = List.of(
             new RecoveryFloor(2, 1, 107),
@@ -22,15 +22,15 @@
         assertEquals(
                 RecoveryFloor.NONE,
                 RecoveryFloor.fromAnswers(ANSWERS.subList(0, 2), 3),
-                "too few have answered");
+                "fewer answers than the quorum");
     }
 
-    /** Fails without the floor: a vote that was given and forgotten is given a second time. */
+    /** Without a floor, a voter whose disk lost a granted vote votes a second time in the same term. */
     @Test
     void noVoteIsGrantedInAKnownTermOrToAShorterLog() {
         RecoveryFloor floor = new RecoveryFloor(3, 1, 107);
-        assertFalse(floor.mayGrant(3, 2, 200), "it may have voted in that term");
-        assertFalse(floor.mayGrant(4, 1, 106), "it may have confirmed what that one lacks");
+        assertFalse(floor.mayGrant(3, 2, 200), "the voter may have voted in term 3");
+        assertFalse(floor.mayGrant(4, 1, 106), "the voter may have acknowledged entry 107");
         assertTrue(floor.mayGrant(4, 1, 107));
         assertTrue(floor.mayGrant(4, 2, 5));
         assertFalse(floor.mayFollow(2));
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Fails where such a question is dropped: seen in a seeded play as a group that never got a
-     * leader.
+     * A candidate whose pre-vote request is dropped never learns the later term: in a seeded simulation, the
+     * group never got a leader.
      */
     @Test
     void aCandidateBehindOnlyInTermsGetsAPreVoteAnswer() {
