--- a/src/main/java/tinlink/cluster/consensus/ReplicatedStateMachine.java
+++ b/src/main/java/tinlink/cluster/consensus/ReplicatedStateMachine.java
@@ -3,20 +3,25 @@
 import java.util.List;
 
 /**
- * What is agreed on: lines in one order, the same for all replicas. The state after them is the same for
- * all too, and can be written as lines of its own. Belongs to the thread that its replica runs on.
+ * A deterministic state machine that is driven by the lines of the replicated log. All replicas apply the
+ * same lines in the same order and so reach the same state, which can be written as lines in turn. Confined
+ * to the thread of its replica.
  */
 public interface ReplicatedStateMachine {
     /**
      * Applies one line.
      *
-     * @return the reply to whoever proposed it; empty where there is none
+     * @return the reply to the router that proposed the line; empty if there is none
      */
     String apply(String line);
 
-    /** All of the state, for {@link #restore}. */
+    /** Returns the whole state, for {@link #restore}. */
     List<String> snapshot();
 
-    /** Takes this state in place of its own; no lines mean the state before the first one. */
+    /**
+     * Replaces the state.
+     *
+     * @param lines a snapshot; without lines, the state before the first line of the log
+     */
     void restore(List<String> lines);
 }
--- a/src/main/java/tinlink/cluster/consensus/StateMachineAdapter.java
+++ b/src/main/java/tinlink/cluster/consensus/StateMachineAdapter.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A {@link ReplicatedStateMachine} as the library wants it; on the thread of Raft. */
+/** Adapts a {@link ReplicatedStateMachine} to the interface of the Raft library. Runs on the Raft thread. */
 final class StateMachineAdapter implements StateMachine {
-    /** A snapshot is passed on in chunks of about so many characters. */
+    /** Approximate length of a snapshot chunk, in characters. */
     private static final int SNAPSHOT_CHUNK_CHARS = 1 << 18;
 
     private final ReplicatedStateMachine stateMachine;
@@ -50,7 +50,7 @@
         listener.onRestored(index, lines);
     }
 
-    /** A new leader begins with an empty line: what was proposed before is settled by it. */
+    /** A new leader starts its term with an empty line; with that line, all lines before it are committed. */
     @Override
     public Object getNewTermOperation() {
         return "";
