--- a/src/main/java/tinlink/cluster/consensus/Voter.java
+++ b/src/main/java/tinlink/cluster/consensus/Voter.java
@@ -3,14 +3,16 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * Who takes part in agreeing: a router together with one disk of its. A router that has lost its disk, or
- * came back with an old copy of it, gets another number, so what the disk before it has said is not held
- * against it, nor for it.
+ * A voter of the Raft group: a router together with one of its disks. A router that has lost its disk, or
+ * came back with an old copy of it, becomes another voter with another disk id, so votes and acknowledgements
+ * of the previous disk don't count for the new one, nor against it.
  *
- * @param diskId drawn by chance as the folder was first used; 0 for a disk of the cluster's first start
+ * @param router the router's name
+ * @param diskId a random number drawn at the first use of the folder; 0 for a disk of the cluster's first
+ *     start
  */
 public record Voter(String router, long diskId) implements RaftEndpoint, Comparable<Voter> {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     @Override
     public Object getId() {
@@ -24,21 +26,22 @@
     }
 
     /**
-     * Reads a voter from its text.
+     * Parses the text that {@link #toString} returns.
      *
-     * @throws IllegalArgumentException where the text is none
+     * @throws IllegalArgumentException if the text is not a voter
      */
     public static Voter parse(String text) {
         int separator = text.lastIndexOf('/');
         if (separator < 1) {
-            throw new IllegalArgumentException("no voter: " + text);
+            throw new IllegalArgumentException(
+                    "expected a voter as ROUTER/DISK-ID, found: " + text);
         }
         return new Voter(
                 text.substring(0, separator),
-                Long.parseUnsignedLong(text.substring(separator + 1), HEX));
+                Long.parseUnsignedLong(text.substring(separator + 1), HEX_RADIX));
     }
 
-    /** The router's name, a slash, and the disk's number in hex: as it goes to others and to disks. */
+    /** The router's name, a slash, and the disk id in hex: the form in messages and stored records. */
     @Override
     public String toString() {
         return router + "/" + Long.toHexString(diskId);
