--- a/src/main/java/tinlink/cluster/consensus/VoterAdmission.java
+++ b/src/main/java/tinlink/cluster/consensus/VoterAdmission.java
@@ -8,65 +8,70 @@
 import java.util.TreeSet;
 
 /**
- * Whether a disk that was found at the start may vote, and what it keeps to if it does. Danger: a folder
- * restored from an old copy has forgotten votes that it gave and entries that it confirmed; voting by it,
- * the same term gets two leaders. So the others are asked first how far they know this disk to have been,
- * which incarnation of its router they know, and where their own disks are.
+ * Decides whether the disk that a router finds at its start may vote, and computes the {@link RecoveryFloor}
+ * that its voter then has to observe. A folder that was restored from an old copy lacks votes that the voter
+ * granted and entries that it acknowledged since; a voter that used the copy could give one term two leaders.
+ * So the router first asks the other voters which position of this disk and which incarnation of this router
+ * they know, and where their own logs end.
  *
- * <p>It may vote once no other voter that answers knows of anything later and more than half of the others
- * have answered; from then on it keeps to their {@link RecoveryFloor}. With half of the others away for
- * long it votes without one, as soon as a majority of the group, this one counted, has answered: then what
- * is not found out is an old copy whose missing votes and confirmations only those who are away know of.
+ * <p>The disk is admitted once more than half of the other voters have answered and none of them knows of
+ * anything later; the voter then observes the floor of their answers. While half of the other voters stay
+ * away, the disk is admitted without a floor after a longer wait, as soon as a majority of the group,
+ * counting this voter, has answered. Then an old copy goes undetected if only the voters that are away know
+ * of the votes and acknowledgements that it lacks.
  *
- * <p>Free of I/O; times are microseconds of one clock. One thread at a time.
+ * <p>Free of I/O. Times are microseconds of one clock. Not safe for use by several threads.
  */
 public final class VoterAdmission {
-    /** What has been found out of this disk so far. */
+    /** The result of the admission so far. */
     public enum Decision {
-        /** Others are still asked. */
+        /** Other voters still have to answer. */
         UNDECIDED,
-        /** It may vote. */
+        /** The disk may vote. */
         ADMITTED,
-        /** Others know of something later: it is an old copy, or stands for a disk that was lost. */
+        /** Another voter knows of something later: the disk is an old copy, or replaces a lost disk. */
         STALE_DISK,
-        /** Another process runs as the same start of the same router. */
+        /** Another process of the same router runs with the same start count. */
         DUPLICATE_PROCESS
     }
 
-    /** Where it has to vote without a floor, others are waited for so many times as long. */
+    /** Factor on the grace period after which a disk is admitted without a floor. */
     private static final int GRACE_FACTOR_WITHOUT_FLOOR = 5;
 
     private final Incarnation self;
     private final LogPosition diskPosition;
     private final int groupSize;
     private final Set<String> otherVoters;
-    private final boolean isDiskEmpty;
-    /** By router, where its disk was as it answered last. */
+    private final boolean diskEmpty;
+    /** The term and log end in the last answer of each voter, by router; bounded by the other voters. */
     private final Map<String, RecoveryFloor> answers = new HashMap<>();
 
     private Decision decision;
-    private long quorumSinceUs = Long.MIN_VALUE;
+    /** When a majority of the group, counting this voter, had answered. */
+    private long majoritySinceUs = Long.MIN_VALUE;
+
     private long knownStartCount;
 
-    /** Of a disk that is not empty. */
+    /** The admission of a disk that is not empty. */
     public VoterAdmission(Incarnation self, LogPosition diskPosition, Set<String> otherVoters) {
         this(self, diskPosition, otherVoters, false);
     }
 
     /**
-     * Begins undecided, unless there is nobody to ask.
+     * The admission of any disk; undecided at first, unless there are no other voters.
      *
      * @param self this process
-     * @param diskPosition where its disk is
+     * @param diskPosition the position of this router's disk
      * @param otherVoters names of the routers of the other voters
-     * @param isDiskEmpty it may be the first start, or the disk before it was lost
+     * @param diskEmpty whether the disk is empty: it is the router's first start, or the previous disk was
+     *     lost
      */
     public VoterAdmission(
             Incarnation self,
             LogPosition diskPosition,
             Set<String> otherVoters,
-            boolean isDiskEmpty) {
-        this.isDiskEmpty = isDiskEmpty;
+            boolean diskEmpty) {
+        this.diskEmpty = diskEmpty;
         this.self = self;
         this.diskPosition = diskPosition;
         this.otherVoters = Set.copyOf(otherVoters);
@@ -74,38 +79,38 @@
         decision = otherVoters.isEmpty() ? Decision.ADMITTED : Decision.UNDECIDED;
     }
 
-    /** As {@link #decide} or an answer has last left it. */
+    /** The decision as of the last answer or the last call of {@link #decide}. */
     public Decision decision() {
         return decision;
     }
 
-    /** The disk was empty and its router has been known before: it may take the place of the one lost. */
+    /** Whether the disk is empty although its router was known before: it may replace a lost disk. */
     public boolean isLostDisk() {
-        return decision == Decision.STALE_DISK && isDiskEmpty;
+        return decision == Decision.STALE_DISK && diskEmpty;
     }
 
-    /** So often its router has been started as far as others know, where {@link #isLostDisk}; else 0. */
+    /** How many starts of this router another voter knows of; 0 unless {@link Decision#STALE_DISK}. */
     public long knownStartCount() {
         return knownStartCount;
     }
 
     /**
-     * Another voter has answered.
+     * Handles the answer of another voter.
      *
-     * @param knownIncarnation the newest incarnation of this router that it knows; null for none
-     * @param knownPosition how far it knows this disk to have been; null where it does not
-     * @param voterPosition where its own disk is
+     * @param router the name of the other voter's router
+     * @param knownIncarnation the newest incarnation of this router that the other voter knows; null for none
+     * @param knownPosition the latest position of this disk that the other voter knows; null for none
+     * @param logEnd the other voter's own term and log end
      */
     public void onAnswer(
             String router,
             Incarnation knownIncarnation,
             LogPosition knownPosition,
-            RecoveryFloor voterPosition,
+            RecoveryFloor logEnd,
             long nowUs) {
         if (decision == Decision.ADMITTED && answers.containsKey(router)) {
-            answers.put(
-                    router,
-                    voterPosition); // It has voted since; what binds it may have become less.
+            // Voting has gone on since the last answer, so the floor may have become lower.
+            answers.put(router, logEnd);
         }
         if (decision != Decision.UNDECIDED || !otherVoters.contains(router)) {
             return;
@@ -113,56 +118,58 @@
         Incarnation.Relation relation = knownIncarnation == null
                 ? Incarnation.Relation.EARLIER
                 : self.relationTo(knownIncarnation);
-        if (relation == Incarnation.Relation.DUPLICATE && !isDiskEmpty) {
+        if (relation == Incarnation.Relation.DUPLICATE && !diskEmpty) {
             decision = Decision.DUPLICATE_PROCESS;
         } else if (relation == Incarnation.Relation.LATER
-                || (isDiskEmpty
-                        && knownIncarnation != null
-                        && relation != Incarnation.Relation.SAME)
+                || (diskEmpty && knownIncarnation != null && relation != Incarnation.Relation.SAME)
                 || (knownPosition != null && !knownPosition.isWithin(diskPosition))) {
             decision = Decision.STALE_DISK;
             knownStartCount = knownIncarnation == null ? 1 : knownIncarnation.startCount();
         } else {
-            answers.put(router, voterPosition);
-            quorumSinceUs = answers.size() == groupSize / 2 ? nowUs : quorumSinceUs;
+            answers.put(router, logEnd);
+            majoritySinceUs = answers.size() == groupSize / 2 ? nowUs : majoritySinceUs;
         }
     }
 
-    /** More than half of the others: they can't all lack what this disk had a part in. */
+    /** More than half of the other voters: at least one of them knows what this disk helped to decide. */
     private int quorum() {
         return Math.min(otherVoters.size(), otherVoters.size() / 2 + 1);
     }
 
     /**
-     * Decides as far as can be. Those that have not answered are waited for a while past the majority: each
-     * may be the one that knows of something later.
+     * Decides if enough voters have answered. Once a majority has answered, the others are given some more
+     * time, since each of them may be the one that knows of something later.
      *
-     * @param graceUs how long; five times as long where it has to vote without a floor
+     * @param graceUs time given to the others after a majority has answered; {@link
+     *     #GRACE_FACTOR_WITHOUT_FLOOR} times as long before the disk is admitted without a floor
      */
     public Decision decide(long nowUs, long graceUs) {
-        long withoutFloorUs = GRACE_FACTOR_WITHOUT_FLOOR * graceUs;
-        boolean hasQuorum = answers.size() >= quorum();
-        boolean hasMajority = answers.size() >= groupSize / 2;
+        long graceWithoutFloorUs = GRACE_FACTOR_WITHOUT_FLOOR * graceUs;
+        boolean quorumAnswered = answers.size() >= quorum();
+        boolean majorityAnswered = answers.size() >= groupSize / 2;
         if (decision == Decision.UNDECIDED
                 && (answers.size() == otherVoters.size()
-                        || (hasQuorum && nowUs >= quorumSinceUs + graceUs)
-                        || (hasMajority && nowUs >= quorumSinceUs + withoutFloorUs))) {
+                        || (quorumAnswered && nowUs >= majoritySinceUs + graceUs)
+                        || (majorityAnswered && nowUs >= majoritySinceUs + graceWithoutFloorUs))) {
             decision = Decision.ADMITTED;
         }
         return decision;
     }
 
-    /** What this voter keeps to, by the newest answers. */
+    /** The floor for this voter by the last answers; {@link RecoveryFloor#NONE} if too few have answered. */
     public RecoveryFloor floor() {
         return RecoveryFloor.fromAnswers(answers.values(), quorum());
     }
 
-    /** Whom to ask, again and again until it is decided; and after that for as long as nobody leads. */
+    /**
+     * Routers of the voters to be asked: until the decision, those that have not answered; after it, all. To
+     * be asked periodically until the decision, and then as long as there is no leader.
+     */
     public Set<String> votersToAsk() {
-        Set<String> pending = new TreeSet<>(otherVoters);
+        Set<String> votersToAsk = new TreeSet<>(otherVoters);
         if (decision == Decision.UNDECIDED) {
-            pending.removeAll(answers.keySet());
+            votersToAsk.removeAll(answers.keySet());
         }
-        return pending;
+        return votersToAsk;
     }
 }
--- a/src/main/java/tinlink/cluster/consensus/VoterReplacement.java
+++ b/src/main/java/tinlink/cluster/consensus/VoterReplacement.java
@@ -4,27 +4,30 @@
 import java.util.Map;
 
 /**
- * Which voter takes another one's place. A voter slot belongs to a router; it is given to another disk of
- * the same router once that router itself says that it runs with another one, or to another router where an
- * operator says so. One change at a time, and none that a majority of the group as it then is could not
- * bear. Free of I/O and state.
+ * Decides which voter is removed or added next. A voter slot belongs to a router. The slot goes to another
+ * disk of the same router once the router itself reports that it runs with that disk, and to another router
+ * by an operator's command. Voters are changed one at a time, and only while a majority of them is present.
+ * Stateless and free of I/O.
  */
 public final class VoterReplacement {
     /**
-     * A change: the one is removed, or the other is added; the other of the two is null. Voters as
-     * {@link Voter#toString} has them.
+     * The change of a single voter; one of the two fields is null.
+     *
+     * @param removed the voter to be removed, as by {@link Voter#toString}
+     * @param added the voter to be added, as by {@link Voter#toString}
      */
     public record Change(String removed, String added) {}
 
     private VoterReplacement() {}
 
     /**
-     * The next change; null where none is due or none is safe now.
+     * Returns the next change; null if none is due, or none is safe now.
      *
-     * @param voters by router the disk that votes, in hex
-     * @param present by router the disk with which it runs now, for those that may vote
-     * @param operatorReplacements by an operator's command: this router's slot goes to that router
-     * @param targetSize how many are to vote
+     * @param voters the disk ids of the voters in hex, by router
+     * @param present the disk ids in hex with which routers run now, by router; only of those that may vote
+     * @param operatorReplacements the routers that get the voter slots of others by an operator's command, by
+     *     the router that loses its slot
+     * @param targetSize number of voters that the group should have
      */
     public static Change nextChange(
             Map<String, String> voters,
@@ -35,8 +38,7 @@
         for (Map.Entry<String, String> entry : voters.entrySet()) {
             presentVoters += entry.getValue().equals(present.get(entry.getKey())) ? 1 : 0;
         }
-        // Danger: a vote less or more while only just a majority is there can leave nobody able to
-        // decide.
+        // Without a majority present, one voter less or more can leave a group that can't commit.
         if (presentVoters < voters.size() / 2 + 1) {
             return null;
         }
@@ -56,13 +58,14 @@
         for (Map.Entry<String, String> entry : voters.entrySet()) {
             String presentDisk = present.get(entry.getKey());
             if (presentDisk != null && !presentDisk.equals(entry.getValue())) {
-                return new Change(voter(entry), null);
+                return new Change(voterText(entry), null);
             }
         }
         for (Map.Entry<String, String> entry : operatorReplacements.entrySet()) {
             String removedRouter = entry.getKey();
             if (voters.containsKey(removedRouter) && present.containsKey(entry.getValue())) {
-                return new Change(voter(Map.entry(removedRouter, voters.get(removedRouter))), null);
+                return new Change(
+                        voterText(Map.entry(removedRouter, voters.get(removedRouter))), null);
             }
         }
         return null;
@@ -75,13 +78,14 @@
         for (Map.Entry<String, String> entry : present.entrySet()) {
             if (!voters.contains(entry.getKey())
                     && !operatorReplacements.containsKey(entry.getKey())) {
-                return new Change(null, voter(entry));
+                return new Change(null, voterText(entry));
             }
         }
         return null;
     }
 
-    private static String voter(Map.Entry<String, String> diskOfRouter) {
-        return diskOfRouter.getKey() + "/" + diskOfRouter.getValue();
+    /** The text of a voter, as by {@link Voter#toString}. */
+    private static String voterText(Map.Entry<String, String> diskByRouter) {
+        return diskByRouter.getKey() + "/" + diskByRouter.getValue();
     }
 }
--- a/src/test/java/tinlink/cluster/consensus/VoterReplacementTest.java
+++ b/src/test/java/tinlink/cluster/consensus/VoterReplacementTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Who may vote, and who takes whose voter slot. */
+/** Which disks may vote, and to which voters the voter slots go. */
 class VoterReplacementTest {
     private static final Map<String, String> VOTERS =
             new TreeMap<>(Map.of("r1", "0", "r2", "0", "r3", "0"));
@@ -49,26 +49,26 @@
     @Test
     void anotherRouterBecomesVoterOnlyByAnOperatorsCommand() {
         Map<String, String> present = Map.of("r1", "0", "r3", "0", "r4", "5");
-        assertNull(nextChange(VOTERS, present, Map.of()), "r2 may only be away for a while");
+        assertNull(nextChange(VOTERS, present, Map.of()), "r2 may come back");
         assertEquals(
                 new VoterReplacement.Change("r2/0", null),
                 nextChange(VOTERS, present, Map.of("r2", "r4")));
-        Map<String, String> twoPresent = Map.of("r1", "0", "r3", "0");
+        Map<String, String> afterRemoval = Map.of("r1", "0", "r3", "0");
         assertEquals(
                 new VoterReplacement.Change(null, "r4/5"),
-                nextChange(twoPresent, present, Map.of("r2", "r4")));
-        Map<String, String> originalPresent = Map.of("r1", "0", "r2", "0", "r3", "0", "r4", "5");
+                nextChange(afterRemoval, present, Map.of("r2", "r4")));
+        Map<String, String> allPresent = Map.of("r1", "0", "r2", "0", "r3", "0", "r4", "5");
         assertEquals(
                 new VoterReplacement.Change(null, "r4/5"),
-                nextChange(twoPresent, originalPresent, Map.of("r2", "r4")),
-                "it is back too late");
+                nextChange(afterRemoval, allPresent, Map.of("r2", "r4")),
+                "r2 came back after its slot was given away");
     }
 
     private static final Incarnation SELF = new Incarnation("r1", 4, 9);
-    private static final LogPosition DISK = new LogPosition(3, 50);
+    private static final LogPosition DISK_POSITION = new LogPosition(3, 50);
 
     private static VoterAdmission admission() {
-        return new VoterAdmission(SELF, DISK, Set.of("r2", "r3", "r4", "r5"));
+        return new VoterAdmission(SELF, DISK_POSITION, Set.of("r2", "r3", "r4", "r5"));
     }
 
     @Test
@@ -81,27 +81,24 @@
         assertEquals(
                 Decision.UNDECIDED,
                 admission.decide(10_099, 100),
-                "each of the others may be the one that knows");
+                "r4 or r5 may know something later");
         assertEquals(Set.of("r4", "r5"), admission.votersToAsk());
         assertEquals(
                 Decision.UNDECIDED,
                 admission.decide(10_499, 100),
-                "two of four others: they may both lack what it confirmed");
+                "two of four other voters may both lack what the disk acknowledged");
         assertEquals(
                 Decision.ADMITTED,
                 admission.decide(10_500, 100),
-                "half of the others stay away: it votes without a floor");
+                "half of the others stay away: the disk is admitted without a floor");
         assertEquals(RecoveryFloor.NONE, admission.floor());
-        VoterAdmission withLaterPositions = admission();
-        withLaterPositions.onAnswer("r2", null, null, new RecoveryFloor(3, 3, 40), 0);
-        withLaterPositions.onAnswer("r3", null, null, new RecoveryFloor(4, 3, 60), 0);
-        withLaterPositions.onAnswer("r4", null, null, new RecoveryFloor(3, 3, 50), 0);
-        assertEquals(
-                Decision.UNDECIDED,
-                withLaterPositions.decide(99, 100),
-                "each of the others may be the one that knows");
-        assertEquals(Decision.ADMITTED, withLaterPositions.decide(100, 100));
-        assertEquals(new RecoveryFloor(4, 3, 60), withLaterPositions.floor());
+        VoterAdmission withFloor = admission();
+        withFloor.onAnswer("r2", null, null, new RecoveryFloor(3, 3, 40), 0);
+        withFloor.onAnswer("r3", null, null, new RecoveryFloor(4, 3, 60), 0);
+        withFloor.onAnswer("r4", null, null, new RecoveryFloor(3, 3, 50), 0);
+        assertEquals(Decision.UNDECIDED, withFloor.decide(99, 100), "r5 may know something later");
+        assertEquals(Decision.ADMITTED, withFloor.decide(100, 100));
+        assertEquals(new RecoveryFloor(4, 3, 60), withFloor.floor());
     }
 
     @Test
@@ -111,12 +108,12 @@
         admission.onAnswer("r3", null, null, RecoveryFloor.NONE, 0);
         admission.onAnswer("r4", null, new LogPosition(3, 51), RecoveryFloor.NONE, 0);
         assertEquals(Decision.STALE_DISK, admission.decide(1000, 100));
-        VoterAdmission term = admission();
-        term.onAnswer("r2", null, new LogPosition(4, 0), RecoveryFloor.NONE, 0);
-        assertEquals(Decision.STALE_DISK, term.decision());
-        VoterAdmission later = admission();
-        later.onAnswer("r2", new Incarnation("r1", 5, 1), null, RecoveryFloor.NONE, 0);
-        assertEquals(Decision.STALE_DISK, later.decision());
+        VoterAdmission laterTerm = admission();
+        laterTerm.onAnswer("r2", null, new LogPosition(4, 0), RecoveryFloor.NONE, 0);
+        assertEquals(Decision.STALE_DISK, laterTerm.decision());
+        VoterAdmission laterIncarnation = admission();
+        laterIncarnation.onAnswer("r2", new Incarnation("r1", 5, 1), null, RecoveryFloor.NONE, 0);
+        assertEquals(Decision.STALE_DISK, laterIncarnation.decision());
         VoterAdmission duplicate = admission();
         duplicate.onAnswer("r2", new Incarnation("r1", 4, 8), null, RecoveryFloor.NONE, 0);
         assertEquals(Decision.DUPLICATE_PROCESS, duplicate.decision());
@@ -134,11 +131,12 @@
             assertTrue(admission.isLostDisk());
             assertEquals(knownIncarnation.startCount(), admission.knownStartCount());
         }
-        VoterAdmission first =
+        VoterAdmission firstStart =
                 new VoterAdmission(SELF, new LogPosition(0, 0), Set.of("r2", "r3"), true);
-        first.onAnswer("r2", SELF, null, RecoveryFloor.NONE, 0);
-        first.onAnswer("r3", null, null, RecoveryFloor.NONE, 0);
-        assertEquals(Decision.ADMITTED, first.decide(0, 100), "the first start of all");
+        firstStart.onAnswer("r2", SELF, null, RecoveryFloor.NONE, 0);
+        firstStart.onAnswer("r3", null, null, RecoveryFloor.NONE, 0);
+        assertEquals(
+                Decision.ADMITTED, firstStart.decide(0, 100), "this is the router's first start");
     }
 
     @Test
@@ -146,6 +144,7 @@
         VoterAdmission admission = admission();
         admission.onAnswer("r9", new Incarnation("r1", 5, 1), null, RecoveryFloor.NONE, 0);
         assertEquals(Decision.UNDECIDED, admission.decision());
-        assertEquals(Decision.ADMITTED, new VoterAdmission(SELF, DISK, Set.of()).decision());
+        assertEquals(
+                Decision.ADMITTED, new VoterAdmission(SELF, DISK_POSITION, Set.of()).decision());
     }
 }
