--- a/src/main/java/tinlink/cluster/transport/MessageKind.java
+++ b/src/main/java/tinlink/cluster/transport/MessageKind.java
@@ -1,57 +1,58 @@
 package tinlink.cluster.transport;
 
 /**
- * What a message between routers of a cluster is for; each is described in {@code docs/protocol-peers.md}.
- * Those of membership and of {@link PeerProtocol#NODE} frames carry their code as the first byte of the body.
+ * Kinds of messages between the routers of a cluster; {@code docs/protocol-peers.md} describes each. In
+ * {@link PeerProtocol#MEMBERSHIP} and {@link PeerProtocol#NODE} frames, the first byte of the body is the
+ * code of the kind.
  */
 public enum MessageKind {
-    /** Proves to each side that the other has the key. */
+    /** Proves to each side of a connection that the other side has the key. */
     HANDSHAKE("handshake"),
-    /** Asks a member whether it answers. */
+    /** Asks a member for an answer, to detect whether the member is alive. */
     PROBE("probe", PeerProtocol.MEMBERSHIP, 1),
-    /** Answers a probe, also one that was made for another router. */
+    /** Answers a {@link #PROBE} or, once the probed member has answered, a {@link #PROBE_REQUEST}. */
     PROBE_ACK("probe_answer", PeerProtocol.MEMBERSHIP, 2),
-    /** Asks a member to probe another one. */
+    /** Asks a member to probe another member. */
     PROBE_REQUEST("probe_request", PeerProtocol.MEMBERSHIP, 3),
-    /** The member that was to be probed for another router is silent. */
+    /** Answers a {@link #PROBE_REQUEST} if the probed member is silent. */
     PROBE_NACK("probe_failure", PeerProtocol.MEMBERSHIP, 4),
-    /** Entries of the log, or a heartbeat, from the leader. */
+    /** Log entries, or a heartbeat, from the leader. */
     APPEND("append"),
     /** Answers {@link #APPEND}. */
     APPEND_RESPONSE("append_answer"),
     /** A chunk of a snapshot, or the request for one. */
     SNAPSHOT("snapshot"),
-    /** Votes, pre-votes and their answers. */
+    /** Requests for votes and pre-votes, their answers, and the request to start an election. */
     ELECTION("election"),
-    /** Asks a voter for what was agreed on. */
+    /** Asks a voter for committed lines. */
     LEARN("learn", PeerProtocol.NODE, 1),
     /** Answers {@link #LEARN}. */
     LEARNED("learned", PeerProtocol.NODE, 2),
-    /** Has the leader propose a line. */
+    /** Asks the leader to propose a line. */
     PROPOSE("propose", PeerProtocol.NODE, 3),
     /** Answers {@link #PROPOSE}. */
     PROPOSED("proposed", PeerProtocol.NODE, 4),
-    /** Asks what is known of a disk, before it votes. */
+    /** Asks a voter what it knows of the sender's disk, before the sender votes with it. */
     ADMISSION_REQUEST("entry", PeerProtocol.NODE, 5),
     /** Answers {@link #ADMISSION_REQUEST}. */
     ADMISSION_RESPONSE("entry_answer", PeerProtocol.NODE, 6),
-    /** An observation for the leader. */
+    /** Reports an observation to the leader. */
     REPORT("news", PeerProtocol.NODE, 7),
-    /** With which disk a router runs. */
+    /** Tells the leader which disk the sender runs with. */
     PRESENCE("seat", PeerProtocol.NODE, 8),
-    /** An operator's command on who votes. */
+    /** Passes an operator's command to the leader: one router's voter slot goes to another. */
     REPLACE_VOTER("replace", PeerProtocol.NODE, 9),
-    /** Asks the leader for the confirmed commit index. */
+    /** Asks the leader for the commit index, confirmed by a majority. */
     CONFIRM_REQUEST("confirm", PeerProtocol.NODE, 10),
     /** Answers {@link #CONFIRM_REQUEST}. */
     CONFIRM_RESPONSE("confirmed", PeerProtocol.NODE, 11),
-    /** None of these: malformed, or of a later version. */
+    /** None of the other kinds: the message is malformed, or of a later version. */
     OTHER("other");
 
     private static final int MAX_CODE = 15;
     private static final MessageKind[] MEMBERSHIP_KINDS = byCode(PeerProtocol.MEMBERSHIP);
     private static final MessageKind[] NODE_KINDS = byCode(PeerProtocol.NODE);
-    /** By the code of a Raft message. */
+    /** Kinds of Raft messages, by the code of the message. */
     private static final MessageKind[] RAFT_KINDS = {
         OTHER,
         APPEND,
@@ -90,27 +91,27 @@
         return kinds;
     }
 
-    /** Its name where traffic is counted. */
+    /** The name under which traffic of this kind is counted. */
     public String label() {
         return label;
     }
 
-    /** Its number on the wire within its type of frame; 0 where that has none. */
+    /** The code of this kind in frames of its type; 0 if these frames don't carry one. */
     public int code() {
         return code;
     }
 
-    /** The kind of a membership message; {@link #OTHER} where there is none with that code. */
+    /** The kind with that code in {@link PeerProtocol#MEMBERSHIP} frames, or else {@link #OTHER}. */
     public static MessageKind ofMembership(int code) {
         return withCode(MEMBERSHIP_KINDS, code);
     }
 
-    /** The kind of a message in a {@link PeerProtocol#NODE} frame; {@link #OTHER} where there is none. */
+    /** The kind with that code in {@link PeerProtocol#NODE} frames, or else {@link #OTHER}. */
     public static MessageKind ofNode(int code) {
         return withCode(NODE_KINDS, code);
     }
 
-    /** The kind that a Raft message counts as, by the code with which it begins. */
+    /** The kind of a Raft message that begins with that code, or else {@link #OTHER}. */
     static MessageKind ofRaft(int code) {
         return withCode(RAFT_KINDS, code);
     }
--- a/src/main/java/tinlink/cluster/transport/TrafficCounters.java
+++ b/src/main/java/tinlink/cluster/transport/TrafficCounters.java
@@ -5,19 +5,20 @@
 import java.util.TreeMap;
 
 /**
- * Messages and bytes that have gone over the connections with other routers, by kind and direction. Bytes
- * are those of complete frames, length and authentication tag counted, without TCP's own. One entry a kind,
- * so the table is bounded; it belongs to the event loop's thread.
+ * Counts messages and bytes on the connections to other routers, by kind and direction. The bytes are those
+ * of complete frames, with length and authentication tag but without the overhead of TCP. The table has at
+ * most one entry per kind. Confined to the event loop's thread.
  */
 public final class TrafficCounters {
+    // Each direction has two columns: messages, and bytes.
     private static final int COLUMNS = 4;
     private static final int RECEIVED = 0;
     private static final int SENT = 2;
 
-    /** Messages in, bytes in, messages out, bytes out. */
+    /** Messages received, bytes received, messages sent, bytes sent. */
     private final Map<MessageKind, long[]> counts = new EnumMap<>(MessageKind.class);
 
-    /** @param offset in the frame at which the message's body begins */
+    /** @param offset index in the frame at which the body of the message begins */
     void countReceived(byte type, byte[] frame, int offset, int frameBytes) {
         add(kind(type, frame, offset), RECEIVED, frameBytes);
     }
@@ -27,7 +28,7 @@
     }
 
     private void add(MessageKind kind, int column, int frameBytes) {
-        long[] count = counts.computeIfAbsent(kind, k -> new long[COLUMNS]);
+        long[] count = counts.computeIfAbsent(kind, key -> new long[COLUMNS]);
         count[column]++;
         count[column + 1] += frameBytes;
     }
@@ -37,7 +38,7 @@
             case PeerProtocol.HELLO, PeerProtocol.CHALLENGE, PeerProtocol.PROOF ->
                 MessageKind.HANDSHAKE;
             case PeerProtocol.MEMBERSHIP -> MessageKind.ofMembership(codeAt(body, offset));
-            // The voter that it is for comes first, as a text of up to 255 bytes.
+            // The recipient comes before the Raft message, as a text of up to 255 bytes.
             case PeerProtocol.RAFT ->
                 offset < body.length
                         ? MessageKind.ofRaft(codeAt(body, offset + 1 + (body[offset] & 0xff)))
@@ -47,12 +48,12 @@
         };
     }
 
-    /** Messages are counted before they are decoded, so a malformed one may end before its code. */
+    /** Messages are counted before they are decoded, so a malformed message may end before its code. */
     private static int codeAt(byte[] body, int offset) {
         return offset < body.length ? body[offset] : 0;
     }
 
-    /** By kind: messages in, bytes in, messages out, bytes out, since the start. */
+    /** By kind since the start: messages received, bytes received, messages sent, bytes sent. */
     public Map<String, long[]> byKind() {
         Map<String, long[]> copy = new TreeMap<>();
         counts.forEach((kind, count) -> copy.put(kind.label(), count.clone()));
--- a/src/test/java/tinlink/cluster/transport/TrafficCountersTest.java
+++ b/src/test/java/tinlink/cluster/transport/TrafficCountersTest.java
@@ -8,8 +8,11 @@
 import tinlink.securechannel.MessageCodec;
 
 class TrafficCountersTest {
+    /** Code of a Raft append request. */
     private static final byte APPEND = 1;
+    /** Code of {@link MessageKind#PRESENCE}. */
     private static final byte PRESENCE = 8;
+
     private final TrafficCounters traffic = new TrafficCounters();
 
     @Test
@@ -31,7 +34,7 @@
     }
 
     @Test
-    void aRaftMessageIsClassifiedByTheByteAfterItsVoter() {
+    void aRaftMessageIsClassifiedByTheByteAfterItsRecipient() {
         traffic.countSent(
                 PeerProtocol.RAFT,
                 new MessageCodec.Builder().putText("r1/0").putByte(APPEND).build(),
@@ -40,7 +43,7 @@
     }
 
     @Test
-    void aCorruptMessageCountsAsOther() {
+    void aMalformedMessageCountsAsOther() {
         traffic.countReceived(PeerProtocol.NODE, new byte[] {PeerProtocol.NODE}, 1, 5);
         traffic.countReceived(PeerProtocol.NODE, new byte[] {PeerProtocol.NODE, -1}, 1, 6);
         traffic.countReceived(
