--- a/src/main/java/tinlink/cluster/transport/PeerProtocol.java
+++ b/src/main/java/tinlink/cluster/transport/PeerProtocol.java
@@ -11,31 +11,31 @@
 import java.util.List;
 
 /**
- * The frames between routers of a cluster, and what their bodies share. The handshake carries the version,
- * for all messages of its connection.
+ * Types of the frames between the routers of a cluster, and the encoding of what several messages share. The
+ * protocol version is exchanged in the handshake and holds for all messages of the connection.
  */
 public final class PeerProtocol {
-    /** Of the handshake, and of all that follows it. */
+    /** Version of the handshake and of all messages after it. */
     public static final int VERSION = 1;
-    /** Of the router that has connected, first: its cluster, key and incarnation. */
+    /** The first message, from the router that opened the connection: its cluster, key id and incarnation. */
     public static final byte HELLO = 1;
-    /** Answers {@link #HELLO}, and proves the key. */
+    /** Answers {@link #HELLO}, and proves that the sender has the key. */
     public static final byte CHALLENGE = 2;
-    /** Answers {@link #CHALLENGE}, and proves the key. */
+    /** Answers {@link #CHALLENGE}, and proves that the sender has the key. */
     public static final byte PROOF = 3;
-    /** Probes and their answers, with rumors. */
+    /** Probes and their answers, along with rumors. */
     public static final byte MEMBERSHIP = 4;
-    /** A voter and a message of Raft for it. */
+    /** A Raft message, after the voter to whom it is addressed. */
     public static final byte RAFT = 5;
-    /** A message of one node to another; its first byte is its kind. */
+    /** Any other message between two routers; its first byte is the code of its {@link MessageKind}. */
     public static final byte NODE = 6;
 
     static final int NONCE_BYTES = 32;
     static final int PROOF_BYTES = 32;
     static final int MAX_HANDSHAKE_BYTES = 1 << 10;
     /**
-     * A chunk of a snapshot, or the lines that a router lacks, with what goes with them: twice the longest
-     * text.
+     * Twice the longest text, which leaves room for the fields that go with a snapshot chunk, or with the
+     * lines that a learner is missing.
      */
     static final int MAX_FRAME_BYTES = 2 << 20;
 
@@ -43,7 +43,7 @@
 
     private PeerProtocol() {}
 
-    /** Writes which process of a router it is. */
+    /** Encodes an incarnation. */
     public static void encodeIncarnation(MessageCodec.Builder out, Incarnation incarnation) {
         out.putText(incarnation.router())
                 .putLong(incarnation.startCount())
@@ -51,19 +51,20 @@
     }
 
     /**
-     * Reads which process of a router it is.
+     * Decodes an incarnation.
      *
-     * @throws MessageRejectedException where it is malformed
+     * @throws MessageRejectedException if the incarnation is malformed
      */
     public static Incarnation decodeIncarnation(ByteBuffer buffer) throws MessageRejectedException {
-        String name = MessageCodec.readText(buffer);
-        if (name.isEmpty()) {
-            throw MessageCodec.malformed("a router without a name");
+        String router = MessageCodec.readText(buffer);
+        if (router.isEmpty()) {
+            throw MessageCodec.malformed(
+                    "expected an incarnation of a router, found an empty name");
         }
-        return new Incarnation(name, buffer.getLong(), buffer.getLong());
+        return new Incarnation(router, buffer.getLong(), buffer.getLong());
     }
 
-    /** Writes rumors; states are numbered in their order. */
+    /** Encodes rumors. The state of a member is encoded by its ordinal. */
     @SuppressWarnings("EnumOrdinal")
     public static void encodeRumors(MessageCodec.Builder out, List<Rumor> rumors) {
         out.putByte(rumors.size());
@@ -77,15 +78,15 @@
     }
 
     /**
-     * Reads rumors.
+     * Decodes rumors.
      *
-     * @throws MessageRejectedException where they are malformed or too many
+     * @throws MessageRejectedException if a rumor is malformed, or there are too many
      */
     @SuppressWarnings("EnumOrdinal")
     public static List<Rumor> decodeRumors(ByteBuffer buffer) throws MessageRejectedException {
         int count = buffer.get();
         if (count < 0 || count > MAX_RUMORS) {
-            throw MessageCodec.malformed(count + " rumors");
+            throw MessageCodec.malformed("expected 0 to " + MAX_RUMORS + " rumors, found " + count);
         }
         List<Rumor> rumors = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -93,7 +94,7 @@
             long refutationCount = buffer.getLong();
             int state = buffer.get();
             if (state < 0 || state >= MemberState.values().length) {
-                throw MessageCodec.malformed("a member state of " + state);
+                throw MessageCodec.malformed("unknown member state " + state);
             }
             rumors.add(new Rumor(
                     incarnation,
