--- a/src/main/java/tinlink/cluster/transport/PeerConnections.java
+++ b/src/main/java/tinlink/cluster/transport/PeerConnections.java
@@ -23,63 +23,66 @@
 import java.util.logging.Level;
 
 /**
- * Authenticated connections with other routers of a cluster, opened when there is something to send and
- * closed when there has been nothing for a while. A message may get lost, with its connection or where too
- * much waits; whoever sends here repeats what matters. Event loop's thread only.
+ * Authenticated connections to the other routers of a cluster. A connection is opened when there is a message
+ * to send, and closed when it has been idle for a while. A message may be lost, with its connection or when a
+ * queue is full; senders repeat the messages that matter. Confined to the event loop's thread.
  */
 public final class PeerConnections implements Network.AcceptHandler {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
-    /** Connections that have not authenticated themselves, at a time, where nothing else is configured. */
+    /** Default bound on inbound connections that are not authenticated yet. */
     public static final int MAX_UNAUTHENTICATED_CONNECTIONS = 16;
-    /** What may wait for one connection to be authenticated. */
+    /** Bound on messages that wait for a connection to be authenticated. */
     private static final int MAX_QUEUED_MESSAGES = 64;
-
+    /** Bound on the bytes of these messages, and on the bytes that a connection has not written yet. */
     private static final long MAX_QUEUED_BYTES = 4L << 20;
 
-    /** Which cluster this router belongs to, and which process of it this is. */
+    /** The cluster that this router belongs to, and this process of the router. */
     public record Self(String cluster, Incarnation incarnation) {}
 
     /**
-     * The times of connections, in microseconds.
+     * Timeouts of connections, in microseconds.
      *
-     * @param idleUs a connection without a message for so long is closed
-     * @param retryDelayUs an address where nobody answered is not tried again for so long
+     * @param handshakeUs for each message of a handshake, and later for the rest of a frame that has begun
+     * @param idleUs without a sent message, after which an outbound connection is closed
+     * @param retryDelayUs until an address is tried again, or accepting after it failed
      */
     public record Timeouts(long handshakeUs, long idleUs, long retryDelayUs) {}
 
     /**
-     * Bounds.
+     * Bounds on open connections.
      *
-     * @param connections out, and as many in
-     * @param unauthenticated inbound ones at a time; the oldest is closed for a further one
+     * @param connections outbound, and as many inbound and authenticated
+     * @param unauthenticated inbound and not authenticated yet; the oldest is closed when there are more
      */
     public record Limits(int connections, int unauthenticated) {}
 
-    /** Is given what other routers send. */
+    /** Handles the messages of other routers. */
     public interface MessageHandler {
         /**
-         * A message has come.
+         * Handles a message that was received.
          *
-         * @param sender authenticated as one that has the key; that it is the only process of its
-         *     router is not
-         * @throws MessageRejectedException where the message is malformed; its connection is closed
+         * @param sender has proved that it has the key, but not that it is the only process of its router
+         * @throws MessageRejectedException if the message is malformed; its connection is closed
          */
         void onMessage(Incarnation sender, byte type, ByteBuffer body)
                 throws MessageRejectedException;
     }
 
-    @SuppressWarnings(
-            "ArrayRecordComponent") // Waits are never compared; the bytes go out as they are.
+    // Queued messages are never compared, and their bytes are sent unchanged.
+    @SuppressWarnings("ArrayRecordComponent")
     private record QueuedMessage(byte type, byte[] body) {}
 
-    /** One address that is sent to. */
+    /** An address that messages are sent to. */
     private static final class Destination {
+        /** Null if there is no connection. */
         PeerSession session;
-        boolean isUp;
-        /** Emptied as the connection is authenticated, or fails. */
+
+        boolean authenticated;
+        /** Emptied when the connection is authenticated or fails. */
         final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
 
         long queuedBytes;
+        /** No connection is opened before this time. */
         long retryAtUs;
     }
 
@@ -93,18 +96,18 @@
     private final MessageHandler handler;
     private final Limits limits;
     private final SecureRandom secureRandom = new SecureRandom();
-    private Network.ListeningSocket listening;
-    /** Least used first, bounded. */
+    private Network.ListeningSocket listeningSocket;
+    /** By address, least recently used first; bounded by {@link Limits#connections}. */
     private final Map<String, Destination> destinations = new LinkedHashMap<>(16, 0.75f, true);
-    /** Inbound ones, before and after they have authenticated themselves; each leaves as it is closed. */
-    private final Set<PeerSession> unauthenticatedConnections = new LinkedHashSet<>();
-
-    private final Set<PeerSession> inboundSessions = new LinkedHashSet<>();
+    /** Oldest first; a session leaves when it is authenticated or closed. */
+    private final Set<PeerSession> unauthenticatedInbound = new LinkedHashSet<>();
+    /** Oldest first; a session leaves when it is closed. */
+    private final Set<PeerSession> authenticatedInbound = new LinkedHashSet<>();
 
     /**
-     * Accepts none yet; begins with {@link #listen}.
+     * No connection is accepted before {@link #listen}.
      *
-     * @param handler is given messages of authenticated connections
+     * @param handler handles the messages of authenticated connections
      */
     public PeerConnections(
             EventLoop loop,
@@ -123,19 +126,19 @@
         this.handler = handler;
     }
 
-    /** Accepts connections there from now on. */
+    /** Starts to accept connections at an address. */
     public void listen(InetSocketAddress address) throws IOException {
-        listening = network.listenAt(address);
-        listening.accept(this);
+        listeningSocket = network.listenAt(address);
+        listeningSocket.accept(this);
         loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
     }
 
-    /** Where it listens. */
+    /** The address at which connections are accepted. */
     public InetSocketAddress address() throws IOException {
-        return listening.address();
+        return listeningSocket.address();
     }
 
-    /** What has happened on connections. */
+    /** Counters of events on connections. */
     public Counters counters() {
         return counters;
     }
@@ -145,26 +148,26 @@
         return traffic;
     }
 
-    /** Open at the moment, either way, those counted that have not authenticated themselves yet. */
+    /** Number of open connections in both directions, including those that are not authenticated yet. */
     public int connectionCount() {
         int outbound = (int) destinations.values().stream()
                 .filter(destination -> destination.session != null)
                 .count();
-        return outbound + inboundSessions.size() + unauthenticatedConnections.size();
+        return outbound + authenticatedInbound.size() + unauthenticatedInbound.size();
     }
 
-    /** Uses these keys from now on; connections that are open stay. */
+    /** Sets the keys for new connections; open connections stay open. */
     public void setKeys(KeyRing newKeys) {
         keys = newKeys;
     }
 
-    byte[] nonce() {
+    byte[] newNonce() {
         byte[] nonce = new byte[PeerProtocol.NONCE_BYTES];
         secureRandom.nextBytes(nonce);
         return nonce;
     }
 
-    /** Sends it there, or queues it until the connection is authenticated; it may get lost. */
+    /** Sends a message, or queues it until the connection is authenticated. The message may be lost. */
     public void send(String address, byte type, byte[] body) {
         Destination destination = destinations.get(address);
         if (destination == null) {
@@ -172,9 +175,8 @@
             destination = new Destination();
             destinations.put(address, destination);
         }
-        if (destination.isUp) {
-            // Danger: a router that stands still reads nothing, and all that is sent to it would be
-            // held here.
+        if (destination.authenticated) {
+            // A router that hangs reads nothing, and everything sent to it would pile up in memory.
             if (destination.session.outboundBacklogBytes() > MAX_QUEUED_BYTES) {
                 counters.increment("peers_not_sent");
                 destination.session.close(CloseReason.UNRESPONSIVE);
@@ -204,14 +206,14 @@
         PeerSession session = new PeerSession(this, address);
         destination.session = session;
         try {
-            session.attach(network.connect(address(address), session), timeouts.handshakeUs());
+            session.attach(network.connect(parseAddress(address), session), timeouts.handshakeUs());
         } catch (IOException | RuntimeException e) {
             LOG.logFailure(Level.FINE, "peer_connect_failed", e, "address", address);
             connectionFailed(destination);
         }
     }
 
-    private static InetSocketAddress address(String address) {
+    private static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(
                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
@@ -219,7 +221,7 @@
 
     private void connectionFailed(Destination destination) {
         destination.session = null;
-        destination.isUp = false;
+        destination.authenticated = false;
         destination.retryAtUs = loop.nowUs() + timeouts.retryDelayUs();
         for (int i = 0; i < destination.queue.size(); i++) {
             counters.increment("peers_not_sent");
@@ -228,10 +230,7 @@
         destination.queuedBytes = 0;
     }
 
-    /**
-     * Danger: a cluster larger than was meant would hold all descriptors; who was spoken to least
-     * gives way.
-     */
+    /** Makes room for a destination, since a cluster larger than planned would use up all descriptors. */
     private void evictLeastRecentlyUsed() {
         while (destinations.size() >= limits.connections()) {
             Iterator<Destination> iterator = destinations.values().iterator();
@@ -245,7 +244,7 @@
 
     private void closeIdleSessions() {
         for (Destination destination : Set.copyOf(destinations.values())) {
-            if (destination.isUp
+            if (destination.authenticated
                     && loop.nowUs() - destination.session.lastUsedUs > timeouts.idleUs()) {
                 destination.session.close(CloseReason.IDLE_TIMEOUT);
             }
@@ -253,13 +252,14 @@
         loop.schedule(loop.nowUs() + timeouts.idleUs(), this::closeIdleSessions);
     }
 
-    void opened(PeerSession session) {
+    /** An outbound session was authenticated. */
+    void outboundAuthenticated(PeerSession session) {
         Destination destination = destinations.get(session.dialedAddress);
         if (destination == null || destination.session != session) {
             session.close(CloseReason.COMPLETED);
             return;
         }
-        destination.isUp = true;
+        destination.authenticated = true;
         session.lastUsedUs = loop.nowUs();
         counters.increment("peers_links_up");
         while (!destination.queue.isEmpty()) {
@@ -271,27 +271,25 @@
 
     void sessionClosed(PeerSession session) {
         if (session.dialedAddress == null) {
-            unauthenticatedConnections.remove(session);
-            inboundSessions.remove(session);
+            unauthenticatedInbound.remove(session);
+            authenticatedInbound.remove(session);
             return;
         }
         Destination destination = destinations.get(session.dialedAddress);
         if (destination != null && destination.session == session) {
-            boolean wasUp = destination.isUp;
+            boolean wasAuthenticated = destination.authenticated;
             connectionFailed(destination);
-            destination.retryAtUs = wasUp
-                    ? 0
-                    : destination
-                            .retryAtUs; // It was there a moment ago: called again as there is need.
+            // The router answered a moment ago, so the next connection needs no delay.
+            destination.retryAtUs = wasAuthenticated ? 0 : destination.retryAtUs;
         }
     }
 
-    /** An inbound one. */
-    void sessionAuthenticated(PeerSession session) {
-        unauthenticatedConnections.remove(session);
-        inboundSessions.add(session);
-        if (inboundSessions.size() > limits.connections()) {
-            inboundSessions.iterator().next().close(CloseReason.IDLE_TIMEOUT);
+    /** An inbound session was authenticated. */
+    void inboundAuthenticated(PeerSession session) {
+        unauthenticatedInbound.remove(session);
+        authenticatedInbound.add(session);
+        if (authenticatedInbound.size() > limits.connections()) {
+            authenticatedInbound.iterator().next().close(CloseReason.IDLE_TIMEOUT);
         }
     }
 
@@ -304,16 +302,14 @@
         return new PeerSession(this, null);
     }
 
-    /**
-     * Danger: connections that never prove themselves would hold all room; the oldest gives way.
-     */
+    /** Closes the oldest unauthenticated session over the limit: such sessions could use up all room. */
     @Override
-    public void accepted(Connection link, Connection.Listener owner) {
-        PeerSession session = (PeerSession) owner;
-        session.attach(link, timeouts.handshakeUs());
-        unauthenticatedConnections.add(session);
-        if (unauthenticatedConnections.size() > limits.unauthenticated()) {
-            unauthenticatedConnections.iterator().next().close(CloseReason.COMPLETED);
+    public void accepted(Connection connection, Connection.Listener listener) {
+        PeerSession session = (PeerSession) listener;
+        session.attach(connection, timeouts.handshakeUs());
+        unauthenticatedInbound.add(session);
+        if (unauthenticatedInbound.size() > limits.unauthenticated()) {
+            unauthenticatedInbound.iterator().next().close(CloseReason.COMPLETED);
         }
     }
 
@@ -325,15 +321,14 @@
     @Override
     public void acceptFailed(Throwable failure) {
         LOG.logFailure(Level.WARNING, "accept_failed", failure);
-        loop.schedule(loop.nowUs() + timeouts.retryDelayUs(), () -> listening.accept(this));
+        loop.schedule(loop.nowUs() + timeouts.retryDelayUs(), () -> listeningSocket.accept(this));
     }
 
     /** Closes all connections. */
     public void close() {
-        listening.close();
-        Set.copyOf(inboundSessions).forEach(session -> session.close(CloseReason.COMPLETED));
-        Set.copyOf(unauthenticatedConnections)
-                .forEach(session -> session.close(CloseReason.COMPLETED));
+        listeningSocket.close();
+        Set.copyOf(authenticatedInbound).forEach(session -> session.close(CloseReason.COMPLETED));
+        Set.copyOf(unauthenticatedInbound).forEach(session -> session.close(CloseReason.COMPLETED));
         for (Destination destination : Set.copyOf(destinations.values())) {
             if (destination.session != null) {
                 destination.session.close(CloseReason.COMPLETED);
--- a/src/main/java/tinlink/cluster/transport/PeerSession.java
+++ b/src/main/java/tinlink/cluster/transport/PeerSession.java
@@ -14,24 +14,26 @@
 import java.util.logging.Logger;
 
 /**
- * One connection between two routers. The one that has connected sends on it, the other receives: so each
- * way between two routers is a connection of its own, and fails on its own.
+ * One connection between two routers. After the handshake, only the router that opened the connection sends
+ * on it. So each direction between two routers has a connection of its own, which fails on its own.
  */
 final class PeerSession extends SecureSession {
     private static final Logger LOG = Logger.getLogger("tinlink.cluster");
-    /** A frame's length and type. */
+    /** Length and type of a frame. */
     private static final int FRAME_HEADER_BYTES = 5;
 
     private final PeerConnections connections;
-    /** Where this router has connected to; null where the other one has connected. */
+    /** The address that this router has connected to; null if the other router opened the connection. */
     final String dialedAddress;
 
     private String keyId = "";
+    /** The body of {@link PeerProtocol#HELLO}; null until it was sent or received. */
     private byte[] hello;
+    /** The body of {@link PeerProtocol#CHALLENGE} without its proof; null until it was sent or received. */
     private byte[] challenge;
-    /** The process at the other end, once it has said so. */
+    /** The process at the other end, as it has named itself; null until then. */
     private Incarnation peerIncarnation;
-    /** When a message was last sent on it. */
+    /** When a message was last sent on the connection. */
     long lastUsedUs;
 
     PeerSession(PeerConnections connections, String dialedAddress) {
@@ -47,7 +49,7 @@
     @Override
     public void connected() {
         if (dialedAddress == null) {
-            return; // Who was called listens first.
+            return; // The router that accepted a connection waits for HELLO.
         }
         keyId = connections.keys.activeKeyId();
         MessageCodec.Builder out = new MessageCodec.Builder()
@@ -55,7 +57,7 @@
                 .putText(keyId)
                 .putText(connections.self.cluster());
         PeerProtocol.encodeIncarnation(out, connections.self.incarnation());
-        hello = out.putBytes(connections.nonce()).build();
+        hello = out.putBytes(connections.newNonce()).build();
         send(PeerProtocol.HELLO, hello);
     }
 
@@ -81,7 +83,9 @@
             throws MessageRejectedException {
         if (isAuthenticated()) {
             if (dialedAddress != null) {
-                throw MessageCodec.malformed("the one who was called speaks");
+                throw MessageCodec.malformed(
+                        "expected no message from the router that accepted the connection, found type "
+                                + type);
             }
             connections.dispatch(peerIncarnation, type, payload);
         } else if (dialedAddress != null) {
@@ -96,22 +100,23 @@
     private void onHello(byte type, ByteBuffer payload, byte[] whole)
             throws MessageRejectedException {
         if (type != PeerProtocol.HELLO || payload.getShort() != PeerProtocol.VERSION) {
-            throw MessageCodec.malformed("no greeting of this version");
+            throw MessageCodec.malformed("expected HELLO of version " + PeerProtocol.VERSION
+                    + ", found type " + type + " or another version");
         }
         keyId = MessageCodec.readText(payload);
         String cluster = MessageCodec.readText(payload);
         peerIncarnation = PeerProtocol.decodeIncarnation(payload);
         MessageCodec.readBytes(payload, PeerProtocol.NONCE_BYTES);
         if (!connections.keys.contains(keyId) || !cluster.equals(connections.self.cluster())) {
-            throw MessageCodec.malformed(
-                    "another cluster, or a key that is not known here: " + cluster + ", " + keyId);
+            throw MessageCodec.malformed("expected cluster " + connections.self.cluster()
+                    + " and a known key, found cluster " + cluster + " and key " + keyId);
         }
         hello = Arrays.copyOfRange(whole, 1, payload.position());
         MessageCodec.Builder out = new MessageCodec.Builder()
                 .putShort(PeerProtocol.VERSION)
                 .putText(connections.self.cluster());
         PeerProtocol.encodeIncarnation(out, connections.self.incarnation());
-        challenge = out.putBytes(connections.nonce()).build();
+        challenge = out.putBytes(connections.newNonce()).build();
         restartHandshakeDeadline(connections.timeouts.handshakeUs());
         send(
                 PeerProtocol.CHALLENGE,
@@ -124,7 +129,8 @@
     private void onChallenge(byte type, ByteBuffer payload, byte[] whole)
             throws MessageRejectedException {
         if (type != PeerProtocol.CHALLENGE || payload.getShort() != PeerProtocol.VERSION) {
-            throw MessageCodec.malformed("no challenge of this version");
+            throw MessageCodec.malformed("expected CHALLENGE of version " + PeerProtocol.VERSION
+                    + ", found type " + type + " or another version");
         }
         String cluster = MessageCodec.readText(payload);
         peerIncarnation = PeerProtocol.decodeIncarnation(payload);
@@ -137,14 +143,16 @@
                 || !KeyRing.constantTimeEquals(
                         proof, connections.keys.proof(keyId, "called proof", hello, challenge))) {
             connections.counters.increment("peers_wrong_proof");
-            throw MessageCodec.malformed("a wrong proof");
+            throw MessageCodec.malformed("expected CHALLENGE of cluster "
+                    + connections.self.cluster() + " with a proof of key " + keyId
+                    + ", found cluster " + cluster + " or a wrong proof");
         }
         if (peerIncarnation.equals(connections.self.incarnation())) {
-            throw MessageCodec.malformed("this router itself");
+            throw MessageCodec.malformed("expected another router, found this process");
         }
         send(PeerProtocol.PROOF, connections.keys.proof(keyId, "caller proof", hello, challenge));
         enableAuthentication(connections.keys.proof(keyId, "session", hello, challenge), true);
-        connections.opened(this);
+        connections.outboundAuthenticated(this);
     }
 
     private void onProof(byte type, ByteBuffer payload) throws MessageRejectedException {
@@ -154,10 +162,11 @@
                         MessageCodec.readBytes(payload, PeerProtocol.PROOF_BYTES),
                         connections.keys.proof(keyId, "caller proof", hello, challenge))) {
             connections.counters.increment("peers_wrong_proof");
-            throw MessageCodec.malformed("a wrong proof");
+            throw MessageCodec.malformed("expected PROOF of key " + keyId + ", found type " + type
+                    + " or a wrong proof");
         }
         enableAuthentication(connections.keys.proof(keyId, "session", hello, challenge), false);
-        connections.sessionAuthenticated(this);
+        connections.inboundAuthenticated(this);
     }
 
     @Override
