--- a/src/test/java/tinlink/cluster/consensus/ConsensusGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/consensus/ConsensusGoldenFilesTest.java
@@ -27,8 +27,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** Messages between voters and the records that they keep, byte for byte as earlier builds wrote them. */
-@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
+/** Raft messages and stored records are encoded byte for byte as by earlier builds, and decoded again. */
+@SuppressWarnings("EnumOrdinal") // The recorded encoding has ordinals of enum constants.
 class ConsensusGoldenFilesTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final Object GROUP = "tinlink";
@@ -36,27 +36,27 @@
             "request\tw1\tn1,n2\t60000000\t3600000000\t5\top\ta\\tb";
     private static final String POLICY = "policy\tseen\tc1\t1700000000000000";
 
-    // ---- The code under test: one call a kind. ----
+    // ---- Calls of the code under test. ----
 
     private static byte[] encode(RaftMessage message) {
         return RaftCodec.encode(message);
     }
 
     private static RaftMessage decode(byte[] bytes) throws Exception {
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        RaftMessage message = RaftCodec.decode(in);
-        assertEquals(0, in.remaining());
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        RaftMessage message = RaftCodec.decode(buffer);
+        assertEquals(0, buffer.remaining());
         return message;
     }
 
-    private static RaftEndpoint voter(String router, long disk) {
-        return new Voter(router, disk);
+    private static RaftEndpoint voter(String router, long diskId) {
+        return new Voter(router, diskId);
     }
 
-    /** Where kept records go in these tests. */
-    private static final class Memory implements RaftStateStore.RecordLog {
+    /** Holds records in memory. */
+    private static final class MemoryRecordLog implements RaftStateStore.RecordLog {
         final List<byte[]> appended = new ArrayList<>();
-        byte[] whole;
+        byte[] compacted;
 
         @Override
         public void append(byte[] record) {
@@ -65,12 +65,12 @@
 
         @Override
         public void sync() {
-            // Nothing is lost here.
+            // Memory loses no records, so there is nothing to sync.
         }
 
         @Override
         public void compactTo(byte[] state) {
-            whole = state;
+            compacted = state;
         }
 
         byte[] last() {
@@ -78,9 +78,10 @@
         }
     }
 
-    private static RaftStateStore store(Memory memory, byte[] state, List<byte[]> since)
+    private static RaftStateStore store(
+            MemoryRecordLog recordLog, byte[] compacted, List<byte[]> recordsSince)
             throws IOException {
-        return new RaftStateStore(memory, state, since);
+        return new RaftStateStore(recordLog, compacted, recordsSince);
     }
 
     // ---- Values. ----
@@ -101,7 +102,7 @@
                 .build();
     }
 
-    private static Object change(MembershipChangeMode mode) {
+    private static Object membershipChange(MembershipChangeMode mode) {
         return MODEL.createUpdateRaftGroupMembersOpBuilder()
                 .setMembers(List.of(voter("r1", 0), voter("r2", 2)))
                 .setVotingMembers(List.of(voter("r1", 0)))
@@ -116,32 +117,32 @@
         all.add(entry(6, 2, MAINTENANCE));
         all.add(entry(7, 3, POLICY));
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
-            all.add(entry(8 + mode.ordinal(), 3, change(mode)));
+            all.add(entry(8 + mode.ordinal(), 3, membershipChange(mode)));
         }
         return all;
     }
 
-    private static SnapshotChunk chunk(long index, int number, int count) {
+    private static SnapshotChunk chunk(long index, int chunkIndex, int count) {
         return MODEL.createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(2)
-                .setSnapshotChunkIndex(number)
+                .setSnapshotChunkIndex(chunkIndex)
                 .setSnapshotChunkCount(count)
                 .setGroupMembersView(view(3))
-                .setOperation("order\t1\t" + number + "\t0\t0\nlife\tr1\tr1#1.é\n")
+                .setOperation("order\t1\t" + chunkIndex + "\t0\t0\nlife\tr1\tr1#1.é\n")
                 .build();
     }
 
     private static Map<String, RaftMessage> messages() {
-        RaftEndpoint r1 = voter("r1", 0x1a2b3c4d5e6f7081L);
+        RaftEndpoint sender = voter("r1", 0x1a2b3c4d5e6f7081L);
         Map<String, RaftMessage> all = new LinkedHashMap<>();
-        all.put("append-of-all-kinds-of-entries", append(r1, entries()));
-        all.put("append-of-nothing", append(r1, List.of()));
+        all.put("append-of-all-kinds-of-entries", append(sender, entries()));
+        all.put("append-of-nothing", append(sender, List.of()));
         all.put(
                 "append-success",
                 MODEL.createAppendEntriesSuccessResponseBuilder()
                         .setGroupId(GROUP)
-                        .setSender(r1)
+                        .setSender(sender)
                         .setTerm(3)
                         .setLastLogIndex(10)
                         .setQuerySequenceNumber(21)
@@ -151,19 +152,19 @@
                 "append-failure",
                 MODEL.createAppendEntriesFailureResponseBuilder()
                         .setGroupId(GROUP)
-                        .setSender(r1)
+                        .setSender(sender)
                         .setTerm(3)
                         .setExpectedNextIndex(7)
                         .setQuerySequenceNumber(21)
                         .setFlowControlSequenceNumber(22)
                         .build());
-        all.put("snapshot-announced", install(r1, null));
-        all.put("snapshot-piece", install(r1, chunk(9, 1, 2)));
+        all.put("snapshot-announced", installSnapshot(sender, null));
+        all.put("snapshot-piece", installSnapshot(sender, chunk(9, 1, 2)));
         all.put(
                 "snapshot-answer",
                 MODEL.createInstallSnapshotResponseBuilder()
                         .setGroupId(GROUP)
-                        .setSender(r1)
+                        .setSender(sender)
                         .setTerm(3)
                         .setSnapshotIndex(9)
                         .setRequestedSnapshotChunkIndex(1)
@@ -174,7 +175,7 @@
                 "pre-vote",
                 MODEL.createPreVoteRequestBuilder()
                         .setGroupId(GROUP)
-                        .setSender(r1)
+                        .setSender(sender)
                         .setTerm(4)
                         .setLastLogTerm(3)
                         .setLastLogIndex(10)
@@ -184,7 +185,7 @@
                     granted ? "pre-vote-granted" : "pre-vote-refused",
                     MODEL.createPreVoteResponseBuilder()
                             .setGroupId(GROUP)
-                            .setSender(r1)
+                            .setSender(sender)
                             .setTerm(4)
                             .setGranted(granted)
                             .build());
@@ -194,7 +195,7 @@
                     sticky ? "vote" : "vote-after-a-handover",
                     MODEL.createVoteRequestBuilder()
                             .setGroupId(GROUP)
-                            .setSender(r1)
+                            .setSender(sender)
                             .setTerm(4)
                             .setLastLogTerm(3)
                             .setLastLogIndex(10)
@@ -206,7 +207,7 @@
                     granted ? "vote-granted" : "vote-refused",
                     MODEL.createVoteResponseBuilder()
                             .setGroupId(GROUP)
-                            .setSender(r1)
+                            .setSender(sender)
                             .setTerm(4)
                             .setGranted(granted)
                             .build());
@@ -215,7 +216,7 @@
                 "handover",
                 MODEL.createTriggerLeaderElectionRequestBuilder()
                         .setGroupId(GROUP)
-                        .setSender(r1)
+                        .setSender(sender)
                         .setTerm(4)
                         .setLastLogTerm(3)
                         .setLastLogIndex(10)
@@ -223,10 +224,10 @@
         return all;
     }
 
-    private static RaftMessage append(RaftEndpoint from, List<LogEntry> entries) {
+    private static RaftMessage append(RaftEndpoint sender, List<LogEntry> entries) {
         return MODEL.createAppendEntriesRequestBuilder()
                 .setGroupId(GROUP)
-                .setSender(from)
+                .setSender(sender)
                 .setTerm(3)
                 .setPreviousLogTerm(2)
                 .setPreviousLogIndex(4)
@@ -237,10 +238,10 @@
                 .build();
     }
 
-    private static RaftMessage install(RaftEndpoint from, SnapshotChunk chunk) {
+    private static RaftMessage installSnapshot(RaftEndpoint sender, SnapshotChunk chunk) {
         return MODEL.createInstallSnapshotRequestBuilder()
                 .setGroupId(GROUP)
-                .setSender(from)
+                .setSender(sender)
                 .setTerm(3)
                 .setSenderLeader(chunk == null)
                 .setSnapshotTerm(2)
@@ -257,62 +258,63 @@
     // ---- Messages. ----
 
     @Test
-    void messagesOfTheAgreementAreWrittenAndReadAsTheyWere() throws Exception {
+    void raftMessagesAreEncodedAndDecodedAsBefore() throws Exception {
         Map<String, String> all = new LinkedHashMap<>();
-        messages().forEach((name, m) -> all.put(name, GoldenFile.hex(encode(m))));
+        messages().forEach((name, message) -> all.put(name, GoldenFile.hex(encode(message))));
         String file = "raft-messages.txt";
         GoldenFile.holds(file, "Messages between voters, in hex.", all);
         for (Map.Entry<String, String> golden : GoldenFile.read(file).entrySet()) {
-            RaftMessage read = decode(GoldenFile.bytes(golden.getValue()));
-            RaftMessage value = messages().get(golden.getKey());
-            assertEquals(value.getClass(), read.getClass(), golden.getKey());
-            assertEquals(value.toString(), read.toString(), golden.getKey());
-            assertEquals(golden.getValue(), GoldenFile.hex(encode(read)), golden.getKey());
+            RaftMessage decoded = decode(GoldenFile.bytes(golden.getValue()));
+            RaftMessage expected = messages().get(golden.getKey());
+            assertEquals(expected.getClass(), decoded.getClass(), golden.getKey());
+            assertEquals(expected.toString(), decoded.toString(), golden.getKey());
+            assertEquals(golden.getValue(), GoldenFile.hex(encode(decoded)), golden.getKey());
         }
     }
 
-    // ---- What a voter keeps. ----
+    // ---- Records. ----
 
-    private static Map<String, byte[]> written(Memory memory) throws IOException {
+    /** Stores one record after the other; returns them by name, and last the compacted state. */
+    private static Map<String, byte[]> storeRecords(MemoryRecordLog recordLog) throws IOException {
         Map<String, byte[]> all = new LinkedHashMap<>();
-        RaftStateStore store = store(memory, null, List.of());
+        RaftStateStore store = store(recordLog, null, List.of());
         store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(voter("r2", 0xabcdefL))
                 .setVoting(true)
                 .build());
-        all.put("endpoint", memory.last());
+        all.put("endpoint", recordLog.last());
         store.persistAndFlushInitialGroupMembers(view(0));
-        all.put("first-members", memory.last());
+        all.put("first-members", recordLog.last());
         store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(1)
                 .setVotedFor(null)
                 .build());
-        all.put("term-without-a-vote", memory.last());
+        all.put("term-without-a-vote", recordLog.last());
         store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(3)
                 .setVotedFor(voter("r3", -1))
                 .build());
-        all.put("term-and-vote", memory.last());
+        all.put("term-and-vote", recordLog.last());
         store.persistLogEntries(entries());
-        all.put("entries-of-all-kinds", memory.last());
+        all.put("entries-of-all-kinds", recordLog.last());
         store.truncateLogEntriesFrom(9);
-        all.put("cut-from", memory.last());
+        all.put("cut-from", recordLog.last());
         store.persistLogEntries(List.of(entry(9, 3, POLICY)));
-        all.put("one-entry", memory.last());
+        all.put("one-entry", recordLog.last());
         store.persistSnapshotChunk(chunk(5, 0, 1));
-        all.put("snapshot-whole", memory.last());
+        all.put("snapshot-whole", recordLog.last());
         store.persistSnapshotChunk(chunk(6, 0, 2));
-        all.put("snapshot-first-piece", memory.last());
+        all.put("snapshot-first-piece", recordLog.last());
         store.deleteSnapshotChunks(5, 1);
-        all.put("snapshot-deleted", memory.last());
+        all.put("snapshot-deleted", recordLog.last());
         store.truncateLogEntriesUntil(5);
-        all.put("cut-until", memory.last());
-        all.put("all-that-is-kept", memory.whole);
+        all.put("cut-until", recordLog.last());
+        all.put("all-that-is-kept", recordLog.compacted);
         return all;
     }
 
-    /** The entries that stand after all of {@link #written}. */
-    private static void stands(RaftStateStore store) {
+    /** Checks the state that the records of {@link #storeRecords} leave, apart from log and snapshot. */
+    private static void assertRestored(RaftStateStore store) {
         assertEquals(voter("r2", 0xabcdefL), store.localVoter());
         assertEquals(new LogPosition(3, 9), store.lastPosition());
         assertEquals(new RecoveryFloor(3, 3, 9), store.logEnd());
@@ -325,32 +327,34 @@
     }
 
     @Test
-    void keptRecordsAreWrittenAndReadAsTheyWere() throws Exception {
+    void storedRecordsAreEncodedAndDecodedAsBefore() throws Exception {
         Map<String, String> all = new LinkedHashMap<>();
-        written(new Memory()).forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
+        storeRecords(new MemoryRecordLog())
+                .forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
         String file = "voter-records.txt";
         GoldenFile.holds(file, "Records of a voter's disk, in hex.", all);
         Map<String, byte[]> golden = new LinkedHashMap<>();
         GoldenFile.read(file).forEach((name, hex) -> golden.put(name, GoldenFile.bytes(hex)));
-        byte[] whole = golden.remove("all-that-is-kept");
-        Memory again = new Memory();
-        RaftStateStore played = store(again, null, List.copyOf(golden.values()));
-        stands(played);
+        byte[] compacted = golden.remove("all-that-is-kept");
+        MemoryRecordLog replayedLog = new MemoryRecordLog();
+        RaftStateStore replayed = store(replayedLog, null, List.copyOf(golden.values()));
+        assertRestored(replayed);
         assertEquals(
                 entries().subList(1, 4).toString(),
-                played.restoredState().getLogEntries().subList(0, 3).toString());
-        played.truncateLogEntriesUntil(5);
-        assertArrayEquals(whole, again.whole);
-        Memory fromWhole = new Memory();
-        RaftStateStore read = store(fromWhole, whole, List.of());
-        stands(read);
-        assertNull(read.restoredState().getSnapshotEntry(), "one piece of it is missing");
-        read.truncateLogEntriesUntil(5);
-        assertArrayEquals(whole, fromWhole.whole);
-        read.persistSnapshotChunk(chunk(6, 1, 2));
+                replayed.restoredState().getLogEntries().subList(0, 3).toString());
+        replayed.truncateLogEntriesUntil(5);
+        assertArrayEquals(compacted, replayedLog.compacted);
+        MemoryRecordLog reopenedLog = new MemoryRecordLog();
+        RaftStateStore reopened = store(reopenedLog, compacted, List.of());
+        assertRestored(reopened);
+        assertNull(reopened.restoredState().getSnapshotEntry(), "one of the two chunks is missing");
+        reopened.truncateLogEntriesUntil(5);
+        assertArrayEquals(compacted, reopenedLog.compacted);
+        reopened.persistSnapshotChunk(chunk(6, 1, 2));
         assertEquals(
                 List.of(chunk(6, 0, 2), chunk(6, 1, 2)).toString(),
-                List.copyOf((List<?>) read.restoredState().getSnapshotEntry().getOperation())
+                List.copyOf((List<?>)
+                                reopened.restoredState().getSnapshotEntry().getOperation())
                         .toString());
     }
 }
--- a/src/test/java/tinlink/cluster/transport/GossipGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/transport/GossipGoldenFilesTest.java
@@ -16,8 +16,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** A process of a router, and what is passed on of members, byte for byte as earlier builds wrote them. */
-@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
+/** Incarnations and rumors are encoded byte for byte as by earlier builds, and decoded again. */
+@SuppressWarnings("EnumOrdinal") // The recorded encoding has ordinals of enum constants.
 class GossipGoldenFilesTest {
     private static byte[] encode(Incarnation incarnation) {
         MessageCodec.Builder out = new MessageCodec.Builder();
@@ -42,13 +42,13 @@
     private static Map<String, List<Rumor>> rumors() {
         List<Rumor> all = new ArrayList<>();
         for (MemberState state : MemberState.values()) {
-            int i = state.ordinal();
+            int ordinal = state.ordinal();
             all.add(new Rumor(
-                    new Incarnation("r" + i, 3 + i, 0x8000000000000000L + i),
-                    7L * i,
+                    new Incarnation("r" + ordinal, 3 + ordinal, 0x8000000000000000L + ordinal),
+                    7L * ordinal,
                     state,
-                    "r" + i + "@10.0.0." + i + ":7000",
-                    i == 0 ? "" : "r9"));
+                    "r" + ordinal + "@10.0.0." + ordinal + ":7000",
+                    ordinal == 0 ? "" : "r9"));
         }
         Map<String, List<Rumor>> lists = new LinkedHashMap<>();
         lists.put("no-rumours", List.of());
@@ -57,18 +57,18 @@
     }
 
     @Test
-    void rumorsAreWrittenAndReadAsTheyWere() throws Exception {
+    void rumorsAreEncodedAndDecodedAsBefore() throws Exception {
         Incarnation incarnation = new Incarnation("r1", 0x0102030405060708L, -2);
         Map<String, String> all = new LinkedHashMap<>();
         all.put("life", GoldenFile.hex(encode(incarnation)));
-        rumors().forEach((name, some) -> all.put(name, GoldenFile.hex(encode(some))));
+        rumors().forEach((name, list) -> all.put(name, GoldenFile.hex(encode(list))));
         String file = "member-rumours.txt";
         GoldenFile.holds(file, "A process of a router, and lists of rumours, in hex.", all);
         Map<String, String> golden = GoldenFile.read(file);
         assertEquals(incarnation, decodeIncarnation(GoldenFile.bytes(golden.get("life"))));
-        for (Map.Entry<String, List<Rumor>> some : rumors().entrySet()) {
-            byte[] bytes = GoldenFile.bytes(golden.get(some.getKey()));
-            assertEquals(some.getValue(), decodeRumors(bytes));
+        for (Map.Entry<String, List<Rumor>> expected : rumors().entrySet()) {
+            byte[] bytes = GoldenFile.bytes(golden.get(expected.getKey()));
+            assertEquals(expected.getValue(), decodeRumors(bytes));
         }
     }
 }
