--- a/src/main/java/tinlink/cluster/membership/Incarnation.java
+++ b/src/main/java/tinlink/cluster/membership/Incarnation.java
@@ -1,28 +1,28 @@
 package tinlink.cluster.membership;
 
 /**
- * One process of a router, from its start to its end.
+ * One run of a router's process, from its start to its exit.
  *
  * @param router the router's name
- * @param startCount how often this router has been started with its folder, this start counted
- * @param nonce drawn by chance at this start: two processes that count the same starts differ in it
+ * @param startCount how often the router has been started with its data folder, this start included
+ * @param nonce random number drawn at this start, which tells apart two processes with equal counts
  */
 public record Incarnation(String router, long startCount, long nonce) {
-    /** How another incarnation of the same router stands to this one. */
+    /** The relation of another incarnation of the same router to this one. */
     public enum Relation {
-        /** It is this one. */
+        /** The two are the same process. */
         SAME,
-        /** It was started after this one. */
+        /** The other process was started after this one. */
         LATER,
-        /** It was started before this one. */
+        /** The other process was started before this one. */
         EARLIER,
         /**
-         * It counts the same starts and is another process: one of the two runs with a copy of the folder.
+         * The other process has the same start count: one of the two runs with a copy of the folder.
          */
         DUPLICATE
     }
 
-    /** How the other one stands to this one. */
+    /** Returns the relation of the other incarnation to this one. */
     public Relation relationTo(Incarnation other) {
         if (other.startCount != startCount) {
             return other.startCount > startCount ? Relation.LATER : Relation.EARLIER;
@@ -30,7 +30,7 @@
         return other.nonce == nonce ? Relation.SAME : Relation.DUPLICATE;
     }
 
-    /** As it stands in logs, views and reports. */
+    /** Returns the form that logs, status views and reports use. */
     @Override
     public String toString() {
         return router + "#" + startCount + "." + Long.toHexString(nonce);
--- a/src/main/java/tinlink/cluster/membership/LocalHealth.java
+++ b/src/main/java/tinlink/cluster/membership/LocalHealth.java
@@ -1,15 +1,16 @@
 package tinlink.cluster.membership;
 
 /**
- * How much this router doubts its own view, since it may be slow or cut off itself: Lifeguard's local health
- * multiplier. Its patience with others is stretched by it.
+ * The local health multiplier of Lifeguard: a measure of the signs that this router itself is slow or
+ * partitioned off, so that its view of the others is unreliable. The timeouts that it applies to other
+ * routers grow with the multiplier.
  */
 final class LocalHealth {
     private static final int MAX_MULTIPLIER = 8;
 
     private int multiplier;
 
-    /** 0 where nothing speaks against this router's view. */
+    /** Returns the multiplier; 0 if there is no sign of a problem of this router. */
     int multiplier() {
         return multiplier;
     }
@@ -22,8 +23,8 @@
         multiplier = Math.max(0, multiplier - 1);
     }
 
-    /** A time that others are given, stretched by the doubt in itself. */
-    long stretch(long durationUs) {
-        return durationUs * (1 + multiplier);
+    /** Returns the timeout that applies to other routers at the present multiplier. */
+    long scaleTimeout(long timeoutUs) {
+        return timeoutUs * (1 + multiplier);
     }
 }
--- a/src/main/java/tinlink/cluster/membership/Member.java
+++ b/src/main/java/tinlink/cluster/membership/Member.java
@@ -3,19 +3,23 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What this router knows of another one; changes on the event loop's thread. */
+/** This router's view of another router; changes on the event loop's thread. */
 public final class Member {
     Incarnation incarnation;
     long refutationCount;
     MemberState state;
     String address;
-    /** Since when it has been in that state. */
+    /** When the member entered its state, in microseconds of this router's clock. */
     long stateSinceUs;
     /**
-     * Who has found it silent of late; emptied as it is found alive, bounded by the confirmations awaited.
+     * Routers that suspect the member, at most {@link SuspicionTimers#MAX_CONFIRMATIONS} besides the first.
+     * Emptied once the member is found alive or its state changes.
      */
     final Set<String> suspectedBy = new LinkedHashSet<>();
-    /** Another process that says it is this very start; notified once for each. */
+    /**
+     * The latest other process found with the same start count; null for none. The handler is notified when
+     * the value changes.
+     */
     Incarnation duplicate;
 
     Member(
@@ -31,43 +35,43 @@
         this.stateSinceUs = stateSinceUs;
     }
 
-    /** The newest that is known. */
+    /** Returns the newest known incarnation of the router. */
     public Incarnation incarnation() {
         return incarnation;
     }
 
-    /** Its name. */
+    /** Returns the router's name. */
     public String router() {
         return incarnation.router();
     }
 
-    /** Whether it answers, as far as is known. */
+    /** Returns the state of the newest known incarnation. */
     public MemberState state() {
         return state;
     }
 
-    /** How often it has refuted what was said of this incarnation. */
+    /** Returns how often the incarnation has refuted a claim about itself. */
     public long refutationCount() {
         return refutationCount;
     }
 
-    /** Where it is reached, as it says itself; with its name. */
+    /** Returns the address that the router advertises, prefixed with its name. */
     public String address() {
         return address;
     }
 
-    /** Since when it has been in its state; microseconds of this router's clock. */
+    /** Returns when the member entered its state, in microseconds of this router's clock. */
     public long stateSinceUs() {
         return stateSinceUs;
     }
 
-    /** Another process that says it is this very start of this router; null where there is none. */
+    /** Returns another process of this router with the same start count; null for none. */
     public Incarnation duplicate() {
         return duplicate;
     }
 
-    /** @param accuser the router that has found it silent; empty where none has */
-    Rumor rumor(String accuser) {
-        return new Rumor(incarnation, refutationCount, state, address, accuser);
+    /** @param suspectingRouter a router that suspects this member; empty for none */
+    Rumor toRumor(String suspectingRouter) {
+        return new Rumor(incarnation, refutationCount, state, address, suspectingRouter);
     }
 }
--- a/src/main/java/tinlink/cluster/membership/MemberState.java
+++ b/src/main/java/tinlink/cluster/membership/MemberState.java
@@ -1,17 +1,20 @@
 package tinlink.cluster.membership;
 
-/** What a router knows of another's incarnation; each supersedes those before it at one refutation count. */
+/**
+ * The state of a router's incarnation, in the terms of SWIM. Of two rumors with the same refutation count,
+ * the one with the later of these states wins.
+ */
 public enum MemberState {
-    /** It answers, as far as is known. */
+    /** The router answers, as far as is known. */
     ALIVE,
-    /** It has not answered, and may yet say that it is alive. */
+    /** The router has not answered a probe, and may still refute the suspicion. */
     SUSPECT,
-    /** It did not say so in time. It may be alive all the same, cut off or paused. */
+    /** The router did not refute the suspicion in time. It may still run, partitioned off or paused. */
     DEAD,
-    /** It has said itself that it ends. */
+    /** The router has announced that its process ends. */
     LEFT;
 
-    /** Whether it counts as one that runs. */
+    /** Whether the router counts as running. */
     public boolean isServing() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/src/main/java/tinlink/cluster/membership/MemberTable.java
+++ b/src/main/java/tinlink/cluster/membership/MemberTable.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The other routers that are known, by name, in the order in which they became so. Those that are dead or
- * have left go after a time, and first where there are too many.
+ * The other routers that this one knows, by name, in the order in which they were discovered. Members that
+ * are dead or have left are removed after a retention time, or earlier if the table is full.
  */
 final class MemberTable {
     private final Map<String, Member> members = new LinkedHashMap<>();
@@ -24,11 +24,12 @@
         return members.values();
     }
 
-    /** Null where it is not known. */
+    /** Returns the router's member, or null if the router is unknown. */
     Member get(String router) {
         return members.get(router);
     }
 
+    /** Whether the object is the one that the table holds for the member's router. */
     boolean isCurrent(Member member) {
         return members.get(member.router()) == member;
     }
@@ -41,14 +42,18 @@
         return members.values().iterator();
     }
 
-    /** Routers that are serving as far as is known, this one counted. */
+    /** Returns the number of routers that are alive or suspect, this one included. */
     int servingCount() {
-        int others =
-                (int) members.values().stream().filter(m -> m.state.isServing()).count();
+        int others = (int) members.values().stream()
+                .filter(member -> member.state.isServing())
+                .count();
         return 1 + others;
     }
 
-    /** The logarithm of the cluster's size, to which rumors and suspicions are scaled; 1 at least. */
+    /**
+     * Returns the binary logarithm of the cluster's size, rounded up and at least 1. The number of times that
+     * a rumor is sent and the length of suspicions are proportional to it.
+     */
     int logClusterSize() {
         return Math.max(1, (int) Math.ceil(Math.log(members.size() + 2) / Math.log(2)));
     }
@@ -74,18 +79,18 @@
     }
 
     /**
-     * Danger: names made up by a liar, or a fleet larger than was meant, would fill the heap.
+     * Makes room for another member; if the table is full, evicts the member that has been dead or left for
+     * longest. Without the bound, forged names or an unexpectedly large fleet would fill the heap.
      *
-     * @return whether there is capacity for one more; the one that has been dead for longest is evicted
-     *     for it
+     * @return whether there is room
      */
     boolean ensureCapacity() {
         if (members.size() < maxMembers) {
             return true;
         }
         Member evicted = members.values().stream()
-                .filter(m -> !m.state.isServing())
-                .min(Comparator.comparingLong(m -> m.stateSinceUs))
+                .filter(member -> !member.state.isServing())
+                .min(Comparator.comparingLong(member -> member.stateSinceUs))
                 .orElse(null);
         if (evicted != null) {
             members.remove(evicted.router());
--- a/src/main/java/tinlink/cluster/membership/Membership.java
+++ b/src/main/java/tinlink/cluster/membership/Membership.java
@@ -8,56 +8,62 @@
 import java.util.function.Consumer;
 
 /**
- * Which routers there are, and which of them answer, as this one knows it. Inputs only update what is known;
- * decisions are pulled until there is none. Times are microseconds of one clock that never goes back.
+ * Group membership and failure detection: the routers that this one knows, and their states. The methods
+ * for input only update state; the caller then calls {@link #decide} until it returns false, which sends
+ * messages and notifies the handler. Times are microseconds of one monotonic clock.
  *
- * <p>Source: A. Das, I. Gupta and A. Motivala, "SWIM" (DSN 2002): one member is probed a round, through
- * others where it is silent, and what is found travels with probes and their answers. A. Dadgar, J.
- * Phillips and J. Currey, "Lifeguard" (2018): a router that finds many silent doubts itself first, a
- * suspicion ends the sooner the more have confirmed it, and a suspect is told with the next message to it.
- * Own: the incarnations of one router are told apart ({@link Incarnation}), and all tables are bounded.
+ * <p>Source: A. Das, I. Gupta and A. Motivala, "SWIM" (DSN 2002): each round probes one member, indirectly
+ * through others if it does not answer, and state changes are disseminated with probes and their answers.
+ * A. Dadgar, J. Phillips and J. Currey, "Lifeguard" (2018): a router that gets few answers first suspects
+ * itself, each confirmation shortens a suspicion, and the next message to a suspect carries the suspicion.
+ * Added here: incarnations of one router are distinguished ({@link Incarnation}), and all tables are bounded.
  */
 public final class Membership {
-    /** Danger: a rumor can't be of a refutation that its incarnation has not reached; a liar's may be. */
+    /**
+     * Rumors with a higher refutation count are discarded: no incarnation refutes that often, but a forged
+     * rumor may carry any number.
+     */
     private static final long MAX_REFUTATION_COUNT = 1L << 40;
 
     /**
-     * Pace and bounds.
+     * Intervals and bounds.
      *
-     * @param probeIntervalUs between two probes; an answer is awaited for half of it, then others are asked
-     * @param indirectProbes members that are asked to probe a silent one
-     * @param maxMembers that are known at a time
+     * @param probeIntervalUs interval between two rounds; indirect probes are sent after half of it
+     *     without an answer
+     * @param indirectProbes number of members asked to probe a member that does not answer
+     * @param maxMembers maximum number of members known at a time
      */
     public record Settings(long probeIntervalUs, int indirectProbes, int maxMembers) {}
 
-    /** Carries decisions out; called within {@link #decide} alone. */
+    /** Carries out the decisions; called only within {@link #decide}. */
     public interface Handler {
         /**
          * Sends a probe.
          *
-         * @param address where the message goes, whoever answers there
+         * @param address the recipient's address; which router answers there may be unknown
          */
         void sendProbe(String address, long sequenceNumber, List<Rumor> rumors);
 
-        /** Answers a probe. */
+        /** Acknowledges a probe. */
         void sendAck(String address, long sequenceNumber, List<Rumor> rumors);
 
-        /** Asks the router at the first address to probe the one at the second. */
+        /** Asks the router at {@code address} to probe the one at {@code target}. */
         void sendProbeRequest(
                 String address, long sequenceNumber, String target, List<Rumor> rumors);
 
         /**
-         * Answers a probe request whose target is silent, so that this router at least is known to answer.
+         * Answers a probe request whose target has not answered, so that the requester knows that its own
+         * connection to this router works.
          */
         void sendNack(String address, long sequenceNumber, List<Rumor> rumors);
 
-        /** A member's incarnation or state has changed, or a duplicate of it was found. */
+        /** Called when a member's incarnation or state changes, or a duplicate of it is found. */
         void onMemberChanged(Member member);
 
-        /** Another incarnation of this router is running. */
+        /** Called when a rumor names a later or duplicate incarnation of this router. */
         void onSelfConflict(Incarnation.Relation relation, Incarnation other);
 
-        /** {@link #decide} is to be called at that time. */
+        /** Asks for a call of {@link #decide} at that time. */
         void scheduleWakeUp(long atUs);
     }
 
@@ -69,10 +75,10 @@
     private final LocalHealth health = new LocalHealth();
     private final SuspicionTimers timers;
     private final Prober prober;
-    /** Emptied as they are pulled. */
+    /** Messages to send; emptied by {@link #decide}. */
     private final ArrayDeque<OutgoingMessage> outbox = new ArrayDeque<>();
 
-    /** Emptied as they are pulled. */
+    /** Notifications for the handler; emptied by {@link #decide}. */
     private final ArrayDeque<Consumer<Handler>> events = new ArrayDeque<>();
 
     private long refutationCount = 1;
@@ -81,11 +87,11 @@
     private boolean leaving;
 
     /**
-     * Knows no member yet; begins with {@link #advanceClock}.
+     * Creates a membership without members; the first call of {@link #advanceClock} starts the probes.
      *
-     * @param selfAddress where others reach this router
-     * @param seeds addresses of some routers to begin with; this one's own may be among them
-     * @param random draws whom to probe and when to begin
+     * @param selfAddress the address that this router advertises to others
+     * @param seeds addresses of the first routers to contact; this router's own address may be among them
+     * @param random draws the order of the probes and the time of the first one
      */
     public Membership(
             Incarnation self,
@@ -99,68 +105,69 @@
         members = new MemberTable(settings.maxMembers());
         rumors = new RumorQueue(members);
         timers = new SuspicionTimers(members, health, settings.probeIntervalUs());
-        List<String> others = seeds.stream().filter(s -> !s.equals(selfAddress)).toList();
+        List<String> others =
+                seeds.stream().filter(seed -> !seed.equals(selfAddress)).toList();
         prober = new Prober(settings, members, health, outbox, others, random);
     }
 
-    /** The other routers that are known; changes as decisions and inputs do. */
+    /** Returns a live view of the other routers that are known. */
     public Collection<Member> members() {
         return members.all();
     }
 
-    /** Null where it is not known. */
+    /** Returns the router's member, or null if the router is unknown. */
     public Member member(String router) {
         return members.get(router);
     }
 
-    /** How much this router doubts its own view; 0 where nothing speaks against it. */
+    /** Returns Lifeguard's local health multiplier; 0 if there is no sign of a problem of this router. */
     public int localHealthMultiplier() {
         return health.multiplier();
     }
 
-    /** Routers that are serving as far as is known, this one counted. */
+    /** Returns the number of routers that are alive or suspect, this one included. */
     public int servingCount() {
         return members.servingCount();
     }
 
-    /** What this router says of itself. */
+    /** Returns this router's rumor about itself, which is the first of each message. */
     public Rumor selfRumor() {
         MemberState state = leaving ? MemberState.LEFT : MemberState.ALIVE;
         return new Rumor(self, refutationCount, state, selfAddress, "");
     }
 
-    /** To be called before the inputs of a turn. */
+    /** Sets the clock; called before the inputs of a turn of the event loop. */
     public void advanceClock(long nowUs) {
         clockUs = nowUs;
         prober.start(nowUs);
     }
 
-    /** The router at that address probes this one; the rumors that came along are given before. */
+    /** Handles a probe of this router; the message's rumors are passed to {@link #onRumors} first. */
     public void onProbe(String requester, long sequenceNumber) {
         prober.onProbe(requester, sequenceNumber);
     }
 
-    /** The router at the first address asks this one to probe the one at the second. */
+    /** Handles a request of the router at {@code requester} to probe the one at {@code target}. */
     public void onProbeRequest(String requester, long sequenceNumber, String target) {
         prober.onProbeRequest(requester, sequenceNumber, target, clockUs);
     }
 
-    /** A probe of this router, also one made for another, was answered. */
+    /** Handles the answer to a probe by this router, for itself or on request of another router. */
     public void onAck(long sequenceNumber) {
         prober.onAck(sequenceNumber);
     }
 
-    /** A member that was asked to probe another one has found it silent too. */
+    /** Handles the report of a member that the target of a probe request did not answer it either. */
     public void onNack(long sequenceNumber) {
         prober.onNack(sequenceNumber);
     }
 
-    /** What came along with a message. */
+    /** Handles the rumors of a message. */
     public void onRumors(List<Rumor> received) {
         received.forEach(this::onRumor);
     }
 
-    /** What a rumor says is believed where it supersedes what is known. */
+    /** Applies a rumor if it supersedes the known state of its router. */
     public void onRumor(Rumor rumor) {
         if (rumor.refutationCount() < 0 || rumor.refutationCount() > MAX_REFUTATION_COUNT) {
             return;
@@ -183,7 +190,8 @@
             }
             case SAME -> onRumorOfSameIncarnation(rumor, member);
             case DUPLICATE -> {
-                // Neither is believed more than the other; whoever asks is told of both.
+                // Neither process takes precedence: both stay known, and are reported in admission
+                // responses.
                 if (!rumor.incarnation().equals(member.duplicate)) {
                     member.duplicate = rumor.incarnation();
                     rumors.add(rumor);
@@ -191,9 +199,9 @@
                 }
             }
             case EARLIER ->
-                // What is said of an earlier incarnation is over; the router that says so is told
-                // what is known.
-                rumors.add(member.rumor(""));
+                // The rumor is about an earlier process of the router; spreading the newer
+                // incarnation corrects the sender.
+                rumors.add(member.toRumor(""));
         }
     }
 
@@ -207,18 +215,18 @@
                     clockUs);
             members.add(member);
             recordSuspicion(member, rumor);
-            rumors.add(member.rumor(rumor.suspectedBy()));
+            rumors.add(member.toRumor(rumor.suspectedBy()));
             notifyChanged(member);
         }
     }
 
     private void onRumorOfSameIncarnation(Rumor rumor, Member member) {
-        boolean isRefuted = rumor.refutationCount() > member.refutationCount;
-        boolean supersedes = isRefuted
+        boolean refuted = rumor.refutationCount() > member.refutationCount;
+        boolean supersedes = refuted
                 || (rumor.refutationCount() == member.refutationCount
                         && rumor.state().compareTo(member.state) > 0);
-        // Danger: an incarnation that has left stays so, but for what it refutes itself.
-        if (supersedes && (member.state != MemberState.LEFT || isRefuted)) {
+        // An incarnation that has left stays so unless it refutes that itself.
+        if (supersedes && (member.state != MemberState.LEFT || refuted)) {
             apply(rumor, member);
         } else if (rumor.refutationCount() == member.refutationCount
                 && rumor.state() == MemberState.SUSPECT
@@ -238,11 +246,11 @@
         }
         recordSuspicion(member, rumor);
         member.stateSinceUs = stateChanged ? clockUs : member.stateSinceUs;
-        rumors.add(member.rumor(rumor.suspectedBy()));
+        rumors.add(member.toRumor(rumor.suspectedBy()));
         notifyChanged(member);
     }
 
-    /** Whether the rumor is of a router that was not known to have found the member silent. */
+    /** Returns whether the rumor names a router that was not yet known to suspect the member. */
     private static boolean recordSuspicion(Member member, Rumor rumor) {
         return rumor.state() == MemberState.SUSPECT
                 && !rumor.suspectedBy().isEmpty()
@@ -262,7 +270,7 @@
         if (rumor.state() != MemberState.ALIVE
                 && rumor.refutationCount() >= refutationCount
                 && !leaving) {
-            // Somebody found this router silent: it may be slow itself.
+            // Another router got no answer from this one, which may itself be slow.
             health.worsen();
             refute(rumor);
         } else if (rumor.refutationCount() > refutationCount) {
@@ -275,7 +283,7 @@
         rumors.add(selfRumor());
     }
 
-    /** Notifies others that this process ends. */
+    /** Announces to several members that this process ends; they pass it on to the others. */
     public void leave() {
         leaving = true;
         refutationCount++;
@@ -293,7 +301,11 @@
         events.add(handler -> handler.onMemberChanged(member));
     }
 
-    /** One decision; false where there is none until the time that a wake-up was last scheduled for. */
+    /**
+     * Carries out one decision.
+     *
+     * @return false if nothing is left to do before the last wake-up time that was scheduled
+     */
     public boolean decide(Handler handler) {
         if (!events.isEmpty()) {
             events.poll().accept(handler);
@@ -301,7 +313,7 @@
         }
         if (!outbox.isEmpty()) {
             OutgoingMessage message = outbox.poll();
-            message.sendBy(handler, rumors.take(message.address(), selfRumor()));
+            message.sendBy(handler, rumors.selectFor(message.address(), selfRumor()));
             return true;
         }
         if (prober.expireProbes(clockUs, this::suspect)
@@ -342,7 +354,7 @@
                 changeState(member, MemberState.DEAD);
             } else {
                 iterator.remove();
-                rumors.forget(member.router());
+                rumors.remove(member.router());
             }
             return true;
         }
@@ -356,18 +368,18 @@
             member.suspectedBy.clear();
             member.suspectedBy.add(self.router());
         }
-        rumors.add(member.rumor(self.router()));
+        rumors.add(member.toRumor(self.router()));
         notifyChanged(member);
     }
 
-    /** Neither this router nor those that it asked have reached the member. */
+    /** Suspects a member that answered neither this router's probe nor the indirect ones. */
     private void suspect(Member member) {
         if (member.state == MemberState.ALIVE) {
             changeState(member, MemberState.SUSPECT);
         } else if (member.state == MemberState.SUSPECT
                 && member.suspectedBy.size() <= SuspicionTimers.MAX_CONFIRMATIONS
                 && member.suspectedBy.add(self.router())) {
-            rumors.add(member.rumor(self.router()));
+            rumors.add(member.toRumor(self.router()));
         }
     }
 }
--- a/src/main/java/tinlink/cluster/membership/OutgoingMessage.java
+++ b/src/main/java/tinlink/cluster/membership/OutgoingMessage.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * A message that waits to be sent.
+ * A membership message in the outbox; rumors are added when it is sent.
  *
- * @param target whom to probe; null but for a probe request
+ * @param address the recipient's address
+ * @param target the address to probe; null unless the message is a probe request
  */
 record OutgoingMessage(Type type, String address, long sequenceNumber, String target) {
     enum Type {
--- a/src/main/java/tinlink/cluster/membership/Prober.java
+++ b/src/main/java/tinlink/cluster/membership/Prober.java
@@ -12,22 +12,27 @@
 import java.util.function.Consumer;
 
 /**
- * Probes: one member a round, through others where it is silent, and on behalf of others that ask for it.
- * What is to be sent goes to the outbox; times are microseconds of the clock that is given with each call.
+ * The probes of SWIM: one member per round, indirect probes through other members if it does not answer,
+ * and probes on request of other members. Messages are added to the outbox. Times are microseconds of the
+ * clock whose time the caller passes.
  */
 final class Prober {
-    /** Configured routers that never answer are probed again, in turn with the members. */
-    private static final int SEED_PROBE_INTERVAL = 4;
+    /** Interval, in rounds, at which an unreachable router (configured or dead) is probed, not a member. */
+    private static final int UNREACHABLE_PROBE_INTERVAL_ROUNDS = 4;
 
     private static final class PendingProbe {
-        /** Null where it is not known who answers there. */
+        /** The probed member; null if the router at the address is unknown. */
         final Member target;
 
         final String address;
         final long sequenceNumber;
+        /** When indirect probes are requested. */
         final long indirectAtUs;
+        /** When the probe fails. */
         final long deadlineUs;
+
         boolean indirectSent;
+        /** Indirect probes requested whose failure the asked member has not reported. */
         int missingNacks;
 
         PendingProbe(
@@ -48,7 +53,7 @@
         }
     }
 
-    /** A probe made for another router. */
+    /** A probe on request of another router. */
     private record IndirectProbe(String requester, long requesterSequenceNumber, long deadlineUs) {}
 
     private final Membership.Settings settings;
@@ -57,19 +62,19 @@
     private final Queue<OutgoingMessage> outbox;
     private final List<String> seeds;
     private final SplittableRandom random;
-    /** By sequence number; each ends with its answer or its time. */
+    /** Probes for this router by sequence number; each is removed at its answer or deadline. */
     private final Map<Long, PendingProbe> pendingProbes = new LinkedHashMap<>();
-    /** Each ends with its answer or its time. */
+    /** Probes for others by sequence number, at most {@code maxMembers}; each ends as those above. */
     private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
-    /** Whom the next rounds probe; filled again once it is empty. */
+    /** Members that the next rounds probe, shuffled; refilled once empty. */
     private final ArrayDeque<String> probeOrder = new ArrayDeque<>();
 
     private long lastSequenceNumber;
     private long nextRoundUs = Long.MIN_VALUE;
     private int roundCount;
-    private int seedCursor;
+    private int unreachableCursor;
 
-    /** @param seeds addresses of configured routers, without this one's own */
+    /** @param seeds addresses of configured routers, except this one's own */
     Prober(
             Membership.Settings settings,
             MemberTable members,
@@ -85,14 +90,14 @@
         this.random = random;
     }
 
-    /** The first round is at a time by chance, so that routers started together don't probe together. */
+    /** Draws the time of the first round, so that routers started together don't probe in step. */
     void start(long nowUs) {
         if (nextRoundUs == Long.MIN_VALUE) {
             nextRoundUs = nowUs + random.nextLong(Math.max(1, settings.probeIntervalUs()));
         }
     }
 
-    /** A probe whose answer is not awaited. */
+    /** Sends a probe for the sake of its rumors; its answer is ignored. */
     void announce(String address) {
         outbox.add(new OutgoingMessage(
                 OutgoingMessage.Type.PROBE, address, ++lastSequenceNumber, null));
@@ -135,7 +140,7 @@
         }
     }
 
-    /** A member has found the target silent too: that member answers, so this router is not cut off. */
+    /** The member's report shows that this router is not partitioned off from it. */
     void onNack(long sequenceNumber) {
         PendingProbe probe = pendingProbes.get(sequenceNumber);
         if (probe != null && probe.missingNacks > 0) {
@@ -144,12 +149,12 @@
     }
 
     /**
-     * Has others probe a member that is silent, or gives up on it.
+     * Requests indirect probes of a member that has not answered yet, or ends a probe at its deadline.
      *
-     * @param onSilent is given the member that nobody has reached
-     * @return whether one probe was due
+     * @param onUnresponsive receives a member that answered neither this router nor the others
+     * @return whether a probe was due; at most one is handled per call
      */
-    boolean expireProbes(long nowUs, Consumer<Member> onSilent) {
+    boolean expireProbes(long nowUs, Consumer<Member> onUnresponsive) {
         for (Iterator<PendingProbe> iterator = pendingProbes.values().iterator();
                 iterator.hasNext(); ) {
             PendingProbe probe = iterator.next();
@@ -162,7 +167,7 @@
             }
             if (nowUs >= probe.deadlineUs) {
                 iterator.remove();
-                fail(probe, onSilent);
+                fail(probe, onUnresponsive);
                 return true;
             }
         }
@@ -181,22 +186,22 @@
     }
 
     /**
-     * Danger: a router that receives nothing takes all others for dead. Members that don't answer its probe
-     * requests either tell it so.
+     * Ends a probe without an answer. A router that receives nothing would declare all others dead; missing
+     * answers to its probe requests indicate that the fault is its own, and worsen its local health.
      */
-    private void fail(PendingProbe probe, Consumer<Member> onSilent) {
+    private void fail(PendingProbe probe, Consumer<Member> onUnresponsive) {
         if (probe.target == null) {
-            return; // A configured router that has never answered.
+            return; // The address was that of a configured router or a dead member.
         }
         if (probe.missingNacks > 0) {
             health.worsen();
         }
         if (members.isCurrent(probe.target)) {
-            onSilent.accept(probe.target);
+            onUnresponsive.accept(probe.target);
         }
     }
 
-    /** Gives up one probe for another router that is due; tells whether there was one. */
+    /** Reports the failure of one indirect probe that is due; returns whether one was due. */
     boolean expireIndirectProbes(long nowUs) {
         for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator();
                 iterator.hasNext(); ) {
@@ -228,20 +233,21 @@
     }
 
     /**
-     * One member is probed; now and then a configured router that is no member, or one that counts as dead.
+     * Probes one member; in every fourth round instead a configured router that is not a serving member, or
+     * a dead member, if there is one.
      */
     void startRound(long nowUs) {
-        long roundUs = health.stretch(settings.probeIntervalUs());
+        long roundUs = health.scaleTimeout(settings.probeIntervalUs());
         nextRoundUs = nowUs + roundUs;
         roundCount++;
         Member target = null;
         String address = null;
-        if (roundCount % SEED_PROBE_INTERVAL == 0 || members.all().isEmpty()) {
-            address = nextUnconnectedAddress();
+        if (roundCount % UNREACHABLE_PROBE_INTERVAL_ROUNDS == 0 || members.all().isEmpty()) {
+            address = nextUnreachableAddress();
         }
         if (address == null) {
             target = nextMember();
-            address = target == null ? nextUnconnectedAddress() : target.address;
+            address = target == null ? nextUnreachableAddress() : target.address;
         }
         if (address == null) {
             return;
@@ -253,7 +259,7 @@
                 OutgoingMessage.Type.PROBE, address, probe.sequenceNumber, null));
     }
 
-    /** Null where no member is serving. */
+    /** Returns the next member in the shuffled order; null if no member is serving. */
     private Member nextMember() {
         while (true) {
             if (probeOrder.isEmpty()) {
@@ -270,14 +276,14 @@
     }
 
     /**
-     * The next in turn of the configured routers that are no members, and the members that count as dead: a
-     * cut may heal. Null where there is none.
+     * Returns the next address, in turn, of the configured routers that are not serving members and of the
+     * dead members, which may become reachable again after a network partition; null if there are none.
      */
-    private String nextUnconnectedAddress() {
+    private String nextUnreachableAddress() {
         List<String> addresses = new ArrayList<>();
         for (String seed : seeds) {
             if (members.all().stream()
-                    .noneMatch(m -> m.address.equals(seed) && m.state.isServing())) {
+                    .noneMatch(member -> member.address.equals(seed) && member.state.isServing())) {
                 addresses.add(seed);
             }
         }
@@ -288,7 +294,7 @@
         }
         return addresses.isEmpty()
                 ? null
-                : addresses.get(Math.floorMod(seedCursor++, addresses.size()));
+                : addresses.get(Math.floorMod(unreachableCursor++, addresses.size()));
     }
 
     private void refillProbeOrder() {
@@ -302,7 +308,7 @@
         probeOrder.addAll(routers);
     }
 
-    /** When a probe is next due to be looked at, rounds not counted. */
+    /** Returns when a pending or indirect probe is next due; the next round is not included. */
     long nextProbeDueUs() {
         long dueUs = Long.MAX_VALUE;
         for (PendingProbe probe : pendingProbes.values()) {
--- a/src/main/java/tinlink/cluster/membership/Rumor.java
+++ b/src/main/java/tinlink/cluster/membership/Rumor.java
@@ -1,13 +1,13 @@
 package tinlink.cluster.membership;
 
 /**
- * What one router tells others of a third.
+ * A claim about the state of a router, which routers pass on to each other.
  *
- * @param incarnation whom it is of
- * @param refutationCount raised by that incarnation alone, to supersede what is said of it
- * @param state what is said of it
- * @param address where it is reached, as it says itself; with its name
- * @param suspectedBy the router that has found it silent; empty where none has
+ * @param incarnation the process that the claim is about
+ * @param refutationCount incremented by that process alone, so that its own claim supersedes those of others
+ * @param state the claimed state
+ * @param address the address that the process advertises, prefixed with its router's name
+ * @param suspectedBy a router that suspects the process; empty for none
  */
 public record Rumor(
         Incarnation incarnation,
--- a/src/main/java/tinlink/cluster/membership/RumorQueue.java
+++ b/src/main/java/tinlink/cluster/membership/RumorQueue.java
@@ -6,9 +6,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Rumors that travel with probes and their answers until each has been sent often enough; one a router. */
+/**
+ * Rumors that are disseminated with probes and their answers, at most one per router. A rumor is dropped
+ * after a number of transmissions proportional to the logarithm of the cluster's size.
+ */
 final class RumorQueue {
-    /** A rumor is sent so many times the logarithm of the cluster's size. */
+    /** Transmissions of a rumor, as a multiple of the logarithm of the cluster's size. */
     private static final int RETRANSMIT_FACTOR = 3;
 
     private static final int MAX_RUMORS_PER_MESSAGE = 8;
@@ -23,40 +26,42 @@
     }
 
     private final MemberTable members;
+    /** Rumors by the name of the router that they are about. */
     private final Map<String, PendingRumor> pending = new LinkedHashMap<>();
 
     RumorQueue(MemberTable members) {
         this.members = members;
     }
 
-    /** Takes the place of an earlier rumor of the same router. */
+    /** Replaces an earlier rumor about the same router. */
     void add(Rumor rumor) {
         String router = rumor.incarnation().router();
         pending.remove(router);
         pending.put(router, new PendingRumor(rumor));
     }
 
-    void forget(String router) {
+    void remove(String router) {
         pending.remove(router);
     }
 
     /**
-     * What travels with a message: who this router is; what it knows of the receiver, where that is not
-     * alive, so that it can refute it; the rumors that have been sent least often.
+     * Returns the rumors for a message and counts the transmissions: the sender's rumor about itself, then
+     * the receiver's state unless it is alive, so that the receiver can refute it, then the rumors that were
+     * sent least often.
      */
-    List<Rumor> take(String receiverAddress, Rumor self) {
+    List<Rumor> selectFor(String receiverAddress, Rumor self) {
         List<Rumor> selected = new ArrayList<>();
         selected.add(self);
         for (Member member : members.all()) {
             if (member.address.equals(receiverAddress) && member.state != MemberState.ALIVE) {
-                selected.add(member.rumor(
+                selected.add(member.toRumor(
                         member.suspectedBy.isEmpty()
                                 ? ""
                                 : member.suspectedBy.iterator().next()));
             }
         }
         List<PendingRumor> candidates = new ArrayList<>(pending.values());
-        candidates.sort(Comparator.comparingInt(c -> c.transmissions));
+        candidates.sort(Comparator.comparingInt(candidate -> candidate.transmissions));
         int maxTransmissions = RETRANSMIT_FACTOR * members.logClusterSize();
         for (int i = 0; i < candidates.size() && selected.size() < MAX_RUMORS_PER_MESSAGE; i++) {
             PendingRumor candidate = candidates.get(i);
--- a/src/main/java/tinlink/cluster/membership/SuspicionTimers.java
+++ b/src/main/java/tinlink/cluster/membership/SuspicionTimers.java
@@ -1,17 +1,23 @@
 package tinlink.cluster.membership;
 
-/** How long a member stays suspect before it counts as dead, and dead or left before it is forgotten. */
+/**
+ * The timeout after which a suspect counts as dead, and the retention time after which a member that is dead
+ * or has left is removed.
+ */
 final class SuspicionTimers {
-    /** Others that have to find a member silent for the shortest suspicion; fewer in a small cluster. */
+    /** Confirmations by other members that shorten a suspicion to its minimum; fewer in a small cluster. */
     static final int MAX_CONFIRMATIONS = 3;
-    /** The shortest suspicion lasts so many rounds, times the logarithm of the cluster's size. */
+    /** Minimum suspicion timeout in probe intervals, per unit of the logarithm of the cluster's size. */
     private static final double MIN_SUSPICION_ROUNDS = 4;
-    /** One that nobody has confirmed lasts so many times longer. */
+    /** Timeout of a suspicion that no other member has confirmed, as a multiple of the minimum. */
     private static final double MAX_SUSPICION_FACTOR = 4;
-    /** A dead member is known for so many longest suspicions more, so that old rumors don't bring it back. */
+    /**
+     * Retention time in maximum suspicion timeouts. A dead member stays known for so long that old rumors
+     * can't add it again.
+     */
     private static final int RETENTION_SUSPICIONS = 20;
-    /** Members that can't confirm a suspicion: this router, the suspect, and one to spare. */
-    private static final int NOT_CONFIRMING = 3;
+    /** Members not expected to confirm a suspicion: this router, the suspect, and one as a margin. */
+    private static final int NON_CONFIRMING_MEMBERS = 3;
 
     private final MemberTable members;
     private final LocalHealth health;
@@ -23,7 +29,7 @@
         this.probeIntervalUs = probeIntervalUs;
     }
 
-    /** When a member that is not alive changes its state by itself, or is forgotten. */
+    /** Returns when a member that is not alive is declared dead (a suspect) or removed (any other). */
     long expiresAtUs(Member member) {
         return member.stateSinceUs
                 + (member.state == MemberState.SUSPECT ? suspicionUs(member) : retentionUs());
@@ -37,16 +43,17 @@
                 * probeIntervalUs);
     }
 
-    /** Shorter the more have found it silent; longer the more this router doubts itself. */
+    /** Decreases with the confirmations of other members; increases with the local health multiplier. */
     private long suspicionUs(Member member) {
         double minUs = MIN_SUSPICION_ROUNDS * members.logClusterSize() * probeIntervalUs;
-        int expected =
-                Math.min(MAX_CONFIRMATIONS, Math.max(0, members.servingCount() - NOT_CONFIRMING));
-        double confirmedFraction = expected == 0
+        int expectedConfirmations = Math.min(
+                MAX_CONFIRMATIONS, Math.max(0, members.servingCount() - NON_CONFIRMING_MEMBERS));
+        double confirmedFraction = expectedConfirmations == 0
                 ? 1
                 : Math.log(Math.max(0, member.suspectedBy.size() - 1) + 1.0)
-                        / Math.log(expected + 1.0);
+                        / Math.log(expectedConfirmations + 1.0);
         double maxUs = MAX_SUSPICION_FACTOR * minUs;
-        return health.stretch((long) Math.max(minUs, maxUs - (maxUs - minUs) * confirmedFraction));
+        return health.scaleTimeout(
+                (long) Math.max(minUs, maxUs - (maxUs - minUs) * confirmedFraction));
     }
 }
