--- a/src/main/java/tinlink/cluster/AdmissionResponder.java
+++ b/src/main/java/tinlink/cluster/AdmissionResponder.java
@@ -14,24 +14,24 @@
 import java.util.Map;
 
 /**
- * Tells other voters what is known here of their disks, so that none votes by an old copy. Event loop's
- * thread only.
+ * Answers the admission requests of other voters with what this router knows of their disks, so that no
+ * router votes with an old copy of its disk. Event loop's thread only.
  */
 final class AdmissionResponder {
     private final Membership membership;
     private final RaftStateStore stateStore;
     private final int maxVoters;
-    /** How far others' disks are known to have been; the oldest entry gives way. */
+    /** The furthest known log position of each voter's disk; the oldest entry is evicted when full. */
     private final Map<Voter, LogPosition> knownPositions = new LinkedHashMap<>();
 
-    /** @param maxVoters disks whose positions are remembered */
+    /** @param maxVoters number of disks whose positions are remembered */
     AdmissionResponder(Membership membership, RaftStateStore stateStore, int maxVoters) {
         this.membership = membership;
         this.stateStore = stateStore;
         this.maxVoters = maxVoters;
     }
 
-    /** Remembers what a message of Raft shows of its sender's disk. */
+    /** Records the log position that a Raft message proves for its sender's disk. */
     void onRaftMessage(RaftMessage message) {
         LogPosition position = RaftReplica.confirmedPosition(message);
         if (position != null) {
@@ -42,19 +42,25 @@
         }
     }
 
-    /** @param asker the process that has asked, as it is authenticated */
-    NodeMessage.AdmissionResponse respond(Incarnation asker, NodeMessage.AdmissionRequest request) {
+    /** @param requester the requesting process, as its connection was authenticated */
+    NodeMessage.AdmissionResponse respond(
+            Incarnation requester, NodeMessage.AdmissionRequest request) {
         return new NodeMessage.AdmissionResponse(
-                knownBesides(asker), knownPositions.get(request.voter()), stateStore.logEnd());
+                newestOtherIncarnation(requester),
+                knownPositions.get(request.voter()),
+                stateStore.logEnd());
     }
 
-    /** What is known of the asking router: another process than the asking one, if there is another. */
-    private Incarnation knownBesides(Incarnation asker) {
-        Member member = membership.member(asker.router());
+    /**
+     * Returns the newest known incarnation of the requester's router, or its duplicate if the newest is the
+     * requester itself; null if the router is unknown.
+     */
+    private Incarnation newestOtherIncarnation(Incarnation requester) {
+        Member member = membership.member(requester.router());
         if (member == null) {
             return null;
         }
-        return member.duplicate() != null && member.incarnation().equals(asker)
+        return member.duplicate() != null && member.incarnation().equals(requester)
                 ? member.duplicate()
                 : member.incarnation();
     }
--- a/src/main/java/tinlink/cluster/Identity.java
+++ b/src/main/java/tinlink/cluster/Identity.java
@@ -13,33 +13,35 @@
 import java.util.List;
 
 /**
- * Who this process is: a router's name, how often it was started with its folder, a nonce, and the disk
- * that the folder is. Counted up and synced before anything is sent to anybody. Event loop's thread only.
+ * The persistent identity of this process: the router's name, the number of starts with its data folder, and
+ * the id of the disk that the folder stands for. The start count is incremented and synced to disk before the
+ * router sends its first message. Event loop's thread only.
  */
 public final class Identity implements Closeable {
     private static final long MAX_BYTES = 1 << 16;
     private static final int COMPACT_BYTES = 1 << 12;
-    /** Start count, disk, and whether it takes the place of a lost one; the name follows. */
+    /** Start count, disk id, and whether the disk replaces a lost one; the router's name follows. */
     private static final int FIXED_BYTES = 2 * Long.BYTES + 1;
 
     private final DurableLog durableLog;
-    /** This process. */
+    /** The incarnation of this process. */
     public final Incarnation incarnation;
-    /** The disk's number, drawn as the folder was first used. */
+    /** The disk's id, drawn when the folder was first used. */
     public final long diskId;
-    /** Nothing was there: a new disk, which has never voted. */
-    public final boolean isFirstStart;
-    /** What the lost one said is not held against it, nor for it. */
+    /** Whether the folder was empty: a new disk, which has never voted. */
+    public final boolean firstStart;
+    /**
+     * Whether the disk replaces a lost one, whose votes and confirmations neither bind it nor count for it.
+     */
     private boolean replacesLostDisk;
 
     private long startCount;
 
     /**
-     * Counts this start.
+     * Reads the identity from the folder, creating both if missing, and counts this start.
      *
-     * @param folder made where it is not there
-     * @param name the router's
-     * @throws IOException where the folder can't be used, or belongs to another router
+     * @param name the router's name
+     * @throws IOException if the folder can't be used or belongs to another router
      */
     public Identity(Path folder, String name) throws IOException {
         durableLog = new DurableLog(folder.resolve("self"), MAX_BYTES);
@@ -48,7 +50,7 @@
                 ? durableLog.recoveredSnapshot()
                 : records.get(records.size() - 1);
         SecureRandom random = new SecureRandom();
-        isFirstStart = last == null;
+        firstStart = last == null;
         startCount = 1;
         long storedDiskId = random.nextLong() & Long.MAX_VALUE;
         if (last != null) {
@@ -60,8 +62,8 @@
             buffer.get(storedName);
             if (!new String(storedName, UTF_8).equals(name)) {
                 durableLog.close();
-                throw new IOException(folder + ": it belongs to router "
-                        + new String(storedName, UTF_8) + ", not "
+                throw new IOException("data folder " + folder + " belongs to router "
+                        + new String(storedName, UTF_8) + ", not to router "
                         + name);
             }
         }
@@ -87,14 +89,17 @@
         }
     }
 
-    /** Whether it takes the place of a disk that was lost. */
+    /** Whether this disk replaces one that was lost. */
     public boolean replacesLostDisk() {
         return replacesLostDisk;
     }
 
     /**
-     * The disk before this one has been lost: from its next start on the router is a later incarnation
-     * than any that others know, and this disk votes, if ever, under its own number.
+     * Records that this disk replaces a lost one: from the next start on, the router is a later incarnation
+     * than any that others know, and this disk votes, if at all, under its own id.
+     *
+     * @param knownStartCount the highest start count of the router that others know
+     * @throws IOException if the record can't be written
      */
     public void replaceLostDisk(long knownStartCount) throws IOException {
         replacesLostDisk = true;
--- a/src/main/java/tinlink/cluster/LeaderRequests.java
+++ b/src/main/java/tinlink/cluster/LeaderRequests.java
@@ -13,47 +13,52 @@
 import java.util.function.LongConsumer;
 
 /**
- * Passes proposals, reports and requests for the commit index on to the leader, and answers them where this
- * router leads. What is sent may get lost; whoever asks asks again. Event loop's thread only.
+ * Forwards proposals, reports and requests for the commit index to the leader, and answers those of other
+ * routers while this router leads. Messages may get lost; the callers retry. Event loop's thread only.
  */
 final class LeaderRequests {
-    /** Proposals that wait for their answer; the oldest is given up for a further one. */
+    /** Proposals that may await their answer at a time; beyond it, the oldest one fails. */
     private static final int MAX_PENDING_PROPOSALS = 256;
 
     private final EventLoop loop;
-    private final String router;
+    private final String localRouter;
     private final VoterLifecycle voter;
     private final KnownLeader leader;
     private final NodeMessageSender sender;
+    /** Callbacks by proposal id; each is removed with the answer. */
     private final Map<Long, BiConsumer<String, String>> pendingProposals = new LinkedHashMap<>();
+
     private long lastProposalId;
-    /** Of the newest request alone. */
+    /** The callback of the latest request; an answer to an earlier request is ignored. */
     private LongConsumer commitIndexListener = index -> {};
 
     private long lastConfirmId;
     private BiConsumer<String, String> reportListener = (sender, line) -> {};
 
-    /** @param router this router's name */
+    /** @param localRouter this router's name */
     LeaderRequests(
             EventLoop loop,
-            String router,
+            String localRouter,
             VoterLifecycle voter,
             KnownLeader leader,
             NodeMessageSender sender) {
         this.loop = loop;
-        this.router = router;
+        this.localRouter = localRouter;
         this.voter = voter;
         this.leader = leader;
         this.sender = sender;
     }
 
-    /** Receives reports with their senders' names, on the leader alone. */
+    /** Sets the listener that receives each report with its sender's name, on the leader only. */
     void setReportListener(BiConsumer<String, String> listener) {
         reportListener = listener;
     }
 
     /**
-     * @param onResult the state machine's reply with null, or null with why it is not known to be agreed on
+     * Proposes a line, through the leader if another router leads.
+     *
+     * @param onResult receives the state machine's reply and null, or null and the reason why it is not
+     *     known whether the line was committed
      */
     void propose(String line, BiConsumer<String, String> onResult) {
         if (voter.isLeader()) {
@@ -101,12 +106,17 @@
         BiConsumer<String, String> onResult = pendingProposals.remove(response.proposalId());
         if (onResult != null) {
             onResult.accept(
-                    response.isAgreed() ? response.text() : null,
-                    response.isAgreed() ? null : response.text());
+                    response.isCommitted() ? response.text() : null,
+                    response.isCommitted() ? null : response.text());
         }
     }
 
-    /** @param onIndex may never be called; it is for the newest call alone where another router leads */
+    /**
+     * Requests the commit index, confirmed by a majority.
+     *
+     * @param onIndex receives the index; never called if a message is lost, no leader is known, or a later
+     *     call replaces this one while another router leads
+     */
     void confirmCommitIndex(LongConsumer onIndex) {
         if (voter.isLeader()) {
             voter.replica()
@@ -121,12 +131,12 @@
         }
     }
 
-    void onConfirmRequest(String asker, ConfirmRequest request) {
+    void onConfirmRequest(String requester, ConfirmRequest request) {
         if (voter.isLeader()) {
             voter.replica()
                     .confirmCommitIndex((index, failure) -> loop.execute(() -> {
                         if (failure == null) {
-                            sender.send(asker, new ConfirmResponse(request.requestId(), index));
+                            sender.send(requester, new ConfirmResponse(request.requestId(), index));
                         }
                     }));
         }
@@ -140,7 +150,7 @@
 
     void report(String line) {
         if (voter.isLeader()) {
-            reportListener.accept(router, line);
+            reportListener.accept(localRouter, line);
         } else if (leader.isKnown()) {
             sender.send(leader.router(), new Report(line));
         }
--- a/src/main/java/tinlink/cluster/NodeMessage.java
+++ b/src/main/java/tinlink/cluster/NodeMessage.java
@@ -7,11 +7,11 @@
 import tinlink.cluster.membership.Incarnation;
 import tinlink.cluster.transport.MessageKind;
 
-/** What routers of a cluster say to each other besides membership and Raft; any of it may get lost. */
+/** A message between routers of a cluster, other than of membership and Raft; it may get lost. */
 sealed interface NodeMessage {
     MessageKind kind();
 
-    /** Asks a voter for what was agreed on after that index. */
+    /** Requests the committed lines after an index from a voter. */
     record Learn(long afterIndex) implements NodeMessage {
         @Override
         public MessageKind kind() {
@@ -22,9 +22,9 @@
     /**
      * Answers {@link Learn}.
      *
-     * @param leader who leads, as far as the sender knows; empty where it knows of none
-     * @param afterIndex the index that was asked for
-     * @param batch null where there is nothing new
+     * @param leader the leader's name as far as the sender knows; empty if it knows none
+     * @param afterIndex the index of the request
+     * @param batch the lines after it, or a snapshot; null if there is nothing new
      */
     record Learned(String leader, long afterIndex, LearnerLog.Batch batch) implements NodeMessage {
         @Override
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Has the leader propose a line. */
+    /** Asks the leader to propose a line. */
     record Propose(long proposalId, String line) implements NodeMessage {
         @Override
         public MessageKind kind() {
@@ -44,16 +44,17 @@
     /**
      * Answers {@link Propose}.
      *
-     * @param text the state machine's reply where the line was agreed on; else why that is not known
+     * @param isCommitted whether the line was committed
+     * @param text the state machine's reply if the line was committed; otherwise why that is not known
      */
-    record Proposed(long proposalId, boolean isAgreed, String text) implements NodeMessage {
+    record Proposed(long proposalId, boolean isCommitted, String text) implements NodeMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.PROPOSED;
         }
     }
 
-    /** Asks what is known of the sender's disk, before it votes by it. */
+    /** Asks what the recipient knows of the sender's disk, before the sender votes with that disk. */
     record AdmissionRequest(Voter voter) implements NodeMessage {
         @Override
         public MessageKind kind() {
@@ -64,11 +65,13 @@
     /**
      * Answers {@link AdmissionRequest}.
      *
-     * @param known the newest incarnation of the asking router that is known besides its own; null for none
-     * @param position the furthest that the asking disk is known to have been; null where it is not known
-     * @param logEnd where the sender's own log ends
+     * @param knownIncarnation the newest known incarnation of the requesting router, or a duplicate of the
+     *     requester; null if none is known
+     * @param knownPosition the furthest known log position of the requester's disk; null if unknown
+     * @param logEnd the end of the responder's own log
      */
-    record AdmissionResponse(Incarnation known, LogPosition position, RecoveryFloor logEnd)
+    record AdmissionResponse(
+            Incarnation knownIncarnation, LogPosition knownPosition, RecoveryFloor logEnd)
             implements NodeMessage {
         @Override
         public MessageKind kind() {
@@ -76,7 +79,7 @@
         }
     }
 
-    /** An observation for the leader. */
+    /** Reports an observation to the leader. */
     record Report(String line) implements NodeMessage {
         @Override
         public MessageKind kind() {
@@ -84,7 +87,11 @@
         }
     }
 
-    /** The sender runs with this disk; in hex. */
+    /**
+     * Announces the disk that the sender runs with.
+     *
+     * @param diskId the disk's id in hex
+     */
     record Presence(String diskId) implements NodeMessage {
         @Override
         public MessageKind kind() {
@@ -92,7 +99,7 @@
         }
     }
 
-    /** An operator gives one router's voter slot to another. */
+    /** Asks the leader to give one router's voter slot to another, on an operator's command. */
     record ReplaceVoter(String removedRouter, String addedRouter) implements NodeMessage {
         @Override
         public MessageKind kind() {
@@ -100,7 +107,7 @@
         }
     }
 
-    /** Asks the leader for the commit index, confirmed by a majority. */
+    /** Requests the commit index, confirmed by a majority, from the leader. */
     record ConfirmRequest(long requestId) implements NodeMessage {
         @Override
         public MessageKind kind() {
--- a/src/main/java/tinlink/cluster/NodeMessageCodec.java
+++ b/src/main/java/tinlink/cluster/NodeMessageCodec.java
@@ -25,8 +25,8 @@
 import java.util.List;
 
 /**
- * {@link NodeMessage}s as bytes: the code of the kind, the sender's name, then what the kind has. The version
- * is that of the handshake, {@link PeerProtocol#VERSION}.
+ * Encodes and decodes {@link NodeMessage}s: the code of the kind, the sender's name, then the fields of the
+ * kind. The handshake carries the version, {@link PeerProtocol#VERSION}.
  */
 final class NodeMessageCodec {
     private static final int NO_BATCH = 0;
@@ -46,7 +46,7 @@
             out.putLong(propose.proposalId()).putLongText(propose.line());
         } else if (message instanceof Proposed proposed) {
             out.putLong(proposed.proposalId())
-                    .putByte(proposed.isAgreed() ? 1 : 0)
+                    .putByte(proposed.isCommitted() ? 1 : 0)
                     .putLongText(proposed.text());
         } else if (message instanceof AdmissionRequest admissionRequest) {
             out.putText(admissionRequest.voter().toString());
@@ -79,31 +79,35 @@
     }
 
     private static void encode(MessageCodec.Builder out, AdmissionResponse message) {
-        Incarnation known = message.known();
-        out.putByte(known == null ? 0 : 1);
-        if (known != null) {
-            PeerProtocol.encodeIncarnation(out, known);
+        Incarnation incarnation = message.knownIncarnation();
+        out.putByte(incarnation == null ? 0 : 1);
+        if (incarnation != null) {
+            PeerProtocol.encodeIncarnation(out, incarnation);
         }
-        LogPosition position = message.position();
+        LogPosition position = message.knownPosition();
         out.putByte(position == null ? 0 : 1);
         if (position != null) {
             out.putInt(position.term()).putLong(position.confirmedIndex());
         }
-        RecoveryFloor end = message.logEnd();
-        out.putInt(end.term()).putInt(end.lastTerm()).putLong(end.lastIndex());
+        RecoveryFloor logEnd = message.logEnd();
+        out.putInt(logEnd.term()).putInt(logEnd.lastTerm()).putLong(logEnd.lastIndex());
     }
 
     /**
-     * @param authenticatedSender the router that the connection was authenticated for
-     * @throws MessageRejectedException where it is malformed, of an unknown kind, or speaks for another
-     *     router; a buffer that is too short throws its own
+     * Decodes a message.
+     *
+     * @param authenticatedSender the name of the router that the connection was authenticated for
+     * @throws MessageRejectedException if the message is malformed, of an unknown kind, or names another
+     *     router as its sender
+     * @throws java.nio.BufferUnderflowException if the message is too short
      */
     static NodeMessage decode(String authenticatedSender, ByteBuffer buffer)
             throws MessageRejectedException {
         int code = buffer.get();
         String sender = MessageCodec.readText(buffer);
         if (!sender.equals(authenticatedSender)) {
-            throw MessageCodec.malformed("it speaks for another router");
+            throw MessageCodec.malformed(
+                    "node message names another router than its connection was authenticated for");
         }
         return switch (MessageKind.ofNode(code)) {
             case LEARN -> new Learn(buffer.getLong());
@@ -118,7 +122,7 @@
                 new ReplaceVoter(MessageCodec.readText(buffer), MessageCodec.readText(buffer));
             case CONFIRM_REQUEST -> new ConfirmRequest(buffer.getLong());
             case CONFIRM_RESPONSE -> new ConfirmResponse(buffer.getLong(), buffer.getLong());
-            default -> throw MessageCodec.malformed("a node message of kind " + code);
+            default -> throw MessageCodec.malformed("node message of unknown kind " + code);
         };
     }
 
@@ -137,12 +141,13 @@
 
     private static AdmissionResponse admissionResponse(ByteBuffer buffer)
             throws MessageRejectedException {
-        Incarnation known = buffer.get() == 0 ? null : PeerProtocol.decodeIncarnation(buffer);
-        LogPosition position =
+        Incarnation knownIncarnation =
+                buffer.get() == 0 ? null : PeerProtocol.decodeIncarnation(buffer);
+        LogPosition knownPosition =
                 buffer.get() == 0 ? null : new LogPosition(buffer.getInt(), buffer.getLong());
         return new AdmissionResponse(
-                known,
-                position,
+                knownIncarnation,
+                knownPosition,
                 new RecoveryFloor(buffer.getInt(), buffer.getInt(), buffer.getLong()));
     }
 
--- a/src/main/java/tinlink/cluster/VoterLifecycle.java
+++ b/src/main/java/tinlink/cluster/VoterLifecycle.java
@@ -18,77 +18,78 @@
 import java.util.logging.Level;
 
 /**
- * This router's life as a voter: its disk is admitted or found to be an old copy, its replica runs, and it
- * ends as the voter slot goes to another disk. Event loop's thread only.
+ * The life cycle of this router as a voter: the admission of its disk, which is refused if the disk is an old
+ * copy; the run of its replica; and its end once another disk has the voter slot. Event loop's thread only.
  */
 final class VoterLifecycle {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
-    /** Seconds of the Raft library that voters are waited for once a majority has answered. */
+    /** Seconds of the Raft library to await further answers after those of a majority of the voters. */
     private static final int ADMISSION_GRACE_SECONDS = 8;
 
     private final EventLoop loop;
     private final ClusterSettings settings;
     private final Identity identity;
     private final RaftStateStore stateStore;
-    private final Function<Voter, RaftReplica> replicas;
+    private final Function<Voter, RaftReplica> replicaFactory;
     private final NodeMessageSender sender;
     private final KnownLeader leader;
 
-    /** As which voter this disk takes part, once it may; null before {@link #start}. */
+    /** The voter that this router is with its present disk; null before {@link #start}. */
     private Voter localVoter;
-    /** Null but while it is being found out whether this disk may vote. */
+    /** The admission of this disk while it is undecided; null otherwise. */
     private VoterAdmission pendingAdmission;
-    /** Whose floor the replica keeps; null where the disk was new, and asked nobody. */
+    /** The admission whose floor binds the replica; null if the disk needed none, or was not admitted. */
     private VoterAdmission grantedAdmission;
-    /** Null while this router does not vote. */
+    /** The running replica; null while this router does not vote. */
     private RaftReplica replica;
 
-    private boolean hasStaleDisk;
+    /** Whether the disk was not admitted, or another process of this router was found. */
+    private boolean diskStale;
+    /** Whether the group has removed this voter while its replica ran. */
     private boolean removedFromGroup;
 
-    /** @param replicas makes the replica of a voter */
+    /** @param replicaFactory creates the replica of this router's voter */
     VoterLifecycle(
             EventLoop loop,
             ClusterSettings settings,
             Identity identity,
             RaftStateStore stateStore,
-            Function<Voter, RaftReplica> replicas,
+            Function<Voter, RaftReplica> replicaFactory,
             NodeMessageSender sender,
             KnownLeader leader) {
         this.loop = loop;
         this.settings = settings;
         this.identity = identity;
         this.stateStore = stateStore;
-        this.replicas = replicas;
+        this.replicaFactory = replicaFactory;
         this.sender = sender;
         this.leader = leader;
     }
 
-    /** Begins to ask the other voters where this disk has voted before, or may have. */
+    /** Begins the admission if this disk has voted before, or may replace one that has. */
     void start() {
         String router = settings.local().router();
         Set<String> initialVoters = settings.routers().initialVoters();
-        boolean isInitialVoter = initialVoters.contains(router) && !identity.replacesLostDisk();
+        boolean initialVoter = initialVoters.contains(router) && !identity.replacesLostDisk();
         Voter stored = stateStore.localVoter();
         localVoter =
-                stored != null ? stored : new Voter(router, isInitialVoter ? 0 : identity.diskId);
-        if (stored != null || isInitialVoter) {
-            // Danger: a store with nothing in it may be that of a disk that was lost after it had
-            // voted.
+                stored != null ? stored : new Voter(router, initialVoter ? 0 : identity.diskId);
+        if (stored != null || initialVoter) {
+            // An empty store may be the replacement of a disk that was lost after it had voted.
             Set<String> otherVoters = new TreeSet<>(initialVoters);
             otherVoters.remove(router);
             pendingAdmission = new VoterAdmission(
                     identity.incarnation,
                     stateStore.lastPosition(),
                     otherVoters,
-                    identity.isFirstStart);
+                    identity.firstStart);
         }
     }
 
-    /** Goes on with the admission, and follows what the replica has come to; to be called periodically. */
+    /** Advances the admission, and follows the state of the replica; called periodically. */
     void tick() {
         if (pendingAdmission != null) {
-            seekAdmission();
+            advanceAdmission();
         } else if (grantedAdmission != null && replica != null) {
             refreshFloor();
         }
@@ -109,12 +110,14 @@
         }
     }
 
-    private void askVoters(VoterAdmission admission) {
-        admission.votersToAsk().forEach(r -> sender.send(r, new AdmissionRequest(localVoter)));
+    private void sendAdmissionRequests(VoterAdmission admission) {
+        admission
+                .votersToAsk()
+                .forEach(router -> sender.send(router, new AdmissionRequest(localVoter)));
     }
 
-    private void seekAdmission() {
-        askVoters(pendingAdmission);
+    private void advanceAdmission() {
+        sendAdmissionRequests(pendingAdmission);
         long graceUs = ADMISSION_GRACE_SECONDS * settings.timing().librarySecondUs();
         switch (pendingAdmission.decide(loop.nowUs(), graceUs)) {
             case ADMITTED -> {
@@ -124,22 +127,23 @@
             }
             case STALE_DISK, DUPLICATE_PROCESS -> {
                 rejectDisk();
-                hasStaleDisk = true;
+                diskStale = true;
                 pendingAdmission = null;
             }
             case UNDECIDED -> {
-                // Asked again at the next tick.
+                // The next tick asks again.
             }
         }
     }
 
     /**
-     * Danger: a voter that was far ahead as it was asked may be gone for good; what binds this one is what
-     * those know who are there now.
+     * Updates the floor that binds the replica. A voter that was far ahead when it answered may never return;
+     * so while the floor is not reached and no leader is known, the others are asked again, and their
+     * newest answers count.
      */
     private void refreshFloor() {
         if (!leader.isKnown() && !replica.hasReachedFloor()) {
-            askVoters(grantedAdmission);
+            sendAdmissionRequests(grantedAdmission);
         }
         replica.setFloor(grantedAdmission.floor());
     }
@@ -154,11 +158,15 @@
                     "router",
                     settings.local().router(),
                     "reason",
-                    "its folder is an old copy, or another process runs with it: start it with an empty one");
+                    "the data folder is an old copy or in use by another process: "
+                            + "start the router with an empty folder");
         }
     }
 
-    /** Danger: an empty folder may be the first start, or a disk that was lost and had voted. */
+    /**
+     * Records that the disk replaces a lost one. An empty folder may mean a first start or the loss of a disk
+     * that had voted; here the answers of other voters have shown the latter.
+     */
     private void replaceLostDisk() {
         try {
             identity.replaceLostDisk(pendingAdmission.knownStartCount());
@@ -168,8 +176,8 @@
                     "router",
                     settings.local().router(),
                     "reason",
-                    "its folder is empty, and the router was known before: "
-                            + "start it once more, and it gets its voter slot back");
+                    "the data folder is empty, but other voters know the router: "
+                            + "restart it to have its voter slot given to the new disk");
         } catch (IOException e) {
             LOG.logFailure(Level.SEVERE, "identity_not_written", e);
         }
@@ -179,12 +187,16 @@
         VoterAdmission admission = pendingAdmission != null ? pendingAdmission : grantedAdmission;
         if (admission != null) {
             admission.onAnswer(
-                    router, response.known(), response.position(), response.logEnd(), loop.nowUs());
+                    router,
+                    response.knownIncarnation(),
+                    response.knownPosition(),
+                    response.logEnd(),
+                    loop.nowUs());
         }
     }
 
     private void startReplica() {
-        replica = replicas.apply(localVoter);
+        replica = replicaFactory.apply(localVoter);
         if (grantedAdmission != null) {
             replica.setFloor(grantedAdmission.floor());
         }
@@ -200,10 +212,11 @@
                 localVoter);
     }
 
-    /** @param recipient the voter that it was sent to; for another disk of this router it is passed over */
+    /** @param recipient the voter addressed; a message for another disk of this router is ignored */
     void onRaftMessage(Voter recipient, RaftMessage message) {
         if (isWaitingForSlot() && localVoter != null && localVoter.equals(recipient)) {
-            startReplica(); // Its disk has been given a voter slot: whoever leads sends to it.
+            // The leader sends to this disk, so the disk has been given a voter slot.
+            startReplica();
         }
         if (replica != null && replica.self().equals(recipient)) {
             replica.receive(message);
@@ -213,38 +226,38 @@
     private boolean isWaitingForSlot() {
         return replica == null
                 && pendingAdmission == null
-                && !hasStaleDisk
+                && !diskStale
                 && !removedFromGroup
                 && stateStore.localVoter() == null;
     }
 
-    /** Another process of this router was found: this one does not say that its disk is there. */
+    /** Called when another process of this router is found; this one stops announcing its disk. */
     void onSelfConflict() {
-        hasStaleDisk = true;
+        diskStale = true;
     }
 
-    /** Closes the replica, where it runs. */
+    /** Terminates the replica if it runs. */
     void close() {
         if (replica != null) {
             replica.terminate();
         }
     }
 
-    /** Null before the start. */
+    /** Returns the voter that this router is with its present disk; null before {@link #start}. */
     Voter localVoter() {
         return localVoter;
     }
 
-    /** Whether its disk may be counted on: neither unknown yet, nor an old copy, nor removed. */
-    boolean mayBePresent() {
-        return pendingAdmission == null && !hasStaleDisk && !removedFromGroup;
+    /** Whether the leader may count on the disk: it is not awaiting admission, stale or removed. */
+    boolean mayAnnouncePresence() {
+        return pendingAdmission == null && !diskStale && !removedFromGroup;
     }
 
     boolean hasStaleDisk() {
-        return hasStaleDisk;
+        return diskStale;
     }
 
-    /** Whether its replica runs. */
+    /** Whether the replica runs. */
     boolean isVoting() {
         return replica != null;
     }
@@ -253,7 +266,7 @@
         return replica != null && replica.isLeader();
     }
 
-    /** Null where it does not vote. */
+    /** Returns the replica; null if this router does not vote. */
     RaftReplica replica() {
         return replica;
     }
--- a/src/main/java/tinlink/cluster/VoterSlots.java
+++ b/src/main/java/tinlink/cluster/VoterSlots.java
@@ -15,18 +15,19 @@
 import java.util.logging.Level;
 
 /**
- * Which disks vote. Each router says with which disk it runs; the leader gives the voter slots of lost
- * disks to the new ones, and of routers to others where an operator says so. Event loop's thread only.
+ * The assignment of voter slots to disks. Each router announces its disk to the leader. The leader gives the
+ * slot of a lost disk to the new disk of the same router, and on an operator's command the slot of a router
+ * to another router. Event loop's thread only.
  */
 final class VoterSlots {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
     /**
-     * Seconds of the Raft library after which a router that does not say that its disk is there is not
-     * counted on.
+     * Seconds of the Raft library after which a router that has not announced its disk no longer counts as
+     * present.
      */
     private static final int PRESENCE_TIMEOUT_SECONDS = 16;
 
-    /** @param diskId in hex */
+    /** @param diskId the disk's id in hex */
     private record PresentDisk(String diskId, long lastSeenUs) {}
 
     private final EventLoop loop;
@@ -35,10 +36,11 @@
     private final KnownLeader leader;
     private final NodeMessageSender sender;
     private final Counters counters;
-    /** On the leader, by router; as many as may be known. */
-    private final Map<String, PresentDisk> present = new TreeMap<>();
+    /** Announced disks by router, on the leader only; at most {@code maxRouters}. */
+    private final Map<String, PresentDisk> presentDisks = new TreeMap<>();
     /**
-     * By an operator's command, whose slot goes to whom; each leaves as it has gone, all as another leads.
+     * Replacements requested by operators: the new router by the router that loses its slot. An entry is
+     * removed once carried out, all entries when this router no longer leads.
      */
     private final Map<String, String> operatorReplacements = new TreeMap<>();
 
@@ -59,7 +61,7 @@
         this.counters = counters;
     }
 
-    /** Routers that vote as the group stands; the configured ones where this router does not vote. */
+    /** Returns the routers that vote; on a router that does not vote, the configured initial voters. */
     Set<String> voters() {
         return voter.isVoting()
                 ? new TreeSet<>(disksByVoter().keySet())
@@ -68,26 +70,26 @@
 
     private Map<String, String> disksByVoter() {
         Map<String, String> disks = new TreeMap<>();
-        voter.replica().committedMembers().getMembers().forEach(m -> {
-            Voter member = (Voter) m;
-            disks.put(member.router(), Long.toHexString(member.diskId()));
+        voter.replica().committedMembers().getMembers().forEach(member -> {
+            Voter groupVoter = (Voter) member;
+            disks.put(groupVoter.router(), Long.toHexString(groupVoter.diskId()));
         });
         return disks;
     }
 
     /**
-     * Says with which disk this router runs; on the leader, makes the next change. To be called
-     * periodically.
+     * Announces this router's disk; on the leader, starts the next change of the group. Called periodically.
      */
     void tick() {
         announcePresence();
         if (!voter.isLeader()) {
-            present.clear();
+            presentDisks.clear();
             operatorReplacements.clear();
             changeInProgress = false;
             return;
         }
-        present.values()
+        presentDisks
+                .values()
                 .removeIf(disk -> loop.nowUs() - disk.lastSeenUs()
                         > PRESENCE_TIMEOUT_SECONDS * settings.timing().librarySecondUs());
         VoterReplacement.Change next = nextChange();
@@ -95,13 +97,13 @@
             boolean adding = next.removed() == null;
             Voter changed = Voter.parse(adding ? next.added() : next.removed());
             if (!changed.equals(voter.localVoter())) {
-                change(changed, adding);
+                changeGroup(changed, adding);
             }
         }
     }
 
     private void announcePresence() {
-        if (!voter.mayBePresent() || !leader.isKnown()) {
+        if (!voter.mayAnnouncePresence() || !leader.isKnown()) {
             return;
         }
         String diskId = Long.toHexString(voter.localVoter().diskId());
@@ -119,17 +121,18 @@
     }
 
     private void recordPresence(String router, String diskId) {
-        if (present.size() < settings.limits().maxRouters() || present.containsKey(router)) {
-            present.put(router, new PresentDisk(diskId, loop.nowUs()));
+        if (presentDisks.size() < settings.limits().maxRouters()
+                || presentDisks.containsKey(router)) {
+            presentDisks.put(router, new PresentDisk(diskId, loop.nowUs()));
         }
     }
 
-    /** Null where none is due, or one is under way. */
+    /** Returns the next change of the group; null if none is due or one is in progress. */
     private VoterReplacement.Change nextChange() {
         Map<String, String> voters = disksByVoter();
         Set<String> initialVoters = settings.routers().initialVoters();
         Map<String, String> eligible = new TreeMap<>();
-        present.forEach((router, disk) -> {
+        presentDisks.forEach((router, disk) -> {
             if (voters.containsKey(router)
                     || initialVoters.contains(router)
                     || operatorReplacements.containsValue(router)) {
@@ -146,7 +149,7 @@
                         voters, eligible, operatorReplacements, initialVoters.size());
     }
 
-    private void change(Voter changed, boolean adding) {
+    private void changeGroup(Voter changed, boolean adding) {
         changeInProgress = true;
         LOG.log(
                 Level.WARNING,
@@ -169,7 +172,8 @@
     }
 
     /**
-     * An operator gives a router's voter slot to another; it may get lost, and is seen in {@link #voters}.
+     * Gives a router's voter slot to another router, on an operator's command. The command may get lost; its
+     * outcome is visible in {@link #voters}.
      */
     void replace(String removedRouter, String addedRouter) {
         if (voter.isLeader()) {
