--- a/src/main/java/tinlink/cluster/KnownLeader.java
+++ b/src/main/java/tinlink/cluster/KnownLeader.java
@@ -1,13 +1,13 @@
 package tinlink.cluster;
 
 /**
- * Which router leads, as far as this one knows: by its own replica, or by what a voter has told a learner.
- * Event loop's thread only.
+ * The router that leads as far as this one knows, from its own replica or, on a learner, from the answer of a
+ * voter. Event loop's thread only.
  */
 final class KnownLeader {
     private String router = "";
 
-    /** Empty where none is known. */
+    /** Returns the leader's name; empty if no leader is known. */
     String router() {
         return router;
     }
@@ -16,7 +16,7 @@
         return !router.isEmpty();
     }
 
-    /** @param newLeader empty where none is known any more */
+    /** @param newLeader the leader's name; empty if no leader is known any more */
     void set(String newLeader) {
         router = newLeader;
     }
--- a/src/main/java/tinlink/cluster/Learner.java
+++ b/src/main/java/tinlink/cluster/Learner.java
@@ -11,8 +11,9 @@
 import java.util.TreeSet;
 
 /**
- * Catches up with what was agreed on: by the replica where this router votes, else by asking a voter, drawn
- * anew each time; and teaches others that ask. Event loop's thread only.
+ * Applies the committed lines of the Raft log on the event loop's thread: a voter gets them from its replica,
+ * a learner requests them from a voter drawn at random for each request. Also answers the requests of
+ * learners.
  */
 final class Learner {
     private final LearnerLog log;
@@ -20,7 +21,7 @@
     private final VoterLifecycle voter;
     private final NodeMessageSender sender;
     private final SplittableRandom random;
-    private final List<String> teachers;
+    private final List<String> otherVoters;
     private Runnable appliedListener = () -> {};
 
     Learner(
@@ -37,23 +38,24 @@
         this.random = random;
         Set<String> others = new TreeSet<>(settings.routers().initialVoters());
         others.remove(settings.local().router());
-        teachers = new ArrayList<>(others);
+        otherVoters = new ArrayList<>(others);
     }
 
-    /** Runs after something agreed on has been applied. */
+    /** Sets the listener that runs after committed lines or a snapshot were applied. */
     void setAppliedListener(Runnable listener) {
         appliedListener = listener;
     }
 
-    /** The index up to which all is known here. */
+    /** Returns the log index up to which this router has applied everything. */
     long index() {
         return log.index();
     }
 
-    /** Asks some other voter for what is missing here. */
+    /** Requests the lines after {@link #index} from a random other voter. */
     void requestBatch() {
-        if (!teachers.isEmpty()) {
-            sender.send(teachers.get(random.nextInt(teachers.size())), new Learn(log.index()));
+        if (!otherVoters.isEmpty()) {
+            sender.send(
+                    otherVoters.get(random.nextInt(otherVoters.size())), new Learn(log.index()));
         }
     }
 
@@ -62,7 +64,7 @@
         sender.send(router, new Learned(leader.router(), afterIndex, log.batchAfter(afterIndex)));
     }
 
-    /** Passed over but for the leader's name where the replica runs: that is ahead of it. */
+    /** Takes the leader's name from the message, and the batch unless the replica runs and is ahead of it. */
     void onLearned(Learned message) {
         if (!message.leader().isEmpty()) {
             leader.set(message.leader());
@@ -74,14 +76,14 @@
         }
     }
 
-    /** The replica has applied a line; an empty one marks a leader's term and changes nothing. */
+    /** Applies a line that the replica has applied; an empty line marks a leader's term, not a change. */
     void onApplied(long index, String line) {
         if (log.append(index, line) && !line.isEmpty()) {
             appliedListener.run();
         }
     }
 
-    /** The replica has installed a snapshot. */
+    /** Restores a snapshot that the replica has installed. */
     void onRestored(long index, List<String> lines) {
         if (log.restore(index, lines)) {
             appliedListener.run();
--- a/src/main/java/tinlink/cluster/NodeMessageSender.java
+++ b/src/main/java/tinlink/cluster/NodeMessageSender.java
@@ -1,6 +1,6 @@
 package tinlink.cluster;
 
-/** Sends to a router by its name; a message may get lost, also where no address of it is known. */
+/** Sends a message to a router by name. A message may get lost; without a known address it is dropped. */
 @FunctionalInterface
 interface NodeMessageSender {
     void send(String router, NodeMessage message);
