--- a/src/main/java/tinlink/cluster/MembershipMessageCodec.java
+++ b/src/main/java/tinlink/cluster/MembershipMessageCodec.java
@@ -9,7 +9,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** {@link MembershipMessage}s as bytes; their version is that of the handshake. */
+/** Encodes and decodes {@link MembershipMessage}s, in the version that the handshake has agreed on. */
 final class MembershipMessageCodec {
     private MembershipMessageCodec() {}
 
@@ -23,8 +23,10 @@
     }
 
     /**
-     * @throws MessageRejectedException where it is malformed or does not name its sender; a buffer that
-     *     is too short throws its own
+     * Decodes a message.
+     *
+     * @throws MessageRejectedException if the message is malformed or lacks the sender's own rumor
+     * @throws java.nio.BufferUnderflowException if the message is too short
      */
     static MembershipMessage decode(ByteBuffer buffer) throws MessageRejectedException {
         MessageKind kind = MessageKind.ofMembership(buffer.get());
@@ -32,7 +34,7 @@
         String target = MessageCodec.readText(buffer);
         List<Rumor> rumors = PeerProtocol.decodeRumors(buffer);
         if (rumors.isEmpty()) {
-            throw MessageCodec.malformed("a membership message that does not name its sender");
+            throw MessageCodec.malformed("membership message without the rumor of its sender");
         }
         return new MembershipMessage(kind, sequenceNumber, target, rumors);
     }
--- a/src/main/java/tinlink/cluster/MembershipTransport.java
+++ b/src/main/java/tinlink/cluster/MembershipTransport.java
@@ -18,8 +18,8 @@
 import java.util.logging.Level;
 
 /**
- * Carries out the decisions of {@link Membership} over the connections, and feeds it what comes in. Event
- * loop's thread only.
+ * Connects {@link Membership} with the connections to other routers: sends its messages, and passes it those
+ * received. Event loop's thread only.
  */
 final class MembershipTransport implements Membership.Handler {
     private static final EventLog LOG = new EventLog("tinlink.cluster");
@@ -31,7 +31,7 @@
     private final Incarnation self;
     private final Runnable onSelfConflict;
 
-    /** @param onSelfConflict runs where another process of this router is found */
+    /** @param onSelfConflict runs when a later or duplicate process of this router is found */
     MembershipTransport(
             EventLoop loop,
             Membership membership,
@@ -47,7 +47,7 @@
         this.onSelfConflict = onSelfConflict;
     }
 
-    /** @throws MessageRejectedException where it is malformed, or its kind is not known here */
+    /** @throws MessageRejectedException if the message is malformed or of an unknown kind */
     void onMessage(ByteBuffer payload) throws MessageRejectedException {
         MembershipMessage message = MembershipMessageCodec.decode(payload);
         String sender = message.rumors().get(0).address();
@@ -58,7 +58,7 @@
             case PROBE_REQUEST ->
                 membership.onProbeRequest(sender, message.sequenceNumber(), message.target());
             case PROBE_NACK -> membership.onNack(message.sequenceNumber());
-            default -> throw MessageCodec.malformed("a membership message of an unknown kind");
+            default -> throw MessageCodec.malformed("membership message of an unknown kind");
         }
     }
 
@@ -110,8 +110,8 @@
 
     @Override
     public void onSelfConflict(Incarnation.Relation relation, Incarnation other) {
-        boolean isDuplicate = relation == Incarnation.Relation.DUPLICATE;
-        connections.counters().increment(isDuplicate ? "peers_self_twin" : "peers_self_later");
+        boolean duplicate = relation == Incarnation.Relation.DUPLICATE;
+        connections.counters().increment(duplicate ? "peers_self_twin" : "peers_self_later");
         LOG.log(
                 Level.SEVERE,
                 "duplicate_router",
@@ -124,7 +124,7 @@
         onSelfConflict.run();
     }
 
-    /** The turn in which it is due pulls decisions. */
+    /** Schedules an empty task: each turn of the event loop ends with the due decisions. */
     @Override
     public void scheduleWakeUp(long atUs) {
         loop.schedule(atUs, () -> {});
--- a/src/main/java/tinlink/cluster/MessageDispatcher.java
+++ b/src/main/java/tinlink/cluster/MessageDispatcher.java
@@ -12,7 +12,7 @@
 
 import java.nio.ByteBuffer;
 
-/** Gives each message of another router to the part of this node that it is for. Event loop's thread only. */
+/** Routes the messages of other routers to the components of this node. Event loop's thread only. */
 final class MessageDispatcher implements PeerConnections.MessageHandler {
     private final MembershipTransport membership;
     private final VoterLifecycle voter;
@@ -40,14 +40,14 @@
     }
 
     @Override
-    public void onMessage(Incarnation from, byte type, ByteBuffer payload)
+    public void onMessage(Incarnation source, byte type, ByteBuffer payload)
             throws MessageRejectedException {
         switch (type) {
             case PeerProtocol.MEMBERSHIP -> membership.onMessage(payload);
             case PeerProtocol.RAFT -> onRaftMessage(payload);
             case PeerProtocol.NODE ->
-                onNodeMessage(from, NodeMessageCodec.decode(from.router(), payload));
-            default -> throw MessageCodec.malformed("a frame of type " + type);
+                onNodeMessage(source, NodeMessageCodec.decode(source.router(), payload));
+            default -> throw MessageCodec.malformed("frame of unknown type " + type);
         }
     }
 
@@ -58,8 +58,8 @@
         voter.onRaftMessage(recipient, message);
     }
 
-    private void onNodeMessage(Incarnation from, NodeMessage message) {
-        String router = from.router();
+    private void onNodeMessage(Incarnation source, NodeMessage message) {
+        String router = source.router();
         if (message instanceof NodeMessage.Learn learn) {
             learner.onLearn(router, learn);
         } else if (message instanceof NodeMessage.Learned learned) {
@@ -69,7 +69,7 @@
         } else if (message instanceof NodeMessage.Proposed proposed) {
             leaderRequests.onProposed(proposed);
         } else if (message instanceof NodeMessage.AdmissionRequest admissionRequest) {
-            sender.send(router, admissionResponder.respond(from, admissionRequest));
+            sender.send(router, admissionResponder.respond(source, admissionRequest));
         } else if (message instanceof NodeMessage.AdmissionResponse admissionResponse) {
             voter.onAdmissionResponse(router, admissionResponse);
         } else if (message instanceof NodeMessage.Report report) {
--- a/src/main/java/tinlink/cluster/RouterAddresses.java
+++ b/src/main/java/tinlink/cluster/RouterAddresses.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Where routers are reached. Members carry a router's name with its address, since the same router may be
- * reached at different ones from different places: what is configured here wins over what it says of itself.
- * Event loop's thread only.
+ * The addresses at which this router reaches others. The addresses of members are prefixed with the router's
+ * name: a router may have different addresses as seen from different networks, so an address configured here
+ * takes precedence over the advertised one. Event loop's thread only.
  */
 final class RouterAddresses {
     private static final char SEPARATOR = '@';
@@ -16,18 +16,18 @@
     private final Map<String, String> configured;
     private final Membership membership;
 
-    /** @param configured by router, host and port; read anew at each use */
+    /** @param configured host and port by router; read again at each use */
     RouterAddresses(Map<String, String> configured, Membership membership) {
         this.configured = configured;
         this.membership = membership;
     }
 
-    /** The address as members tell it each other. */
+    /** Returns the address with the router's name as prefix, as membership messages carry it. */
     static String withRouterName(String router, String address) {
         return router + SEPARATOR + address;
     }
 
-    /** Host and port by which to reach what {@link #withRouterName} has made. */
+    /** Returns host and port for an address in the form of {@link #withRouterName}. */
     String resolve(String memberAddress) {
         int separator = memberAddress.lastIndexOf(SEPARATOR);
         return configured.getOrDefault(
@@ -35,7 +35,7 @@
                 memberAddress.substring(separator + 1));
     }
 
-    /** Host and port of a router; null where it is neither configured nor a member. */
+    /** Returns host and port of a router; null if it is neither configured nor a member. */
     String addressOf(String router) {
         Member member = membership.member(router);
         String address = configured.get(router);
