--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -34,10 +34,10 @@
 import java.util.function.LongConsumer;
 
 /**
- * A router among the others of its cluster: which of them are there, what they agree on, and what is passed
- * on to the one that leads. It wires membership, consensus and transport together and decides nothing
- * itself. All state belongs to the event loop's thread; Raft has a thread of its own, for its disk blocks.
- * Nothing that serves clients waits for any of it.
+ * This router's node in the cluster of routers. It wires together membership, consensus, the requests to the
+ * leader, and transport, and decides nothing itself. All state belongs to the event loop's thread, except
+ * that Raft runs on a thread of its own, since its disk writes block. Serving clients never waits for
+ * any of it.
  */
 public final class ClusterNode implements RaftReplica.Listener, EventLoopParticipant {
     private final EventLoop loop;
@@ -61,12 +61,12 @@
     private boolean closed;
 
     /**
-     * Opens the folder and listens; others are looked for from {@link #start} on.
+     * Opens the data folder and listens for connections; {@link #start} begins to contact other routers.
      *
-     * @param folder of this router alone, made where it is not there
-     * @param stateMachine what is agreed on, as the event loop's thread has it
-     * @param voterStateMachine the same once more, for the thread of Raft
-     * @throws IOException where the folder or the address can't be used
+     * @param folder the data folder, used by this router alone; created if missing
+     * @param stateMachine receives the committed lines on the event loop's thread
+     * @param voterStateMachine a second instance, which receives them on the Raft thread
+     * @throws IOException if the folder or the listen address can't be used
      */
     public ClusterNode(
             EventLoop loop,
@@ -138,7 +138,7 @@
                 ? "127.0.0.1:" + connections.address().getPort()
                 : local.advertisedAddress();
         List<String> seeds = settings.routers().addresses().entrySet().stream()
-                .map(e -> RouterAddresses.withRouterName(e.getKey(), e.getValue()))
+                .map(entry -> RouterAddresses.withRouterName(entry.getKey(), entry.getValue()))
                 .toList();
         return new Membership(
                 identity.incarnation,
@@ -151,10 +151,12 @@
                 random.split());
     }
 
-    /** Disks of the cluster's first start are number 0: those of others are not known then. */
+    /** Voters at the cluster's first start have disk id 0, since each router knows only its own disk's id. */
     private RaftReplica newReplica(Voter localVoter) {
         List<Voter> initialVoters = new ArrayList<>();
-        settings.routers().initialVoters().forEach(r -> initialVoters.add(new Voter(r, 0)));
+        settings.routers()
+                .initialVoters()
+                .forEach(router -> initialVoters.add(new Voter(router, 0)));
         return new RaftReplica(
                 localVoter,
                 initialVoters,
@@ -166,11 +168,11 @@
                         raftExecutor,
                         new Random(random.nextLong()),
                         this::sendRaft,
-                        v -> true),
+                        recipient -> true),
                 settings.limits().snapshotIntervalLines());
     }
 
-    /** From now on it looks for others and takes its part in agreeing. */
+    /** Starts to contact other routers and to take part in consensus. */
     public void start() {
         voter.start();
         tick();
@@ -190,34 +192,34 @@
         loop.schedule(loop.nowUs() + settings.timing().librarySecondUs() / 2, this::tick);
     }
 
-    // What is known.
+    // Status.
 
-    /** The routers that are known, and which of them answer. */
+    /** Returns the known routers and their states. */
     public Membership membership() {
         return membership;
     }
 
-    /** This process of this router. */
+    /** Returns the incarnation of this process. */
     public Incarnation incarnation() {
         return identity.incarnation;
     }
 
-    /** What has happened on its connections and to its members. */
+    /** Returns the counters of connections and members. */
     public Counters counters() {
         return connections.counters();
     }
 
-    /** Messages and bytes by kind. */
+    /** Returns the messages and bytes by message kind. */
     public TrafficCounters traffic() {
         return connections.traffic();
     }
 
-    /** Open connections with other routers. */
+    /** Returns the number of open connections with other routers. */
     public int connectionCount() {
         return connections.connectionCount();
     }
 
-    /** The router that leads, as far as is known; empty where none is known to. */
+    /** Returns the leader's name as far as this router knows; empty if it knows none. */
     public String leader() {
         return leader.router();
     }
@@ -227,78 +229,85 @@
         return voter.isLeader();
     }
 
-    /** Its disk is an old copy, or another process of this router runs: it never votes by it. */
+    /**
+     * Whether the disk was found to be an old copy, which never votes, or another process of this router
+     * runs.
+     */
     public boolean hasStaleDisk() {
         return voter.hasStaleDisk();
     }
 
-    /** Where it listens. */
+    /** Returns the address that this router listens at. */
     public InetSocketAddress address() throws IOException {
         return connections.address();
     }
 
-    /** Routers that vote as the group stands; the configured ones where this router does not vote. */
+    /** Returns the routers that vote; on a router that does not vote, the configured initial voters. */
     public Set<String> voters() {
         return voterSlots.voters();
     }
 
-    /** The index up to which this router has applied what was agreed on. */
+    /** Returns the log index up to which this router has applied everything. */
     public long learnedIndex() {
         return learner.index();
     }
 
-    // What others have it do.
+    // Operations.
 
-    /** Runs on the event loop's thread after something agreed on has been applied. */
+    /** Sets the listener that runs on the event loop's thread after committed lines were applied. */
     public void setAppliedListener(Runnable listener) {
         learner.setAppliedListener(listener);
     }
 
-    /** Receives what routers report to the leader, with their names; on the leader alone. */
+    /** Sets the listener that receives each report with its sender's name, on the leader only. */
     public void setReportListener(BiConsumer<String, String> listener) {
         leaderRequests.setReportListener(listener);
     }
 
-    /** Uses these keys for connections from now on; those that are open stay. */
+    /** Sets the keys for new connections; open connections stay. */
     public void setKeys(KeyRing newKeys) {
         connections.setKeys(newKeys);
     }
 
     /**
-     * Proposes a line to whoever leads.
+     * Proposes a line, through the leader if another router leads.
      *
-     * @param onResult the state machine's reply with null, or null with why it is not known to be agreed on
+     * @param onResult receives the state machine's reply and null, or null and the reason why it is not
+     *     known whether the line was committed
      */
     public void propose(String line, BiConsumer<String, String> onResult) {
         leaderRequests.propose(line, onResult);
     }
 
     /**
-     * Asks whoever leads for the commit index, confirmed by a majority.
+     * Requests the commit index, confirmed by a majority, from the leader.
      *
-     * @param onIndex the index up to which a router has to have applied all to know all that was agreed on as
-     *     this was asked; it may never be called
+     * @param onIndex receives the index: a router that has applied the log up to it knows everything that
+     *     was committed before this call. May never be called
      */
     public void confirmCommitIndex(LongConsumer onIndex) {
         leaderRequests.confirmCommitIndex(onIndex);
     }
 
-    /** Reports to whoever leads; it may get lost. */
+    /** Sends a report to the leader; it may get lost. */
     public void reportToLeader(String line) {
         leaderRequests.report(line);
     }
 
-    /** An operator gives a router's voter slot to another; what came of it is seen in {@link #voters}. */
+    /**
+     * Gives a router's voter slot to another router, on an operator's command. The command may get lost; its
+     * outcome is visible in {@link #voters}.
+     */
     public void replaceVoter(String removedRouter, String addedRouter) {
         voterSlots.replace(removedRouter, addedRouter);
     }
 
-    /** Notifies others that this process ends. */
+    /** Announces to other routers that this process ends. */
     public void leave() {
         membership.leave();
     }
 
-    /** Closes all; the folder is free once this returns. */
+    /** Closes the node; once this returns, another process may use the data folder. */
     public void close() throws IOException {
         closed = true;
         connections.close();
@@ -308,7 +317,7 @@
         identity.close();
     }
 
-    // Its part in a turn of the event loop.
+    // EventLoopParticipant.
 
     @Override
     public void turnStarted(long nowUs) {
@@ -318,16 +327,16 @@
     @Override
     public void turnEnding() {
         while (!closed && membership.decide(membershipHandler())) {
-            // Each decision has been carried out.
+            // Each call carries out one decision.
         }
     }
 
-    /** What carries out the decisions of membership. */
+    /** Returns the handler that carries out the decisions of membership; for tests. */
     Membership.Handler membershipHandler() {
         return membershipTransport;
     }
 
-    // Messages.
+    // Sending of messages.
 
     private void send(String router, NodeMessage message) {
         String address = addresses.addressOf(router);
@@ -339,7 +348,7 @@
         }
     }
 
-    /** On the thread of Raft. */
+    /** Called on the Raft thread. */
     private void sendRaft(Voter recipient, RaftMessage message) {
         byte[] encoded = RaftCodec.encode(message);
         loop.execute(() -> {
@@ -356,7 +365,7 @@
         });
     }
 
-    // What the replica has come to; called on the thread of Raft.
+    // RaftReplica.Listener; called on the Raft thread.
 
     @Override
     public void onApplied(long index, String line) {
--- a/src/main/java/tinlink/cluster/ClusterSettings.java
+++ b/src/main/java/tinlink/cluster/ClusterSettings.java
@@ -7,18 +7,21 @@
 import java.util.Set;
 
 /**
- * What a {@link ClusterNode} is configured with. Times are microseconds.
+ * The configuration of a {@link ClusterNode}. Times are in microseconds.
  *
- * @param seed of the draws of chance: which member is probed next, whom a learner asks, election timeouts
+ * @param seed seed of the random draws: the order of probes, the voter that a learner asks, election timeouts
  */
 public record ClusterSettings(
         LocalRouter local, KnownRouters routers, Timing timing, Limits limits, long seed) {
 
     /**
-     * Which cluster, and which router of it this one is.
+     * The identity and the addresses of this router.
      *
-     * @param advertisedAddress where others reach it, host and port; empty for the loopback address and the
-     *     port that it listens at
+     * @param cluster the name of the cluster
+     * @param router this router's name
+     * @param listenAddress the address to accept connections of other routers at
+     * @param advertisedAddress host and port at which others reach this router; empty for the loopback
+     *     address with the port that it listens at
      */
     public record LocalRouter(
             String cluster,
@@ -27,22 +30,23 @@
             String advertisedAddress) {}
 
     /**
-     * The routers that are known to begin with.
+     * The routers known from the configuration.
      *
-     * @param addresses by router where it is reached from here, read anew at each use; others are reached
-     *     where they say
-     * @param initialVoters who votes at the very first start of the cluster
+     * @param addresses host and port by router, as reached from this router; read again at each use. A router
+     *     that is missing here is reached at the address that it advertises
+     * @param initialVoters the routers that vote at the first start of the cluster
      */
     public record KnownRouters(Map<String, String> addresses, Set<String> initialVoters) {}
 
     /**
-     * The paces of membership, Raft and connections.
+     * The intervals and timeouts of membership, Raft and connections.
      *
-     * @param probeIntervalUs between two probes
-     * @param indirectProbes members that are asked to probe one that does not answer
-     * @param librarySecondUs how long one of the Raft library's seconds is; a leader is missed after four
-     * @param handshakeTimeoutUs within which a connection has to be authenticated
-     * @param idleTimeoutUs after which a connection without messages is closed
+     * @param probeIntervalUs interval between two probes of membership
+     * @param indirectProbes number of members asked to probe a member that does not answer
+     * @param librarySecondUs duration of one second of the Raft library; a follower misses its leader after
+     *     four of them
+     * @param handshakeTimeoutUs time within which a connection has to be authenticated
+     * @param idleTimeoutUs time without messages after which a connection is closed
      */
     public record Timing(
             long probeIntervalUs,
@@ -52,19 +56,20 @@
             long idleTimeoutUs) {}
 
     /**
-     * Bounds.
+     * The bounds on memory, connections and disk.
      *
-     * @param maxRouters that are known at a time
-     * @param maxUnauthenticatedConnections at a time; the oldest is closed for a further one
-     * @param maxDiskBytes of the log with its snapshots
-     * @param snapshotIntervalLines agreed lines between two snapshots
+     * @param maxRouters maximum number of other routers known at a time
+     * @param maxUnauthenticatedConnections maximum number of connections that are not yet authenticated;
+     *     beyond it the oldest is closed
+     * @param maxDiskBytes maximum size of the log with its snapshots
+     * @param snapshotIntervalLines committed lines between two snapshots
      */
     public record Limits(
             int maxRouters,
             int maxUnauthenticatedConnections,
             long maxDiskBytes,
             int snapshotIntervalLines) {
-        /** With as many unauthenticated connections as where nothing is configured. */
+        /** Creates limits with the default number of unauthenticated connections. */
         public Limits(int maxRouters, long maxDiskBytes, int snapshotIntervalLines) {
             this(
                     maxRouters,
