--- a/src/test/java/tinlink/cluster/ClusterNodeTest.java
+++ b/src/test/java/tinlink/cluster/ClusterNodeTest.java
@@ -34,8 +34,8 @@
 import java.util.stream.Stream;
 
 /**
- * Peers on loopback sockets and real folders: agreeing through restarts, old copies, lost disks,
- * wrong keys.
+ * Routers on loopback sockets with real data folders: consensus through restarts, with an old copy of a disk,
+ * with a lost disk, and connections with a wrong key.
  */
 @Timeout(60)
 class ClusterNodeTest {
@@ -48,7 +48,7 @@
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final Map<String, TestNode> nodes = new LinkedHashMap<>();
 
-    /** Lines in the order in which they were agreed. */
+    /** A state machine whose state is the list of all committed lines. */
     private static final class RecordingStateMachine implements ReplicatedStateMachine {
         private final List<String> lines = new ArrayList<>();
 
@@ -64,9 +64,9 @@
         }
 
         @Override
-        public synchronized void restore(List<String> from) {
+        public synchronized void restore(List<String> snapshot) {
             lines.clear();
-            lines.addAll(from);
+            lines.addAll(snapshot);
         }
     }
 
@@ -77,7 +77,7 @@
         final ClusterNode clusterNode;
         final Thread thread;
 
-        TestNode(String name, KeyRing keys, int voters, Path where) throws IOException {
+        TestNode(String name, KeyRing keys, int voters, Path dataFolder) throws IOException {
             network = new Network(loop);
             int port = Integer.parseInt(
                     addresses.get(name).substring(addresses.get(name).indexOf(':') + 1));
@@ -99,7 +99,7 @@
                             new ClusterSettings.Limits(64, 8 << 20, 20),
                             name.hashCode()),
                     keys,
-                    where,
+                    dataFolder,
                     stateMachine,
                     new RecordingStateMachine());
             thread = new Thread(() -> loop.run(clusterNode), name);
@@ -108,8 +108,8 @@
             thread.start();
         }
 
-        <T> T callOnLoop(Supplier<T> what) {
-            return loop.submitAndWait(what);
+        <T> T callOnLoop(Supplier<T> task) {
+            return loop.submitAndWait(task);
         }
 
         void close() {
@@ -162,12 +162,12 @@
         throw new AssertionError("waited for 20 s: " + description);
     }
 
-    /** Says it until it is agreed, as whoever asks for something does. */
-    private void proposeUntilAgreed(TestNode node, String line) throws Exception {
+    /** Proposes the line again until it is committed, as callers do since messages may get lost. */
+    private void proposeUntilCommitted(TestNode node, String line) throws Exception {
         for (int i = 0; i < 100; i++) {
             CompletableFuture<String> reply = new CompletableFuture<>();
             node.loop.execute(
-                    () -> node.clusterNode.propose(line, (text, e) -> reply.complete(text)));
+                    () -> node.clusterNode.propose(line, (text, failure) -> reply.complete(text)));
             String text = reply.completeOnTimeout(null, 2, TimeUnit.SECONDS).get();
             if (text != null) {
                 assertTrue(text.startsWith("no. "), text);
@@ -175,7 +175,7 @@
             }
             Thread.sleep(50);
         }
-        throw new AssertionError("not agreed: " + line);
+        throw new AssertionError("not committed: " + line);
     }
 
     private void waitUntilAllEqual(String description) throws InterruptedException {
@@ -193,7 +193,7 @@
                 .count();
     }
 
-    private static long wrongProofs(TestNode node) {
+    private static long wrongProofCount(TestNode node) {
         return node.callOnLoop(() -> node.clusterNode.counters().get("peers_wrong_proof"));
     }
 
@@ -204,37 +204,39 @@
         });
     }
 
-    private static void copyFolder(Path from, Path to) throws IOException {
-        try (Stream<Path> files = Files.walk(from)) {
-            for (Path source : files.toList()) {
-                Path target = to.resolve(from.relativize(source).toString());
-                if (Files.isDirectory(source)) {
-                    Files.createDirectories(target);
+    private static void copyFolder(Path source, Path target) throws IOException {
+        try (Stream<Path> files = Files.walk(source)) {
+            for (Path path : files.toList()) {
+                Path copy = target.resolve(source.relativize(path).toString());
+                if (Files.isDirectory(path)) {
+                    Files.createDirectories(copy);
                 } else {
-                    Files.copy(source, target);
+                    Files.copy(path, copy);
                 }
             }
         }
     }
 
     @Test
-    void routersAgreeThroughRestartsAndCatchUp() throws Exception {
+    void routersCommitThroughRestartsAndCatchUp() throws Exception {
         reserveAddresses(5);
         for (String router : addresses.keySet()) {
             start(router, 3);
         }
         for (int i = 0; i < 30; i++) {
-            proposeUntilAgreed(nodes.get("r" + i % 5), "line " + i);
+            proposeUntilCommitted(nodes.get("r" + i % 5), "line " + i);
         }
-        waitUntilAllEqual("all hear the same, also who does not vote");
+        waitUntilAllEqual("all routers, voters and learners, have the same lines");
         String leader =
                 nodes.get("r4").callOnLoop(() -> nodes.get("r4").clusterNode.leader());
         nodes.remove(leader).close();
-        proposeUntilAgreed(nodes.get("r4"), "without " + leader);
+        proposeUntilCommitted(nodes.get("r4"), "without " + leader);
         TestNode restarted = start(leader, 3);
-        waitUntil("it is back", () -> stateOf(nodes.get("r4"), leader) == MemberState.ALIVE);
-        proposeUntilAgreed(restarted, "with it again");
-        waitUntilAllEqual("who was away has all of it");
+        waitUntil(
+                leader + " is alive again",
+                () -> stateOf(nodes.get("r4"), leader) == MemberState.ALIVE);
+        proposeUntilCommitted(restarted, "with " + leader);
+        waitUntilAllEqual("the restarted router has all lines");
         assertTrue(nodes.get("r3").stateMachine.snapshot().size() >= 32);
     }
 
@@ -244,26 +246,25 @@
         for (String router : addresses.keySet()) {
             start(router, 3);
         }
-        proposeUntilAgreed(nodes.get("r0"), "first");
+        proposeUntilCommitted(nodes.get("r0"), "first");
         nodes.remove("r1").close();
         copyFolder(folder.resolve("r1"), folder.resolve("copy"));
-        TestNode r1 = start("r1", 3);
+        TestNode restarted = start("r1", 3);
         for (int i = 0; i < 10; i++) {
-            proposeUntilAgreed(r1, "more " + i);
+            proposeUntilCommitted(restarted, "more " + i);
         }
         nodes.remove("r1").close();
         TestNode stale = new TestNode("r1", KEYS, 3, folder.resolve("copy"));
         nodes.put("r1", stale);
         waitUntil(
-                "the old copy is found out",
+                "the old copy of the disk is detected",
                 () -> stale.callOnLoop(stale.clusterNode::hasStaleDisk));
         nodes.remove("r1").close();
-        TestNode lost = new TestNode("r1", KEYS, 3, folder.resolve("nothing"));
+        TestNode lost = new TestNode("r1", KEYS, 3, folder.resolve("empty"));
         nodes.put("r1", lost);
         waitUntil(
-                "the lost disk is found out",
-                () -> lost.callOnLoop(lost.clusterNode::hasStaleDisk));
-        proposeUntilAgreed(nodes.get("r0"), "the two others go on");
+                "the lost disk is detected", () -> lost.callOnLoop(lost.clusterNode::hasStaleDisk));
+        proposeUntilCommitted(nodes.get("r0"), "with two of three voters");
     }
 
     @Test
@@ -271,7 +272,7 @@
         reserveAddresses(3);
         start("r0", 1);
         start("r1", 1);
-        proposeUntilAgreed(nodes.get("r1"), "a line");
+        proposeUntilCommitted(nodes.get("r1"), "a line");
         nodes.put(
                 "r2",
                 new TestNode(
@@ -284,8 +285,8 @@
                         1,
                         folder.resolve("r2")));
         waitUntil(
-                "a wrong key is rejected",
-                () -> wrongProofs(nodes.get("r0")) + wrongProofs(nodes.get("r2")) > 0);
+                "a proof with the wrong key is rejected",
+                () -> wrongProofCount(nodes.get("r0")) + wrongProofCount(nodes.get("r2")) > 0);
         assertNull(stateOf(nodes.get("r0"), "r2"));
         assertEquals(List.of(), nodes.get("r2").stateMachine.snapshot());
         nodes.remove("r2").close();
@@ -298,7 +299,7 @@
         nodes.clear();
         try {
             new TestNode("r1", KEYS, 1, folder.resolve("r0"));
-            throw new AssertionError("it took the folder of r0");
+            throw new AssertionError("r1 opened the data folder of r0");
         } catch (IOException e) {
             assertTrue(e.getMessage().contains("belongs to router r0"), e.getMessage());
         }
