--- a/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/cluster/ClusterLinksGoldenFilesTest.java
@@ -64,12 +64,15 @@
 import java.util.function.Supplier;
 
 /**
- * All that goes over the links of a cluster, byte for byte as earlier builds wrote it. A router of the code
- * under test speaks with plain sockets; what it has written as one router is read by it as another one. Seals
- * are checked and made by the sockets' side and stand in no record.
+ * Guards the wire format between the routers of a cluster: if a message differed in a byte from those of
+ * earlier builds, routers of different builds could not understand each other. The router under test talks to
+ * plain sockets. The messages that it sends in one role are compared with the golden file, and the recorded
+ * messages are sent to it in the other role. The sockets' side verifies and computes the authentication tags,
+ * which are not recorded.
  */
 @Timeout(120)
-@SuppressWarnings("FutureReturnValueIgnored") // What is written is looked at, not what is answered.
+@SuppressWarnings(
+        "FutureReturnValueIgnored") // The tests check the messages, not the results of the calls.
 class ClusterLinksGoldenFilesTest {
     private static final String FILE = "cluster-links.txt";
     private static final KeyRing KEYS =
@@ -78,9 +81,9 @@
     private static final int HELLO = 1;
     private static final int CHALLENGE = 2;
     private static final int PROOF = 3;
-    private static final int MEMBER = 4;
+    private static final int MEMBERSHIP = 4;
     private static final int RAFT = 5;
-    private static final int WORD = 6;
+    private static final int NODE = 6;
     private static final int PROBE = 1;
     private static final int ACK = 2;
     private static final int PROBE_REQUEST = 3;
@@ -89,32 +92,32 @@
     private static final int LEARNED = 2;
     private static final int PROPOSE = 3;
     private static final int PROPOSED = 4;
-    private static final int MAY_VOTE = 5;
-    private static final int HAS_HEARD = 6;
-    private static final int NEWS = 7;
-    private static final int SEAT = 8;
-    private static final int REPLACE = 9;
-    private static final int CONFIRM = 10;
-    private static final int CONFIRMED = 11;
+    private static final int ADMISSION_REQUEST = 5;
+    private static final int ADMISSION_RESPONSE = 6;
+    private static final int REPORT = 7;
+    private static final int PRESENCE = 8;
+    private static final int REPLACE_VOTER = 9;
+    private static final int CONFIRM_REQUEST = 10;
+    private static final int CONFIRM_RESPONSE = 11;
 
     private static final int NONCE_BYTES = 32;
     private static final int PROOF_BYTES = 32;
-    private static final int WORD_BYTES = 8;
-    private static final int SEAL_BYTES = 16;
-    private static final long DISK = 0x1234567890abcdefL;
+    private static final int INCARNATION_NONCE_BYTES = 8;
+    private static final int TAG_BYTES = 16;
+    private static final long DISK_ID = 0x1234567890abcdefL;
     private static final String LINE = "life\tr1\tr1#1.é\\t";
-    private static final String NEWS_LINE = "saw\tn1\ttrue";
-    private static final long NUMBER = 0x0102030405060708L;
+    private static final String REPORT_LINE = "saw\tn1\ttrue";
+    private static final long SEQUENCE_NUMBER = 0x0102030405060708L;
 
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> openResources = new ArrayList<>();
 
     @AfterEach
     void closeAll() throws Exception {
-        for (int i = open.size() - 1; i >= 0; i--) {
-            open.get(i).close();
+        for (int i = openResources.size() - 1; i >= 0; i--) {
+            openResources.get(i).close();
         }
     }
 
@@ -124,10 +127,10 @@
         return all;
     }
 
-    /** What stands for what was drawn, where a record is sent. */
-    private static Map<String, byte[]> drawn(byte[] proof) {
+    /** Returns the values to send in place of the random fields of a record. */
+    private static Map<String, byte[]> drawnValues(byte[] proof) {
         Map<String, byte[]> all = new TreeMap<>();
-        all.put("word", bytes(0x55, WORD_BYTES));
+        all.put("word", bytes(0x55, INCARNATION_NONCE_BYTES));
         all.put("nonce", bytes(0x66, NONCE_BYTES));
         if (proof != null) {
             all.put("proof", proof);
@@ -135,9 +138,9 @@
         return all;
     }
 
-    // ---- The code under test: a router, and one call a kind of message. ----
+    // ---- The router under test, with a method for each kind of message that it sends. ----
 
-    /** RecordingStateMachine in the order in which they were agreed. */
+    /** A state machine whose state is the list of all committed lines. */
     private static final class RecordingStateMachine implements ReplicatedStateMachine {
         private final List<String> lines = new ArrayList<>();
 
@@ -153,28 +156,28 @@
         }
 
         @Override
-        public synchronized void restore(List<String> from) {
+        public synchronized void restore(List<String> snapshot) {
             lines.clear();
-            lines.addAll(from);
+            lines.addAll(snapshot);
         }
     }
 
     private final class Router implements AutoCloseable {
         final EventLoop loop = new EventLoop();
         final RecordingStateMachine stateMachine = new RecordingStateMachine();
-        final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
         final Network network;
         final ClusterNode node;
 
-        /** @param lines between two snapshots, and those that are passed on one by one */
-        Router(String name, Set<String> voters, Map<String, String> known, int lines)
+        /** @param snapshotInterval lines between two snapshots, and kept one by one for learners */
+        Router(String name, Set<String> voters, Map<String, String> addresses, int snapshotInterval)
                 throws IOException {
             network = new Network(loop);
-            Path at = folder.resolve(name + "-" + open.size());
-            try (DurableLog self = new DurableLog(at.resolve("self"), 1 << 16)) {
+            Path dataFolder = folder.resolve(name + "-" + openResources.size());
+            try (DurableLog self = new DurableLog(dataFolder.resolve("self"), 1 << 16)) {
                 self.append(ByteBuffer.allocate(17 + name.length())
                         .putLong(4)
-                        .putLong(DISK)
+                        .putLong(DISK_ID)
                         .put((byte) 0)
                         .put(name.getBytes(StandardCharsets.UTF_8))
                         .array());
@@ -189,77 +192,78 @@
                                     name,
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                     "127.0.0.1:1"),
-                            new ClusterSettings.KnownRouters(known, voters),
+                            new ClusterSettings.KnownRouters(addresses, voters),
                             new ClusterSettings.Timing(400_000, 2, 100_000, 2_000_000, 20_000_000),
-                            new ClusterSettings.Limits(64, 8 << 20, lines),
+                            new ClusterSettings.Limits(64, 8 << 20, snapshotInterval),
                             1),
                     KEYS,
-                    at,
+                    dataFolder,
                     stateMachine,
                     new RecordingStateMachine());
-            node.setReportListener((from, line) -> news.add(from + " " + line));
+            node.setReportListener((sender, line) -> reports.add(sender + " " + line));
             Thread thread = new Thread(() -> loop.run(node), name);
             thread.setDaemon(true);
             thread.start();
-            open.add(this);
-            on(() -> {
+            openResources.add(this);
+            callOnLoop(() -> {
                 node.start();
                 return 0;
             });
         }
 
-        <T> T on(Supplier<T> what) {
-            return loop.submitAndWait(what);
+        <T> T callOnLoop(Supplier<T> task) {
+            return loop.submitAndWait(task);
         }
 
-        void becomes(BooleanSupplier what) throws InterruptedException {
+        void waitUntil(BooleanSupplier condition) throws InterruptedException {
             for (int i = 0; i < 2000; i++) {
-                if (Boolean.TRUE.equals(on(what::getAsBoolean))) {
+                if (Boolean.TRUE.equals(callOnLoop(condition::getAsBoolean))) {
                     return;
                 }
                 Thread.sleep(5);
             }
-            throw new AssertionError("it has not come to that");
+            throw new AssertionError("the condition did not hold within 10 s");
         }
 
         int port() throws IOException {
             return node.address().getPort();
         }
 
-        /** As a member's message says where it is reached: the plain sockets' addresses are known. */
-        void sendsMember(int kind, String to, List<Rumor> rumors) {
-            on(() -> {
-                Membership.Handler members = node.membershipHandler();
+        /** @param recipient the recipient with the address that it advertises; the configured one is used */
+        void sendMembership(int kind, String recipient, List<Rumor> rumors) {
+            callOnLoop(() -> {
+                Membership.Handler handler = node.membershipHandler();
                 switch (kind) {
-                    case PROBE -> members.sendProbe(to, NUMBER, rumors);
-                    case ACK -> members.sendAck(to, NUMBER, rumors);
+                    case PROBE -> handler.sendProbe(recipient, SEQUENCE_NUMBER, rumors);
+                    case ACK -> handler.sendAck(recipient, SEQUENCE_NUMBER, rumors);
                     case PROBE_REQUEST ->
-                        members.sendProbeRequest(to, NUMBER, "r3@127.0.0.1:3", rumors);
-                    default -> members.sendNack(to, NUMBER, rumors);
+                        handler.sendProbeRequest(
+                                recipient, SEQUENCE_NUMBER, "r3@127.0.0.1:3", rumors);
+                    default -> handler.sendNack(recipient, SEQUENCE_NUMBER, rumors);
                 }
                 return 0;
             });
         }
 
-        CompletableFuture<String> proposes(String line) {
-            CompletableFuture<String> answer = new CompletableFuture<>();
-            loop.execute(
-                    () -> node.propose(line, (said, why) -> answer.complete(said + " " + why)));
-            return answer;
+        CompletableFuture<String> propose(String line) {
+            CompletableFuture<String> result = new CompletableFuture<>();
+            loop.execute(() ->
+                    node.propose(line, (reply, failure) -> result.complete(reply + " " + failure)));
+            return result;
         }
 
-        CompletableFuture<Long> confirms() {
-            CompletableFuture<Long> answer = new CompletableFuture<>();
-            loop.execute(() -> node.confirmCommitIndex(answer::complete));
-            return answer;
+        CompletableFuture<Long> confirmCommitIndex() {
+            CompletableFuture<Long> result = new CompletableFuture<>();
+            loop.execute(() -> node.confirmCommitIndex(result::complete));
+            return result;
         }
 
-        void tells(String line) {
+        void report(String line) {
             loop.execute(() -> node.reportToLeader(line));
         }
 
-        void replaces(String from, String to) {
-            loop.execute(() -> node.replaceVoter(from, to));
+        void replaceVoter(String removedRouter, String addedRouter) {
+            loop.execute(() -> node.replaceVoter(removedRouter, addedRouter));
         }
 
         String leader() {
@@ -278,8 +282,8 @@
             return node.learnedIndex();
         }
 
-        /** Messages of a kind that have come in. */
-        long came(String kind) {
+        /** Returns the number of messages received, by the label of their kind. */
+        long receivedCount(String kind) {
             long[] counts = node.traffic().byKind().get(kind);
             return counts == null ? 0 : counts[0];
         }
@@ -313,25 +317,26 @@
                         "r1"));
     }
 
-    // ---- The sockets' side. ----
+    // ---- The plain sockets' side. ----
 
-    private static byte[] frame(int type, byte[] body, byte[] seal) {
-        return ByteBuffer.allocate(5 + body.length + seal.length)
-                .putInt(1 + body.length + seal.length)
+    private static byte[] frame(int type, byte[] body, byte[] tag) {
+        return ByteBuffer.allocate(5 + body.length + tag.length)
+                .putInt(1 + body.length + tag.length)
                 .put((byte) type)
                 .put(body)
-                .put(seal)
+                .put(tag)
                 .array();
     }
 
-    private static byte[] next(DataInputStream in) throws IOException {
-        byte[] whole = new byte[in.readInt()];
-        in.readFully(whole);
-        return whole;
+    /** Returns type, body and tag of the next frame. */
+    private static byte[] readFrame(DataInputStream input) throws IOException {
+        byte[] frame = new byte[input.readInt()];
+        input.readFully(frame);
+        return frame;
     }
 
-    private static byte[] body(byte[] whole) {
-        return Arrays.copyOfRange(whole, 1, whole.length);
+    private static byte[] body(byte[] message) {
+        return Arrays.copyOfRange(message, 1, message.length);
     }
 
     private static byte[] proof(String label, byte[] hello, byte[] challenge) {
@@ -346,81 +351,84 @@
         return out.build();
     }
 
-    /** A router that is called: what is said to it is told apart by type and kind. */
-    private final class Called implements AutoCloseable {
+    /** A peer that the router under test connects to, and that keeps the messages received. */
+    private final class AcceptingPeer implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-        final BlockingQueue<byte[]> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         final BlockingQueue<byte[][]> handshakes = new LinkedBlockingQueue<>();
-        /** The challenge's body without its proof. */
+        /** The body of the challenge without the proof. */
         final byte[] challenge;
 
-        Called(byte[] challenge) throws IOException {
+        AcceptingPeer(byte[] challenge) throws IOException {
             this.challenge = challenge;
-            open.add(this);
-            Thread thread = new Thread(this::accept, "called");
+            openResources.add(this);
+            Thread thread = new Thread(this::accept, "accepting-peer");
             thread.setDaemon(true);
             thread.start();
         }
 
-        String at() {
+        String address() {
             return "127.0.0.1:" + server.getLocalPort();
         }
 
         private void accept() {
             while (!server.isClosed()) {
                 try (Socket socket = server.accept()) {
-                    hears(new DataInputStream(socket.getInputStream()), socket);
+                    serve(new DataInputStream(socket.getInputStream()), socket);
                 } catch (EOFException | SocketException e) {
-                    // The router has closed it; it may call again.
+                    // The router has closed the connection, and may open another one.
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             }
         }
 
-        private void hears(DataInputStream in, Socket socket) throws IOException {
-            byte[] hello = next(in);
-            byte[] own = proof("called proof", body(hello), challenge);
-            socket.getOutputStream().write(frame(CHALLENGE, join(challenge, own), new byte[0]));
-            byte[] proof = next(in);
+        private void serve(DataInputStream input, Socket socket) throws IOException {
+            byte[] hello = readFrame(input);
+            byte[] ownProof = proof("called proof", body(hello), challenge);
+            byte[] challengeBody = join(challenge, ownProof);
+            socket.getOutputStream().write(frame(CHALLENGE, challengeBody, new byte[0]));
+            byte[] proof = readFrame(input);
             handshakes.add(new byte[][] {hello, proof});
             byte[] secret = proof("session", body(hello), challenge);
             FrameAuthenticator authenticator =
                     new FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
             while (true) {
-                byte[] whole = next(in);
-                int end = whole.length - SEAL_BYTES;
-                byte[] right = authenticator.nextTag(whole[0], whole, 1, end - 1);
-                assertArrayEquals(right, Arrays.copyOfRange(whole, end, whole.length));
-                heard.add(Arrays.copyOf(whole, end));
+                byte[] frame = readFrame(input);
+                int end = frame.length - TAG_BYTES;
+                byte[] expectedTag = authenticator.nextTag(frame[0], frame, 1, end - 1);
+                assertArrayEquals(expectedTag, Arrays.copyOfRange(frame, end, frame.length));
+                received.add(Arrays.copyOf(frame, end));
             }
         }
 
-        byte[] awaits(Predicate<byte[]> which) throws InterruptedException {
+        /** Drops messages up to the first that matches, and returns it. */
+        byte[] await(Predicate<byte[]> condition) throws InterruptedException {
             while (true) {
-                byte[] message = heard.poll(20, TimeUnit.SECONDS);
-                assertNotNull(message, "nothing of the kind has come");
-                if (which.test(message)) {
+                byte[] message = received.poll(20, TimeUnit.SECONDS);
+                assertNotNull(message, "no matching message within 20 s");
+                if (condition.test(message)) {
                     return message;
                 }
             }
         }
 
-        byte[] awaits(int type, int kind) throws InterruptedException {
-            return awaits(m -> m[0] == type && m[1] == kind);
+        byte[] await(int type, int kind) throws InterruptedException {
+            return await(message -> message[0] == type && message[1] == kind);
         }
 
-        /** One with that number, of {@link #MEMBER}. */
-        byte[] awaitsMember(int kind, long number) throws InterruptedException {
-            return awaits(m ->
-                    m[0] == MEMBER && m[1] == kind && ByteBuffer.wrap(m, 2, 8).getLong() == number);
+        /** Awaits a membership message with that kind and sequence number. */
+        byte[] awaitMembership(int kind, long sequenceNumber) throws InterruptedException {
+            return await(message -> message[0] == MEMBERSHIP
+                    && message[1] == kind
+                    && ByteBuffer.wrap(message, 2, 8).getLong() == sequenceNumber);
         }
 
-        RaftMessage awaitsRaft(Predicate<RaftMessage> which) throws InterruptedException {
+        RaftMessage awaitRaft(Predicate<RaftMessage> condition) throws InterruptedException {
             RaftMessage[] found = new RaftMessage[1];
-            awaits(m -> {
-                found[0] = m[0] == RAFT ? raft(m) : null;
-                return found[0] != null && which.test(found[0]);
+            await(message -> {
+                found[0] = message[0] == RAFT ? decodeRaft(message) : null;
+                return found[0] != null && condition.test(found[0]);
             });
             return found[0];
         }
@@ -431,29 +439,30 @@
         }
     }
 
-    private static RaftMessage raft(byte[] message) {
-        ByteBuffer in = ByteBuffer.wrap(message, 1, message.length - 1);
+    private static RaftMessage decodeRaft(byte[] message) {
+        ByteBuffer buffer = ByteBuffer.wrap(message, 1, message.length - 1);
         try {
-            MessageCodec.readText(in);
-            return RaftCodec.decode(in);
+            MessageCodec.readText(buffer); // The recipient.
+            return RaftCodec.decode(buffer);
         } catch (tinlink.net.MessageRejectedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** A router that calls, after a handshake by these records. */
-    private final class Caller implements AutoCloseable {
+    /** A peer that connects to the router under test with the given hello. */
+    private final class ConnectingPeer implements AutoCloseable {
         final Socket socket;
         final FrameAuthenticator authenticator;
+        /** The challenge of the router under test, with type and proof. */
         final byte[] challenge;
 
-        Caller(Router to, byte[] hello) throws IOException {
-            socket = new Socket(InetAddress.getLoopbackAddress(), to.port());
+        ConnectingPeer(Router router, byte[] hello) throws IOException {
+            socket = new Socket(InetAddress.getLoopbackAddress(), router.port());
             socket.setSoTimeout(10_000);
-            open.add(this);
-            DataInputStream in = new DataInputStream(socket.getInputStream());
+            openResources.add(this);
+            DataInputStream input = new DataInputStream(socket.getInputStream());
             socket.getOutputStream().write(frame(HELLO, hello, new byte[0]));
-            challenge = next(in);
+            challenge = readFrame(input);
             assertEquals(CHALLENGE, challenge[0]);
             byte[] unproved = Arrays.copyOfRange(challenge, 1, challenge.length - PROOF_BYTES);
             assertArrayEquals(
@@ -466,11 +475,11 @@
             authenticator = new FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
         }
 
-        /** Type and body. */
-        void says(byte[] message) throws IOException {
+        /** @param message type and body; the tag is added */
+        void send(byte[] message) throws IOException {
             byte[] body = body(message);
-            byte[] made = authenticator.nextTag(message[0], body, 0, body.length);
-            socket.getOutputStream().write(frame(message[0], body, made));
+            byte[] tag = authenticator.nextTag(message[0], body, 0, body.length);
+            socket.getOutputStream().write(frame(message[0], body, tag));
         }
 
         @Override
@@ -502,45 +511,45 @@
                 .build();
     }
 
-    /** A word as it is said by another router. */
-    private static byte[] word(int kind, String from, MessageCodec.Builder body) {
+    /** Returns type and body of a node message. */
+    private static byte[] nodeMessage(int kind, String sender, MessageCodec.Builder body) {
         return new MessageCodec.Builder()
-                .putByte(WORD)
+                .putByte(NODE)
                 .putByte(kind)
-                .putText(from)
+                .putText(sender)
                 .putBytes(body.build())
                 .build();
     }
 
-    // ---- What is written. ----
+    // ---- Messages that the router under test sends. ----
 
-    /** Written once for all tests of a run; each reads the golden file. */
+    /** Returns the records of the golden file, with fixed values for the random fields. */
     private static Map<String, byte[]> golden() throws IOException {
         Map<String, byte[]> all = new LinkedHashMap<>();
         GoldenFile.read(FILE)
-                .forEach((name, hex) ->
-                        all.put(name, GoldenFile.bytes(hex, drawn(bytes(0x99, PROOF_BYTES)))));
+                .forEach((name, hex) -> all.put(
+                        name, GoldenFile.bytes(hex, drawnValues(bytes(0x99, PROOF_BYTES)))));
         return all;
     }
 
     @Test
-    void allMessagesAreWrittenAsTheyWere() throws Exception {
+    void sentMessagesEqualTheGoldenFile() throws Exception {
         Map<String, String> all = new LinkedHashMap<>();
-        Map<String, byte[]> learner = learnerWrites(all);
-        Map<String, byte[]> voter = voterWrites(all);
-        leaderWrites(all, learner, voter);
+        Map<String, byte[]> learner = recordLearnerMessages(all);
+        Map<String, byte[]> voter = recordVoterMessages(all);
+        recordLeaderMessages(all, learner, voter);
         GoldenFile.holds(FILE, "Messages between routers of a cluster, type first, in hex.", all);
     }
 
-    private static GoldenFile.Drawn piece(String name, int from, int length) {
+    private static GoldenFile.Drawn drawnField(String name, int from, int length) {
         return new GoldenFile.Drawn(name, from, length);
     }
 
-    /** A router that does not vote: it learns, and speaks to a leader that it has heard of. */
-    private Map<String, byte[]> learnerWrites(Map<String, String> all) throws Exception {
-        Called r2 = new Called(challenge("r2"));
-        Router r1 = new Router("r1", Set.of("r2"), Map.of("r2", r2.at()), 20);
-        Map<String, byte[]> made = new LinkedHashMap<>();
+    /** Records the messages of a learner, to a voter and to the leader that the voter names. */
+    private Map<String, byte[]> recordLearnerMessages(Map<String, String> all) throws Exception {
+        AcceptingPeer r2 = new AcceptingPeer(challenge("r2"));
+        Router r1 = new Router("r1", Set.of("r2"), Map.of("r2", r2.address()), 20);
+        Map<String, byte[]> written = new LinkedHashMap<>();
         byte[][] handshake = r2.handshakes.poll(20, TimeUnit.SECONDS);
         byte[] hello = handshake[0];
         int nonce = hello.length - NONCE_BYTES;
@@ -548,14 +557,15 @@
                 "hello",
                 GoldenFile.hex(
                         hello,
-                        piece("word", nonce - WORD_BYTES, WORD_BYTES),
-                        piece("nonce", nonce, NONCE_BYTES)));
+                        drawnField(
+                                "word", nonce - INCARNATION_NONCE_BYTES, INCARNATION_NONCE_BYTES),
+                        drawnField("nonce", nonce, NONCE_BYTES)));
         assertEquals(PROOF, handshake[1][0]);
         assertArrayEquals(proof("caller proof", body(hello), r2.challenge), body(handshake[1]));
-        all.put("proof", GoldenFile.hex(handshake[1], piece("proof", 1, PROOF_BYTES)));
-        made.put("learn-first", r2.awaits(WORD, LEARN));
-        Caller leader = new Caller(r1, hello("r2"));
-        leader.says(word(
+        all.put("proof", GoldenFile.hex(handshake[1], drawnField("proof", 1, PROOF_BYTES)));
+        written.put("learn-first", r2.await(NODE, LEARN));
+        ConnectingPeer leader = new ConnectingPeer(r1, hello("r2"));
+        leader.send(nodeMessage(
                 LEARNED,
                 "r2",
                 new MessageCodec.Builder()
@@ -564,60 +574,65 @@
                         .putByte(1)
                         .putLong(7)
                         .putLongText("a\nb")));
-        r1.becomes(() -> r1.learnedIndex() == 7 && r1.leader().equals("r2"));
-        made.put(
+        r1.waitUntil(() -> r1.learnedIndex() == 7 && r1.leader().equals("r2"));
+        written.put(
                 "learn-more",
-                r2.awaits(m -> m[0] == WORD
-                        && m[1] == LEARN
-                        && ByteBuffer.wrap(m, m.length - 8, 8).getLong() == 7));
-        made.put("seat", r2.awaits(WORD, SEAT));
-        r1.proposes(LINE);
-        made.put("propose", r2.awaits(WORD, PROPOSE));
-        r1.confirms();
-        made.put("confirm", r2.awaits(WORD, CONFIRM));
-        r1.tells(NEWS_LINE);
-        made.put("news", r2.awaits(WORD, NEWS));
-        r1.replaces("r3", "r4");
-        made.put("replace", r2.awaits(WORD, REPLACE));
+                r2.await(message -> message[0] == NODE
+                        && message[1] == LEARN
+                        && ByteBuffer.wrap(message, message.length - 8, 8).getLong() == 7));
+        written.put("seat", r2.await(NODE, PRESENCE));
+        r1.propose(LINE);
+        written.put("propose", r2.await(NODE, PROPOSE));
+        r1.confirmCommitIndex();
+        written.put("confirm", r2.await(NODE, CONFIRM_REQUEST));
+        r1.report(REPORT_LINE);
+        written.put("news", r2.await(NODE, REPORT));
+        r1.replaceVoter("r3", "r4");
+        written.put("replace", r2.await(NODE, REPLACE_VOTER));
         int[] kinds = {PROBE, ACK, PROBE_REQUEST, NACK};
         String[] names = {"probe", "probe-answer", "probe-request", "probe-failure"};
         for (int i = 0; i < kinds.length; i++) {
-            r1.sendsMember(kinds[i], "r2@127.0.0.1:2", rumors());
-            made.put(names[i], r2.awaitsMember(kinds[i], NUMBER));
+            r1.sendMembership(kinds[i], "r2@127.0.0.1:2", rumors());
+            written.put(names[i], r2.awaitMembership(kinds[i], SEQUENCE_NUMBER));
         }
-        made.forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
-        return made;
+        written.forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
+        return written;
     }
 
-    /** A voter that has been started: it asks whether it may vote, then for votes. */
-    private Map<String, byte[]> voterWrites(Map<String, String> all) throws Exception {
-        Called r2 = new Called(challenge("r2"));
-        Called r3 = new Called(challenge("r3"));
+    /** Records the messages of a voter that starts: the admission request, then those of an election. */
+    private Map<String, byte[]> recordVoterMessages(Map<String, String> all) throws Exception {
+        AcceptingPeer r2 = new AcceptingPeer(challenge("r2"));
+        AcceptingPeer r3 = new AcceptingPeer(challenge("r3"));
         Router r1 = new Router(
-                "r1", Set.of("r1", "r2", "r3"), Map.of("r2", r2.at(), "r3", r3.at()), 20);
-        Map<String, byte[]> made = new LinkedHashMap<>();
-        made.put("may-vote", r2.awaits(WORD, MAY_VOTE));
-        Caller from2 = new Caller(r1, hello("r2"));
-        Caller from3 = new Caller(r1, hello("r3"));
-        from2.says(word(HAS_HEARD, "r2", hasHeardNothing()));
-        from3.says(word(HAS_HEARD, "r3", hasHeardNothing()));
-        byte[] preVote = r2.awaits(m -> m[0] == RAFT && raft(m) instanceof PreVoteRequest);
-        made.put("raft-pre-vote", preVote);
-        from2.says(raftWord(
+                "r1", Set.of("r1", "r2", "r3"), Map.of("r2", r2.address(), "r3", r3.address()), 20);
+        Map<String, byte[]> written = new LinkedHashMap<>();
+        written.put("may-vote", r2.await(NODE, ADMISSION_REQUEST));
+        ConnectingPeer fromR2 = new ConnectingPeer(r1, hello("r2"));
+        ConnectingPeer fromR3 = new ConnectingPeer(r1, hello("r3"));
+        fromR2.send(nodeMessage(ADMISSION_RESPONSE, "r2", emptyAdmissionResponse()));
+        fromR3.send(nodeMessage(ADMISSION_RESPONSE, "r3", emptyAdmissionResponse()));
+        byte[] preVote = r2.await(
+                message -> message[0] == RAFT && decodeRaft(message) instanceof PreVoteRequest);
+        written.put("raft-pre-vote", preVote);
+        fromR2.send(raftFrame(
                 "r1/0",
                 new DefaultRaftModelFactory()
                         .createPreVoteResponseBuilder()
                         .setGroupId("tinlink")
                         .setSender(new Voter("r2", 0))
-                        .setTerm(raft(preVote).getTerm())
+                        .setTerm(decodeRaft(preVote).getTerm())
                         .setGranted(true)
                         .build()));
-        made.put("raft-vote", r2.awaits(m -> m[0] == RAFT && raft(m) instanceof VoteRequest));
-        made.forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
-        return made;
+        written.put(
+                "raft-vote",
+                r2.await(message ->
+                        message[0] == RAFT && decodeRaft(message) instanceof VoteRequest));
+        written.forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
+        return written;
     }
 
-    private static MessageCodec.Builder hasHeardNothing() {
+    /** Returns the fields of an admission response of a router that knows nothing and has an empty log. */
+    private static MessageCodec.Builder emptyAdmissionResponse() {
         return new MessageCodec.Builder()
                 .putByte(0)
                 .putByte(0)
@@ -626,143 +641,148 @@
                 .putLong(0);
     }
 
-    private static byte[] raftWord(String to, RaftMessage message) {
+    private static byte[] raftFrame(String recipient, RaftMessage message) {
         return new MessageCodec.Builder()
                 .putByte(RAFT)
-                .putText(to)
+                .putText(recipient)
                 .putBytes(RaftCodec.encode(message))
                 .build();
     }
 
-    /** A router that isLeader alone, and answers what the other two have asked. */
-    private void leaderWrites(
+    /** Records the answers of a leader that is the only voter, to the requests recorded before. */
+    private void recordLeaderMessages(
             Map<String, String> all, Map<String, byte[]> learner, Map<String, byte[]> voter)
             throws Exception {
-        Called r1 = new Called(challenge("r1"));
-        Router r2 = new Router("r2", Set.of("r2"), Map.of("r1", r1.at()), 4);
-        r2.becomes(r2::isLeader);
-        r2.becomes(() -> r2.leader().equals("r2"));
-        Caller from1 = new Caller(r2, hello("r1"));
-        byte[] challenge = from1.challenge;
+        AcceptingPeer r1 = new AcceptingPeer(challenge("r1"));
+        Router r2 = new Router("r2", Set.of("r2"), Map.of("r1", r1.address()), 4);
+        r2.waitUntil(r2::isLeader);
+        r2.waitUntil(() -> r2.leader().equals("r2"));
+        ConnectingPeer fromR1 = new ConnectingPeer(r2, hello("r1"));
+        byte[] challenge = fromR1.challenge;
         int nonce = challenge.length - PROOF_BYTES - NONCE_BYTES;
         all.put(
                 "challenge",
                 GoldenFile.hex(
                         challenge,
-                        piece("word", nonce - WORD_BYTES, WORD_BYTES),
-                        piece("nonce", nonce, NONCE_BYTES),
-                        piece("proof", nonce + NONCE_BYTES, PROOF_BYTES)));
-        Map<String, byte[]> made = new LinkedHashMap<>();
-        from1.says(voter.get("may-vote"));
-        made.put("has-heard-nothing", r1.awaits(WORD, HAS_HEARD));
-        from1.says(learner.get("probe"));
-        from1.says(voter.get("raft-vote"));
-        from1.says(voter.get("may-vote"));
-        made.put("has-heard", r1.awaits(WORD, HAS_HEARD));
-        from1.says(learner.get("propose"));
-        made.put("proposed", r1.awaits(WORD, PROPOSED));
-        from1.says(learner.get("learn-first"));
-        made.put("learned-lines", r1.awaits(WORD, LEARNED));
-        from1.says(learner.get("confirm"));
-        made.put("confirmed", r1.awaits(WORD, CONFIRMED));
+                        drawnField(
+                                "word", nonce - INCARNATION_NONCE_BYTES, INCARNATION_NONCE_BYTES),
+                        drawnField("nonce", nonce, NONCE_BYTES),
+                        drawnField("proof", nonce + NONCE_BYTES, PROOF_BYTES)));
+        Map<String, byte[]> written = new LinkedHashMap<>();
+        fromR1.send(voter.get("may-vote"));
+        written.put("has-heard-nothing", r1.await(NODE, ADMISSION_RESPONSE));
+        fromR1.send(learner.get("probe"));
+        fromR1.send(voter.get("raft-vote"));
+        fromR1.send(voter.get("may-vote"));
+        written.put("has-heard", r1.await(NODE, ADMISSION_RESPONSE));
+        fromR1.send(learner.get("propose"));
+        written.put("proposed", r1.await(NODE, PROPOSED));
+        fromR1.send(learner.get("learn-first"));
+        written.put("learned-lines", r1.await(NODE, LEARNED));
+        fromR1.send(learner.get("confirm"));
+        written.put("confirmed", r1.await(NODE, CONFIRM_RESPONSE));
         for (int i = 0; i < 6; i++) {
-            r2.proposes("line " + i).get(20, TimeUnit.SECONDS);
+            r2.propose("line " + i).get(20, TimeUnit.SECONDS);
         }
-        long last = r2.on(r2::learnedIndex);
-        from1.says(learner.get("learn-first"));
-        made.put("learned-whole", r1.awaits(WORD, LEARNED));
-        from1.says(word(LEARN, "r1", new MessageCodec.Builder().putLong(last)));
-        made.put("learned-nothing", r1.awaits(WORD, LEARNED));
-        made.forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
-
-        Called other = new Called(challenge("r1"));
-        Router follower = new Router("r2", Set.of("r3"), Map.of("r1", other.at()), 4);
-        new Caller(follower, hello("r1")).says(learner.get("propose"));
-        all.put("not-proposed", GoldenFile.hex(other.awaits(WORD, PROPOSED)));
+        long last = r2.callOnLoop(r2::learnedIndex);
+        fromR1.send(learner.get("learn-first"));
+        written.put("learned-whole", r1.await(NODE, LEARNED));
+        fromR1.send(nodeMessage(LEARN, "r1", new MessageCodec.Builder().putLong(last)));
+        written.put("learned-nothing", r1.await(NODE, LEARNED));
+        written.forEach((name, bytes) -> all.put(name, GoldenFile.hex(bytes)));
+
+        AcceptingPeer other = new AcceptingPeer(challenge("r1"));
+        Router follower = new Router("r2", Set.of("r3"), Map.of("r1", other.address()), 4);
+        new ConnectingPeer(follower, hello("r1")).send(learner.get("propose"));
+        all.put("not-proposed", GoldenFile.hex(other.await(NODE, PROPOSED)));
     }
 
-    // ---- What is read. ----
+    // ---- Messages that the router under test receives. ----
 
     @Test
-    void theHandshakeIsReadAsItWas() throws Exception {
+    void acceptsTheRecordedHandshake() throws Exception {
         Map<String, String> golden = GoldenFile.read(FILE);
         Router r2 = new Router("r2", Set.of("r3"), Map.of(), 20);
-        Map<String, byte[]> drawn = drawn(null);
-        byte[] hello = GoldenFile.bytes(golden.get("hello"), drawn);
+        Map<String, byte[]> drawnValues = drawnValues(null);
+        byte[] hello = GoldenFile.bytes(golden.get("hello"), drawnValues);
         assertEquals(HELLO, hello[0]);
-        Caller r1 = new Caller(r2, body(hello));
-        r1.says(golden().get("probe"));
-        r2.becomes(() -> r2.member("r5") != null);
+        ConnectingPeer r1 = new ConnectingPeer(r2, body(hello));
+        r1.send(golden().get("probe"));
+        r2.waitUntil(() -> r2.member("r5") != null);
 
         String record = golden.get("challenge");
         String proofless = record.substring(0, record.indexOf("{proof}"));
-        byte[] challenge = GoldenFile.bytes(proofless, drawn);
+        byte[] challenge = GoldenFile.bytes(proofless, drawnValues);
         assertEquals(CHALLENGE, challenge[0]);
-        Called called = new Called(body(challenge));
-        new Router("r1", Set.of("r2"), Map.of("r2", called.at()), 20);
-        assertNotNull(called.awaits(WORD, LEARN));
+        AcceptingPeer acceptingPeer = new AcceptingPeer(body(challenge));
+        new Router("r1", Set.of("r2"), Map.of("r2", acceptingPeer.address()), 20);
+        assertNotNull(acceptingPeer.await(NODE, LEARN));
     }
 
     @Test
-    void aLearnerReadsWhatALeaderSaysAsItWas() throws Exception {
+    void learnerReadsTheRecordedMessagesOfALeader() throws Exception {
         Map<String, byte[]> golden = golden();
-        Called r2 = new Called(challenge("r2"));
-        Router r1 = new Router("r1", Set.of("r2"), Map.of("r2", r2.at()), 20);
-        Caller leader = new Caller(r1, hello("r2"));
-        leader.says(golden.get("learned-lines"));
-        r1.becomes(() -> r1.leader().equals("r2"));
+        AcceptingPeer r2 = new AcceptingPeer(challenge("r2"));
+        Router r1 = new Router("r1", Set.of("r2"), Map.of("r2", r2.address()), 20);
+        ConnectingPeer leader = new ConnectingPeer(r1, hello("r2"));
+        leader.send(golden.get("learned-lines"));
+        r1.waitUntil(() -> r1.leader().equals("r2"));
         assertEquals(List.of(LINE), r1.stateMachine.snapshot());
-        assertEquals(2L, r1.on(r1::learnedIndex));
-        CompletableFuture<String> proposed = r1.proposes(LINE);
-        assertArrayEquals(golden.get("propose"), r2.awaits(WORD, PROPOSE));
-        leader.says(golden.get("proposed"));
+        assertEquals(2L, r1.callOnLoop(r1::learnedIndex));
+        CompletableFuture<String> proposed = r1.propose(LINE);
+        assertArrayEquals(golden.get("propose"), r2.await(NODE, PROPOSE));
+        leader.send(golden.get("proposed"));
         assertEquals("no. 1 é null", proposed.get(20, TimeUnit.SECONDS));
-        CompletableFuture<Long> confirmed = r1.confirms();
-        assertArrayEquals(golden.get("confirm"), r2.awaits(WORD, CONFIRM));
-        leader.says(golden.get("confirmed"));
+        CompletableFuture<Long> confirmed = r1.confirmCommitIndex();
+        assertArrayEquals(golden.get("confirm"), r2.await(NODE, CONFIRM_REQUEST));
+        leader.send(golden.get("confirmed"));
         assertEquals(2L, confirmed.get(20, TimeUnit.SECONDS));
-        leader.says(golden.get("learned-whole"));
-        r1.becomes(() -> r1.learnedIndex() == 8);
-        List<String> whole = new ArrayList<>(List.of(LINE));
+        leader.send(golden.get("learned-whole"));
+        r1.waitUntil(() -> r1.learnedIndex() == 8);
+        List<String> allLines = new ArrayList<>(List.of(LINE));
         for (int i = 0; i < 6; i++) {
-            whole.add("line " + i);
+            allLines.add("line " + i);
         }
-        assertEquals(whole, r1.stateMachine.snapshot());
-        leader.says(golden.get("learned-nothing"));
-        leader.says(golden.get("probe"));
-        r1.becomes(() -> r1.member("r5") != null);
-        assertEquals(whole, r1.stateMachine.snapshot());
-
-        Router again = new Router("r1", Set.of("r2"), Map.of("r2", r2.at()), 20);
-        Caller other = new Caller(again, hello("r2"));
-        other.says(golden.get("learned-lines"));
-        again.becomes(() -> again.leader().equals("r2"));
-        CompletableFuture<String> refused = again.proposes(LINE);
-        other.says(golden.get("not-proposed"));
-        assertEquals("null it does not lead", refused.get(20, TimeUnit.SECONDS));
+        assertEquals(allLines, r1.stateMachine.snapshot());
+        leader.send(golden.get("learned-nothing"));
+        leader.send(golden.get("probe"));
+        r1.waitUntil(() -> r1.member("r5") != null);
+        assertEquals(allLines, r1.stateMachine.snapshot());
+
+        Router again = new Router("r1", Set.of("r2"), Map.of("r2", r2.address()), 20);
+        ConnectingPeer other = new ConnectingPeer(again, hello("r2"));
+        other.send(golden.get("learned-lines"));
+        again.waitUntil(() -> again.leader().equals("r2"));
+        CompletableFuture<String> failed = again.propose(LINE);
+        other.send(golden.get("not-proposed"));
+        assertEquals("null it does not lead", failed.get(20, TimeUnit.SECONDS));
     }
 
     @Test
-    void aVoterReadsHowFarItHasBeenHeardAsItWas() throws Exception {
+    void voterReadsTheRecordedAdmissionResponses() throws Exception {
         Map<String, byte[]> golden = golden();
-        Called r2 = new Called(challenge("r2"));
-        Router fresh = new Router("r1", Set.of("r1", "r2"), Map.of("r2", r2.at()), 20);
-        assertArrayEquals(golden.get("may-vote"), r2.awaits(WORD, MAY_VOTE));
-        Caller caller = new Caller(fresh, hello("r2"));
-        caller.says(golden.get("has-heard-nothing"));
-        votesOnlyForWhoeverIsAsFar(caller, r2);
-        Called again = new Called(challenge("r2"));
-        Router old = new Router("r1", Set.of("r1", "r2"), Map.of("r2", again.at()), 20);
-        new Caller(old, hello("r2")).says(golden.get("has-heard"));
-        old.becomes(old.node::hasStaleDisk);
-    }
-
-    /** By what it has read, the other's disk is in term 1 and ends with one entry of that term. */
-    private static void votesOnlyForWhoeverIsAsFar(Caller from2, Called r2) throws Exception {
+        AcceptingPeer r2 = new AcceptingPeer(challenge("r2"));
+        Router fresh = new Router("r1", Set.of("r1", "r2"), Map.of("r2", r2.address()), 20);
+        assertArrayEquals(golden.get("may-vote"), r2.await(NODE, ADMISSION_REQUEST));
+        ConnectingPeer fromR2 = new ConnectingPeer(fresh, hello("r2"));
+        fromR2.send(golden.get("has-heard-nothing"));
+        assertVotesOnlyForCompleteLog(fromR2, r2);
+        AcceptingPeer again = new AcceptingPeer(challenge("r2"));
+        Router stale = new Router("r1", Set.of("r1", "r2"), Map.of("r2", again.address()), 20);
+        new ConnectingPeer(stale, hello("r2")).send(golden.get("has-heard"));
+        stale.waitUntil(stale.node::hasStaleDisk);
+    }
+
+    /**
+     * By the recorded admission response, the log of r2 ends with one entry of term 1. That binds the router
+     * under test: it must reject a candidate whose log lacks that entry.
+     */
+    private static void assertVotesOnlyForCompleteLog(ConnectingPeer fromR2, AcceptingPeer r2)
+            throws Exception {
         boolean[] granted = new boolean[2];
         for (int i = 0; i < 200 && !granted[1]; i++) {
             for (int lastIndex : new int[] {0, 1}) {
-                from2.says(raftWord(
+                fromR2.send(raftFrame(
                         "r1/0",
                         new DefaultRaftModelFactory()
                                 .createVoteRequestBuilder()
@@ -774,131 +794,139 @@
                                 .setSticky(false)
                                 .build()));
                 Thread.sleep(30);
-                for (byte[] m = r2.heard.poll(); m != null; m = r2.heard.poll()) {
-                    if (m[0] == RAFT && raft(m) instanceof VoteResponse answer) {
+                for (byte[] message = r2.received.poll();
+                        message != null;
+                        message = r2.received.poll()) {
+                    if (message[0] == RAFT && decodeRaft(message) instanceof VoteResponse answer) {
                         granted[answer.getTerm() == 2 ? 0 : 1] |= answer.isGranted();
                     }
                 }
             }
         }
-        assertFalse(granted[0], "it voted for one whose log is shorter");
-        assertTrue(granted[1], "it did not vote for one whose log is as long");
+        assertFalse(granted[0], "voted for a candidate whose log lacks the entry");
+        assertTrue(granted[1], "did not vote for a candidate whose log has the entry");
     }
 
     @Test
-    void aLeaderReadsWhatOthersSayAsItWas() throws Exception {
+    void leaderReadsTheRecordedMessagesOfOthers() throws Exception {
         Map<String, byte[]> golden = golden();
-        Called r1 = new Called(challenge("r1"));
-        Called r3 = new Called(challenge("r3"));
-        Router r2 = new Router("r2", Set.of("r2"), Map.of("r1", r1.at(), "r3", r3.at()), 4);
-        r2.becomes(() -> r2.isLeader() && r2.leader().equals("r2"));
-        Caller from1 = new Caller(r2, hello("r1"));
-        from1.says(golden.get("news"));
-        assertEquals("r1 " + NEWS_LINE, r2.news.poll(20, TimeUnit.SECONDS));
-        from1.says(golden.get("propose"));
-        assertArrayEquals(golden.get("proposed"), r1.awaits(WORD, PROPOSED));
+        AcceptingPeer r1 = new AcceptingPeer(challenge("r1"));
+        AcceptingPeer r3 = new AcceptingPeer(challenge("r3"));
+        Router r2 =
+                new Router("r2", Set.of("r2"), Map.of("r1", r1.address(), "r3", r3.address()), 4);
+        r2.waitUntil(() -> r2.isLeader() && r2.leader().equals("r2"));
+        ConnectingPeer fromR1 = new ConnectingPeer(r2, hello("r1"));
+        fromR1.send(golden.get("news"));
+        assertEquals("r1 " + REPORT_LINE, r2.reports.poll(20, TimeUnit.SECONDS));
+        fromR1.send(golden.get("propose"));
+        assertArrayEquals(golden.get("proposed"), r1.await(NODE, PROPOSED));
         assertEquals(List.of(LINE), r2.stateMachine.snapshot());
-        from1.says(golden.get("learn-first"));
-        assertArrayEquals(golden.get("learned-lines"), r1.awaits(WORD, LEARNED));
-        from1.says(golden.get("learn-more"));
-        byte[] learned = r1.awaits(WORD, LEARNED);
+        fromR1.send(golden.get("learn-first"));
+        assertArrayEquals(golden.get("learned-lines"), r1.await(NODE, LEARNED));
+        fromR1.send(golden.get("learn-more"));
+        byte[] learned = r1.await(NODE, LEARNED);
         assertEquals(
-                GoldenFile.hex(word(
+                GoldenFile.hex(nodeMessage(
                         LEARNED,
                         "r2",
                         new MessageCodec.Builder().putText("r2").putLong(7).putByte(0))),
                 GoldenFile.hex(learned));
-        from1.says(golden.get("confirm"));
-        assertArrayEquals(golden.get("confirmed"), r1.awaits(WORD, CONFIRMED));
-        from1.says(golden.get("raft-pre-vote"));
-        from1.says(golden.get("may-vote"));
-        byte[] nothing = r1.awaits(WORD, HAS_HEARD);
-        assertEquals(0, nothing[5], "no member of that name");
-        assertEquals(0, nothing[6], "no vote was asked for");
-        from1.says(golden.get("raft-vote"));
-        from1.says(golden.get("may-vote"));
-        byte[] heard = r1.awaits(WORD, HAS_HEARD);
-        assertEquals(1, heard[6]);
-        assertEquals(1, ByteBuffer.wrap(heard, 7, 4).getInt(), "the vote's term");
+        fromR1.send(golden.get("confirm"));
+        assertArrayEquals(golden.get("confirmed"), r1.await(NODE, CONFIRM_RESPONSE));
+        fromR1.send(golden.get("raft-pre-vote"));
+        fromR1.send(golden.get("may-vote"));
+        byte[] emptyResponse = r1.await(NODE, ADMISSION_RESPONSE);
+        assertEquals(0, emptyResponse[5], "no known incarnation");
+        assertEquals(
+                0, emptyResponse[6], "no known log position: a pre-vote request is no evidence");
+        fromR1.send(golden.get("raft-vote"));
+        fromR1.send(golden.get("may-vote"));
+        byte[] response = r1.await(NODE, ADMISSION_RESPONSE);
+        assertEquals(1, response[6], "a known log position");
+        assertEquals(1, ByteBuffer.wrap(response, 7, 4).getInt(), "the term of the vote request");
     }
 
     @Test
-    void membersReadProbesAsTheyWere() throws Exception {
+    void membersReadTheRecordedProbes() throws Exception {
         Map<String, byte[]> golden = golden();
-        Called r1 = new Called(challenge("r1"));
-        Called r3 = new Called(challenge("r3"));
-        Router r2 = new Router("r2", Set.of("r2"), Map.of("r1", r1.at(), "r3", r3.at()), 4);
-        Caller from1 = new Caller(r2, hello("r1"));
-        Caller from3 = new Caller(r2, hello("r3"));
-        from1.says(golden.get("probe"));
-        byte[] answer = r1.awaitsMember(ACK, NUMBER);
+        AcceptingPeer r1 = new AcceptingPeer(challenge("r1"));
+        AcceptingPeer r3 = new AcceptingPeer(challenge("r3"));
+        Router r2 =
+                new Router("r2", Set.of("r2"), Map.of("r1", r1.address(), "r3", r3.address()), 4);
+        ConnectingPeer fromR1 = new ConnectingPeer(r2, hello("r1"));
+        ConnectingPeer fromR3 = new ConnectingPeer(r2, hello("r3"));
+        fromR1.send(golden.get("probe"));
+        byte[] answer = r1.awaitMembership(ACK, SEQUENCE_NUMBER);
         assertEquals(0, answer[10], "no target");
-        Member suspect = r2.on(() -> r2.member("r5"));
+        Member suspect = r2.callOnLoop(() -> r2.member("r5"));
         assertEquals(new Incarnation("r5", 2, -2), suspect.incarnation());
         assertEquals(MemberState.SUSPECT, suspect.state());
         assertEquals(9, suspect.refutationCount());
         assertEquals("r5@127.0.0.1:5", suspect.address());
-        assertEquals(MemberState.ALIVE, r2.on(() -> r2.member("r1")).state());
-
-        // Asked to probe another one: once that one is silent, once it answers.
-        r3.heard.clear();
-        from1.says(golden.get("probe-request"));
-        r1.awaitsMember(NACK, NUMBER);
-        r3.heard.clear();
-        from1.says(golden.get("probe-request"));
-        byte[] probe = r3.awaits(MEMBER, PROBE);
-        byte[] read = golden.get("probe-answer");
+        assertEquals(MemberState.ALIVE, r2.callOnLoop(() -> r2.member("r1")).state());
+
+        // A probe request for r3: the first time r3 does not answer, the second time it does.
+        r3.received.clear();
+        fromR1.send(golden.get("probe-request"));
+        r1.awaitMembership(NACK, SEQUENCE_NUMBER);
+        r3.received.clear();
+        fromR1.send(golden.get("probe-request"));
+        byte[] probe = r3.await(MEMBERSHIP, PROBE);
+        byte[] goldenAck = golden.get("probe-answer");
         boolean[] answered = new boolean[1];
         for (int i = 0; i < 20 && !answered[0]; i++) {
-            // Probes of its own go there too; whichever was for the other one is answered.
-            byte[] said = read.clone();
-            System.arraycopy(probe, 2, said, 2, 8);
-            from3.says(said);
-            byte[] then = r1.heard.poll(100, TimeUnit.MILLISECONDS);
-            answered[0] = then != null
-                    && then[0] == MEMBER
-                    && then[1] == ACK
-                    && ByteBuffer.wrap(then, 2, 8).getLong() == NUMBER;
-            byte[] more = r3.heard.poll(10, TimeUnit.MILLISECONDS);
-            probe = more != null && more[0] == MEMBER && more[1] == PROBE ? more : probe;
-        }
-        assertTrue(answered[0], "the answer was not passed on");
-        long failures = r2.on(() -> r2.came("probe_failure"));
-        from1.says(golden.get("probe-failure"));
-        r2.becomes(() -> r2.came("probe_failure") == failures + 1);
-        from1.says(golden.get("probe"));
-        assertNotNull(r1.awaitsMember(ACK, NUMBER), "the link is still up");
-    }
-
-    /** A leader of three whose followers confirm all; what it does about seats goes to their logs. */
+            // The router's own probes go to r3 too, so each probe is answered until an
+            // acknowledgement reaches r1.
+            byte[] ack = goldenAck.clone();
+            System.arraycopy(probe, 2, ack, 2, 8);
+            fromR3.send(ack);
+            byte[] message = r1.received.poll(100, TimeUnit.MILLISECONDS);
+            answered[0] = message != null
+                    && message[0] == MEMBERSHIP
+                    && message[1] == ACK
+                    && ByteBuffer.wrap(message, 2, 8).getLong() == SEQUENCE_NUMBER;
+            byte[] nextProbe = r3.received.poll(10, TimeUnit.MILLISECONDS);
+            probe = nextProbe != null && nextProbe[0] == MEMBERSHIP && nextProbe[1] == PROBE
+                    ? nextProbe
+                    : probe;
+        }
+        assertTrue(answered[0], "the acknowledgement of r3 was not passed on to r1");
+        long failures = r2.callOnLoop(() -> r2.receivedCount("probe_failure"));
+        fromR1.send(golden.get("probe-failure"));
+        r2.waitUntil(() -> r2.receivedCount("probe_failure") == failures + 1);
+        fromR1.send(golden.get("probe"));
+        assertNotNull(r1.awaitMembership(ACK, SEQUENCE_NUMBER), "the connection is still open");
+    }
+
+    /** The router under test as leader of three voters; the followers confirm all log entries. */
     private final class Followers {
-        final Called r1 = new Called(challenge("r1"));
-        final Called r3 = new Called(challenge("r3"));
-        final Called r4 = new Called(challenge("r4"));
+        final AcceptingPeer r1 = new AcceptingPeer(challenge("r1"));
+        final AcceptingPeer r3 = new AcceptingPeer(challenge("r3"));
+        final AcceptingPeer r4 = new AcceptingPeer(challenge("r4"));
         final Router r2 = new Router(
                 "r2",
                 Set.of("r1", "r2", "r3"),
-                Map.of("r1", r1.at(), "r3", r3.at(), "r4", r4.at()),
+                Map.of("r1", r1.address(), "r3", r3.address(), "r4", r4.address()),
                 100);
-        final Caller from1 = new Caller(r2, hello("r1"));
-        final Caller from3 = new Caller(r2, hello("r3"));
-        final Caller from4 = new Caller(r2, hello("r4"));
+        final ConnectingPeer fromR1 = new ConnectingPeer(r2, hello("r1"));
+        final ConnectingPeer fromR3 = new ConnectingPeer(r2, hello("r3"));
+        final ConnectingPeer fromR4 = new ConnectingPeer(r2, hello("r4"));
 
         Followers() throws Exception {
-            from1.says(word(HAS_HEARD, "r1", hasHeardNothing()));
-            from3.says(word(HAS_HEARD, "r3", hasHeardNothing()));
-            RaftMessage asked = r1.awaitsRaft(m -> m instanceof PreVoteRequest);
+            fromR1.send(nodeMessage(ADMISSION_RESPONSE, "r1", emptyAdmissionResponse()));
+            fromR3.send(nodeMessage(ADMISSION_RESPONSE, "r3", emptyAdmissionResponse()));
+            RaftMessage preVote = r1.awaitRaft(message -> message instanceof PreVoteRequest);
             DefaultRaftModelFactory model = new DefaultRaftModelFactory();
-            from1.says(raftWord(
+            fromR1.send(raftFrame(
                     "r2/0",
                     model.createPreVoteResponseBuilder()
                             .setGroupId("tinlink")
                             .setSender(new Voter("r1", 0))
-                            .setTerm(asked.getTerm())
+                            .setTerm(preVote.getTerm())
                             .setGranted(true)
                             .build()));
-            RaftMessage vote = r1.awaitsRaft(m -> m instanceof VoteRequest);
-            from1.says(raftWord(
+            RaftMessage vote = r1.awaitRaft(message -> message instanceof VoteRequest);
+            fromR1.send(raftFrame(
                     "r2/0",
                     model.createVoteResponseBuilder()
                             .setGroupId("tinlink")
@@ -908,44 +936,55 @@
                             .build()));
         }
 
-        /** Confirms what has come, and says with which disks they are there. */
-        private void confirms(Called router, Caller from, String name, List<LogEntry> log)
+        /** Confirms the entries received by a follower, and adds them to the log. */
+        private void confirmEntries(
+                AcceptingPeer router, ConnectingPeer sender, String name, List<LogEntry> log)
                 throws Exception {
-            for (byte[] m = router.heard.poll(); m != null; m = router.heard.poll()) {
-                if (m[0] == RAFT && raft(m) instanceof AppendEntriesRequest a) {
-                    log.addAll(a.getLogEntries());
-                    int size = a.getLogEntries().size();
-                    from.says(raftWord(
+            for (byte[] message = router.received.poll();
+                    message != null;
+                    message = router.received.poll()) {
+                if (message[0] == RAFT
+                        && decodeRaft(message) instanceof AppendEntriesRequest append) {
+                    log.addAll(append.getLogEntries());
+                    int size = append.getLogEntries().size();
+                    sender.send(raftFrame(
                             "r2/0",
                             new DefaultRaftModelFactory()
                                     .createAppendEntriesSuccessResponseBuilder()
                                     .setGroupId("tinlink")
                                     .setSender(new Voter(name, 0))
-                                    .setTerm(a.getTerm())
-                                    .setLastLogIndex(a.getPreviousLogIndex() + size)
-                                    .setQuerySequenceNumber(a.getQuerySequenceNumber())
-                                    .setFlowControlSequenceNumber(a.getFlowControlSequenceNumber())
+                                    .setTerm(append.getTerm())
+                                    .setLastLogIndex(append.getPreviousLogIndex() + size)
+                                    .setQuerySequenceNumber(append.getQuerySequenceNumber())
+                                    .setFlowControlSequenceNumber(
+                                            append.getFlowControlSequenceNumber())
                                     .build()));
                 }
             }
         }
 
-        /** The first change of who votes that the leader puts to its log, as long as these are said. */
-        UpdateRaftGroupMembersOp changes(byte[] of1, byte[] of3, byte[] of4) throws Exception {
+        /**
+         * Returns the leader's first log entry that changes the group, while the routers keep announcing
+         * their disks with these messages; null if there is none within about 6 s.
+         *
+         * @param presence4 null if r4 announces nothing
+         */
+        UpdateRaftGroupMembersOp awaitGroupChange(
+                byte[] presence1, byte[] presence3, byte[] presence4) throws Exception {
             List<LogEntry> log = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
-                confirms(r1, from1, "r1", log);
-                confirms(r3, from3, "r3", log);
+                confirmEntries(r1, fromR1, "r1", log);
+                confirmEntries(r3, fromR3, "r3", log);
                 for (LogEntry entry : log) {
                     if (entry.getOperation() instanceof UpdateRaftGroupMembersOp change) {
                         return change;
                     }
                 }
                 if (i % 10 == 5) {
-                    from1.says(of1);
-                    from3.says(of3);
-                    if (of4 != null) {
-                        from4.says(of4);
+                    fromR1.send(presence1);
+                    fromR3.send(presence3);
+                    if (presence4 != null) {
+                        fromR4.send(presence4);
                     }
                 }
                 Thread.sleep(20);
@@ -954,30 +993,31 @@
         }
     }
 
-    private static byte[] seat(String router, String disk) {
-        return word(SEAT, router, new MessageCodec.Builder().putText(disk));
+    private static byte[] presence(String router, String diskId) {
+        return nodeMessage(PRESENCE, router, new MessageCodec.Builder().putText(diskId));
     }
 
     @Test
-    void aLeaderReadsWithWhichDiskAVoterIsThereAsItWas() throws Exception {
+    void leaderReadsTheRecordedPresence() throws Exception {
         byte[] golden = golden().get("seat");
-        assertArrayEquals(seat("r1", Long.toHexString(DISK)), golden);
-        Followers three = new Followers();
-        UpdateRaftGroupMembersOp change = three.changes(golden, seat("r3", "0"), null);
-        assertNotNull(change, "the seat of a lost disk has not been given away");
+        assertArrayEquals(presence("r1", Long.toHexString(DISK_ID)), golden);
+        Followers followers = new Followers();
+        UpdateRaftGroupMembersOp change =
+                followers.awaitGroupChange(golden, presence("r3", "0"), null);
+        assertNotNull(change, "the voter slot of the lost disk was not given away");
         assertEquals(new Voter("r1", 0), change.getEndpoint());
         assertEquals(MembershipChangeMode.REMOVE_MEMBER, change.getMode());
     }
 
     @Test
-    void aLeaderReadsWhoseSeatGoesToWhomAsItWas() throws Exception {
+    void leaderReadsTheRecordedVoterReplacement() throws Exception {
         byte[] golden = golden().get("replace");
-        Followers three = new Followers();
-        three.r2.becomes(three.r2::isLeader);
-        three.from1.says(golden);
-        UpdateRaftGroupMembersOp change =
-                three.changes(seat("r1", "0"), seat("r3", "0"), seat("r4", "4"));
-        assertNotNull(change, "the seat has not been given to the other router");
+        Followers followers = new Followers();
+        followers.r2.waitUntil(followers.r2::isLeader);
+        followers.fromR1.send(golden);
+        UpdateRaftGroupMembersOp change = followers.awaitGroupChange(
+                presence("r1", "0"), presence("r3", "0"), presence("r4", "4"));
+        assertNotNull(change, "the voter slot was not given to the other router");
         assertEquals(new Voter("r3", 0), change.getEndpoint());
         assertEquals(MembershipChangeMode.REMOVE_MEMBER, change.getMode());
     }
