--- a/src/main/java/tinlink/cluster/VoterLifecycle.java
+++ b/src/main/java/tinlink/cluster/VoterLifecycle.java
@@ -34,7 +34,7 @@
     private final NodeMessageSender sender;
     private final KnownLeader leader;
 
-    /** The voter that this router is with its present disk; null before {@link #start}. */
+    /** The voter of this router and its present disk; null before {@link #start}. */
     private Voter localVoter;
     /** The admission of this disk while it is undecided; null otherwise. */
     private VoterAdmission pendingAdmission;
@@ -243,7 +243,7 @@
         }
     }
 
-    /** Returns the voter that this router is with its present disk; null before {@link #start}. */
+    /** Returns the voter of this router and its present disk; null before {@link #start}. */
     Voter localVoter() {
         return localVoter;
     }
--- a/src/main/java/tinlink/cluster/membership/Prober.java
+++ b/src/main/java/tinlink/cluster/membership/Prober.java
@@ -17,7 +17,7 @@
  * clock whose time the caller passes.
  */
 final class Prober {
-    /** Interval, in rounds, at which an unreachable router (configured or dead) is probed, not a member. */
+    /** Interval in rounds between probes of unreachable routers: configured ones or dead members. */
     private static final int UNREACHABLE_PROBE_INTERVAL_ROUNDS = 4;
 
     private static final class PendingProbe {
@@ -64,7 +64,10 @@
     private final SplittableRandom random;
     /** Probes for this router by sequence number; each is removed at its answer or deadline. */
     private final Map<Long, PendingProbe> pendingProbes = new LinkedHashMap<>();
-    /** Probes for others by sequence number, at most {@code maxMembers}; each ends as those above. */
+    /**
+     * Probes on request of others by sequence number, at most {@code maxMembers}; each is removed at its
+     * answer or deadline.
+     */
     private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
     /** Members that the next rounds probe, shuffled; refilled once empty. */
     private final ArrayDeque<String> probeOrder = new ArrayDeque<>();
