--- a/src/main/java/tinlink/router/QueriesInFlight.java
+++ b/src/main/java/tinlink/router/QueriesInFlight.java
@@ -7,27 +7,29 @@
 import java.util.Map;
 
 /**
- * Queries in flight by call id, and the call ids of those that have ended lately. Of the event loop's thread.
+ * The queries in flight by call id, and the call ids of recently ended queries. Confined to the event
+ * loop's thread.
  */
 final class QueriesInFlight {
-    /** Each leaves with its response or its client. */
+    /** By call id; a query is removed when it is answered or its client disconnects. */
     private final Map<String, Query> queries = new HashMap<>();
-    /** When each has ended, the oldest first; each leaves after the time that a client waits at most. */
+    /** End times by call id, oldest first; an entry is removed after {@link #callIdRetentionUs}. */
     private final Map<String, Long> endedAtUs = new LinkedHashMap<>();
 
     private final long callIdRetentionUs;
+    /** Parts of all queries in flight. */
     private int parts;
 
-    /** @param callIdRetentionUs for how long the call id of a query that has ended stays known */
+    /** @param callIdRetentionUs how long the call id of an ended query stays known */
     QueriesInFlight(long callIdRetentionUs) {
         this.callIdRetentionUs = callIdRetentionUs;
     }
 
-    /** Whether a query of that call id is in flight or has ended lately. */
+    /** Whether a query with this call id is in flight or ended recently. */
     boolean isKnown(String callId, long nowUs) {
-        long expiredUs = nowUs - callIdRetentionUs;
+        long expiryUs = nowUs - callIdRetentionUs;
         for (Iterator<Long> ended = endedAtUs.values().iterator();
-                ended.hasNext() && ended.next() <= expiredUs; ) {
+                ended.hasNext() && ended.next() <= expiryUs; ) {
             ended.remove();
         }
         return queries.containsKey(callId) || endedAtUs.containsKey(callId);
@@ -38,7 +40,7 @@
         parts += query.announcedParts;
     }
 
-    /** Its call id stays known for a while; without effect where it is not in flight. */
+    /** Removes an ended query and keeps its call id for a while; no effect if it is not in flight. */
     void remove(Query query, long nowUs) {
         if (queries.remove(query.callId, query)) {
             parts -= query.announcedParts;
@@ -46,12 +48,12 @@
         }
     }
 
-    /** Lookups and parts in flight. */
+    /** The number of lookups plus the number of parts in flight. */
     int size() {
         return queries.size() + parts;
     }
 
-    /** Those in flight; a view. */
+    /** A live view of the queries in flight. */
     Collection<Query> all() {
         return queries.values();
     }
--- a/src/main/java/tinlink/router/Query.java
+++ b/src/main/java/tinlink/router/Query.java
@@ -2,39 +2,39 @@
 
 import tinlink.decision.Lookup;
 
-/** A lookup in flight: what is sent with its parts, and who is notified of its response. */
+/** A lookup in flight: the content sent with its parts, and the listener for its response. */
 final class Query extends Lookup {
-    /** Notified of a query's end; once, and not after its client has left. */
+    /** Notified once when a query ends, unless its client has disconnected before. */
     interface ResponseListener {
         void onAnswer(Query query, boolean isComplete);
 
         /**
-         * The lookup is refused.
+         * The lookup was rejected: a retry is harmless.
          *
-         * @param retryAfterUs 0 for no advice
+         * @param retryAfterUs delay to suggest to the client, in microseconds; 0 for none
          */
         void onRejection(Query query, long retryAfterUs);
 
         void onAbort(Query query);
 
-        /** An internal error has ended it; it may have run. */
+        /** An internal error ended the lookup, which may have run. */
         void onFailure(Query query);
     }
 
-    /** Unique among all that are in flight or have just ended. */
+    /** Unique among the queries that are in flight or ended recently. */
     final String callId;
-    /** Held once; every part call sends these bytes. */
+    /** The text of the lookup in UTF-8, shared by all attempts of all parts. */
     final byte[] text;
-    /** The client's idempotency key; null where its lookup class needs none. */
+    /** The client's idempotency key; null if its lookup class needs none. */
     final String idempotencyKey;
 
     final ResponseListener listener;
     /**
-     * The longest Retry-After that a router of another site has given, in microseconds; 0 where none
-     * has.
+     * The longest Retry-After received from a router of another site, in microseconds; 0 if none was
+     * received.
      */
     long remoteRetryAfterUs;
-    /** The part of another site that it was made for; null for a client's. */
+    /** The forwarded part that this query was created for; null for a query of a client. */
     Object remoteOrigin;
 
     Query(String callId, byte[] text, String idempotencyKey, ResponseListener listener) {
