--- a/src/main/java/tinlink/router/ClientResponse.java
+++ b/src/main/java/tinlink/router/ClientResponse.java
@@ -9,8 +9,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An HTTP response to a client, made from a decision. 429 and 503 promise that a retry does no
- * harm.
+ * An HTTP response to a client. The statuses 429 and 503 promise that a retry is harmless.
  */
 final class ClientResponse {
     private final int status;
@@ -27,7 +26,7 @@
         return new ClientResponse(status, "Content-Type: text/plain\r\n", message + "\n");
     }
 
-    /** The values of the parts that are in, as the data nodes gave them. */
+    /** The values received for the parts, as the data nodes sent them. */
     static ClientResponse answer(Query query, boolean isComplete) {
         StringBuilder json = new StringBuilder(64 + 40 * query.parts.size())
                 .append("{\"all_in\":")
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -16,14 +16,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Makes a query from the head and the body of a client's request, or says what is wrong with them.
+ * Parses the headers and the body of a client's request, or a forwarded part, into a query. The messages of
+ * the exceptions are sent to the client.
  */
 final class QueryParser {
     private static final Pattern CALL_ID = Pattern.compile("[A-Za-z0-9_-]{1,64}");
     private static final Pattern PART_ID = Pattern.compile("[A-Za-z0-9_-]{1,64}\\.[0-9]{1,9}");
-    private static final Pattern BUDGET = Pattern.compile("[0-9]{1,9}");
-    private static final Pattern KEY = Pattern.compile("[!-+.-~-]{1,128}");
-    /** So much may be lost of each share as it is written. */
+    private static final Pattern BUDGET_MS = Pattern.compile("[0-9]{1,9}");
+    private static final Pattern IDEMPOTENCY_KEY = Pattern.compile("[!-+.-~-]{1,128}");
+    /** Largest rounding error of one share in its written form. */
     private static final double SHARE_ROUNDING = 1e-3;
 
     private final RouterConfig.LookupSettings settings;
@@ -32,7 +33,7 @@
         this.settings = settings;
     }
 
-    /** @param currentClasses the figures of indexes as they are now; null for those of the start */
+    /** @param currentClasses the lookup classes in force, by name; null to use the configured ones */
     Query parse(
             Map<String, String> headers,
             JsonReader body,
@@ -48,9 +49,9 @@
         if (lookupClass == null) {
             throw new MessageRejectedException(400, "X-Call-Class: no such class");
         }
-        long budgetUs = 1000 * Long.parseLong(requireMatch(headers, "x-budget-ms", BUDGET));
+        long budgetUs = 1000 * Long.parseLong(requireMatch(headers, "x-budget-ms", BUDGET_MS));
         String idempotencyKey = lookupClass.idempotency == LookupClass.Idempotency.BY_KEY
-                ? requireMatch(headers, "idempotency-key", KEY)
+                ? requireMatch(headers, "idempotency-key", IDEMPOTENCY_KEY)
                 : null;
         if (!(body.value() instanceof Map<?, ?> map)) {
             throw new MessageRejectedException(400, "the body is no object");
@@ -68,9 +69,9 @@
     }
 
     /**
-     * A part that another site has forwarded, as a lookup of one step.
+     * Makes a lookup with a single part out of a part that another site forwarded.
      *
-     * @param id unique among all in flight
+     * @param id the call id of the new query, unique among the queries in flight
      */
     Query parseForwarded(IncomingPart part, String id, Query.ResponseListener listener)
             throws MessageRejectedException {
@@ -85,7 +86,9 @@
         if (!PART_ID.matcher(content.id()).matches()
                 || (needsKey
                         && (content.idempotencyKey() == null
-                                || !KEY.matcher(content.idempotencyKey()).matches()))) {
+                                || !IDEMPOTENCY_KEY
+                                        .matcher(content.idempotencyKey())
+                                        .matches()))) {
             throw new MessageRejectedException(400, "id or key: not of its form");
         }
         Query query =
@@ -109,8 +112,8 @@
         return value;
     }
 
-    private void parseParts(Query query, Object given) throws MessageRejectedException {
-        if (!(given instanceof List<?> list) || list.isEmpty()) {
+    private void parseParts(Query query, Object segments) throws MessageRejectedException {
+        if (!(segments instanceof List<?> list) || list.isEmpty()) {
             throw new MessageRejectedException(400, "segments: no list, or an empty one");
         }
         Set<Integer> seenShards = new HashSet<>();
@@ -132,9 +135,8 @@
             query.parts.add(new QueryPart(query, shard.intValue(), boost));
             sum += boost;
         }
-        // Danger: shares that add up to more than one would let too few parts pass for a whole
-        // answer, and
-        // parts of a lookup that nobody asked for in this form are void.
+        // Shares that add up to more than 1 would let an answer with too few parts count as
+        // complete, so such a request is invalid rather than adjusted.
         if (Math.abs(sum - 1) > SHARE_ROUNDING * (1 + query.parts.size())) {
             throw new MessageRejectedException(400, "boost: the shares don't add up to 1");
         }
