--- a/src/main/java/tinlink/router/ClientAcceptor.java
+++ b/src/main/java/tinlink/router/ClientAcceptor.java
@@ -17,16 +17,16 @@
 
 /**
  * Accepts client connections, admits their queries to the decision driver, and closes connections when
- * descriptors run short or the router stops. Of the event loop's thread.
+ * descriptors run short or the router stops. Confined to the event loop's thread.
  */
 final class ClientAcceptor implements Network.AcceptHandler {
     private static final EventLog LOG = new EventLog("tinlink.clients");
 
     /**
-     * @param maxInFlight lookups and parts that may be in flight, where no policy says otherwise
-     * @param lingerUs how long the other side may take to see a close
-     * @param maxBodyBytesInFlight bytes that bodies which are being read may hold together
-     * @param maxDeadlineUs no client waits for longer than this
+     * @param maxInFlight limit of lookups and parts in flight if no policy sets one
+     * @param lingerUs time that the peer has to react to the end of the stream before a close
+     * @param maxBodyBytesInFlight limit of the total size of request bodies being read
+     * @param maxDeadlineUs longest time that a client waits for an answer
      */
     record Limits(int maxInFlight, long lingerUs, long maxBodyBytesInFlight, long maxDeadlineUs) {}
 
@@ -37,16 +37,18 @@
     private final DecisionDriver driver;
     private final Limits limits;
     private final ClientConnections clients = new ClientConnections();
-    /** When the first slow request may be closed, while no other gives way; null while none has to. */
+    /** Fires when the oldest incomplete request may be closed; null if no descriptor is needed. */
     private EventLoop.Timer slowClientTimer;
 
+    /** Total size of the request bodies being read. */
     private long bodyBytesInFlight;
-    private boolean isDraining;
-    /** What can't be answered by then is not admitted. */
+
+    private boolean draining;
+    /** Lookups whose deadline is later than this are not admitted. */
     private long admitUntilUs = Long.MAX_VALUE;
 
-    private boolean isReady = true;
-    /** The policy by which lookups are admitted; null where it never changes. */
+    private boolean ready = true;
+    /** The policy that limits admission; null if the configured limits apply. */
     private PolicyIntegration policy;
 
     ClientAcceptor(
@@ -77,8 +79,9 @@
     }
 
     /**
-     * @param acceptedAtUs its first request has its time from then on
-     * @param hasSentBytes what it asks has waited for us since then, so that much less of its time is left
+     * @param acceptedAtUs when the timeout of the first request starts
+     * @param hasSentBytes whether the client has sent bytes that the router has not read yet; its deadline
+     *     then counts from {@code acceptedAtUs}
      */
     void accepted(
             Connection connection,
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Danger: accepting without a descriptor to spare fails again at once, and spins. */
+    /** Accepting without a free descriptor would fail at once and be repeated in a busy loop. */
     @Override
     public boolean canAccept() {
         return descriptors.hasForClient();
@@ -118,7 +121,7 @@
         loop.schedule(loop.nowUs() + limits.lingerUs(), () -> network.accept(this));
     }
 
-    /** Closes one client connection, if there is one that may give way. @return whether one was closed */
+    /** Closes one client connection with nothing in flight, if any. @return whether one was closed */
     boolean closeIdle() {
         int clientsBefore = clients.size();
         whileReadsPaused(() -> clients.closeOneIdle(loop.nowUs() - limits.lingerUs()));
@@ -138,18 +141,18 @@
     void markIdle(ClientConnection client) {
         if (clients.markIdle(client)) {
             loop.execute(this::freeDescriptor);
-            if (isDraining) {
+            if (draining) {
                 whileReadsPaused(() -> drain(client));
             }
         }
     }
 
-    /** A part of a request has come. */
+    /** The beginning of a request has arrived. */
     void requestStarted(ClientConnection client) {
         clients.requestStarted(client, loop.nowUs());
     }
 
-    /** It is complete, or nothing more is read of it. */
+    /** The request is complete, or no more of it will be read. */
     void requestReceived(ClientConnection client) {
         clients.requestReceived(client);
     }
@@ -161,8 +164,8 @@
     }
 
     /**
-     * Between the two times that the protocol gives: after that, a connection with nothing in flight is
-     * closed.
+     * Schedules the timeout of a connection that waits for a complete request. It lies between the protocol's
+     * minimum idle time and its maximum client wait.
      */
     EventLoop.Timer scheduleRequestTimeout(long sinceUs, Runnable task) {
         return loop.schedule(
@@ -173,7 +176,7 @@
                 task);
     }
 
-    /** What has been read, and waits for the event loop, has been processed by then. */
+    /** Runs the task after bytes that were read already have been processed by the event loop. */
     EventLoop.Timer scheduleAfterLinger(Runnable task) {
         return loop.schedule(loop.nowUs() + limits.lingerUs(), task);
     }
@@ -186,7 +189,7 @@
         loop.cancel(timer);
     }
 
-    /** It has had its last response; if it does not close the connection itself, we do. */
+    /** Closes the connection after its last response, unless the client closes it first. */
     void closeAfterLinger(ClientConnection client) {
         clients.markClosing(client);
         closeAfterLinger(client, loop.nowUs() + limits.maxDeadlineUs());
@@ -210,33 +213,33 @@
         });
     }
 
-    /** Whether the next response is the last one on its connection. */
+    /** Whether a connection is closed after its next response. */
     boolean closesAfterResponse() {
-        return isDraining || descriptors.hasTooManyIdle(clients.idleCount());
+        return draining || descriptors.hasTooManyIdle(clients.idleCount());
     }
 
-    /** Whether clients may be sent here. */
+    /** Whether the readiness check reports this router as available to clients. */
     boolean isReady() {
-        return isReady && (policy == null || policy.unavailableReason().isEmpty());
+        return ready && (policy == null || policy.unavailableReason().isEmpty());
     }
 
-    /** From now on lookups are admitted by the policy in force, or not at all. */
+    /** Admits lookups only by the policy in force from now on. */
     void setPolicy(PolicyIntegration policy) {
         this.policy = policy;
     }
 
-    /** From now on clients are sent elsewhere; those that are here are served. */
+    /** Fails the readiness check from now on; connected clients are still served. */
     void markNotReady() {
         setReady(false);
     }
 
-    void setReady(boolean isReady) {
-        this.isReady = isReady;
+    void setReady(boolean ready) {
+        this.ready = ready;
     }
 
     /**
-     * @param requestedAtUs when its client has sent it, as far as that is known
-     * @throws MessageRejectedException where it can't be admitted, with the status that says why
+     * @param requestedAtUs when the client sent the request, if known; a later time than now counts as now
+     * @throws MessageRejectedException if the request is invalid, with the HTTP status to answer
      */
     Query parse(
             Map<String, String> headers,
@@ -253,13 +256,18 @@
         return query;
     }
 
-    /** Danger: bodies that many clients send at once, each in full size, would fill the heap. */
+    /**
+     * Accounts for body bytes, since bodies of the full size from many clients at once would fill the heap.
+     *
+     * @param bytes negative to release bytes
+     * @return whether the total is within the limit
+     */
     boolean reserveBodyBytes(int bytes) {
         bodyBytesInFlight += bytes;
         return bodyBytesInFlight <= limits.maxBodyBytesInFlight();
     }
 
-    /** The limit of lookups and parts in flight has not been reached, nor is there too little time. */
+    /** Whether the limit of lookups and parts in flight and the time until the stop allow the query. */
     boolean hasCapacity(Query query) {
         return driver.inFlight() < (policy == null ? limits.maxInFlight() : policy.maxInFlight())
                 && query.clientDeadlineUs <= admitUntilUs;
@@ -273,17 +281,18 @@
         driver.clientGone(query);
     }
 
-    // ---- The stop. ----
+    // ---- Stopping. ----
 
     void admitUntilUs(long untilUs) {
         admitUntilUs = untilUs;
     }
 
     /**
-     * Clients with nothing in flight are told that nothing more is taken; what crosses that goes elsewhere.
+     * Stops accepting and ends the connections with nothing in flight. A request that crosses the end of the
+     * stream stays unread, and its client retries it at another router.
      */
     void stopAccepting() {
-        isDraining = true;
+        draining = true;
         network.stopAccepting();
         whileReadsPaused(() -> {
             clients.idle().forEach(this::drain);
@@ -291,17 +300,17 @@
         });
     }
 
-    /** What has been read and waits for the event loop is answered first, as the last on its connection. */
+    /** Bytes that were read but not processed are answered first, as the last request of the connection. */
     private void drain(ClientConnection client) {
         if (!client.connection().hasUnprocessedRead()) {
             client.drain();
         }
     }
 
-    /** Clients are accepted again, at that address. */
+    /** Listens on the address and accepts clients again. */
     void resumeAccepting(InetSocketAddress address) throws IOException {
         network.listen(address);
-        isDraining = false;
+        draining = false;
         network.accept(this);
     }
 
--- a/src/main/java/tinlink/router/ClientConnection.java
+++ b/src/main/java/tinlink/router/ClientConnection.java
@@ -17,15 +17,16 @@
 import java.util.regex.Pattern;
 
 /**
- * A client's connection: one request at a time, the next one is read when its answer has been
- * given.
+ * A client's HTTP connection. It handles one request at a time; the next one is read after the response
+ * to the current one.
  */
 final class ClientConnection
         implements Connection.Listener, HttpReader.MessageListener, Query.ResponseListener {
     private static final EventLog LOG = new EventLog("tinlink.clients");
     private static final Pattern CLOSE_OPTION = Pattern.compile("(?i)(.*,)?\\s*close\\s*(,.*)?");
-    private static final Pattern SINGLE_FIELDS =
+    private static final Pattern SINGLE_VALUE_HEADERS =
             Pattern.compile("x-.*|idempotency-key|content-length|host");
+
     private final ClientAcceptor acceptor;
     private final HttpReader reader = HttpReader.forRequests(this);
     private final Map<String, String> headers = new HashMap<>();
@@ -35,36 +36,42 @@
     private boolean keepAlive;
     private JsonReader body;
     private int bodyBytes;
-    /** In flight; a close now means that its client has left. */
+    /** The query in flight; null if none. If the connection closes, its client has disconnected. */
     private Query query;
 
-    private boolean lastResponse;
-    /** It has had a response. */
-    private boolean hasResponded;
-    /** Bytes discarded after the last response. */
+    /** Whether the connection is about to close, so that no further request is read. */
+    private boolean closing;
+    /** Whether any response has been written on this connection. */
+    private boolean responded;
+    /** Bytes received and discarded after the last response. */
     private int discardedBytes;
-    /** Runs while nothing is in flight: until then a complete request has to come. */
+    /** Limits the wait for a complete request; null while a query is in flight. */
     private EventLoop.Timer requestTimer;
 
+    /** Whether the timeout was restarted for a request that has begun to arrive. */
     private boolean requestBegun;
+    /** When the first request was sent, if it waited to be read; otherwise {@code Long.MAX_VALUE}. */
     private long requestedAtUs;
 
     ClientConnection(ClientAcceptor acceptor) {
         this.acceptor = acceptor;
     }
 
-    /** @param requestedAtUs of its first request, where that has waited for us; else the end of time */
+    /**
+     * @param requestedAtUs when the first request was sent, if it waited to be read; otherwise
+     *     {@code Long.MAX_VALUE}
+     */
     void attach(Connection connection, long requestedAtUs) {
         this.connection = connection;
         this.requestedAtUs = requestedAtUs;
     }
 
     /**
-     * Danger: a request that crosses the close is lost once read; unread, its client asks
-     * elsewhere.
+     * Ends the stream to the client. A request that crosses the close would be lost if it were read; if it
+     * stays unread, the client retries it at another router.
      */
     void drain() {
-        lastResponse = true;
+        closing = true;
         cancelRequestTimer();
         connection.halfClose();
         acceptor.closeAfterLinger(this);
@@ -75,19 +82,19 @@
         requestTimer = null;
     }
 
-    /** Nothing is in flight from that time on. */
+    /** Starts the timeout for the next request at the given time. */
     void awaitRequest(long sinceUs) {
         acceptor.cancel(requestTimer);
         requestBegun = false;
         requestTimer = acceptor.scheduleRequestTimeout(sinceUs, this::requestTimedOut);
     }
 
-    /** Nothing is in flight, a next request may come. */
+    /** Whether nothing is in flight and another request is allowed. */
     private boolean isAwaitingRequest() {
-        return query == null && !lastResponse;
+        return query == null && !closing;
     }
 
-    /** Nothing is in flight and nothing has been read of a next request. */
+    /** Whether nothing is in flight and no part of the next request has been read. */
     private boolean isIdle() {
         return isAwaitingRequest() && reader.isAtBoundary();
     }
@@ -107,8 +114,8 @@
             LOG.log(Level.FINE, "request_rejected", "reason", e.getMessage());
             respondAndClose(ClientResponse.plainText(e.status, e.getMessage()));
         } catch (RuntimeException e) {
-            // Danger: a fault of ours must not leave the client without an answer, nor word a
-            // refusal.
+            // An internal error must not leave the client without a response, and must not be
+            // reported as a rejection.
             LOG.logFailure(Level.SEVERE, "request_failed", e);
             Query failed = query;
             query = null;
@@ -118,35 +125,33 @@
             respondAndClose(ClientResponse.plainText(500, "a fault of the router"));
         }
         if (query != null && in.size() >= ProtocolLimits.MAX_UNREAD_BYTES) {
-            // Danger: behind what a client has sent without waiting for an answer its close is not
-            // seen, and
-            // parts would be sent for it when it has long gone.
+            // If a client pipelines more than this, its close stays hidden behind the unread bytes,
+            // and attempts would be sent for a client that has disconnected.
             Query failed = query;
             query = null;
             acceptor.clientGone(failed);
             respondAndClose(ClientResponse.plainText(400, "too much was sent before an answer"));
         }
-        while (lastResponse && in.size() > 0 && discardedBytes < ProtocolLimits.MAX_BODY_BYTES) {
-            // Not read as a request, but taken: a reset would cut off the answer. Danger: what a
-            // client that
-            // sends without end is sent takes the time of all others; past the bound its bytes stay
-            // where they are.
+        while (closing && in.size() > 0 && discardedBytes < ProtocolLimits.MAX_BODY_BYTES) {
+            // Bytes after the last response are discarded, since a reset would cut off the
+            // response. The amount is bounded: a client that sends endlessly would take processing
+            // time from all others.
             discardedBytes += in.takeContiguous(in.size()).remaining();
         }
         if (isIdle()) {
             acceptor.markIdle(this);
         } else if (isAwaitingRequest()) {
             acceptor.requestStarted(this);
-            if (hasResponded && !requestBegun) {
-                awaitRequest(acceptor.nowUs()); // Its next request has begun, and has its own time.
+            if (responded && !requestBegun) {
+                awaitRequest(acceptor.nowUs()); // The request that has begun has a full timeout.
                 requestBegun = true;
             }
         }
     }
 
     /**
-     * Danger: connections that say nothing, or stop in the middle of a request, would be held for
-     * ever.
+     * Ends a connection that is silent or stopped in the middle of a request; it would otherwise be held
+     * forever.
      */
     private void requestTimedOut() {
         requestTimer = null;
@@ -160,15 +165,18 @@
     private void closeIdle() {
         if (connection.hasUnprocessedRead()) {
             requestTimer = acceptor.scheduleAfterLinger(
-                    this::requestTimedOut); // It has begun to say something in this very moment.
-        } else if (hasResponded) {
+                    this::requestTimedOut); // Bytes of a request have just arrived.
+        } else if (responded) {
             drain();
         } else {
             connection.close(CloseReason.IDLE_TIMEOUT);
         }
     }
 
-    /** Of a request that was not read completely: the next one could not be told from its rest. */
+    /**
+     * Responds to a request that was not read completely, and closes the connection, since the rest of that
+     * request could not be told from the next one.
+     */
     private void respondAndClose(ClientResponse response) {
         releaseBody();
         keepAlive = false;
@@ -187,9 +195,10 @@
 
     @Override
     public void header(String name, String value) throws MessageRejectedException {
-        // Danger: of a field that comes twice, we and whoever stands before us could go by
-        // different ones.
-        if (headers.put(name, value) != null && SINGLE_FIELDS.matcher(name).matches()) {
+        // If such a header occurs twice, this router and a proxy in front of it could use different
+        // values.
+        if (headers.put(name, value) != null
+                && SINGLE_VALUE_HEADERS.matcher(name).matches()) {
             throw new MessageRejectedException(400, name + ": twice");
         }
     }
@@ -221,7 +230,7 @@
         if (body != null) {
             bodyBytes += piece.remaining();
             if (!acceptor.reserveBodyBytes(piece.remaining())) {
-                // Nothing of it was sent anywhere, so a rejection is safe to retry.
+                // No attempt was sent, so the client can safely retry after this rejection.
                 throw new MessageRejectedException(503, "too much is being read");
             }
             body.read(piece);
@@ -246,9 +255,9 @@
         Query parsed = acceptor.parse(headers, body, this, requestedAtUs);
         requestedAtUs = Long.MAX_VALUE;
         releaseBody();
-        headers.clear(); // A connection with nothing in flight holds next to nothing.
+        headers.clear(); // Frees memory while the connection is idle.
         if (!acceptor.hasCapacity(parsed)) {
-            // Nothing of it was sent anywhere, so a rejection is safe to retry.
+            // No attempt was sent, so the client can safely retry after this rejection.
             respond(ClientResponse.plainText(503, "no room for it now"));
             return;
         }
@@ -278,23 +287,23 @@
         respond(ended, ClientResponse.plainText(500, "a fault of the router"));
     }
 
-    /** The final response to the query in flight. */
+    /** Sends the final response to the query, if that is still in flight. */
     private void respond(Query ended, ClientResponse response) {
         if (query == ended) {
             query = null;
             respond(response);
-            if (!lastResponse) {
-                acceptor.resumeReadingSoon(this); // What came meanwhile is read in the next turn.
+            if (!closing) {
+                acceptor.resumeReadingSoon(this); // Pipelined bytes are read in the next turn.
             }
         }
     }
 
     private void respond(ClientResponse response) {
-        lastResponse = !keepAlive || acceptor.closesAfterResponse();
-        hasResponded = true;
-        response.write(connection.out(), lastResponse);
+        closing = !keepAlive || acceptor.closesAfterResponse();
+        responded = true;
+        response.write(connection.out(), closing);
         connection.scheduleWrite();
-        if (lastResponse) {
+        if (closing) {
             cancelRequestTimer();
             acceptor.closeAfterLinger(this);
         } else {
@@ -304,7 +313,7 @@
 
     @Override
     public void writesCompleted() {
-        if (lastResponse) {
+        if (closing) {
             connection.halfClose();
         }
     }
--- a/src/main/java/tinlink/router/ClientConnections.java
+++ b/src/main/java/tinlink/router/ClientConnections.java
@@ -9,20 +9,23 @@
 import java.util.Set;
 
 /**
- * The open client connections by what is known of each, and which of them is closed first when descriptors
- * run short. Of the event loop's thread; each connection leaves all sets as it closes, so they are bounded by
- * the descriptors.
+ * The open client connections by state, and the order in which they are closed when descriptors run short.
+ * Confined to the event loop's thread. A connection is removed from all collections when it closes, so their
+ * size is bounded by the descriptor limit.
  */
 final class ClientConnections {
     private final Set<ClientConnection> open = new LinkedHashSet<>();
-    /**
-     * Those that have had their last response, that have sent nothing yet, that have nothing in flight now.
-     */
+    /** Connections whose last response has been written. */
     private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
+    /** Connections that have sent nothing since they were accepted. */
     private final Set<ClientConnection> silent = new LinkedHashSet<>();
+    /** Connections with no request in flight and no part of the next request received. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
-    /** Those of whose request a part has come, and since when; each leaves with the rest or its response. */
+    /**
+     * When the request that a connection is still sending began to arrive. An entry is removed when the
+     * request is complete or answered.
+     */
     private final Map<ClientConnection, Long> sendingSinceUs = new LinkedHashMap<>();
 
     void opened(ClientConnection client) {
@@ -36,18 +39,18 @@
         markBusy(client);
     }
 
-    /** It has sent nothing since it was accepted. */
+    /** The client has sent nothing since it was accepted. */
     void markSilent(ClientConnection client) {
         silent.add(client);
     }
 
-    /** A request has come, or begins to. */
+    /** A request has arrived or has begun to arrive. */
     void markBusy(ClientConnection client) {
         idle.remove(client);
         silent.remove(client);
     }
 
-    /** Nothing of it is in flight. @return whether it is open */
+    /** The client has nothing in flight. @return whether the connection is open */
     boolean markIdle(ClientConnection client) {
         sendingSinceUs.remove(client);
         if (!open.contains(client)) {
@@ -57,26 +60,26 @@
         return true;
     }
 
-    /** It has had its last response. */
+    /** The last response on the connection has been written. */
     void markClosing(ClientConnection client) {
         markBusy(client);
         sendingSinceUs.remove(client);
         closing.add(client);
     }
 
-    /** A part of a request has come. */
+    /** The beginning of a request has arrived. */
     void requestStarted(ClientConnection client, long nowUs) {
         if (open.contains(client)) {
             sendingSinceUs.putIfAbsent(client, nowUs);
         }
     }
 
-    /** The request is complete, or nothing more is read of it. */
+    /** The request is complete, or no more of it will be read. */
     void requestReceived(ClientConnection client) {
         sendingSinceUs.remove(client);
     }
 
-    /** Since when the first of them has been sending a request; null while none is. */
+    /** When the oldest incomplete request began to arrive; null if there is none. */
     Long firstSendingSinceUs() {
         return sendingSinceUs.isEmpty()
                 ? null
@@ -91,23 +94,23 @@
         return idle.size();
     }
 
-    /** Those with nothing in flight; a copy. */
+    /** A copy of the connections with nothing in flight. */
     List<ClientConnection> idle() {
         return List.copyOf(idle);
     }
 
-    /** Those that have sent nothing yet; a copy. */
+    /** A copy of the connections that have sent nothing yet. */
     List<ClientConnection> silent() {
         return List.copyOf(silent);
     }
 
     /**
-     * Closes one connection that nothing is in flight on, which its client then opens anew; to be called
-     * while reads are paused. Danger: clients that connect by the hundreds and send nothing would push out
-     * the usual ones; they go first, right after those that are over but for their close. Last go those that
-     * have long been sending.
+     * Closes one connection with nothing in flight; its client can reconnect. Must be called while reads are
+     * paused. Connections that only wait for their close go first. Silent connections go next, since clients
+     * that connect by the hundreds and send nothing would otherwise displace the active ones. Idle
+     * connections follow, and last those that have been sending one request for a long time.
      *
-     * @param slowBeforeUs a request that began to come before this has had the time to come whole
+     * @param slowBeforeUs a request that began to arrive at or before this time should be complete by now
      */
     void closeOneIdle(long slowBeforeUs) {
         for (Set<ClientConnection> candidates : List.of(closing, silent, idle)) {
@@ -120,9 +123,8 @@
                 }
             }
         }
-        // Danger: clients that send byte by byte would hold all connections, and the usual ones
-        // find none. A request
-        // that is sent at all has come whole by now.
+        // Clients that send byte by byte could otherwise hold all connections and lock out the
+        // others. A request sent at a normal rate is complete by now.
         for (Map.Entry<ClientConnection, Long> sending : sendingSinceUs.entrySet()) {
             if (sending.getValue() > slowBeforeUs) {
                 break;
