--- a/src/main/java/tinlink/router/DescriptorBudget.java
+++ b/src/main/java/tinlink/router/DescriptorBudget.java
@@ -1,38 +1,39 @@
 package tinlink.router;
 
 /**
- * The count of open descriptors against the limit. A quarter is kept back for data nodes and an
- * eighth for the process itself, so that clients alone never use up what their lookups need.
+ * Counts open file descriptors against the process limit. A quarter is reserved for connections to
+ * data nodes and an eighth for the process itself, so that client connections cannot exhaust the
+ * descriptors that their own lookups need.
  */
 final class DescriptorBudget {
     private final int limit;
-    private final int forClients;
-    private final int forNodes;
+    private final int clientLimit;
+    private final int nodeLimit;
     private int clients;
     private int nodes;
 
     DescriptorBudget(int limit) {
         this.limit = limit;
-        forClients = limit - limit / 4 - limit / 8;
-        forNodes = limit - limit / 8;
+        clientLimit = limit - limit / 4 - limit / 8;
+        nodeLimit = limit - limit / 8;
     }
 
     /**
-     * One more may be accepted: it shows that a client wants a connection, and an idle one is closed for
-     * it.
+     * Whether a client connection can be accepted. The comparison admits one connection above the
+     * clients' share: it shows that a client is waiting, and an idle connection is closed in exchange.
      */
     boolean hasForClient() {
-        return clients <= forClients;
+        return clients <= clientLimit;
     }
 
     boolean hasForNode() {
-        return clients + nodes < forNodes;
+        return clients + nodes < nodeLimit;
     }
 
     /**
-     * Clients have a third of the limit for what they ask. Danger: those that ask once and stay
-     * would hold all of it until their time is over, and the others find no connection; half of it
-     * may stand idle.
+     * Whether connections should be closed after their next response. Clients have a third of the limit
+     * for their requests, and half of that third may be idle. Otherwise clients that send one request and
+     * stay connected would hold all of it until the idle timeout, and other clients could not connect.
      */
     boolean hasTooManyIdle(int idleClients) {
         return idleClients > limit / 6;
--- a/src/main/java/tinlink/router/RequestPipeline.java
+++ b/src/main/java/tinlink/router/RequestPipeline.java
@@ -5,7 +5,7 @@
 import tinlink.net.EventLoop;
 import tinlink.net.Network;
 
-/** The stages of a request and the list beside them, put together for one loop and one module. */
+/** Wires the stages of a request and the endpoint list for one event loop and one coordinator. */
 final class RequestPipeline {
     final QueryParser queryParser;
     final DecisionDriver driver;
@@ -15,8 +15,10 @@
     final DiscoveryWatcher discoveryWatcher;
     final DescriptorBudget descriptors;
 
-    RequestPipeline(EventLoop loop, Network network, RouterConfig config, QueryCoordinator module) {
-        driver = new DecisionDriver(loop, module, config.maxDeadlineUs, config.maxRetryAfterUs);
+    RequestPipeline(
+            EventLoop loop, Network network, RouterConfig config, QueryCoordinator coordinator) {
+        driver =
+                new DecisionDriver(loop, coordinator, config.maxDeadlineUs, config.maxRetryAfterUs);
         descriptors = new DescriptorBudget(config.maxDescriptors);
         dispatcher =
                 new AttemptDispatcher(loop, network, descriptors, driver, config.nodeConnections);
