--- a/src/main/java/tinlink/router/DiscoveryConnection.java
+++ b/src/main/java/tinlink/router/DiscoveryConnection.java
@@ -14,35 +14,35 @@
 import java.util.logging.Level;
 
 /**
- * One connection to discovery. It carries a watch: a chunked answer, in it a JSON object a line. Where the
- * revisions of the place are not known, an answer that is the full list comes first.
+ * A connection to discovery that carries a watch: a chunked response with one JSON object per line. If the
+ * held revision is not one of this discovery address, the connection requests the full list first.
  */
 final class DiscoveryConnection implements Connection.Listener, HttpReader.MessageListener {
-    /** What a connection belongs to. */
+    /** The owner of the connection. */
     interface Handler {
-        /** The host that is asked. */
+        /** The value of the Host header. */
         String host();
 
-        /** Whether changes may be asked for; if not, the full list has to come first. */
+        /** Whether a watch can resume from {@link #revision()}; otherwise the full list comes first. */
         boolean isRevisionCurrent();
 
-        /** The revision of the list, since which changes are asked for. */
+        /** The revision of the held list; the watch requests the changes after it. */
         long revision();
 
-        /** Whether what this connection says still counts. */
+        /** Whether data from this connection is still accepted. */
         boolean isInUse(DiscoveryConnection connection);
 
-        /** It has said a line of its watch that could be used. */
+        /** Called when the connection's watch delivers a usable line. */
         void watchAlive(DiscoveryConnection connection);
 
         /**
-         * An object is complete.
+         * Called with a complete object.
          *
-         * @return whether it is a list that could be used
+         * @return whether the object is a usable list
          */
         boolean listReceived(Object list);
 
-        /** A list has been told and taken. */
+        /** Called after a list was received and applied. */
         void listApplied();
 
         void watchClosed(DiscoveryConnection connection, CloseReason closeReason);
@@ -51,8 +51,8 @@
     private static final EventLog LOG = new EventLog("tinlink.discovery");
 
     /**
-     * Danger: what a silent watch misses counts as told after three lines' time. Half of it is left for
-     * connections that are refused, hang, or are taken and say nothing.
+     * An update that a silent watch misses counts as received after three keepalive intervals. Half of that
+     * time is left for new connections that are refused, hang, or are accepted and stay silent.
      */
     private static final long SILENCE_TIMEOUT_US = 3 * ProtocolLimits.WATCH_KEEPALIVE_US / 2;
 
@@ -61,14 +61,20 @@
     private final int maxObjectBytes;
     private final HttpReader reader = HttpReader.forResponses(this);
 
-    /** What is read of an object; it may go over several lines, the first of which alone begins it. */
+    /** The object being read; it can span several lines, of which only the first begins with a brace. */
     private JsonReader object = new JsonReader();
 
+    /** Whether the current line has any content. */
     private boolean lineBegun;
+
     private int objectBytes;
-    private boolean isMalformed;
-    private boolean isWatching;
+    /** Whether the rest of the current line is skipped. */
+    private boolean malformed;
+    /** Whether the last request was for the watch rather than for the full list. */
+    private boolean watching;
+
     private Connection connection;
+    /** Closes the connection when the watch stays silent; null before the first line. */
     private EventLoop.Timer silenceTimer;
 
     DiscoveryConnection(EventLoop loop, Handler handler, int maxObjectBytes) {
@@ -92,18 +98,18 @@
     }
 
     private void sendRequest() {
-        isWatching = handler.isRevisionCurrent();
+        watching = handler.isRevisionCurrent();
         connection
                 .out()
-                .put("GET /api/targets" + (isWatching ? "?watch=1&after=" + handler.revision() : "")
+                .put("GET /api/targets" + (watching ? "?watch=1&after=" + handler.revision() : "")
                         + " HTTP/1.1\r\nHost: " + handler.host() + "\r\n\r\n");
         connection.scheduleWrite();
     }
 
-    /** Danger: bytes that drip in, or noise, are no life: a line that could be read is. */
+    /** Restarts the silence timeout. Only a readable line does so: stray bytes prove nothing. */
     private void notifyAlive() {
-        if (!isWatching) {
-            return; // The full list says nothing of what comes after it.
+        if (!watching) {
+            return; // The full list does not prove that a watch delivers later changes.
         }
         loop.cancel(silenceTimer);
         silenceTimer = loop.schedule(
@@ -127,7 +133,8 @@
     public void startLine(String version, String status, String reasonPhrase)
             throws MessageRejectedException {
         if (!status.equals("200")) {
-            throw new MessageRejectedException(502, "the watch was answered with " + status);
+            throw new MessageRejectedException(
+                    502, "expected status 200 from discovery, received " + status);
         }
     }
 
@@ -137,14 +144,14 @@
             byte b = piece.get();
             if (++objectBytes > maxObjectBytes) {
                 throw new MessageRejectedException(
-                        502, "a list of over " + maxObjectBytes + " bytes");
+                        502, "endpoint list exceeds " + maxObjectBytes + " bytes");
             }
             if (b == '\n') {
                 lineEnded();
             } else {
-                if (isWatching && !lineBegun && b == '{' && !object.isEmpty()) {
-                    discardObject(
-                            "it does not end"); // An object begins here, so the one before was cut.
+                if (watching && !lineBegun && b == '{' && !object.isEmpty()) {
+                    // A new object begins here, so the one before was cut off.
+                    discardObject("object is not terminated");
                 }
                 lineBegun |= b != '\r';
                 read(b);
@@ -154,12 +161,12 @@
 
     private void read(byte b) {
         try {
-            if (!isMalformed) {
+            if (!malformed) {
                 object.read(b);
             }
         } catch (MessageRejectedException e) {
             discardObject(e.getMessage());
-            isMalformed = true;
+            malformed = true;
         }
     }
 
@@ -171,21 +178,21 @@
     private void resetObject() {
         object = new JsonReader();
         objectBytes = 0;
-        isMalformed = false;
+        malformed = false;
     }
 
-    /** Danger: what it holds must not be passed over, nor half of it pass for all of it. */
+    /** Ends a line. An update must not be skipped, and a partial one must not be applied as whole. */
     private void lineEnded() {
         boolean hadContent = lineBegun;
         lineBegun = false;
         read((byte) '\n');
-        if (isMalformed) {
+        if (malformed) {
             resetObject();
         } else if (object.isComplete()) {
             objectEnded();
-        } else if (isWatching && !hadContent) {
+        } else if (watching && !hadContent) {
             if (!object.isEmpty()) {
-                discardObject("it does not end"); // No line within a list is empty.
+                discardObject("object is not terminated"); // No line within a list is empty.
             }
             notifyAlive();
         }
@@ -195,8 +202,8 @@
         try {
             Object list = object.value();
             resetObject();
-            if (!isWatching && handler.isRevisionCurrent()) {
-                return; // Another has delivered the full list, perhaps a newer one.
+            if (!watching && handler.isRevisionCurrent()) {
+                return; // Another connection delivered the full list, possibly a newer one.
             }
             if (handler.listReceived(list)) {
                 notifyAlive();
@@ -207,11 +214,11 @@
         }
     }
 
-    /** The full list has come, and is watched from there on; a watch has no end. */
+    /** Requests the watch after the full list is complete; the end of a watch is an error. */
     @Override
     public void messageEnded() throws MessageRejectedException {
-        if (isWatching) {
-            throw new MessageRejectedException(502, "the watch was ended");
+        if (watching) {
+            throw new MessageRejectedException(502, "discovery ended the watch");
         }
         if (handler.isInUse(this)) {
             lineEnded();
--- a/src/main/java/tinlink/router/DiscoveryWatcher.java
+++ b/src/main/java/tinlink/router/DiscoveryWatcher.java
@@ -14,35 +14,37 @@
 import java.util.SplittableRandom;
 import java.util.logging.Level;
 
-/** Keeps the endpoint list up to date: opens watches at discovery, and follows it where it moves to. */
+/** Keeps the endpoint list up to date through watches at discovery, also after its address changes. */
 final class DiscoveryWatcher implements DiscoveryConnection.Handler {
     private static final EventLog LOG = new EventLog("tinlink.discovery");
 
-    /** Asked for at the same time, the newest for at least half as long as each. */
+    /** Connections that may wait for a first line at the same time. */
     private static final int MAX_PENDING = 2;
 
     private final EventLoop loop;
     private final Network network;
     private final DecisionDriver driver;
     private final EndpointList endpointList;
-    private InetSocketAddress discoveryAddress;
     private final SplittableRandom random;
     private final long openIntervalUs;
     private final int maxObjectBytes;
+    private InetSocketAddress discoveryAddress;
 
-    /** The revision is one of the place that is asked now. */
-    private boolean isRevisionCurrent = true;
+    /** Whether the held revision was numbered by the current discovery address. */
+    private boolean revisionCurrent = true;
 
-    /** The watch that delivers updates; null while none does. */
+    /** The watch that delivers updates; null if none does. */
     private DiscoveryConnection activeWatch;
 
-    /** Asked for and silent so far, the oldest first; a few, each leaves as it tells or ends. */
+    /** Watches without a line so far, oldest first; at most {@link #MAX_PENDING}. */
     private final List<DiscoveryConnection> pendingWatches = new ArrayList<>();
 
-    /** When one more is opened; null while one is active. */
+    /** Opens another watch when it fires; null while a watch is active. */
     private EventLoop.Timer nextOpenTimer;
 
-    private boolean isDown;
+    /** Whether the loss of the watch has been logged as a warning already. */
+    private boolean downLogged;
+
     private Runnable whenUpdated = () -> {};
 
     DiscoveryWatcher(
@@ -51,7 +53,7 @@
             DecisionDriver driver,
             EndpointList endpointList,
             InetSocketAddress discoveryAddress,
-            boolean isPushed,
+            boolean pushed,
             long seed,
             int maxObjectBytes) {
         this.loop = loop;
@@ -59,19 +61,18 @@
         this.driver = driver;
         this.endpointList = endpointList;
         this.discoveryAddress = discoveryAddress;
-        // Where lists are pushed, an agent on this router's own machine answers at once and at no
-        // cost.
-        openIntervalUs = ProtocolLimits.WATCH_KEEPALIVE_US / (isPushed ? 8 : 2);
+        // If lists are pushed, a local agent serves them, so that frequent connections cost little.
+        openIntervalUs = ProtocolLimits.WATCH_KEEPALIVE_US / (pushed ? 8 : 2);
         this.maxObjectBytes = maxObjectBytes;
         random = new SplittableRandom(seed);
     }
 
-    /** Runs whenever discovery has told something. */
+    /** Sets the callback that runs after each applied update. */
     void whenUpdated(Runnable listener) {
         whenUpdated = listener;
     }
 
-    /** Opens a watch, if none tells and none is asked for. */
+    /** Opens a watch if none is active or scheduled. */
     void follow() {
         if (activeWatch == null && nextOpenTimer == null) {
             openWatch();
@@ -79,9 +80,9 @@
     }
 
     /**
-     * Asks for one more watch beside those that have been asked for and say nothing. Danger: a place that
-     * hangs, or whose discovery is away, takes connections and is silent; whoever waits on one of them alone,
-     * or on none for a while, learns of a drain long after it was listed. The oldest gives way.
+     * Opens another watch beside the silent pending ones. An address that hangs, or whose discovery is down,
+     * accepts connections and stays silent; a router that waits on one such connection, or on none for a
+     * while, learns of a drain long after it was listed. The oldest pending watch is closed for the new one.
      */
     private void openWatch() {
         nextOpenTimer = loop.schedule(
@@ -100,22 +101,21 @@
         }
     }
 
-    /** Discovery is elsewhere from now on; the list held stays until the new place tells more. */
+    /** Switches to a new discovery address; the held list stays until that address sends an update. */
     void moveTo(InetSocketAddress address) {
         if (address.equals(discoveryAddress)) {
             return;
         }
         LOG.log(Level.INFO, "discovery_moved", "address", address, "nodes", endpointList.size());
         discoveryAddress = address;
-        // Danger: the new place may number its lists otherwise. Changes since a number of the old
-        // one's are
-        // not what has changed for us; the whole list is.
-        isRevisionCurrent = false;
+        // The new address may number its revisions differently, so changes after the held revision
+        // could miss updates. The full list cannot.
+        revisionCurrent = false;
         List<DiscoveryConnection> old = new ArrayList<>(pendingWatches);
         if (activeWatch != null) {
             old.add(activeWatch);
         }
-        // Danger: what the old place still says is old by now, and must not be taken for news.
+        // Data that still arrives from the old address is out of date and must not be applied.
         activeWatch = null;
         pendingWatches.clear();
         old.forEach(watch -> watch.close(CloseReason.ENDPOINT_REMOVED));
@@ -123,7 +123,7 @@
         openWatch();
     }
 
-    /** This one tells from now on; what was asked for beside it is not needed. */
+    /** Makes the connection the active watch and closes the pending ones. */
     @Override
     public void watchAlive(DiscoveryConnection connection) {
         if (activeWatch == connection) {
@@ -133,7 +133,7 @@
         List<DiscoveryConnection> others = List.copyOf(pendingWatches);
         pendingWatches.clear();
         activeWatch = connection;
-        isDown = false;
+        downLogged = false;
         loop.cancel(nextOpenTimer);
         nextOpenTimer = null;
         others.forEach(other -> other.close(CloseReason.COMPLETED));
@@ -144,8 +144,8 @@
         if (activeWatch == connection) {
             activeWatch = null;
             watchLost(closeReason);
-            // Danger: routers whose watches end at one moment, and that are all opened again at
-            // once.
+            // The delay is random, so that routers that lose their watches at the same time do not
+            // all reconnect at once.
             nextOpenTimer = loop.schedule(
                     loop.nowUs() + random.nextLong(openIntervalUs / 2), this::openWatch);
         } else if (pendingWatches.remove(connection)) {
@@ -154,19 +154,20 @@
     }
 
     private void watchLost(CloseReason closeReason) {
-        // Said once, until a line shows that discovery serves again.
+        // The warning is logged once until a watch delivers a line again.
         LOG.log(
-                isDown ? Level.FINE : Level.WARNING,
+                downLogged ? Level.FINE : Level.WARNING,
                 "discovery_watch_ended",
                 "reason",
                 closeReason,
                 "nodes",
                 endpointList.size());
-        isDown = true;
-        driver.applyInput(m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FAILED));
+        downLogged = true;
+        driver.applyInput(coordinator ->
+                coordinator.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FAILED));
     }
 
-    // ---- What connections ask and tell. ----
+    // ---- Callbacks of the connections. ----
 
     @Override
     public String host() {
@@ -175,7 +176,7 @@
 
     @Override
     public boolean isRevisionCurrent() {
-        return isRevisionCurrent;
+        return revisionCurrent;
     }
 
     @Override
@@ -190,9 +191,9 @@
 
     @Override
     public boolean listReceived(Object list) {
-        boolean isApplied = endpointList.apply(list, QueryCoordinator.EndpointListUpdate.FULL);
-        isRevisionCurrent |= isApplied;
-        return isApplied;
+        boolean applied = endpointList.apply(list, QueryCoordinator.EndpointListUpdate.FULL);
+        revisionCurrent |= applied;
+        return applied;
     }
 
     @Override
