--- a/src/main/java/tinlink/router/EndpointEntry.java
+++ b/src/main/java/tinlink/router/EndpointEntry.java
@@ -8,12 +8,12 @@
 import java.util.logging.Level;
 
 /**
- * One data node as discovery lists it. What of an entry can't be used is logged as it is read.
+ * A data node as listed by discovery. Invalid fields of an entry are logged while it is read.
  *
- * @param address null where it can't be used
- * @param cell null where it can't be used; then nothing but the state counts
- * @param capacity as the node states it; 1 where it states none
- * @param startedAtUs Unix time; the least value where it is not known
+ * @param address null if the listed one is invalid
+ * @param cell null if the entry is not usable; then only the state is valid
+ * @param capacity the relative capacity that the data node reports; 1 if it reports none
+ * @param startedAtUs Unix time in microseconds; {@code Long.MIN_VALUE} if not known
  */
 record EndpointEntry(
         String uid,
@@ -26,14 +26,14 @@
         long startedAtUs) {
     private static final EventLog LOG = new EventLog("tinlink.discovery");
 
-    /** What discovery says that a data node takes: new parts, only what it has, nothing. */
+    /** Listed state of a data node: it takes new parts, only finishes parts in flight, or is gone. */
     enum State {
         IN_SERVICE,
         TERMINATING,
         TERMINATED
     }
 
-    /** @param fields of the object that discovery gives */
+    /** @param fields the fields of the JSON object from discovery */
     static EndpointEntry read(String uid, Map<?, ?> fields) {
         State state = state(uid, String.valueOf(fields.get("state")));
         if (state == State.TERMINATED) {
@@ -41,8 +41,8 @@
         }
         InetSocketAddress address = address(uid, String.valueOf(fields.get("endpoint")));
         Integer cell = address == null ? null : cell(uid, fields.get("pod_group"));
-        long startedAtUs = fields.get("boot_ms") instanceof Double ms && ms > 0
-                ? Math.round(1000 * ms)
+        long startedAtUs = fields.get("boot_ms") instanceof Double bootMs && bootMs > 0
+                ? Math.round(1000 * bootMs)
                 : Long.MIN_VALUE;
         return new EndpointEntry(
                 uid,
@@ -51,11 +51,11 @@
                 cell,
                 String.valueOf(fields.get("az")),
                 String.valueOf(fields.get("model")),
-                fields.get("capacity_hint") instanceof Double size && size > 0 ? size : 1,
+                fields.get("capacity_hint") instanceof Double hint && hint > 0 ? hint : 1,
                 startedAtUs);
     }
 
-    /** Whether more than the state can be used. */
+    /** Whether fields other than the state are valid. */
     boolean isUsable() {
         return cell != null;
     }
@@ -64,7 +64,7 @@
         return state == State.IN_SERVICE;
     }
 
-    /** Nothing new goes to a node whose state is not known. */
+    /** An unknown state counts as terminating, so that the data node gets no new parts. */
     private static State state(String uid, String value) {
         return switch (value) {
             case "terminated" -> State.TERMINATED;
--- a/src/main/java/tinlink/router/EndpointList.java
+++ b/src/main/java/tinlink/router/EndpointList.java
@@ -19,8 +19,8 @@
 import java.util.logging.Level;
 
 /**
- * The endpoint list: the data nodes known at the start, and what discovery has sent since. Of the event
- * loop's thread; as many entries as discovery lists.
+ * The endpoint list: the data nodes known before the start, updated with the changes from discovery.
+ * Confined to the event loop's thread. Its size is bounded by what discovery lists.
  */
 final class EndpointList {
     private static final EventLog LOG = new EventLog("tinlink.discovery");
@@ -28,14 +28,15 @@
     private final AttemptDispatcher dispatcher;
     private final NameTable zones;
     private final NameTable kinds;
-    /** By uid; a node leaves when the list no longer has it. */
+    /** By uid; a data node is removed when discovery no longer lists it. */
     private final Map<String, DataNode> nodes = new HashMap<>();
     /**
-     * Cordoned for maintenance, whatever the list says of them; as many as there are maintenance tasks. What
-     * is in flight there stays so when the list drops the node: null where it was never listed.
+     * Data nodes cordoned for maintenance, by uid, whatever their listed state; bounded by the number of
+     * maintenance tasks. The endpoint is kept to count attempts in flight after the list has dropped the data
+     * node; null if the data node was not listed.
      */
     private final Map<String, NodeEndpoint> cordoned = new HashMap<>();
-    /** Those that the list itself does not have in service; each leaves with its node. */
+    /** Uids that discovery lists as not in service; an entry is removed with its data node. */
     private final Set<String> drainingUids = new HashSet<>();
 
     private long nextNodeId;
@@ -54,15 +55,15 @@
         return nodes.size();
     }
 
-    /** As discovery has numbered the list most recently. */
+    /** The revision of the latest update from discovery. */
     long revision() {
         return revision;
     }
 
-    /** A data node in maintenance takes nothing new; after it, whatever the list lets it. */
-    void setCordoned(String uid, boolean isCordoned) {
+    /** A cordoned data node gets no new parts; without the cordon its listed state applies again. */
+    void setCordoned(String uid, boolean cordon) {
         DataNode node = nodes.get(uid);
-        if (isCordoned) {
+        if (cordon) {
             cordoned.putIfAbsent(uid, node == null ? null : dispatcher.endpointOf(node));
         } else {
             cordoned.remove(uid);
@@ -70,7 +71,8 @@
         if (node != null) {
             node.state = state(uid);
             notifyChanged(node, false, false);
-            driver.applyInput(m -> m.onEndpointListUpdate(EndpointListUpdate.CHANGES));
+            driver.applyInput(
+                    coordinator -> coordinator.onEndpointListUpdate(EndpointListUpdate.CHANGES));
             notifyCells();
         }
     }
@@ -81,7 +83,7 @@
                 : DataNode.State.READY;
     }
 
-    /** Attempts that are in flight at that node or queued for it. */
+    /** Attempts in flight at the data node or queued for it. */
     int attemptsInFlight(String uid) {
         DataNode node = nodes.get(uid);
         NodeEndpoint cordonedEndpoint = cordoned.get(uid);
@@ -92,7 +94,7 @@
                 : listed + cordonedEndpoint.attemptsInFlight;
     }
 
-    /** The list as it is held, by names and in the order of the uids. */
+    /** A copy of the held list with names of zones and kinds, in the order of the uids. */
     List<MaintenanceService.ListedNode> snapshot() {
         List<MaintenanceService.ListedNode> entries = new ArrayList<>();
         nodes.forEach((uid, node) -> entries.add(new MaintenanceService.ListedNode(
@@ -105,7 +107,7 @@
         return entries;
     }
 
-    /** Notified of the cells with a node that accepts new parts, now and whenever the list has changed. */
+    /** The listener gets the cells with a data node that accepts new parts, now and after each change. */
     void setCellListener(Consumer<BitSet> listener) {
         cellListener = listener;
         notifyCells();
@@ -119,14 +121,14 @@
         cellListener.accept(cells);
     }
 
-    /** Whether a node is of one of these kinds and zones, by their names. */
+    /** Whether the kind and zone of the data node match one of the offers; a null name matches any. */
     boolean matches(DataNode node, List<Http2Config.Offer> offers) {
         return offers.stream()
                 .anyMatch(offer -> (offer.kind() == null || kinds.idOf(offer.kind()) == node.kind)
                         && (offer.zone() == null || zones.idOf(offer.zone()) == node.zone));
     }
 
-    /** A router of another site as the module sees it: one node a cell, of a zone and a kind of their own. */
+    /** A data node that stands for a router of another site: one per cell, with its own zone and kind. */
     DataNode newRemoteNode(String site, int cell) {
         DataNode node = new DataNode(nextNodeId++);
         node.state = DataNode.State.DRAINING;
@@ -136,7 +138,7 @@
         return node;
     }
 
-    /** The list as the router had it before it started; it may be old. */
+    /** Applies the list known before the start, which may be out of date. */
     void applyCached(Map<?, ?> list) {
         if (!list.isEmpty()) {
             apply(list, EndpointListUpdate.CACHED);
@@ -146,19 +148,19 @@
     // ---- Updates. ----
 
     /**
-     * Applies one object of discovery's. What of it can't be used is left out and logged; the list held
-     * stays.
+     * Applies an object from discovery. Invalid entries are logged and skipped. If the object is no list, the
+     * held list stays.
      *
-     * @param fullListUpdate what a full list is to the module
-     * @return whether it is a list
+     * @param fullListUpdate how a full list is reported to the coordinator
+     * @return whether the object is a list
      */
     boolean apply(Object object, EndpointListUpdate fullListUpdate) {
         if (!(object instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)) {
-            LOG.log(Level.WARNING, "endpoint_list_invalid", "reason", "'targets' is no list");
+            LOG.log(Level.WARNING, "endpoint_list_invalid", "reason", "'targets' is not a list");
             return false;
         }
-        boolean isFullList =
+        boolean fullList =
                 fullListUpdate == EndpointListUpdate.CACHED || Boolean.TRUE.equals(map.get("all"));
         if (map.get("rev") instanceof Double rev) {
             revision = rev.longValue();
@@ -173,7 +175,7 @@
                 LOG.log(Level.WARNING, "endpoint_invalid", "field", "uid", "reason", "missing");
             }
         }
-        if (isFullList) {
+        if (fullList) {
             nodes.keySet().stream()
                     .filter(uid -> !namedUids.contains(uid))
                     .sorted()
@@ -181,8 +183,8 @@
                     .forEach(this::remove);
         }
         entries.forEach(Runnable::run);
-        driver.applyInput(m ->
-                m.onEndpointListUpdate(isFullList ? fullListUpdate : EndpointListUpdate.CHANGES));
+        driver.applyInput(coordinator -> coordinator.onEndpointListUpdate(
+                fullList ? fullListUpdate : EndpointListUpdate.CHANGES));
         notifyCells();
         LOG.log(
                 Level.INFO,
@@ -205,9 +207,9 @@
         }
     }
 
-    private void notifyChanged(DataNode node, boolean hasRestarted, boolean hasMoved) {
-        driver.applyInput(m -> m.onEndpoint(node, hasRestarted));
-        dispatcher.endpointChanged(dispatcher.endpointOf(node), hasMoved || hasRestarted);
+    private void notifyChanged(DataNode node, boolean restarted, boolean moved) {
+        driver.applyInput(coordinator -> coordinator.onEndpoint(node, restarted));
+        dispatcher.endpointChanged(dispatcher.endpointOf(node), moved || restarted);
     }
 
     private void applyEntry(EndpointEntry entry) {
@@ -219,19 +221,19 @@
         if (entry.isUsable()) {
             update(knownNode, entry);
         } else if (knownNode != null && !entry.isInService()) {
-            // Danger: drains are kept from the first entry that has them, whatever else of it can't
-            // be used.
+            // A drain takes effect from the first entry that lists it, even if other fields of the
+            // entry are invalid.
             drainingUids.add(entry.uid());
             knownNode.state = DataNode.State.DRAINING;
             notifyChanged(knownNode, false, false);
         }
     }
 
-    /** @param knownNode null where the list has not had it */
+    /** @param knownNode null if the data node is new to the list */
     private void update(DataNode knownNode, EndpointEntry entry) {
         String uid = entry.uid();
         DataNode node = knownNode == null ? new DataNode(nextNodeId++) : knownNode;
-        boolean hasRestarted = knownNode != null && node.startedAtUs != entry.startedAtUs();
+        boolean restarted = knownNode != null && node.startedAtUs != entry.startedAtUs();
         if (entry.isInService()) {
             drainingUids.remove(uid);
         } else {
@@ -246,8 +248,8 @@
         nodes.put(uid, node);
         NodeEndpoint endpoint = dispatcher.endpointOf(node);
         endpoint.uid = uid;
-        boolean hasMoved = endpoint.address != null && !endpoint.address.equals(entry.address());
+        boolean moved = endpoint.address != null && !endpoint.address.equals(entry.address());
         endpoint.address = entry.address();
-        notifyChanged(node, hasRestarted, hasMoved);
+        notifyChanged(node, restarted, moved);
     }
 }
