--- a/src/main/java/tinlink/router/Warmup.java
+++ b/src/main/java/tinlink/router/Warmup.java
@@ -19,19 +19,19 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays lookups before the router is ready: all stages run, with a module of their own, against
- * clients and data nodes that are this process itself, at the address where it will serve. Danger:
- * on part of a core the code of a JVM that has just started is so slow that the first clients' time
- * is over before they are read.
+ * Runs lookups through all stages before the router is ready, with a coordinator of their own. The
+ * clients and data nodes are simulated by this process and connect to the router's own listen address.
+ * With a fraction of a CPU core, a JVM that has just started is so slow that the first clients would time
+ * out before their requests are read.
  *
- * <p>Danger: clients come back before a router that was killed has warmed up, and would be answered
- * with what the stand-ins here make up. So each connection of the warm-up's own shows a word that
- * nobody else knows; all others wait unread, and are handed to the router itself when the warm-up is
- * over.
+ * <p>Real clients reconnect before a restarted router has warmed up, and must not receive the made-up
+ * answers of the simulated data nodes. Each connection of the warm-up therefore begins with a token that
+ * nobody else knows. All other connections wait unread and are handed to the serving acceptor when the
+ * warm-up ends.
  */
 final class Warmup implements Network.AcceptHandler, EventLoopParticipant {
-    /** Begins what our own clients show; no request begins so. */
-    private static final char OWN_CLIENT_MARK = 1;
+    /** First byte of the warm-up clients' token; no HTTP request begins with it. */
+    private static final char CLIENT_TOKEN_MARK = 1;
 
     private final RouterConfig config;
     private final EventLoop loop;
@@ -40,25 +40,25 @@
     private final Runnable whenDone;
     private final RequestPipeline pipeline;
     private final ClientAcceptor acceptor;
-    /** Begins the ids of our own lookups. */
+    /** Prefix of the call ids of the warm-up's lookups. */
     private final String idPrefix;
-    /** Begins each connection of our own clients'. */
+    /** First bytes of each connection of a warm-up client. */
     private final String clientToken;
 
     private final WarmupClients clients;
-    /** Accepted and not known as our own; all leave when the warm-up is over. */
+    /** Accepted connections not known to be the warm-up's own; emptied when they are handed over. */
     private final Set<WaitingConnection> waitingConnections = new LinkedHashSet<>();
-    /** Frames come there; whoever sent them, none of it outlives the warm-up. */
+    /** Connections that sent a frame, from any sender; all are closed when the warm-up ends. */
     private final List<Connection> nodeConnections = new ArrayList<>();
 
     private final EventLoop.Timer timeLimit;
-    private boolean isEnded;
+    private boolean ended;
 
     /**
-     * @param config read for this alone, since its module is used up
-     * @param network listens already; accepts for the warm-up until its end
-     * @param servingPipeline those who will serve, to whom clients that come meanwhile are handed
-     * @param whenDone run once, when all has been played
+     * @param config a separate copy, since the warm-up uses up its coordinator
+     * @param network already listening; accepts for the warm-up until it ends
+     * @param servingPipeline the pipeline that will serve, and takes over clients that connect meanwhile
+     * @param whenDone run once when the warm-up ends
      */
     Warmup(
             RouterConfig config,
@@ -74,14 +74,14 @@
         this.whenDone = whenDone;
         idPrefix =
                 String.format("%016x", new SplittableRandom(config.seed).split().nextLong());
-        clientToken = OWN_CLIENT_MARK + idPrefix;
+        clientToken = CLIENT_TOKEN_MARK + idPrefix;
         clients = new WarmupClients(config.lookups, idPrefix, clientToken, this::end);
         pipeline =
                 new RequestPipeline(loop, network.withoutServer(), config, config.decision.module);
         acceptor = pipeline.acceptor;
         acceptor.markNotReady();
         pipeline.driver.connect(
-                pipeline.dispatcher, () -> {}); // Its list is its own; discovery is not asked.
+                pipeline.dispatcher, () -> {}); // The list is made up; discovery is not asked.
         pipeline.driver.turnStarted(loop.nowUs());
         pipeline.endpointList.applyCached(endpoints(network.address()));
         clients.connect(network, network.address());
@@ -92,12 +92,12 @@
         return clients.lookupsAnswered();
     }
 
-    /** Our own connections are closed; who has come meanwhile goes on waiting. */
+    /** Closes the warm-up's own connections; the real clients go on waiting. */
     void end() {
-        if (isEnded) {
+        if (ended) {
             return;
         }
-        isEnded = true;
+        ended = true;
         loop.cancel(timeLimit);
         clients.closeAll();
         pipeline.dispatcher.connections().closeAll();
@@ -105,15 +105,15 @@
         whenDone.run();
     }
 
-    /** Clients that wait are accepted by the router itself, each with what it has sent. */
+    /** Hands the waiting clients to the serving acceptor, with the bytes they have sent. */
     void handOverClients() {
         List<WaitingConnection> handedOver = List.copyOf(waitingConnections);
         waitingConnections.clear();
         for (WaitingConnection waiting : handedOver) {
             servingPipeline.descriptors.clientClosed();
             waiting.delegate = servingPipeline.acceptor.newListener();
-            // Danger: its client's time runs while it waits here; answered by ours, it would come
-            // too late.
+            // The client's deadline runs while the connection waits here. A deadline that counted
+            // from the handover would let the answer come too late.
             servingPipeline.acceptor.accepted(
                     waiting.connection,
                     waiting.delegate,
@@ -133,7 +133,7 @@
         pipeline.driver.turnEnding();
     }
 
-    /** A data node for each shard, at our own address. */
+    /** An endpoint list with one data node per shard, all at this router's address. */
     private Map<?, ?> endpoints(InetSocketAddress address) {
         String endpoint = address.getAddress().getHostAddress() + ":" + address.getPort();
         return Map.of(
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Whoever connects: a frame's length begins with a zero byte, our own clients with their mark
-     * and word.
+     * An accepted connection of unknown origin. A connection to a simulated data node begins with the zero
+     * byte of a frame length, and a warm-up client begins with the token.
      */
     private final class WaitingConnection implements Connection.Listener {
         private final StringBuilder received = new StringBuilder();
@@ -191,11 +191,11 @@
         @Override
         public void bytesReceived(RingBuffer in) {
             hasSentBytes |= in.size() > 0;
-            if (delegate == null && in.size() > 0 && !isEnded) {
+            if (delegate == null && in.size() > 0 && !ended) {
                 if (in.peek() == 0) {
                     delegateTo(new WarmupDataNode(connection, idPrefix));
                     nodeConnections.add(connection);
-                } else if (!received.isEmpty() || in.peek() == OWN_CLIENT_MARK) {
+                } else if (!received.isEmpty() || in.peek() == CLIENT_TOKEN_MARK) {
                     readToken(in);
                 }
             }
@@ -215,12 +215,12 @@
                     acceptor.accepted(connection, client);
                 } else {
                     connection.close(
-                            CloseReason.PROTOCOL_ERROR); // No request begins so, whoever it is.
+                            CloseReason.PROTOCOL_ERROR); // No HTTP request begins with the mark.
                 }
             }
         }
 
-        /** It is not one that waits for the real door. */
+        /** Assigns a listener and removes the connection from those that wait for the serving router. */
         private void delegateTo(Connection.Listener listener) {
             delegate = listener;
             if (waitingConnections.remove(this)) {
--- a/src/main/java/tinlink/router/WarmupClients.java
+++ b/src/main/java/tinlink/router/WarmupClients.java
@@ -16,17 +16,17 @@
 import java.util.Map;
 
 /**
- * The warm-up's own clients: each sends the next lookup as soon as it is answered, whatever the answer is,
- * until all have been played. Of the event loop's thread.
+ * The simulated clients of the warm-up. Each sends its next lookup as soon as the previous one is answered,
+ * whatever the answer, until all lookups have been sent. Confined to the event loop's thread.
  */
 final class WarmupClients {
     /**
-     * What a first run costs, loading and linking, is over with the first few; each more makes a restart
-     * longer.
+     * The cost of first execution, class loading and linking, is paid by the first few lookups; each further
+     * lookup makes a restart longer.
      */
-    private static final int LOOKUPS = 24;
+    private static final int LOOKUP_COUNT = 24;
 
-    private static final int CLIENTS = 4;
+    private static final int CLIENT_COUNT = 4;
     private static final int MAX_PARTS = 5;
 
     private final RouterConfig.LookupSettings settings;
@@ -40,9 +40,9 @@
     private int openClients;
 
     /**
-     * @param idPrefix begins the ids of the lookups
-     * @param clientToken begins each connection
-     * @param whenDone run when all lookups are answered, and when the last client's connection has closed
+     * @param idPrefix prefix of the call ids
+     * @param clientToken first bytes sent on each connection
+     * @param whenDone run when all lookups are answered, and again when the last connection has closed
      */
     WarmupClients(
             RouterConfig.LookupSettings settings,
@@ -56,9 +56,9 @@
         lookupClasses = List.copyOf(settings.lookupClasses().entrySet());
     }
 
-    /** Connects all of them. */
+    /** Connects all clients. */
     void connect(Network network, InetSocketAddress address) throws IOException {
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             Client client = new Client();
             client.connection = network.connect(address, client);
             clients.add(client);
@@ -74,7 +74,7 @@
         clients.forEach(client -> client.connection.close(CloseReason.COMPLETED));
     }
 
-    /** The request of the next lookup: some parts of the next lookup class. */
+    /** The request for the next lookup; the lookups go through the lookup classes in turn. */
     private String nextRequest() {
         Map.Entry<String, LookupClass> lookupClass =
                 lookupClasses.get(lookupsSent % lookupClasses.size());
@@ -102,7 +102,7 @@
         }
 
         private void sendLookup() {
-            if (lookupsSent < LOOKUPS) {
+            if (lookupsSent < LOOKUP_COUNT) {
                 connection.out().put(nextRequest());
                 connection.scheduleWrite();
             }
@@ -121,7 +121,7 @@
 
         @Override
         public void messageEnded() {
-            if (++lookupsAnswered == LOOKUPS) {
+            if (++lookupsAnswered == LOOKUP_COUNT) {
                 whenDone.run();
             } else {
                 sendLookup();
--- a/src/main/java/tinlink/router/WarmupDataNode.java
+++ b/src/main/java/tinlink/router/WarmupDataNode.java
@@ -8,21 +8,25 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A data node of the warm-up's own: answers each part, now and then with an error or a rejection. Of the
- * event loop's thread.
+ * A simulated data node of the warm-up. It answers each part, a few of them with an error or a rejection.
+ * Confined to the event loop's thread.
  */
 final class WarmupDataNode implements Connection.Listener {
-    /** A frame of the warm-up's own is far shorter. */
+    /** Far longer than any frame that the warm-up sends. */
     private static final int MAX_FRAME_BYTES = 4096;
 
     private final Connection connection;
     private final String idPrefix;
+    /** The length prefix of the current frame, as far as it was read. */
     private final byte[] length = new byte[4];
+
     private int lengthBytes;
+    /** The content of the current frame. */
     private ByteBuffer frame;
+    /** Parts answered on this connection; decides which of them get an error or a rejection. */
     private int parts;
 
-    /** @param idPrefix begins the part ids of the warm-up's own lookups; others are not answered */
+    /** @param idPrefix prefix of the warm-up's part ids; a frame with another id closes the connection */
     WarmupDataNode(Connection connection, String idPrefix) {
         this.connection = connection;
         this.idPrefix = idPrefix;
@@ -47,7 +51,7 @@
         }
     }
 
-    /** Danger: anybody may have sent this, not only our own. */
+    /** Bounds the frame length, since the sender can be any process that connects to the router. */
     private boolean startFrame(int size) {
         if (size < 0 || size > MAX_FRAME_BYTES) {
             connection.close(CloseReason.PROTOCOL_ERROR);
@@ -83,6 +87,6 @@
 
     @Override
     public void connectionClosed(CloseReason closeReason) {
-        // Nothing is kept of it.
+        // No state outlives the connection.
     }
 }
