--- a/src/main/java/tinlink/router/Router.java
+++ b/src/main/java/tinlink/router/Router.java
@@ -14,12 +14,12 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 
-/** One query router: built from its configuration, then run until it is told to stop. */
+/** A query router, built from its configuration and run until it is stopped. */
 public final class Router {
     private static final EventLog LOG = new EventLog("tinlink.router");
-    /** After a SIGTERM new connections go on coming for up to 0.4 s. */
+    /** New connections still arrive for up to 0.4 s after a SIGTERM. */
     static final long DRAIN_NOTICE_US = 500_000;
-    /** What comes later than this after a SIGTERM must not be left unanswered. */
+    /** Requests that arrive later than this after a SIGTERM must not be left unanswered. */
     private static final long LAST_REQUEST_US = 600_000;
 
     private final EventLoop loop = new EventLoop();
@@ -30,46 +30,47 @@
     private final EndpointList endpointList;
     private final DiscoveryWatcher discoveryWatcher;
     private final RequestPipeline pipeline;
-    /** Null where there are no other sites. */
+    /** Null if no other sites are configured. */
     private final GatewayIntegration gateway;
-    /** Null where work on machines is off. */
+    /** Null if maintenance coordination is not configured. */
     private final MaintenanceIntegration maintenance;
-    /** Its start is agreed on, has been awaited for long enough, or nobody has to agree on it. */
+    /** Whether the start no longer waits for maintenance: agreed, timed out or not required. */
     private boolean maintenanceReady = true;
-    /** As the configuration was last read. */
+    /** The configuration as last read. */
     private RouterConfig config;
     /**
-     * Plays before clients are served, and holds those that come; null without one and once we
-     * serve.
+     * The warm-up, which holds the clients that connect before the router serves; null if not requested and
+     * once the router serves.
      */
     private Warmup warmup;
 
     private boolean warmUpRequested;
-    /** The warm-up has ended, or there is none. */
-    private boolean isWarm;
-    /** Discovery has sent its list, or has been awaited long enough. */
+    /** Whether the warm-up has ended or was not requested. */
+    private boolean warm;
+    /** Whether the list from discovery has arrived or the wait for it has timed out. */
     private boolean listReceived;
 
-    private boolean isServing;
-    /** Why it could not serve; null where it could. */
+    private boolean serving;
+    /** Why the router failed to start serving; null if it did not fail. */
     private IOException serveFailure;
 
     private final CountDownLatch servingLatch = new CountDownLatch(1);
     private final CountDownLatch stoppedLatch = new CountDownLatch(1);
 
     /**
-     * @param module what decides; another than the built one only to see how the router bears it
+     * @param coordinator the coordinator that decides; tests pass others to check the router's behaviour
      */
-    public Router(RouterConfig config, QueryCoordinator module) throws IOException {
-        this(config, module, Runnable::run);
+    public Router(RouterConfig config, QueryCoordinator coordinator) throws IOException {
+        this(config, coordinator, Runnable::run);
     }
 
-    /** @param completionRunner runs a completion handler at once; others only show how late ones are borne */
-    public Router(RouterConfig config, QueryCoordinator module, Consumer<Runnable> completionRunner)
+    /** @param completionRunner runs completion handlers; tests pass runners that delay them */
+    public Router(
+            RouterConfig config, QueryCoordinator coordinator, Consumer<Runnable> completionRunner)
             throws IOException {
         this.config = config;
         network = new Network(loop, completionRunner);
-        pipeline = new RequestPipeline(loop, network, config, module);
+        pipeline = new RequestPipeline(loop, network, config, coordinator);
         driver = pipeline.driver;
         acceptor = pipeline.acceptor;
         dispatcher = pipeline.dispatcher;
@@ -90,14 +91,14 @@
     }
 
     /**
-     * Run will first play all code that clients will meet, so that it is compiled before they are
-     * served.
+     * Makes {@link #run()} execute the request path before it serves clients, so that its code is loaded and
+     * compiled by then.
      */
     public void warmUp() {
         warmUpRequested = true;
     }
 
-    /** The warm-up and nothing else. */
+    /** Runs the warm-up without serving afterwards. */
     public void onlyWarmUp() throws IOException {
         try {
             network.listen(config.listen);
@@ -139,13 +140,12 @@
         }
     }
 
-    /** Serves until it is told to stop. */
+    /** Serves until the router is stopped. */
     public void run() throws IOException {
         try {
             driver.turnStarted(loop.nowUs());
             endpointList.applyCached(config.cachedEndpoints);
-            // From here on clients can connect; until they are served they wait, and none is
-            // refused.
+            // Clients can connect from here on. They wait until they are served; none is refused.
             network.listen(config.listen);
             if (maintenance != null) {
                 maintenanceReady = false;
@@ -153,7 +153,7 @@
             }
             discoveryWatcher.whenUpdated(this::listReceived);
             if (config.isDiscoveryPushed) {
-                discoveryWatcher.follow(); // Where lists are asked for, the module says when.
+                discoveryWatcher.follow(); // If lists are polled, the coordinator decides when.
             }
             if (warmUpRequested) {
                 startWarmup(this::awaitEndpointList);
@@ -161,7 +161,7 @@
                 awaitEndpointList();
             }
             loop.execute(
-                    () -> {}); // The first turn is now: the module may want to ask for the list.
+                    () -> {}); // The first turn runs now; the coordinator may request the list.
             loop.run(driver);
             if (serveFailure != null) {
                 throw serveFailure;
@@ -177,14 +177,14 @@
     }
 
     /**
-     * Danger: the list known at the start may be older than the grace that drains have, and what is
-     * sent by it before discovery has spoken goes to nodes listed as draining or removed long ago. Its
-     * agent answers at once, or is silent while discovery is down: no longer than a connection
-     * takes to come up. Where lists are asked for, it answers many routers, and is given half of a
-     * line's time more.
+     * Waits for the first list from discovery before the router serves. The cached list may be older than the
+     * grace period of a drain, and attempts based on it would go to data nodes listed as draining or removed
+     * long ago. A local agent answers at once or, while discovery is down, not at all, so the wait is the
+     * connect timeout. If lists are polled, discovery answers many routers and has half of a keepalive
+     * interval more.
      */
     private void awaitEndpointList() {
-        isWarm = true;
+        warm = true;
         if (!listReceived) {
             loop.schedule(
                     loop.nowUs()
@@ -208,10 +208,10 @@
     }
 
     private void serveWhenReady() {
-        if (isServing || !isWarm || !listReceived || !maintenanceReady) {
+        if (serving || !warm || !listReceived || !maintenanceReady) {
             return;
         }
-        isServing = true;
+        serving = true;
         leaveWarmup();
         try {
             if (gateway != null) {
@@ -245,7 +245,7 @@
         }
     }
 
-    /** From another thread: returns once clients are served. */
+    /** Waits until the router serves clients. For use from other threads. */
     public void awaitListening() throws InterruptedException {
         servingLatch.await();
     }
@@ -254,19 +254,19 @@
         return network.address();
     }
 
-    /** Where routers of other sites connect. */
+    /** The address where routers of other sites connect. */
     public InetSocketAddress gatewayAddress() throws IOException {
         return gateway.gateway().address();
     }
 
-    /** From another thread: a counter of the links with other sites. */
+    /** A counter of the channels to other sites or of HTTP/2. For use from other threads. */
     public long gatewayCount(String name) {
         return name.startsWith("http2_") ? http2Count(name) : gateway.count(name);
     }
 
     /**
-     * From another thread: how many cells are reached at other sites now, each once for each router
-     * there.
+     * The number of cells reachable at other sites, counted once per router there. For use from other
+     * threads.
      */
     public int remoteCells() {
         return gateway.remoteCells();
@@ -276,14 +276,14 @@
         return loop.submitAndWait(() -> dispatcher.http2().counters().get(name));
     }
 
-    /** From another thread: stops at once, whatever is in flight. */
+    /** Stops at once, regardless of lookups in flight. For use from other threads. */
     public void stopNow() {
         loop.execute(loop::stop);
     }
 
     /**
-     * From another thread: reads the configuration again, and goes on with what it had if that
-     * can't be used.
+     * Reloads the configuration, and keeps the current one if the new one is invalid. For use from other
+     * threads.
      */
     public void reload() {
         loop.execute(() -> {
@@ -300,7 +300,7 @@
         });
     }
 
-    /** From another thread: stops in order and returns when that is done. */
+    /** Stops gracefully and waits until the router has stopped. For use from other threads. */
     public void stopAndWait() throws InterruptedException {
         loop.execute(this::stop);
         stoppedLatch.await();
@@ -308,18 +308,15 @@
 
     private void stop() {
         LOG.log(Level.INFO, "stopping", "router", config.name, "in_flight", driver.inFlight());
-        // Danger: while routers restart one after the other, the next one may stop before the one
-        // before it
-        // is back. Clients go on using the connections that they have, so these are served for as
-        // long as
-        // what comes can be answered before the process may be killed.
+        // In a rolling restart the next router may stop before the previous one is back. Clients go
+        // on using their open connections, so these are served as long as a request can be answered
+        // before the process may be killed.
         long killDelayUs = Math.min(config.maxDeadlineUs, ProtocolLimits.MAX_KILL_GRACE_US)
                 + ProtocolLimits.KILL_MARGIN_US;
         long lastUs = loop.nowUs() + LAST_REQUEST_US + config.maxDeadlineUs;
         long stopAcceptingUs = loop.nowUs()
                 + Math.max(DRAIN_NOTICE_US, killDelayUs - 2 * config.maxDeadlineUs / 3);
-        // Danger: what comes late after the SIGTERM and is still unanswered as the process is
-        // killed is lost.
+        // A request that is still unanswered when the process is killed is lost.
         long admitUntilUs = Math.min(
                 lastUs,
                 loop.nowUs() + killDelayUs - (ProtocolLimits.KILL_MARGIN_US - LAST_REQUEST_US));
@@ -334,7 +331,7 @@
             maintenance.stopping();
         }
         if (warmup != null) {
-            warmup.end(); // Who waits for it is served now, while there is time.
+            warmup.end(); // The clients that wait for its end are served while there is time.
         }
         listReceived();
         if (gateway != null) {
@@ -351,7 +348,7 @@
                 maintenance.leave();
                 loop.schedule(
                         loop.nowUs() + config.nodeConnections.connectTimeoutUs() / 4,
-                        loop::stop); // Its last words leave first.
+                        loop::stop); // The messages that announce the departure are sent first.
             }
         } else {
             loop.schedule(
