--- a/src/main/java/tinlink/router/AttemptBatch.java
+++ b/src/main/java/tinlink/router/AttemptBatch.java
@@ -3,13 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Attempts that travel in one frame and use one slot of a connection. */
+/** A group of attempts to one data node that are sent in one frame and use one slot of a connection. */
 final class AttemptBatch implements AttemptTransport {
     final List<SentAttempt> sentAttempts = new ArrayList<>();
+    /** The connection that carries the frame; null until the end of the turn chooses one. */
     NodeConnection connection;
-    /** Where its frame ends in what the connection has written; 0 while it is queued. */
+    /** The position of the end of the frame in the bytes written to the connection; 0 while queued. */
     long frameEndPosition;
-    /** Attempts whose outcome is not known. */
+    /** The number of attempts in the batch that have no outcome yet. */
     int attemptsInFlight;
 
     @Override
@@ -25,9 +26,9 @@
     }
 
     @Override
-    public void onOutcome(SentAttempt sent, boolean giveUp) {
+    public void onOutcome(SentAttempt sent, boolean cancelAtNode) {
         if (connection != null) {
-            connection.attemptEnded(sent, giveUp);
+            connection.attemptEnded(sent, cancelAtNode);
         } else {
             attemptsInFlight--;
         }
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -14,21 +14,22 @@
 import java.util.function.BiConsumer;
 
 /**
- * Sends attempts to data nodes and to routers of other sites, in batches of one turn, and gives each its one
- * outcome. Of the event loop's thread.
+ * Sends attempts to data nodes and to routers of other sites, batched per turn of the event loop, and records
+ * exactly one outcome for each. Event loop thread only.
  */
 final class AttemptDispatcher {
     private final EventLoop loop;
     private final DecisionDriver driver;
-    private final boolean canCancel;
+    private final boolean cancelEnabled;
     private final NodeConnections connections;
     private final Http2Dispatcher http2;
-    /** Null where nobody wants to know. */
+    /** Notified of each outcome with the uid of the data node; null if there is no listener. */
     private BiConsumer<String, Outcome> outcomeListener;
-    /** This turn's batches; emptied at its end. */
+    /** The batches of this turn by the call that their attempts share; emptied at the end of the turn. */
     private final IdentityHashMap<Attempt.SharedCall, AttemptBatch> batches =
             new IdentityHashMap<>();
 
+    /** The same batches in the order in which they were created. */
     private final List<AttemptBatch> batchesToSend = new ArrayList<>();
 
     AttemptDispatcher(
@@ -39,12 +40,12 @@
             RouterConfig.NodeConnectionSettings settings) {
         this.loop = loop;
         this.driver = driver;
-        canCancel = settings.canCancel();
+        cancelEnabled = settings.canCancel();
         connections = new NodeConnections(loop, network, descriptors, settings, this);
         http2 = new Http2Dispatcher(loop, network, this, connections, settings);
     }
 
-    /** Framed connections to data nodes, and the nodes themselves. */
+    /** The data nodes and the framed connections to them. */
     NodeConnections connections() {
         return connections;
     }
@@ -53,7 +54,7 @@
         return http2;
     }
 
-    /** Notified of each attempt's outcome at a data node of the list, by the node's uid. */
+    /** Sets the listener for outcomes at data nodes of the endpoint list; it gets the uid of the node. */
     void setOutcomeListener(BiConsumer<String, Outcome> listener) {
         outcomeListener = listener;
     }
@@ -63,12 +64,12 @@
     }
 
     /**
-     * The list has changed a node's state or address: what is queued for it may be stale, and so may
-     * connections.
+     * Called when the endpoint list has changed the state or address of a data node, which can make queued
+     * attempts and open connections stale.
      */
-    void endpointChanged(NodeEndpoint endpoint, boolean hasMoved) {
-        connections.endpointChanged(endpoint, hasMoved);
-        http2.endpointChanged(endpoint, hasMoved);
+    void endpointChanged(NodeEndpoint endpoint, boolean moved) {
+        connections.endpointChanged(endpoint, moved);
+        http2.endpointChanged(endpoint, moved);
         connections.forgetIfRemoved(endpoint);
     }
 
@@ -92,7 +93,7 @@
         }
     }
 
-    /** With others of this turn that the module lets travel together. */
+    /** Adds the attempt to the batch of this turn that shares its call, as the decision module chose. */
     void sendByFrames(SentAttempt sent) {
         AttemptBatch batch =
                 batches.computeIfAbsent(sent.attempt.sharedCall, key -> new AttemptBatch());
@@ -107,20 +108,20 @@
 
     void cancel(Attempt attempt) {
         SentAttempt sent = ((QueryPart) attempt.part).sentAttempts.get(attempt.number);
-        if (!sent.isEnded) {
+        if (!sent.ended) {
             recordOutcome(
                     sent, sent.transport.isQueued() ? Outcome.NOT_SENT : Outcome.CANCELLED, true);
         }
     }
 
-    /** Closes the connections to that node on which nothing is in flight. */
+    /** Closes the connections to that data node on which nothing is in flight. */
     void closeIdleConnections(DataNode node) {
         NodeEndpoint endpoint = endpointOf(node);
         connections.closeIdle(endpoint);
         http2.release(endpoint);
     }
 
-    /** Puts this turn's frames on connections. */
+    /** Passes the attempts of this turn to connections. */
     void flush() {
         flushFrames();
         http2.flush();
@@ -129,21 +130,21 @@
     void flushFrames() {
         for (AttemptBatch batch : batchesToSend) {
             if (batch.attemptsInFlight > 0) {
-                place(batch);
+                assignConnection(batch);
             }
         }
         batchesToSend.clear();
         batches.clear();
     }
 
-    private void place(AttemptBatch batch) {
+    private void assignConnection(AttemptBatch batch) {
         NodeConnection connection = connections.connectionFor(batch);
         if (connection != null) {
             connection.enqueue(batch);
             return;
         }
         for (SentAttempt sent : batch.sentAttempts) {
-            if (!sent.isEnded) {
+            if (!sent.ended) {
                 recordOutcome(sent, CloseReason.NO_DESCRIPTOR.toOutcome(false, true), false);
             }
         }
@@ -151,9 +152,9 @@
 
     // ---- Outcomes. ----
 
-    /** The deadline has passed. */
+    /** Ends an attempt whose deadline has passed. */
     private void timedOut(SentAttempt sent) {
-        if (!sent.isEnded) {
+        if (!sent.ended) {
             boolean wasQueued = sent.transport.isQueued();
             sent.transport.onTimeout(sent);
             recordOutcome(sent, wasQueued ? Outcome.NOT_SENT : Outcome.NO_ANSWER, true);
@@ -161,12 +162,13 @@
     }
 
     /**
-     * The one outcome of an attempt.
+     * Records the outcome of an attempt; called once for each.
      *
-     * @param cancelAtNode it is abandoned, and taken off its node where the settings allow it
+     * @param cancelAtNode whether the attempt is abandoned, so that the data node is asked to cancel it if
+     *     the settings allow that
      */
     void recordOutcome(SentAttempt sent, Outcome outcome, boolean cancelAtNode) {
-        sent.isEnded = true;
+        sent.ended = true;
         loop.cancel(sent.timeoutTimer);
         sent.timeoutTimer = null;
         if (sent.endpoint != null) {
@@ -175,7 +177,7 @@
                 outcomeListener.accept(sent.endpoint.uid, outcome);
             }
         }
-        sent.transport.onOutcome(sent, cancelAtNode && canCancel);
+        sent.transport.onOutcome(sent, cancelAtNode && cancelEnabled);
         driver.outcome(sent, outcome);
     }
 }
--- a/src/main/java/tinlink/router/AttemptTransport.java
+++ b/src/main/java/tinlink/router/AttemptTransport.java
@@ -1,19 +1,20 @@
 package tinlink.router;
 
 /**
- * How an attempt travels: in a frame with others, on an HTTP/2 stream, or to a router of another site.
+ * The means by which one attempt is sent: a frame shared with other attempts, an HTTP/2 stream, or a channel
+ * to a router of another site.
  */
 interface AttemptTransport {
-    /** Nothing of it has been handed to a connection, so it is as good as never sent. */
+    /** Whether no byte of the attempt has been passed to a connection, so that it counts as not sent. */
     boolean isQueued();
 
-    /** Its deadline has passed without an answer. */
+    /** Called when the deadline of the attempt has passed without an answer. */
     void onTimeout(SentAttempt sent);
 
     /**
-     * Its outcome is known.
+     * Called when the outcome of the attempt is known.
      *
-     * @param giveUp it should be taken off its node
+     * @param cancelAtNode whether the data node should be asked to cancel the attempt
      */
-    void onOutcome(SentAttempt sent, boolean giveUp);
+    void onOutcome(SentAttempt sent, boolean cancelAtNode);
 }
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -29,9 +29,9 @@
 import java.util.logging.Level;
 
 /**
- * What a request's stages and the links with other sites have to do with each other. Far routers
- * stand before the module as data nodes, one a cell; parts that come from other sites are lookups
- * of one part.
+ * Connects the request pipeline with the gateway to other sites. The decision module sees a router
+ * of another site as one data node per cell; a part forwarded from another site becomes a lookup
+ * with one part.
  */
 final class GatewayIntegration implements PartHandler, Query.ResponseListener {
     private static final EventLog LOG = new EventLog("tinlink.gateway");
@@ -39,13 +39,15 @@
     private final RequestPipeline pipeline;
     private final Gateway gateway;
     private final int cells;
-    /** Names of indexes; the module knows them as objects. */
+    /** The names of lookup classes, which the decision module handles as objects. */
     private final IdentityHashMap<LookupClass, String> classNames = new IdentityHashMap<>();
     /**
-     * Of each far router by cell, made as it first serves one: as many as the settings have cells.
+     * The data nodes that represent each remote router, by cell. An entry is null until the remote
+     * router first serves the cell; the array length is the number of cells in the settings.
      */
     private final IdentityHashMap<RemoteRouter, DataNode[]> nodes = new IdentityHashMap<>();
 
+    /** The number of parts received so far, from which their call ids are made. */
     private long forwardedQueries;
 
     GatewayIntegration(
@@ -90,7 +92,7 @@
         return new GatewayKeys(Map.copyOf(gatewayConfig.keys), gatewayConfig.activeKeyId);
     }
 
-    /** From now on lines are opened and taken. */
+    /** Starts to open channels to other sites and to accept theirs. */
     void start(GatewayConfig gatewayConfig) throws IOException {
         if (gatewayConfig.listen != null) {
             gateway.listen(gatewayConfig.listen);
@@ -111,17 +113,17 @@
                 gatewayConfig.listen == null ? "-" : gateway.address());
     }
 
-    /** The keys alone are taken over in service. */
+    /** Applies the keys of a reloaded configuration; all other settings need a restart. */
     void updateKeys(GatewayConfig gatewayConfig) {
         gateway.replaceKeys(keys(gatewayConfig));
     }
 
-    /** From another thread. */
+    /** Returns the value of a gateway counter; called from outside of the event loop. */
     long count(String name) {
         return loop.submitAndWait(() -> gateway.counters().get(name));
     }
 
-    /** From another thread. */
+    /** Returns the number of remote cells that are ready; called from outside of the event loop. */
     int remoteCells() {
         return loop.submitAndWait(() -> (int) nodes.values().stream()
                 .flatMap(Arrays::stream)
@@ -133,11 +135,11 @@
         return gateway;
     }
 
-    // ---- Parts that go out. ----
+    // ---- Parts forwarded to other sites. ----
 
     @Override
-    public void cellsChanged(RemoteRouter router, BitSet servedCells, long lineUs) {
-        DataNode[] nodesByCell = nodes.computeIfAbsent(router, r -> new DataNode[cells]);
+    public void cellsChanged(RemoteRouter router, BitSet servedCells, long roundTripUs) {
+        DataNode[] nodesByCell = nodes.computeIfAbsent(router, key -> new DataNode[cells]);
         for (int cell = 0; cell < cells; cell++) {
             if (nodesByCell[cell] == null && servedCells.get(cell)) {
                 nodesByCell[cell] =
@@ -147,18 +149,18 @@
             }
             DataNode node = nodesByCell[cell];
             if (node != null) {
-                node.linkRoundTripUs = lineUs;
+                node.linkRoundTripUs = roundTripUs;
                 DataNode.State newState =
                         servedCells.get(cell) ? DataNode.State.READY : DataNode.State.DRAINING;
-                boolean hasChanged = node.state != newState;
+                boolean changed = node.state != newState;
                 node.state = newState;
-                if (hasChanged) {
-                    pipeline.driver.applyInput(m -> m.onEndpoint(node, false));
+                if (changed) {
+                    pipeline.driver.applyInput(coordinator -> coordinator.onEndpoint(node, false));
                 }
             }
         }
-        pipeline.driver.applyInput(
-                m -> m.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
+        pipeline.driver.applyInput(coordinator ->
+                coordinator.onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.CHANGES));
     }
 
     private void forward(RemoteRouter remoteRouter, SentAttempt sent) {
@@ -176,7 +178,7 @@
                         query.idempotencyKey,
                         query.text,
                         query.isClientRetry),
-                effectUntil(sent));
+                effectDeadlineUs(sent));
         sent.transport = new AttemptTransport() {
             @Override
             public boolean isQueued() {
@@ -185,7 +187,7 @@
 
             @Override
             public void onTimeout(SentAttempt sent) {
-                // The links keep its time themselves.
+                // The gateway keeps the deadline of a forwarded part itself.
             }
 
             @Override
@@ -196,8 +198,12 @@
         gateway.forward(remoteRouter, part);
     }
 
-    /** Danger: what comes later on a line must not be the first of its key to run. */
-    private static long effectUntil(SentAttempt sent) {
+    /**
+     * The time after which the remote router must not start the part, in microseconds. An attempt
+     * that arrives after the deduplication window of its idempotency key must not be the first
+     * one to run.
+     */
+    private static long effectDeadlineUs(SentAttempt sent) {
         LookupClass lookupClass = sent.part().lookup.lookupClass;
         return lookupClass.idempotency != LookupClass.Idempotency.BY_KEY
                 ? Long.MAX_VALUE
@@ -209,10 +215,10 @@
     @Override
     public void partEnded(OutgoingPart part, Outcome outcome, long tookUs) {
         SentAttempt sent = (SentAttempt) part.attachment;
-        if (sent.isEnded) {
+        if (sent.ended) {
             return;
         }
-        sent.isEnded = true;
+        sent.ended = true;
         Query query = sent.part().query();
         if (outcome == Outcome.SATISFIED) {
             sent.part().value = new String(part.value, StandardCharsets.UTF_8);
@@ -222,7 +228,7 @@
         pipeline.driver.outcome(sent, outcome, tookUs);
     }
 
-    // ---- Parts that come in. ----
+    // ---- Parts forwarded from other sites. ----
 
     @Override
     public void startPart(IncomingPart part) {
@@ -273,13 +279,15 @@
     }
 
     /**
-     * Danger: for an idempotent part a rejection says that a repeat is harmless, not that it never ran.
+     * Ends a forwarded part without an answer. The decision module also rejects an idempotent part
+     * that may have run, because a repeat is harmless; the other router is told "rejected" only if
+     * no attempt ran.
      */
     private void endUnserved(Query query, long retryAfterUs) {
         boolean neverRan = true;
         for (Part part : query.parts) {
-            neverRan &=
-                    part.attempts.stream().allMatch(c -> c.outcome != null && c.outcome.neverRan);
+            neverRan &= part.attempts.stream()
+                    .allMatch(attempt -> attempt.outcome != null && attempt.outcome.neverRan);
         }
         gateway.partEnded(
                 (IncomingPart) query.remoteOrigin,
--- a/src/main/java/tinlink/router/Http2Dispatcher.java
+++ b/src/main/java/tinlink/router/Http2Dispatcher.java
@@ -17,33 +17,36 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Attempts that go to data nodes over HTTP/2; nothing of it is allocated while no node offers it. */
+/** Sends attempts to data nodes over HTTP/2. Allocates nothing while no node offers HTTP/2. */
 final class Http2Dispatcher {
     private final EventLoop loop;
     private final Network network;
     private final AttemptDispatcher dispatcher;
     private final NodeConnections connections;
-    private final RouterConfig.NodeConnectionSettings linkSettings;
+    private final RouterConfig.NodeConnectionSettings connectionSettings;
+    /** Whether a data node may be reached over HTTP/2; none before {@link #enable}. */
     private Predicate<DataNode> offersHttp2 = node -> false;
+
     private ConnectionPool.Settings settings;
+    /** Null before {@link #enable}, like the settings. */
     private Counters counters;
-    /** Nodes with decisions to pull; emptied each turn. */
-    private Set<Http2NodeClient> nodesToDecide = new LinkedHashSet<>();
+    /** Clients whose decisions are to be pulled; emptied each turn. */
+    private final Set<Http2NodeClient> clientsToDecide = new LinkedHashSet<>();
 
     Http2Dispatcher(
             EventLoop loop,
             Network network,
             AttemptDispatcher dispatcher,
             NodeConnections connections,
-            RouterConfig.NodeConnectionSettings linkSettings) {
+            RouterConfig.NodeConnectionSettings connectionSettings) {
         this.loop = loop;
         this.network = network;
         this.dispatcher = dispatcher;
         this.connections = connections;
-        this.linkSettings = linkSettings;
+        this.connectionSettings = connectionSettings;
     }
 
-    /** Nodes of these kinds and zones are served by HTTP/2. */
+    /** Enables HTTP/2 for the data nodes that the predicate accepts. */
     void enable(Http2Config config, Predicate<DataNode> offersHttp2) {
         this.offersHttp2 = offersHttp2;
         counters = new Counters();
@@ -52,7 +55,7 @@
                 config.initialMaxStreams,
                 config.maxQueuedParts,
                 config.maxQueueWaitUs,
-                linkSettings.connectTimeoutUs(),
+                connectionSettings.connectTimeoutUs(),
                 connections.idleTimeoutUs(),
                 config.pingTimeoutUs,
                 config.fallbackMemoryUs);
@@ -62,6 +65,7 @@
         return counters;
     }
 
+    /** Whether attempts to that data node go over HTTP/2; creates its client at the first use. */
     boolean isOffered(NodeEndpoint endpoint) {
         if (endpoint.http2 == null && offersHttp2.test(endpoint.node)) {
             endpoint.http2 = new Http2NodeClient(
@@ -88,7 +92,7 @@
 
             @Override
             public void onTimeout(SentAttempt sent) {
-                // A connection that says nothing is asked by a ping.
+                // The HTTP/2 client detects an unresponsive connection by a ping.
             }
 
             @Override
@@ -101,6 +105,7 @@
         endpoint.http2.send(request, endpoint.address);
     }
 
+    /** Closes the connections to that data node on which nothing is in flight. */
     void release(NodeEndpoint endpoint) {
         if (endpoint.http2 != null) {
             endpoint.http2.closeUnused();
@@ -108,13 +113,14 @@
     }
 
     /**
-     * Danger: what waits for a connection may go out after its node was listed as draining or removed.
+     * Called when the state or address of a data node has changed. Attempts that wait for a connection are
+     * dropped, since they must not be sent to a node that is listed as draining or removed.
      */
-    void endpointChanged(NodeEndpoint endpoint, boolean hasMoved) {
+    void endpointChanged(NodeEndpoint endpoint, boolean moved) {
         if (endpoint.http2 == null) {
             return;
         }
-        if (hasMoved) {
+        if (moved) {
             endpoint.http2.nodeMoved();
         }
         if (endpoint.node.state != DataNode.State.READY) {
@@ -126,13 +132,14 @@
     }
 
     void flush() {
-        while (!nodesToDecide.isEmpty()) {
-            List<Http2NodeClient> all = new ArrayList<>(nodesToDecide);
-            nodesToDecide.clear();
-            all.forEach(Http2NodeClient::decide);
+        while (!clientsToDecide.isEmpty()) {
+            List<Http2NodeClient> pending = new ArrayList<>(clientsToDecide);
+            clientsToDecide.clear();
+            pending.forEach(Http2NodeClient::decide);
         }
     }
 
+    /** Passes the outcomes and connection events of one data node to the dispatcher. */
     private final class EndpointHandler implements Http2NodeClient.CallHandler {
         private final NodeEndpoint endpoint;
 
@@ -159,7 +166,7 @@
         @Override
         public void callEnded(PartRequest request, Outcome outcome, String value) {
             SentAttempt sent = (SentAttempt) request.attachment;
-            if (!sent.isEnded) {
+            if (!sent.ended) {
                 sent.part().value = value == null ? sent.part().value : value;
                 dispatcher.recordOutcome(sent, outcome, false);
             }
@@ -168,7 +175,7 @@
         @Override
         public void fallBackToFrames(PartRequest request) {
             SentAttempt sent = (SentAttempt) request.attachment;
-            if (!sent.isEnded) {
+            if (!sent.ended) {
                 dispatcher.sendByFrames(sent);
                 dispatcher.flushFrames();
             }
@@ -176,7 +183,7 @@
 
         @Override
         public void decisionsPending(Http2NodeClient nodeClient) {
-            nodesToDecide.add(nodeClient);
+            clientsToDecide.add(nodeClient);
         }
     }
 }
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -14,36 +14,44 @@
 import java.util.List;
 import java.util.logging.Level;
 
-/** One connection to a data node, and the attempts that are in flight on it. Of the event loop's thread. */
+/** A framed connection to a data node, and the attempts in flight on it. Event loop thread only. */
 final class NodeConnection implements Connection.Listener, FrameReader.FrameListener {
     private static final EventLog LOG = new EventLog("tinlink.nodes");
 
     /**
-     * Danger: of frames that are written together none can be recalled once one is stuck. A frame is put
-     * behind others only as long as these have fewer bytes than this.
+     * A frame is appended to the write buffer only while that holds fewer bytes than this. Once a write
+     * stalls, no frame in the buffer can be withdrawn any more.
      */
-    private static final int MAX_WRITE_BYTES = 4096;
+    private static final int MAX_BUFFERED_BYTES = 4096;
 
     private final NodeConnections connections;
     private final AttemptDispatcher dispatcher;
     private final NodeEndpoint endpoint;
     private final FrameReader reader = new FrameReader(this);
     private final AwaitedAnswers awaited;
-    /** Frames to come, and ids to cancel; they go into the buffer only when they can leave at once. */
+    /** Batches not yet written; they enter the buffer only when it can be written at once. */
     private final ArrayDeque<AttemptBatch> queuedBatches = new ArrayDeque<>();
 
+    /** The part ids for which cancel frames are to be written, under the same rule. */
     private final ArrayDeque<String> idsToCancel = new ArrayDeque<>();
+    /** Null until the connect has begun. */
     private Connection connection;
-    /** Slots in use: one a batch. */
+    /** The number of slots in use, one per batch in flight. */
     private int slotsInUse;
 
+    /** When a frame was last written or a slot became free, in microseconds of the event loop's clock. */
     private long lastUsedUs;
+    /** When the latest complete answer arrived, on the same clock; 0 before the first. */
     private long lastAnswerUs;
-    private boolean isUnresponsive;
-    private boolean isRetired;
+    /** Whether an attempt timed out here and no answer has arrived since that attempt was sent. */
+    private boolean unresponsive;
+    /** Whether the data node has moved or restarted since the connection was opened. */
+    private boolean retired;
+    /** Bounds the connect; cancelled when the connection is up. */
     private EventLoop.Timer connectTimer;
+    /** Runs while no slot is in use. */
     private EventLoop.Timer idleTimer;
-    /** Runs while a frame has begun and has not come whole. */
+    /** Runs while a frame has been received in part. */
     private EventLoop.Timer frameTimer;
 
     NodeConnection(
@@ -77,28 +85,29 @@
     }
 
     /**
-     * Danger: a machine that has vanished leaves its connections open; one on which a call went unanswered,
-     * with nothing heard since, is not trusted with the next. Nor is one to a node that has moved or started
-     * anew since: what is in flight on it may still be answered, what is new would be lost.
+     * Whether new attempts may use the connection. A machine that vanishes leaves its connections open, so a
+     * connection on which an attempt timed out, with nothing received since, takes no more. Neither does a
+     * connection to a data node that has moved or restarted: attempts in flight on it may still be answered,
+     * but new attempts would be lost.
      */
     boolean isUsable() {
-        return !isUnresponsive && !isRetired;
+        return !unresponsive && !retired;
     }
 
-    /** Why it is closed once no call is in flight on it; null where it stays for the next. */
+    /** The reason to close the connection once nothing is in flight; null if it stays open for reuse. */
     CloseReason closeReasonWhenUnused() {
-        boolean isRemoved = isRetired || endpoint.node.state == DataNode.State.GONE;
-        return isUnresponsive
+        boolean obsolete = retired || endpoint.node.state == DataNode.State.GONE;
+        return unresponsive
                 ? CloseReason.UNRESPONSIVE
-                : isRemoved ? CloseReason.ENDPOINT_REMOVED : null;
+                : obsolete ? CloseReason.ENDPOINT_REMOVED : null;
     }
 
-    /** Its node has moved, or has started anew. */
+    /** Excludes the connection from new attempts, because the data node has moved or restarted. */
     void retire() {
-        isRetired = true;
+        retired = true;
     }
 
-    /** Danger: an answer to an earlier attempt of that id would pass for one to the new. */
+    /** Whether an answer to an earlier attempt with the same part id could be taken for one to this. */
     boolean hasIdInUse(SentAttempt sent) {
         return awaited.isIdInUse(sent.part().id);
     }
@@ -117,7 +126,7 @@
         flush();
     }
 
-    /** One attempt has ended, and is cancelled at its node if its frame is out. */
+    /** Removes an attempt that has ended. The data node cancels it only if its frame was written. */
     void attemptEnded(SentAttempt sent, boolean cancelAtNode) {
         if (!sent.batch.isQueued() && awaited.ended(sent) && cancelAtNode) {
             idsToCancel.add(sent.part().id);
@@ -133,9 +142,9 @@
         }
     }
 
-    /** An attempt on it went unanswered for all its time. */
+    /** Called when an attempt on this connection has reached its deadline without an answer. */
     void attemptTimedOut(SentAttempt sent) {
-        isUnresponsive |= !sent.batch.isQueued() && lastAnswerUs < sent.attempt.sentAtUs;
+        unresponsive |= !sent.batch.isQueued() && lastAnswerUs < sent.attempt.sentAtUs;
     }
 
     private boolean mayHaveLeft(SentAttempt sent) {
@@ -153,7 +162,7 @@
         flush();
     }
 
-    /** Writes what is queued, if it can leave at once. */
+    /** Moves queued cancel and request frames into the buffer if it can be written at once. */
     private void flush() {
         if (connection == null || !connection.canWriteNow()) {
             return;
@@ -163,7 +172,7 @@
             NodeFrames.writeCancel(out, idsToCancel.poll());
             connection.scheduleWrite();
         }
-        while (!queuedBatches.isEmpty() && out.size() < MAX_WRITE_BYTES) {
+        while (!queuedBatches.isEmpty() && out.size() < MAX_BUFFERED_BYTES) {
             AttemptBatch batch = queuedBatches.poll();
             dropStale(batch);
             if (batch.attemptsInFlight > 0) {
@@ -175,7 +184,7 @@
     private void write(AttemptBatch batch, RingBuffer out) {
         NodeFrames.writeRequest(out, batch, connections.nowUs());
         for (SentAttempt sent : batch.sentAttempts) {
-            if (!sent.isEnded) {
+            if (!sent.ended) {
                 awaited.sent(sent);
             }
         }
@@ -183,18 +192,19 @@
         lastUsedUs = connections.nowUs();
     }
 
-    /** Nothing of what is queued goes out that its node should not run any more. */
+    /** Ends queued attempts that the data node should not run any more. */
     void dropStale() {
         List.copyOf(queuedBatches).forEach(this::dropStale);
     }
 
     /**
-     * Danger: what is queued for a connection may go out after its lookup has ended, its node was listed as
-     * draining or removed, or its key's window has passed or will have when it arrives.
+     * Ends the stale attempts of a queued batch. While an attempt was queued, its lookup may have ended, the
+     * data node may have been listed as draining or removed, or the deduplication window of its idempotency
+     * key may have passed, or may pass before the frame arrives.
      */
     private void dropStale(AttemptBatch batch) {
         for (SentAttempt sent : List.copyOf(batch.sentAttempts)) {
-            if (!sent.isEnded
+            if (!sent.ended
                     && (sent.attempt.part.lookup.isEnded
                             || sent.attempt.part.isSatisfied
                             || endpoint.node.state != DataNode.State.READY
@@ -221,8 +231,8 @@
         }
         if (reader.isAtBoundary() != (frameTimer == null)) {
             connections.cancelTimer(frameTimer);
-            // Danger: a frame that stops in its middle would hold all that is in flight here until
-            // its time is over.
+            // Without the timer, a frame that stops in the middle would block every attempt in
+            // flight on this connection until its deadline.
             frameTimer = reader.isAtBoundary() || connection.isClosed()
                     ? null
                     : connections.scheduleFrameTimeout(
@@ -230,19 +240,20 @@
         }
     }
 
-    /** Danger: an answer to what was never sent here: what else comes on the connection can't be trusted. */
+    /** Rejects an answer to an attempt never sent here: the rest of the stream can't be trusted either. */
     @Override
     public void answerStarted(String partId) throws MessageRejectedException {
         if (!awaited.isExpected(partId)) {
-            throw new MessageRejectedException(502, "an answer to a call that was not sent");
+            throw new MessageRejectedException(
+                    502, "answer to an attempt that was not sent on this connection");
         }
     }
 
-    /** Danger: only a complete answer shows that the node lives; noise does not. */
+    /** Only a complete answer shows that the data node responds; other bytes don't. */
     @Override
     public void answerReceived(String partId, String status, String loadReport, String value) {
         lastAnswerUs = connections.nowUs();
-        isUnresponsive = false;
+        unresponsive = false;
         SentAttempt sent = awaited.answered(partId);
         if (sent == null) {
             return;
@@ -279,20 +290,19 @@
                 closeReason,
                 "in_flight",
                 slotsInUse);
-        // One answer was spoilt: it is held to be that of the call that has waited longest. A
-        // connection that has
-        // carried answers and closes in order was closed between two, and speaks of no call.
+        // After a protocol error, the damaged answer is attributed to the attempt that has waited
+        // longest. An orderly close by a peer that has sent answers before falls between two
+        // answers and is attributed to no attempt.
         List<SentAttempt> lost = awaited.oldestFirst();
-        SentAttempt oldestLost = lost.isEmpty() ? null : lost.get(0);
+        SentAttempt oldest = lost.isEmpty() ? null : lost.get(0);
         queuedBatches.forEach(batch -> lost.addAll(batch.sentAttempts));
         connections.connectionClosed(this);
         for (SentAttempt sent : lost) {
-            if (!sent.isEnded) {
-                boolean concernsCall = closeReason == CloseReason.PEER_CLOSED
-                        ? lastAnswerUs == 0
-                        : sent == oldestLost;
+            if (!sent.ended) {
+                boolean attributed =
+                        closeReason == CloseReason.PEER_CLOSED ? lastAnswerUs == 0 : sent == oldest;
                 dispatcher.recordOutcome(
-                        sent, closeReason.toOutcome(mayHaveLeft(sent), concernsCall), false);
+                        sent, closeReason.toOutcome(mayHaveLeft(sent), attributed), false);
             }
         }
     }
--- a/src/main/java/tinlink/router/NodeFrames.java
+++ b/src/main/java/tinlink/router/NodeFrames.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes the frames that go to data nodes; what comes back is read by {@link tinlink.net.FrameReader}. */
+/** Writes frames for data nodes; {@link tinlink.net.FrameReader} reads the frames that they send back. */
 final class NodeFrames {
     private static final char REQUEST = 'R';
     private static final char CANCEL = 'A';
@@ -14,23 +14,23 @@
     private NodeFrames() {}
 
     /**
-     * One frame with the attempts of a batch that have not ended, each with the time that is left for its
-     * answer.
+     * Writes one frame with the attempts of a batch that have not ended, each with the time until its
+     * deadline.
      */
     static void writeRequest(RingBuffer out, AttemptBatch batch, long nowUs) {
-        List<byte[]> pieces = new ArrayList<>();
+        List<byte[]> buffers = new ArrayList<>();
         int length = 1;
         for (SentAttempt sent : batch.sentAttempts) {
-            if (!sent.isEnded) {
+            if (!sent.ended) {
                 Query query = sent.part().query();
                 byte[] line = requestLine(sent, query, nowUs).getBytes(StandardCharsets.UTF_8);
-                pieces.add(line);
-                pieces.add(query.text);
+                buffers.add(line);
+                buffers.add(query.text);
                 length += line.length + query.text.length;
             }
         }
         out.put(header(length, REQUEST));
-        pieces.forEach(out::put);
+        buffers.forEach(out::put);
     }
 
     private static String requestLine(SentAttempt sent, Query query, long nowUs) {
@@ -46,14 +46,14 @@
         out.put(header(1 + id.length, CANCEL)).put(id);
     }
 
-    /** @param length of what follows, the letter included */
-    private static byte[] header(int length, char letter) {
+    /** @param length the number of bytes that follow the length field, including the frame type */
+    private static byte[] header(int length, char frameType) {
         return new byte[] {
             (byte) (length >> 24),
             (byte) (length >> 16),
             (byte) (length >> 8),
             (byte) length,
-            (byte) letter
+            (byte) frameType
         };
     }
 }
