--- a/src/main/java/tinlink/router/NameTable.java
+++ b/src/main/java/tinlink/router/NameTable.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Numbers for names: those of the settings first, others as they come. There are few. */
+/**
+ * Assigns numeric ids to names: first to those in the settings, then to others in the order in which they
+ * appear. The lookup is linear, since there are few names.
+ */
 final class NameTable {
     private final List<String> names;
 
@@ -13,7 +16,7 @@
         this.names = new ArrayList<>(names);
     }
 
-    /** The number of that name, a new one where it has none. */
+    /** Returns the id of that name and assigns one if the name is new. */
     int idOf(String name) {
         String plainName = FlatSettings.plainName(name);
         if (!names.contains(plainName)) {
--- a/src/main/java/tinlink/router/NodeConnections.java
+++ b/src/main/java/tinlink/router/NodeConnections.java
@@ -14,9 +14,9 @@
 import java.util.logging.Level;
 
 /**
- * The data nodes as this router reaches them, and the framed connections to each: which one takes a batch,
- * when one is opened, and when an unused one is closed. Of the event loop's thread; bounded by the endpoint
- * list and the descriptors.
+ * The framed connections of this router to data nodes. Chooses the connection for each batch, opens one if
+ * no other can take it, and closes unused ones. Event loop thread only; the number of nodes is bounded by
+ * the endpoint list, that of connections by the file descriptors.
  */
 final class NodeConnections {
     private static final EventLog LOG = new EventLog("tinlink.nodes");
@@ -25,12 +25,14 @@
     private final DescriptorBudget descriptors;
     private final RouterConfig.NodeConnectionSettings settings;
     private final AttemptDispatcher dispatcher;
+    /** The time after which an unused connection is closed, in microseconds. */
     private final long idleTimeoutUs;
+
     private ClientAcceptor acceptor;
-    /** Nodes on the list, and those off it with connections; each leaves when it is neither. */
+    /** Data nodes that are in the endpoint list or still have connections. */
     private final IdentityHashMap<DataNode, NodeEndpoint> endpoints = new IdentityHashMap<>();
 
-    /** @param dispatcher gets the outcomes of what its connections carry */
+    /** @param dispatcher records the outcomes of the attempts on these connections */
     NodeConnections(
             EventLoop loop,
             Network network,
@@ -42,25 +44,31 @@
         this.descriptors = descriptors;
         this.settings = settings;
         this.dispatcher = dispatcher;
-        // Danger: what is written after the node's machine has closed ends as a reset. Ours closes
-        // first, by as much as
-        // a connect may take: no message is under way for longer.
+        // A request written after the data node has closed the connection is answered by a reset.
+        // The router therefore closes idle connections first. The margin is the connect timeout,
+        // since no message is in transit for longer.
         idleTimeoutUs = Math.max(
                 settings.idleTimeoutUs() / 2,
                 settings.idleTimeoutUs() - settings.connectTimeoutUs());
     }
 
-    /** Whose idle connections give way to those to data nodes; called once, before the first turn. */
+    /**
+     * Sets the acceptor whose idle client connections are closed to free descriptors for data nodes. Called
+     * once, before the first turn.
+     */
     void setAcceptor(ClientAcceptor acceptor) {
         this.acceptor = acceptor;
     }
 
-    /** After so long without use a connection is closed, in microseconds. */
+    /** The time after which an unused connection is closed, in microseconds. */
     long idleTimeoutUs() {
         return idleTimeoutUs;
     }
 
-    /** A descriptor for one more connection to a data node; an idle client's gives way to it. */
+    /**
+     * Whether a descriptor is available for one more connection to a data node. An idle client connection is
+     * closed if that is needed to free one.
+     */
     boolean canOpenConnection() {
         return descriptors.hasForNode() || acceptor.closeIdle();
     }
@@ -73,12 +81,15 @@
         return loop.nowUs();
     }
 
-    /** A frame comes whole within the time in which a connection comes up. */
+    /** Starts a timer for the rest of a frame, which has to arrive within the connect timeout. */
     EventLoop.Timer scheduleFrameTimeout(Runnable task) {
         return loop.schedule(nowUs() + settings.connectTimeoutUs(), task);
     }
 
-    /** What leaves in this turn has arrived by then; a turn and a way to a node are a part of a connect. */
+    /**
+     * The time within which a message written in this turn arrives, in microseconds. A turn and the transit
+     * to a data node together take a fraction of the connect timeout.
+     */
     long maxTransitUs() {
         return settings.connectTimeoutUs() / 4;
     }
@@ -95,10 +106,13 @@
         return endpoints.computeIfAbsent(node, NodeEndpoint::new);
     }
 
-    /** Its state or address has changed: what is queued for it may be stale, and so may connections. */
-    void endpointChanged(NodeEndpoint endpoint, boolean hasMoved) {
+    /**
+     * Called when the state or address of a data node has changed, which can make queued attempts and open
+     * connections stale.
+     */
+    void endpointChanged(NodeEndpoint endpoint, boolean moved) {
         for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
-            if (hasMoved) {
+            if (moved) {
                 nodeConnection.retire();
             }
             nodeConnection.dropStale();
@@ -106,6 +120,7 @@
         }
     }
 
+    /** Drops a data node that has left the endpoint list and has no connections. */
     void forgetIfRemoved(NodeEndpoint endpoint) {
         if (endpoint.node.state == DataNode.State.GONE
                 && endpoint.connections.isEmpty()
@@ -114,7 +129,7 @@
         }
     }
 
-    /** The module wants new connections to that node: those with nothing in flight are closed. */
+    /** Closes connections with nothing in flight, because the decision module wants new ones. */
     void closeIdle(NodeEndpoint endpoint) {
         for (NodeConnection nodeConnection : List.copyOf(endpoint.connections)) {
             if (nodeConnection.slotsInUse() == 0) {
@@ -123,7 +138,7 @@
         }
     }
 
-    /** The connection that takes a batch, a new one where no other can; null where none can be opened. */
+    /** Returns the connection for a batch, opened if no other can take it; null if none can be opened. */
     NodeConnection connectionFor(AttemptBatch batch) {
         NodeEndpoint endpoint = endpointOf(batch.sentAttempts.get(0).attempt.node);
         NodeConnection bestConnection = null;
@@ -167,7 +182,7 @@
         }
     }
 
-    /** A connection with nothing in flight is closed before its node's machine does it. */
+    /** Schedules the close of a connection with nothing in flight, before the data node closes it. */
     EventLoop.Timer scheduleIdleClose(NodeConnection nodeConnection) {
         CloseReason closeReason = nodeConnection.closeReasonWhenUnused();
         if (closeReason != null) {
@@ -191,10 +206,10 @@
         forgetIfRemoved(nodeConnection.endpoint());
     }
 
-    /** Nothing more will be sent. */
+    /** Closes all connections when the router stops. */
     void closeAll() {
         List.copyOf(endpoints.values())
                 .forEach(endpoint -> List.copyOf(endpoint.connections)
-                        .forEach(c -> c.close(CloseReason.COMPLETED)));
+                        .forEach(connection -> connection.close(CloseReason.COMPLETED)));
     }
 }
--- a/src/main/java/tinlink/router/NodeEndpoint.java
+++ b/src/main/java/tinlink/router/NodeEndpoint.java
@@ -8,19 +8,20 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A data node as this router reaches it: its address and the connections to it. */
+/** The address of a data node, and the connections of this router to it. */
 final class NodeEndpoint {
     final DataNode node;
+    /** The address in the endpoint list; null before the list has one, and for a router of another site. */
     InetSocketAddress address;
-    /** On the list; null for a router of another site. */
+    /** The uid in the endpoint list; null for a router of another site. */
     String uid;
-    /** Attempts whose outcome is not known. */
+    /** The number of attempts to the data node that have no outcome yet. */
     int attemptsInFlight;
-    /** Over HTTP/2; null where the node does not offer it, or nothing has gone there yet. */
+    /** The HTTP/2 client; null if the node doesn't offer HTTP/2 or nothing has been sent to it yet. */
     Http2NodeClient http2;
-    /** Sends to a router of another site; null for a data node of this one. */
+    /** Forwards attempts to a router of another site; null for a data node of this site. */
     Consumer<SentAttempt> remoteSender;
-    /** Open or connecting; each leaves as it closes. */
+    /** The framed connections that are open or connecting; each is removed when it closes. */
     final List<NodeConnection> connections = new ArrayList<>();
 
     NodeEndpoint(DataNode node) {
