--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -21,9 +21,9 @@
 import java.util.logging.Level;
 
 /**
- * Drives the decision module in each turn of the event loop, on its thread: passes the clock and the inputs
- * on, pulls decisions until there is none, and only then carries them out. What ends while they are carried
- * out is an input of the next turn.
+ * Runs the decision module in each turn of the event loop, on the thread of the loop: passes the time and the
+ * inputs to the module, pulls all decisions, and only then executes them. Attempts that end during the
+ * execution are inputs of the next turn.
  */
 final class DecisionDriver implements DecisionHandler, EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.decisions");
@@ -31,20 +31,23 @@
     private final EventLoop loop;
     private final QueryCoordinator module;
     private final QueriesInFlight queries;
+    /** The longest Retry-After that clients are given, in microseconds. */
     private final long maxRetryAfterUs;
-    /** Queries with inputs in this turn; emptied at its end. */
+    /** The queries with inputs in this turn; emptied at the end of the turn. */
     private final Set<Query> queriesWithInput = new LinkedHashSet<>();
-    /** What this turn's decisions ask for; emptied at its end. */
+    /** The actions that this turn's decisions ask for; emptied at the end of the turn. */
     private final List<Runnable> pendingActions = new ArrayList<>();
     /**
-     * Those who decide before the module, whose inputs count in the same turn, and again once its attempts
-     * are sent. One may leave while they are called.
+     * Participants that run before the module, which sees their inputs in the same turn, and again once its
+     * attempts are sent. A participant may be removed during the iteration.
      */
     private final List<EventLoopParticipant> aroundDecisions = new CopyOnWriteArrayList<>();
-    /** Those who decide last; what they change is an input of the next turn's decisions. */
+    /** Participants that run last; their changes are inputs of the next turn. */
     private final List<EventLoopParticipant> afterDecisions = new ArrayList<>();
 
-    private boolean isCarryingOut;
+    /** Whether decisions are being executed, so that inputs wait for the next turn. */
+    private boolean executing;
+
     private AttemptDispatcher dispatcher;
     private Runnable followEndpointList;
 
@@ -60,13 +63,13 @@
         queries = new QueriesInFlight(callIdRetentionUs);
     }
 
-    /** Where decisions are carried out; called once, before the first turn. */
+    /** Sets the executors of the decisions; called once, before the first turn. */
     void connect(AttemptDispatcher dispatcher, Runnable followEndpointList) {
         this.dispatcher = dispatcher;
         this.followEndpointList = followEndpointList;
     }
 
-    /** From now on this one decides before the module and again once its attempts are sent. */
+    /** Adds a participant that runs before the module and again once its attempts are sent. */
     void addAroundDecisions(EventLoopParticipant participant) {
         aroundDecisions.add(participant);
     }
@@ -75,7 +78,7 @@
         aroundDecisions.remove(participant);
     }
 
-    /** From now on this one decides last in each turn. */
+    /** Adds a participant that runs last in each turn. */
     void addAfterDecisions(EventLoopParticipant participant) {
         afterDecisions.add(participant);
     }
@@ -90,18 +93,19 @@
     }
 
     /**
-     * Danger: a lookup that takes the id of another, in flight or just ended, would run parts that data nodes
-     * take for those of the other.
+     * Whether the call id belongs to a lookup that is in flight or has just ended. Data nodes would take the
+     * parts of a second lookup with that id for parts of the first.
      */
     boolean isKnownCallId(String callId) {
         return queries.isKnown(callId, loop.nowUs());
     }
 
-    /** Lookups and parts in flight. */
+    /** The number of queries in flight: lookups of clients and forwarded parts. */
     int inFlight() {
         return queries.size();
     }
 
+    /** Passes a new query and its parts to the module. */
     void admit(Query query) {
         List<Part> allParts = query.parts;
         query.parts = new ArrayList<>(allParts.size());
@@ -111,6 +115,7 @@
         allParts.forEach(module::onPart);
     }
 
+    /** Drops a query whose client or forwarding router does not want the answer any more. */
     void clientGone(Query query) {
         queries.remove(query, loop.nowUs());
         try {
@@ -123,24 +128,31 @@
     }
 
     /**
-     * What ends while decisions are carried out is an input of the next turn. No load report is passed on.
+     * Passes an outcome to the module, with the time since the attempt was sent. Load reports are not
+     * passed on.
      */
     void outcome(SentAttempt sent, Outcome outcome) {
         outcome(sent, outcome, loop.nowUs() - sent.attempt.sentAtUs);
     }
 
-    /** @param tookUs without what the way to another site took; below 0 where it says nothing */
+    /**
+     * Passes an outcome to the module.
+     *
+     * @param tookUs the duration of the attempt without the transit to another site, in microseconds;
+     *     negative if unknown
+     */
     void outcome(SentAttempt sent, Outcome outcome, long tookUs) {
-        applyInput(m -> {
+        applyInput(coordinator -> {
             if (sent.attempt.outcome == null) {
                 queriesWithInput.add(sent.part().query());
-                m.onOutcome(sent.attempt, outcome, tookUs, -1);
+                coordinator.onOutcome(sent.attempt, outcome, tookUs, -1);
             }
         });
     }
 
+    /** Applies an input to the module, in the next turn if decisions are being executed. */
     void applyInput(Consumer<QueryCoordinator> input) {
-        if (isCarryingOut) {
+        if (executing) {
             loop.execute(() -> input.accept(module));
         } else {
             input.accept(module);
@@ -151,24 +163,24 @@
 
     @Override
     public void turnEnding() {
-        letDecide(aroundDecisions); // What has come from other sites is an input of this turn.
-        // Danger: a fault in the module would come back at every pull. First the lookups with
-        // inputs in this turn are
-        // given up, then all; each as failed, since some part of it may have run.
+        endTurn(aroundDecisions); // Input from other sites counts in this turn.
+        // A fault in the module would recur at every pull. The first fault of a turn ends the
+        // lookups with inputs in this turn, the second ends all lookups. They end as failed, since
+        // some of their parts may have run.
         if (!pullDecisions(queriesWithInput)) {
             pullDecisions(queries.all());
         }
         queriesWithInput.clear();
-        isCarryingOut = true;
-        carryOut();
+        executing = true;
+        executePending();
         dispatcher.flush();
-        letDecide(aroundDecisions);
-        isCarryingOut = false;
-        letDecide(afterDecisions);
+        endTurn(aroundDecisions);
+        executing = false;
+        endTurn(afterDecisions);
     }
 
-    /** Danger: a fault in one of them must not keep the module from deciding. */
-    private static void letDecide(List<EventLoopParticipant> participants) {
+    /** Ends the turn of the participants. Their faults must not prevent the module from deciding. */
+    private static void endTurn(List<EventLoopParticipant> participants) {
         try {
             participants.forEach(EventLoopParticipant::turnEnding);
         } catch (RuntimeException e) {
@@ -176,11 +188,16 @@
         }
     }
 
-    /** Pulls decisions until there is none; false after a fault, for which these lookups have been ended. */
+    /**
+     * Pulls decisions until there are none.
+     *
+     * @param affected the queries that end as failed if the module throws
+     * @return false after a fault
+     */
     private boolean pullDecisions(Collection<Query> affected) {
         try {
             while (module.decide(this)) {
-                // Each decision has been noted as it left.
+                // The module has passed the decision to this handler.
             }
             return true;
         } catch (RuntimeException e) {
@@ -200,7 +217,7 @@
         }
     }
 
-    private void carryOut() {
+    private void executePending() {
         for (int i = 0; i < pendingActions.size(); i++) {
             try {
                 pendingActions.get(i).run();
@@ -236,11 +253,15 @@
     public void reject(Lookup lookup, long retryAfterUs) {
         finish(
                 lookup,
-                query -> query.listener.onRejection(query, withRemoteAdvice(query, retryAfterUs)));
+                query -> query.listener.onRejection(
+                        query, withRemoteRetryAfter(query, retryAfterUs)));
     }
 
-    /** The advice of a router of another site counts too, where advice is given at all. */
-    private long withRemoteAdvice(Query query, long retryAfterUs) {
+    /**
+     * The larger of the own Retry-After and the one received from routers of other sites, within the maximum.
+     * If the module advises none, none is given.
+     */
+    private long withRemoteRetryAfter(Query query, long retryAfterUs) {
         return retryAfterUs <= 0
                 ? retryAfterUs
                 : Math.max(retryAfterUs, Math.min(query.remoteRetryAfterUs, maxRetryAfterUs));
