--- a/src/main/java/tinlink/router/MaintenanceIntegration.java
+++ b/src/main/java/tinlink/router/MaintenanceIntegration.java
@@ -28,34 +28,41 @@
 import java.util.logging.Logger;
 
 /**
- * What a request's stages and work on machines have to do with each other: nodes that are left out,
- * clients that are let go, and what is open here.
+ * Connects the request pipeline with the maintenance service: cordons data nodes, drains the
+ * clients of this router, and reports the work in flight here.
  */
 final class MaintenanceIntegration implements MaintenanceService.DataPlane, EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
-    /** Held here, or its level is forgotten. */
-    private static final Logger LIBRARY = Logger.getLogger("io.microraft");
+    /** A strong reference, since the level of a collected logger is lost. */
+    private static final Logger RAFT_LIBRARY_LOGGER = Logger.getLogger("io.microraft");
 
     private final EventLoop loop;
     private final Network network;
     private final RequestPipeline pipeline;
     private final MaintenanceConfig config;
+    /** The address for clients in the configuration, used while no serving address is known. */
     private final InetSocketAddress configuredAddress;
+
     private final MaintenanceService maintenance;
-    /** Null where changes of policy are off. */
+    /** Null if policy changes are disabled. */
     private final PolicyIntegration policy;
 
+    /** The server for control commands; null if no address is configured. */
     private ControlServer control;
-    private boolean isDrainRequested;
+    /** Whether the maintenance service wants this router drained. */
+    private boolean drainRequested;
+    /** Whether the router is shutting down. */
     private boolean stopping;
-    /** Accepting was stopped, to be resumed. */
-    private boolean isAcceptingStopped;
+    /** Whether a drain has stopped the accepting of clients. */
+    private boolean acceptingStopped;
+    /** The address that clients are served at, which a resumed listener uses again; null before that. */
+    private InetSocketAddress servingAddress;
 
-    /** @throws IOException where the folder or the address can't be used */
+    /** @throws IOException if the data directory or the cluster address can't be used */
     MaintenanceIntegration(
             EventLoop loop, Network network, RouterConfig routerConfig, RequestPipeline pipeline)
             throws IOException {
-        LIBRARY.setLevel(Level.SEVERE); // It tells of each message that could not be sent.
+        RAFT_LIBRARY_LOGGER.setLevel(Level.SEVERE); // It logs each message that could not be sent.
         this.loop = loop;
         this.network = network;
         this.pipeline = pipeline;
@@ -126,9 +133,12 @@
     }
 
     /**
-     * Danger: a router that has just started knows of no work, and what it sends goes to machines
-     * that are out. So clients are served once its start is agreed on, or that has been awaited for
-     * long enough: serving never depends on agreement.
+     * Joins the cluster. A router that has just started knows of no maintenance work and would send
+     * attempts to machines that are out of service. Clients are therefore served once the cluster
+     * has agreed on the start of the router, or after a timeout, so that serving never depends on
+     * agreement.
+     *
+     * @param whenReady called when clients may be served; may be called twice
      */
     void start(Runnable whenReady) throws IOException {
         pipeline.driver.addAfterDecisions(this);
@@ -164,13 +174,14 @@
     }
 
     /**
-     * It ends by SIGTERM: what work on machines would have it do with its clients is done already.
+     * Called when the router shuts down. The shutdown drains the clients itself, so drain requests
+     * have no effect from then on.
      */
     void stopping() {
         stopping = true;
     }
 
-    /** Nothing is in flight any more. */
+    /** Leaves the cluster; called when nothing is in flight any more. */
     void leave() {
         if (policy != null) {
             policy.policy().stop();
@@ -208,28 +219,28 @@
 
     @Override
     public int clientsInFlight() {
-        return (isAcceptingStopped ? 0 : 1)
+        return (acceptingStopped ? 0 : 1)
                 + pipeline.acceptor.clients()
                 + pipeline.driver.inFlight();
     }
 
     @Override
-    public void setCordoned(String machine, boolean isCordoned) {
-        pipeline.endpointList.setCordoned(machine, isCordoned);
-        loop.execute(() -> {}); // The module has an input: one more turn, in which it decides.
+    public void setCordoned(String machine, boolean cordoned) {
+        pipeline.endpointList.setCordoned(machine, cordoned);
+        loop.execute(() -> {}); // Wakes the loop, so that the decision module sees the new input.
     }
 
     /**
-     * As at a SIGTERM, without an end: who comes while others learn of it is served; then accepting
-     * closes.
+     * Drains the clients as at SIGTERM, but without a shutdown. The router reports "not ready" and
+     * still accepts clients for the drain notice, until others have noticed; then it stops.
      */
     @Override
-    public void setDraining(boolean isDraining) {
-        isDrainRequested = isDraining;
+    public void setDraining(boolean draining) {
+        drainRequested = draining;
         if (stopping) {
             return;
         }
-        if (isDraining) {
+        if (draining) {
             pipeline.acceptor.markNotReady();
             loop.schedule(loop.nowUs() + Router.DRAIN_NOTICE_US, this::stopAccepting);
         } else {
@@ -238,20 +249,20 @@
     }
 
     private void stopAccepting() {
-        if (isDrainRequested && !isAcceptingStopped && !stopping) {
-            isAcceptingStopped = true;
+        if (drainRequested && !acceptingStopped && !stopping) {
+            acceptingStopped = true;
             pipeline.acceptor.stopAccepting();
         }
     }
 
     private void resumeAccepting() {
-        if (isDrainRequested || stopping) {
+        if (drainRequested || stopping) {
             return;
         }
         try {
-            if (isAcceptingStopped) {
+            if (acceptingStopped) {
                 pipeline.acceptor.resumeAccepting(address());
-                isAcceptingStopped = false;
+                acceptingStopped = false;
             }
             pipeline.acceptor.setReady(true);
         } catch (IOException e) {
@@ -260,9 +271,7 @@
         }
     }
 
-    private InetSocketAddress servingAddress;
-
-    /** Where clients are served, once they are: the same when accepting resumes. */
+    /** Sets the address that clients are served at, which is used again when accepting resumes. */
     void setServingAddress(InetSocketAddress address) {
         servingAddress = address;
     }
--- a/src/main/java/tinlink/router/PolicyIntegration.java
+++ b/src/main/java/tinlink/router/PolicyIntegration.java
@@ -12,16 +12,17 @@
 import tinlink.policy.rollout.PolicyVersion;
 
 import java.util.Map;
+import java.util.TreeMap;
 
 /**
- * What a request's stages and changes of policy have to do with each other: by which figures a
- * lookup is taken, to its end; and that none is where it is not known which hold.
+ * Connects the request pipeline with policy rollouts: provides the policy that applies to a new
+ * lookup until it ends, and rejects lookups while the policy in force is unknown.
  */
 final class PolicyIntegration {
     private final RouterConfig config;
     private final PolicyRolloutService policyRollout;
-    /** As the newest versions have them: two at a time, the one in force and the one before it. */
-    private final Map<Long, PolicyDocument> documents = new java.util.TreeMap<>();
+    /** Parsed documents by epoch: at most the version in force and the one before it. */
+    private final Map<Long, PolicyDocument> documents = new TreeMap<>();
 
     PolicyIntegration(
             EventLoop loop,
@@ -29,7 +30,8 @@
             PolicyStateMachine policyStateMachine,
             RouterConfig config) {
         this.config = config;
-        // The one clock that all machines read; nothing else in the router asks it.
+        // The wall clock is the only clock that all machines share; the rest of the router doesn't
+        // read it.
         policyRollout = new PolicyRolloutService(
                 loop,
                 clusterNode,
@@ -43,7 +45,7 @@
         return policyRollout;
     }
 
-    /** This router's own start checks of a text: why it can't be used, or empty. */
+    /** Checks a policy text as at startup; returns why it can't be used, or an empty string. */
     private String rejectionOf(String text) {
         try {
             new PolicyDocument(text, config);
@@ -53,6 +55,7 @@
         }
     }
 
+    /** The document in force; null if no policy was rolled out or the policy in force is unknown. */
     private PolicyDocument currentDocument() {
         PolicyVersion version = policyRollout.effectiveVersion();
         if (version == null || version.epoch() == 0) {
@@ -68,8 +71,9 @@
     }
 
     /**
-     * Figures of lookups that come now. @throws BadMessage where none may be taken: nothing of it
-     * was sent
+     * Returns the lookup classes that apply to a new lookup.
+     *
+     * @throws MessageRejectedException if lookups can't be accepted; nothing of the lookup was sent
      */
     Map<String, LookupClass> lookupClasses() throws MessageRejectedException {
         PolicyDocument document = currentDocument();
@@ -80,12 +84,13 @@
         return document == null ? config.lookups.lookupClasses() : document.lookupClasses;
     }
 
+    /** The number of lookups that may be in flight at once under the policy in force. */
     int maxInFlight() {
         PolicyDocument document = currentDocument();
         return document == null ? config.lookups.maxInFlight() : document.maxInFlight;
     }
 
-    /** Why clients are to go elsewhere; empty where they are served. */
+    /** Returns why clients have to use another router; empty if they are served here. */
     String unavailableReason() {
         policyRollout.effectiveVersion();
         return policyRollout.unavailableReason();
