--- a/src/test/java/tinlink/RouterScenarioPlayer.java
+++ b/src/test/java/tinlink/RouterScenarioPlayer.java
@@ -54,65 +54,68 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays one scenario against a router on loopback sockets, with stand-ins of its own for clients,
- * data nodes and discovery; docs/scenarios.md has the notation. A stand-in does what its line says
- * and nothing else.
+ * Plays one scenario against a router on loopback sockets, with scripted clients, data nodes and
+ * discovery servers that do exactly what the lines of the scenario say. The notation is described in
+ * docs/scenarios.md.
  */
 final class RouterScenarioPlayer implements AutoCloseable {
     private static final int TIMEOUT_MS = 10_000;
-    private static final int QUIET_MS = 60;
-    private static final int LATE_MS = 150;
+    private static final int SILENCE_WAIT_MS = 60;
+    private static final int UPDATE_DELAY_MS = 150;
     private static final long POLL_NS = 20_000;
     private static final int BYTES_BETWEEN_READS = 13;
     private static final Logger LOG = Logger.getLogger("tinlink");
     private final Path dir;
-    /** What the router has logged and no line of the script has looked at. */
+    /** The lines that the router has logged and no step has read yet. */
     private final LinkedBlockingQueue<String> unreadLogLines = new LinkedBlockingQueue<>();
 
     private final Handler handler = new Handler() {
         @Override
-        public void publish(LogRecord r) {
-            unreadLogLines.add(new SimpleFormatter().formatMessage(r));
+        public void publish(LogRecord logRecord) {
+            unreadLogLines.add(new SimpleFormatter().formatMessage(logRecord));
         }
 
         @Override
         public void flush() {
-            // Nothing is held back.
+            // Records are not buffered.
         }
 
         @Override
         public void close() {
-            // Nothing to let go of.
+            // The handler holds no resources.
         }
     };
     private final Map<String, String> settings = new LinkedHashMap<>();
     private final Map<String, StubServer> dataNodes = new LinkedHashMap<>();
     private final Map<String, Client> clients = new HashMap<>();
     private final StubServer discovery = new StubServer("disc", 0);
-    /** Where discovery moves to. */
+    /** The discovery server that the configuration can be switched to. */
     private final StubServer secondDiscovery = new StubServer("other", 0);
 
     private Router router;
-    /** The router where it is a process of its own. */
+    /** The router as a process of its own; null while it runs in the JVM of the test. */
     private Process process;
 
-    private Thread stopping;
+    private Thread stopThread;
+    /** Whether the decision module is wrapped in a {@link FaultyCoordinator}. */
     private boolean faulty;
-    /** While there is one, a turn of the router's waits for it after it has begun. */
+    /** While set, each turn of the event loop waits here after its start. */
     private final AtomicReference<CountDownLatch> turnGate = new AtomicReference<>();
-    /** The same in a timer of the module's. */
+    /** While set, each timer of the decision module waits here. */
     private final AtomicReference<CountDownLatch> timerGate = new AtomicReference<>();
-    /** The same in the I/O thread, between the read of a connection and the loop's hearing of it. */
+    /** While set, the I/O thread waits here after a read, before it notifies the event loop. */
     private final AtomicReference<CountDownLatch> readGate = new AtomicReference<>();
-    /** How often the loop has come to a closed one. */
+    /** How often a thread has reached a closed gate. */
     private final AtomicInteger gateArrivals = new AtomicInteger();
-    /** What the I/O thread has completed since the latest {@code hold}. */
+    /** The number of operations that the I/O thread has completed since the latest {@code hold}. */
     private final AtomicInteger completions = new AtomicInteger();
 
+    /** The thread of the event loop. */
     private Thread loop;
-    /** Where the router listens; 0 for any, unless clients come before it does. */
+    /** The port that the router listens on; 0, for any free port, unless clients connect before that. */
     private int port;
 
+    /** Clients that try to connect before the router listens. */
     private final List<Thread> earlyClients = new ArrayList<>();
 
     RouterScenarioPlayer(Path dir) throws IOException {
@@ -120,7 +123,7 @@
         LOG.setUseParentHandlers(false);
         LOG.setLevel(Level.FINE);
         LOG.addHandler(handler);
-        String[] usual = {
+        String[] defaults = {
             "sockets",
             "256",
             "memory",
@@ -162,23 +165,23 @@
             "limits.maxRetryAfterMs",
             "2000"
         };
-        for (int i = 0; i < usual.length; i += 2) {
-            settings.put(usual[i], usual[i + 1]);
+        for (int i = 0; i < defaults.length; i += 2) {
+            settings.put(defaults[i], defaults[i + 1]);
         }
     }
 
     void play(List<String> script) throws Exception {
-        int no = 0;
+        int lineNumber = 0;
         for (String raw : script) {
-            no++;
+            lineNumber++;
             String line = raw.replaceAll("(^|\\s)#\\s.*", "").trim();
             try {
-                for (String one : line.isEmpty() ? new String[0] : line.split(";;\\s*")) {
-                    runStep(one.trim());
+                for (String step : line.isEmpty() ? new String[0] : line.split(";;\\s*")) {
+                    runStep(step.trim());
                 }
             } catch (Exception | AssertionError e) {
                 throw new AssertionError(
-                        "line " + no + ": " + raw.trim() + "\n  " + e.getMessage(), e);
+                        "line " + lineNumber + ": " + raw.trim() + "\n  " + e.getMessage(), e);
             }
         }
     }
@@ -198,8 +201,9 @@
             }
             case "held" ->
                 awaitCount(gateArrivals, words.length > 1 ? Integer.parseInt(words[1]) : 1);
-            case "blocked" -> awaitLoop(".IoThread", "the loop does not wait for the I/O thread");
-            case "rests" -> awaitLoop(".EventLoop", "the loop does not wait for events");
+            case "blocked" ->
+                awaitLoop(".IoThread", "the event loop does not wait for the I/O thread");
+            case "rests" -> awaitLoop(".EventLoop", "the event loop does not wait for events");
             case "completions" -> awaitCount(completions, Integer.parseInt(words[1]));
             case "release" ->
                 release(
@@ -214,38 +218,39 @@
                 for (int i = 0; gateArrivals.get() == before && i < TIMEOUT_MS; i++) {
                     Thread.sleep(1);
                 }
-                assertEquals(before + 1, gateArrivals.get(), "no further timer");
+                assertEquals(before + 1, gateArrivals.get(), "no further timer has fired");
             }
             case "pause" -> Thread.sleep(Long.parseLong(words[1]));
             case "within" -> {
-                long from = System.nanoTime();
+                long startNs = System.nanoTime();
                 runStep(rest);
                 assertEquals(
                         true,
-                        System.nanoTime() - from < 1_000_000 * Long.parseLong(words[1]),
-                        "too late");
+                        System.nanoTime() - startNs < 1_000_000 * Long.parseLong(words[1]),
+                        "the step took longer than " + words[1] + " ms");
             }
             case "node" -> {
-                StubServer s = new StubServer(words[1], Integer.parseInt(rest.split(" ", 0)[0]));
-                dataNodes.put(words[1], s);
+                StubServer dataNode =
+                        new StubServer(words[1], Integer.parseInt(rest.split(" ", 0)[0]));
+                dataNodes.put(words[1], dataNode);
                 if (rest.endsWith(" full")) {
-                    s.fill();
+                    dataNode.fill();
                 } else {
-                    s.accept();
+                    dataNode.accept();
                 }
             }
             case "early" -> {
                 choosePort();
-                Client c = new Client();
-                clients.put(words[1], c);
-                earlyClients.add(new Thread(() -> c.connectEarly(rest)));
+                Client client = new Client();
+                clients.put(words[1], client);
+                earlyClients.add(new Thread(() -> client.connectEarly(rest)));
             }
             case "start" -> {
                 discovery.accept();
                 secondDiscovery.accept();
                 start(line.endsWith(" warm"));
             }
-            case "process" -> process(words[1]);
+            case "process" -> startProcess(words[1]);
             case "ready" -> awaitReady();
             case "kill" -> {
                 process.destroyForcibly();
@@ -255,26 +260,27 @@
             case "ended" -> assertEquals(true, process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS));
             case "crowd" -> runCrowd(words[1], rest);
             case "stop" -> {
-                stopping = new Thread(() -> {
+                stopThread = new Thread(() -> {
                     try {
                         router.stopAndWait();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                stopping.start();
+                stopThread.start();
             }
             case "stopped" -> {
-                stopping.join(TIMEOUT_MS);
-                assertEquals(false, stopping.isAlive(), "still stopping");
+                stopThread.join(TIMEOUT_MS);
+                assertEquals(false, stopThread.isAlive(), "the router has not stopped");
             }
             case "log" -> {
-                long until = System.nanoTime() + 1_000_000L * TIMEOUT_MS;
+                long deadlineNs = System.nanoTime() + 1_000_000L * TIMEOUT_MS;
                 String next = unreadLogLines.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 while (next != null && !next.contains(rest)) {
-                    next = unreadLogLines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
+                    next = unreadLogLines.poll(
+                            deadlineNs - System.nanoTime(), TimeUnit.NANOSECONDS);
                 }
-                assertEquals(true, next != null, "nothing like it was logged");
+                assertEquals(true, next != null, "no log line contains: " + rest);
             }
             case "disc" -> discovery.runStep(words[1], rest);
             case "other" -> secondDiscovery.runStep(words[1], rest);
@@ -285,14 +291,14 @@
                                 .trim()
                                 .replace("OTHER", "127.0.0.1:" + secondDiscovery.port()));
             case "moves" -> {
-                StubServer from = line.endsWith(" back") ? secondDiscovery : discovery;
+                StubServer current = line.endsWith(" back") ? secondDiscovery : discovery;
                 Files.writeString(
                         configFile(),
                         Files.readString(configFile())
                                 .replace(
-                                        ":" + from.port() + "\"",
+                                        ":" + current.port() + "\"",
                                         ":"
-                                                + (from == secondDiscovery
+                                                + (current == secondDiscovery
                                                                 ? discovery
                                                                 : secondDiscovery)
                                                         .port()
@@ -304,29 +310,32 @@
                 if (dataNodes.containsKey(words[0])) {
                     dataNodes.get(words[0]).runStep(words[1], rest);
                 } else {
-                    clients.computeIfAbsent(words[0], n -> new Client()).runStep(words[1], rest);
+                    clients.computeIfAbsent(words[0], key -> new Client()).runStep(words[1], rest);
                 }
             }
         }
     }
 
-    private void runCrowd(String size, String says) throws IOException {
+    /** Connects that many clients, each of which sends the request, or closes or reconnects them. */
+    private void runCrowd(String size, String request) throws IOException {
         if (size.equals("leaves") || size.equals("returns")) {
-            for (Map.Entry<String, Client> one : clients.entrySet()) {
-                if (one.getKey().startsWith("crowd")) {
-                    one.getValue().close();
+            for (Map.Entry<String, Client> entry : clients.entrySet()) {
+                if (entry.getKey().startsWith("crowd")) {
+                    entry.getValue().close();
                     if (size.equals("returns")) {
-                        one.getValue().socket = null;
-                        one.getValue().connect();
+                        entry.getValue().socket = null;
+                        entry.getValue().connect();
                     }
                 }
             }
             return;
         }
         for (int i = 0; i < Integer.parseInt(size); i++) {
-            Client c = clients.computeIfAbsent("crowd" + i, n -> new Client());
-            c.connect();
-            c.socket.getOutputStream().write(ParserPlayer.bytes(says.replace("{i}", "" + i)));
+            Client client = clients.computeIfAbsent("crowd" + i, key -> new Client());
+            client.connect();
+            client.socket
+                    .getOutputStream()
+                    .write(ParserPlayer.bytes(request.replace("{i}", "" + i)));
         }
     }
 
@@ -334,7 +343,7 @@
 
     private void start(boolean warm) throws Exception {
         configure();
-        RouterConfig from = new RouterConfig(Map.of(
+        RouterConfig config = new RouterConfig(Map.of(
                 "NODE_CONFIG",
                 configFile().toString(),
                 "NODE_LOG",
@@ -342,8 +351,8 @@
                 "NODE_DISCOVERY",
                 "127.0.0.1:" + discovery.port()));
         QueryCoordinator module =
-                faulty ? new FaultyCoordinator(from.decision.module) : from.decision.module;
-        router = new Router(from, new GatedCoordinator(module), this::handler);
+                faulty ? new FaultyCoordinator(config.decision.module) : config.decision.module;
+        router = new Router(config, new GatedCoordinator(module), this::runCompletion);
         earlyClients.forEach(Thread::start);
         if (warm) {
             router.warmUp();
@@ -358,14 +367,14 @@
         loop.start();
         router.awaitListening();
         port = router.address().getPort();
-        for (Thread t : earlyClients) {
-            t.join(TIMEOUT_MS);
+        for (Thread earlyClient : earlyClients) {
+            earlyClient.join(TIMEOUT_MS);
         }
         HangupSignal.onHangup(router::reload);
     }
 
     private void configure() throws IOException {
-        String known =
+        String endpoints =
                 dataNodes.values().stream().map(StubServer::entry).collect(Collectors.joining(","));
         Files.writeString(
                 configFile(),
@@ -373,7 +382,7 @@
                         + "\",\"discovery\":\"127.0.0.1:" + discovery.port()
                         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
                         + settings.get("sockets") + ",\"memory_mb\":" + settings.get("memory")
-                        + "},\"known\":{\"rev\":41,\"all\":true,\"targets\":[" + known
+                        + "},\"known\":{\"rev\":41,\"all\":true,\"targets\":[" + endpoints
                         + "]},\"settings\":{\"discovery\":\"" + settings.get("lists")
                         + "\",\"stepMs\":5,\"zone\":0,\"localities\":[\"east\",\"west\"],"
                         + "\"models\":[\"m\"],\"familyInfo\":{" + group("familyInfo.")
@@ -384,10 +393,10 @@
                         + "}}");
     }
 
-    // ---- The same as a process of its own. ----
+    // ---- The router as a process of its own. ----
 
-    /** Runs the router with so many descriptors, and returns when it listens. */
-    private void process(String descriptors) throws Exception {
+    /** Starts the router with that limit of file descriptors, and returns when it listens. */
+    private void startProcess(String descriptors) throws Exception {
         choosePort();
         if (process == null) {
             discovery.accept();
@@ -415,18 +424,18 @@
         builder.environment()
                 .putAll(Map.of("NODE_CONFIG", configFile().toString(), "NODE_LOG", "FINE"));
         process = builder.start();
-        BufferedReader says = process.inputReader();
-        Thread reads = new Thread(() -> {
+        BufferedReader output = process.inputReader();
+        Thread outputReader = new Thread(() -> {
             try {
-                for (String line = says.readLine(); line != null; line = says.readLine()) {
+                for (String line = output.readLine(); line != null; line = output.readLine()) {
                     unreadLogLines.add(line);
                 }
             } catch (IOException e) {
                 // The process has been killed.
             }
         });
-        reads.setDaemon(true);
-        reads.start();
+        outputReader.setDaemon(true);
+        outputReader.start();
         for (int i = 0; i < TIMEOUT_MS; i++) {
             try {
                 new Socket(InetAddress.getLoopbackAddress(), port).close();
@@ -435,53 +444,57 @@
                 Thread.sleep(1);
             }
         }
-        throw new AssertionError("it does not listen");
+        throw new AssertionError("the router does not listen on port " + port);
     }
 
+    /** Sets a free port, so that the address is known before the router listens. */
     private void choosePort() throws IOException {
         if (port == 0) {
-            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                port = free.getLocalPort();
+            try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                port = probe.getLocalPort();
             }
         }
     }
 
-    /** Waits for a 200 of the path by which fronts ask. */
+    /** Waits until the readiness path that balancers query answers 200. */
     private void awaitReady() throws Exception {
         for (int i = 0; i < TIMEOUT_MS; i++) {
-            Client front = new Client();
+            Client client = new Client();
             try {
-                front.runStep(">", "GET /-/ready HTTP/1.1\\r\\n\\r\\n");
-                if (front.readAnswer().equals("200 ready")) {
+                client.runStep(">", "GET /-/ready HTTP/1.1\\r\\n\\r\\n");
+                if (client.readAnswer().equals("200 ready")) {
                     return;
                 }
             } catch (IOException e) {
-                Thread.sleep(1); // Not yet, or closed unread.
+                Thread.sleep(1); // Not listening yet, or closed without an answer.
             } finally {
-                front.close();
+                client.close();
             }
         }
-        throw new AssertionError("it is not ready");
+        throw new AssertionError("the router is not ready");
     }
 
     private Path configFile() {
         return dir.resolve("config.json");
     }
 
+    /** The settings with that prefix, as members of a JSON object. */
     private String group(String prefix) {
         return settings.entrySet().stream()
-                .filter(e -> e.getKey().startsWith(prefix))
-                .map(e -> "\"" + e.getKey().substring(prefix.length()) + "\":" + e.getValue())
+                .filter(entry -> entry.getKey().startsWith(prefix))
+                .map(entry ->
+                        "\"" + entry.getKey().substring(prefix.length()) + "\":" + entry.getValue())
                 .collect(Collectors.joining(","));
     }
 
+    /** The JSON object of one lookup class. */
     private String profile(String name, String effect) {
         return "{\"name\":\"" + name + "\",\"effect\":\"" + effect
                 + "\",\"deadlineMs\":" + settings.get("deadline")
                 + ",\"onTimeMs\":3000,\"windowMs\":" + settings.get("window") + ",\"worth\":1}";
     }
 
-    /** What stands before the module under test and hands on all it hears. */
+    /** Wraps the decision module and passes every call on. */
     private abstract static class DelegatingCoordinator implements QueryCoordinator {
         private final QueryCoordinator module;
 
@@ -516,8 +529,8 @@
         }
 
         @Override
-        public void onEndpointListUpdate(EndpointListUpdate news) {
-            module.onEndpointListUpdate(news);
+        public void onEndpointListUpdate(EndpointListUpdate update) {
+            module.onEndpointListUpdate(update);
         }
 
         @Override
@@ -537,12 +550,12 @@
         }
 
         @Override
-        public boolean decide(DecisionHandler host) {
-            return module.decide(host);
+        public boolean decide(DecisionHandler decisionHandler) {
+            return module.decide(decisionHandler);
         }
     }
 
-    /** Stops the loop between the begin of a turn and what it takes, or in a timer. */
+    /** Holds the event loop at the start of a turn, before it reads its input, or in a timer. */
     private final class GatedCoordinator extends DelegatingCoordinator {
         GatedCoordinator(QueryCoordinator module) {
             super(module);
@@ -561,6 +574,7 @@
         }
     }
 
+    /** Waits until the gate is released, if it is closed. */
     private void awaitGate(AtomicReference<CountDownLatch> gate) {
         CountDownLatch closed = gate.get();
         gateArrivals.addAndGet(closed == null ? 0 : 1);
@@ -568,51 +582,52 @@
             assertEquals(
                     true,
                     closed == null || closed.await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
-                    "never released");
+                    "the gate was not released in time");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Runs a completion handler of the router's; what completes on its loop's own thread is never held. */
-    private void handler(Runnable what) {
+    /** Runs a completion handler of the router. Handlers on the event loop thread are never held. */
+    private void runCompletion(Runnable completion) {
         if (Thread.currentThread() == loop) {
-            what.run();
+            completion.run();
             return;
         }
         awaitGate(readGate);
-        what.run();
+        completion.run();
         completions.incrementAndGet();
     }
 
-    /** Waits until the loop's thread waits in a method of that class. */
-    private void awaitLoop(String waitsIn, String ifNot) throws InterruptedException {
+    /** Waits until the event loop thread is blocked in a method of the class with that name suffix. */
+    private void awaitLoop(String classSuffix, String failureMessage) throws InterruptedException {
         for (int i = 0; i < TIMEOUT_MS; i++) {
-            StackTraceElement ours = Arrays.stream(loop.getStackTrace())
-                    .filter(at -> at.getClassName().startsWith("tinlink."))
+            StackTraceElement topFrame = Arrays.stream(loop.getStackTrace())
+                    .filter(frame -> frame.getClassName().startsWith("tinlink."))
                     .findFirst()
                     .orElse(null);
             if (loop.getState() != Thread.State.RUNNABLE
-                    && ours != null
-                    && ours.getClassName().endsWith(waitsIn)) {
+                    && topFrame != null
+                    && topFrame.getClassName().endsWith(classSuffix)) {
                 return;
             }
             Thread.sleep(1);
         }
-        throw new AssertionError(ifNot);
+        throw new AssertionError(failureMessage);
     }
 
-    private static void awaitCount(AtomicInteger count, int least) throws InterruptedException {
-        long until = System.nanoTime() + 1_000_000L * TIMEOUT_MS;
-        while (count.get() < least && System.nanoTime() < until) {
+    private static void awaitCount(AtomicInteger count, int minimum) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + 1_000_000L * TIMEOUT_MS;
+        while (count.get() < minimum && System.nanoTime() < deadlineNs) {
             LockSupport.parkNanos(POLL_NS);
         }
-        assertEquals(true, count.get() >= least, "only " + count.get());
+        assertEquals(
+                true, count.get() >= minimum, "expected " + minimum + ", found " + count.get());
     }
 
     private void release(List<AtomicReference<CountDownLatch>> gates) {
-        for (AtomicReference<CountDownLatch> one : gates) {
-            CountDownLatch closed = one.getAndSet(null);
+        for (AtomicReference<CountDownLatch> gate : gates) {
+            CountDownLatch closed = gate.getAndSet(null);
             if (closed != null) {
                 closed.countDown();
             }
@@ -620,10 +635,10 @@
     }
 
     /**
-     * A module with a fault that comes back at every pull while a lookup on shard 11 is in hand.
+     * A decision module that throws at every pull while a lookup with a part for shard 11 is in flight.
      */
     private static final class FaultyCoordinator extends DelegatingCoordinator {
-        private final List<Lookup> poison = new ArrayList<>();
+        private final List<Lookup> faultyLookups = new ArrayList<>();
 
         FaultyCoordinator(QueryCoordinator module) {
             super(module);
@@ -633,60 +648,60 @@
         public void onPart(Part part) {
             super.onPart(part);
             if (part.shard == 11) {
-                poison.add(part.lookup);
+                faultyLookups.add(part.lookup);
             }
         }
 
         @Override
         public void onClientGone(Lookup lookup) {
             super.onClientGone(lookup);
-            poison.remove(lookup);
+            faultyLookups.remove(lookup);
         }
 
         @Override
-        public boolean decide(DecisionHandler host) {
-            if (!poison.isEmpty()) {
-                throw new IllegalStateException("a fault for the test");
+        public boolean decide(DecisionHandler decisionHandler) {
+            if (!faultyLookups.isEmpty()) {
+                throw new IllegalStateException("fault injected by the scenario");
             }
-            return super.decide(host);
+            return super.decide(decisionHandler);
         }
     }
 
-    // ---- A data node or discovery. ----
+    // ---- Data nodes and discovery. ----
 
+    /** A scripted data node or discovery server. */
     private final class StubServer {
         private final String name;
         private final int cell;
         private ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final int port = server.getLocalPort();
-        /** Takes connections and does not read. */
+        /** Whether connections are accepted but not read. */
         private volatile boolean stopsReading;
-        /** How long the newest part call of an id is waited for, in milliseconds. */
+        /** The timeout in the newest attempt for a part id, in milliseconds. */
         private final Map<String, Integer> timeoutsMs = new ConcurrentHashMap<>();
 
         private final List<Socket> connections = new CopyOnWriteArrayList<>();
+        /** Connections that fill the accept queue of the kernel; see {@link #fill}. */
         private final List<Socket> backlogFillers = new ArrayList<>();
+        /** The frames, requests and closes seen and not yet read by a step. */
         private final LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
-        /** Where the newest part call of an id came in. */
+        /** The connection that received the newest attempt for a part id. */
         private final Map<String, Socket> connectionByPart = new ConcurrentHashMap<>();
-        /** What discovery tells first, a while after it is asked; empty where it is silent. */
+        /** The first update of a discovery watch, sent after a delay; empty to send none. */
         private String firstUpdate = "{\"rev\":41,\"all\":false,\"targets\":[]}";
 
         private int firstUpdateDelayMs;
-        /**
-         * Discovery takes connections and says nothing; a watch of its goes on saying this without
-         * end.
-         */
+        /** Whether discovery accepts connections and sends nothing. */
         private volatile boolean hangs;
-        /** Where discovery was asked most recently. */
+        /** The connection of the latest request to discovery. */
         private volatile Socket watchConnection;
-
+        /** The text that a discovery watch sends again and again; empty to send none. */
         private String endlessText = "";
-        /** Which nodes the whole list has as draining, and has not. */
+        /** The name of the node that the full list shows as draining; empty for none. */
         private volatile String drainingNode = "";
-
+        /** The name of the node that the full list omits; empty for none. */
         private volatile String missingNode = "";
-        /** It tells the whole list first. */
+        /** Whether the first update of a watch is the full list. */
         private volatile boolean startsWithFullList;
 
         StubServer(String name, int cell) throws IOException {
@@ -695,8 +710,8 @@
         }
 
         /**
-         * Connections from now on stay coming up, until it accepts: the kernel's short queue is
-         * full.
+         * Fills the short accept queue of the kernel, so that further connects stay pending until
+         * the server accepts again.
          */
         void fill() throws IOException {
             server.close();
@@ -707,31 +722,32 @@
         }
 
         void accept() {
-            Thread t = new Thread(() -> {
+            Thread acceptThread = new Thread(() -> {
                 try {
                     while (true) {
-                        Socket s = server.accept();
+                        Socket socket = server.accept();
                         if (backlogFillers.stream()
-                                .anyMatch(f -> f.getLocalPort() == s.getPort())) {
+                                .anyMatch(filler -> filler.getLocalPort() == socket.getPort())) {
                             continue;
                         }
-                        connections.add(s);
-                        Thread r = new Thread(() -> listen(s));
-                        r.setDaemon(true);
-                        r.start();
+                        connections.add(socket);
+                        Thread readThread = new Thread(() -> listen(socket));
+                        readThread.setDaemon(true);
+                        readThread.start();
                     }
                 } catch (IOException e) {
-                    // The scenario has closed it.
+                    // A step of the scenario has closed the server socket.
                 }
             });
-            t.setDaemon(true);
-            t.start();
+            acceptThread.setDaemon(true);
+            acceptThread.start();
         }
 
         int port() {
             return port;
         }
 
+        /** The entry of this data node in the endpoint list. */
         String entry() {
             return entry("in_service", 0);
         }
@@ -743,14 +759,14 @@
                     + "\",\"boot_ms\":" + bootMs + "}";
         }
 
-        private void listen(Socket s) {
+        private void listen(Socket socket) {
             try {
-                InputStream in = s.getInputStream();
+                InputStream in = socket.getInputStream();
                 if (this == discovery || this == secondDiscovery) {
                     String path = head(in).split(" ", 0)[1];
-                    watchConnection = s;
+                    watchConnection = socket;
                     while (!path.contains("watch=") && !hangs) {
-                        s.getOutputStream()
+                        socket.getOutputStream()
                                 .write(("HTTP/1.1 200 OK\r\nContent-Length: "
                                                 + fullList().length() + "\r\n\r\n" + fullList())
                                         .getBytes(StandardCharsets.UTF_8));
@@ -758,24 +774,24 @@
                         path = head(in).split(" ", 0)[1];
                     }
                     if (!hangs) {
-                        serveWatch(s);
+                        serveWatch(socket);
                     }
-                    received.add(
-                            path); // Only now: the script may say a line as soon as it sees this.
+                    // Last, since the scenario may send a line as soon as it sees the path.
+                    received.add(path);
                     in.read();
                 } else {
                     while (stopsReading) {
                         Thread.sleep(1);
                     }
-                    for (DataInputStream d = new DataInputStream(in); ; ) {
-                        byte[] frame = new byte[d.readInt()];
-                        d.readFully(frame);
-                        received.add(describe(s, new String(frame, StandardCharsets.UTF_8)));
+                    for (DataInputStream frames = new DataInputStream(in); ; ) {
+                        byte[] frame = new byte[frames.readInt()];
+                        frames.readFully(frame);
+                        received.add(describe(socket, new String(frame, StandardCharsets.UTF_8)));
                     }
                 }
                 received.add("closed");
             } catch (IOException | InterruptedException e) {
-                if (s == watchConnection
+                if (socket == watchConnection
                         || (this != discovery && this != secondDiscovery)
                         || !(e instanceof EOFException)) {
                     received.add("closed");
@@ -783,56 +799,58 @@
             }
         }
 
-        private void serveWatch(Socket s) throws IOException, InterruptedException {
-            s.getOutputStream()
+        /** Answers a watch request with the first update and, if set, the endless text. */
+        private void serveWatch(Socket socket) throws IOException, InterruptedException {
+            socket.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             .getBytes(StandardCharsets.UTF_8));
             Thread.sleep(firstUpdateDelayMs);
             if (!firstUpdate.isEmpty()) {
-                chunks(s, (startsWithFullList ? fullList() : firstUpdate) + "\n");
+                writeChunks(socket, (startsWithFullList ? fullList() : firstUpdate) + "\n");
             }
             if (!endlessText.isEmpty()) {
-                Thread t = new Thread(() -> {
+                Thread writeThread = new Thread(() -> {
                     try {
                         for (; ; ) {
-                            Thread.sleep(LATE_MS);
-                            chunks(s, endlessText);
+                            Thread.sleep(UPDATE_DELAY_MS);
+                            writeChunks(socket, endlessText);
                         }
                     } catch (IOException | InterruptedException e) {
-                        // The router has ended it.
+                        // The router has closed the connection.
                     }
                 });
-                t.setDaemon(true);
-                t.start();
+                writeThread.setDaemon(true);
+                writeThread.start();
             }
         }
 
-        /** The whole list, in lines of its own and by numbers of its own. */
+        /** The full list, over several lines and with a revision number independent of the updates. */
         private String fullList() {
             return "{\n  \"rev\": 7,\n  \"all\": true,\n  \"targets\": [\n    "
                     + dataNodes.values().stream()
-                            .filter(n -> !n.name.equals(missingNode))
-                            .map(n -> n.entry(
-                                    n.name.equals(drainingNode) ? "terminating" : "in_service", 0))
+                            .filter(node -> !node.name.equals(missingNode))
+                            .map(node -> node.entry(
+                                    node.name.equals(drainingNode) ? "terminating" : "in_service",
+                                    0))
                             .collect(Collectors.joining(",\n    "))
                     + "\n  ]\n}";
         }
 
-        /** A frame as the script says it: letter, then id, shard, key and text of each part. */
-        private String describe(Socket s, String frame) {
+        /** A frame in the notation of scenarios: type, then id, shard, key and text of each part. */
+        private String describe(Socket socket, String frame) {
             if (frame.charAt(0) != 'R') {
                 return frame.charAt(0) + " " + frame.substring(1);
             }
             List<String> parts = new ArrayList<>();
             for (int at = 1; at < frame.length(); ) {
-                int lf = frame.indexOf('\n', at);
-                String[] words = frame.substring(at, lf).split(" ", 0);
-                at = lf + 1 + Integer.parseInt(words[3]);
-                connectionByPart.put(words[0], s);
+                int lineEnd = frame.indexOf('\n', at);
+                String[] words = frame.substring(at, lineEnd).split(" ", 0);
+                at = lineEnd + 1 + Integer.parseInt(words[3]);
+                connectionByPart.put(words[0], socket);
                 timeoutsMs.put(words[0], Integer.parseInt(words[2].replaceAll("^d=|,.*", "")));
                 parts.add(words[0] + " " + words[1]
                         + words[2].replaceAll("^d=[1-9][0-9]*", "").replace(",", " ") + " "
-                        + brief(frame.substring(lf + 1, at)));
+                        + brief(frame.substring(lineEnd + 1, at)));
             }
             return "R " + String.join(" + ", parts);
         }
@@ -841,10 +859,11 @@
             return text.length() > 999 ? text.length() + " bytes" : text;
         }
 
-        void runStep(String what, String rest) throws Exception {
-            switch (what) {
+        void runStep(String verb, String rest) throws Exception {
+            switch (verb) {
                 case "<" -> {
-                    // The end of one connection and what comes on the next are seen by two threads.
+                    // The close of a connection and the frames of the next are recorded by two
+                    // threads, in any order.
                     for (int i = 0; rest.equals("closed") && i < TIMEOUT_MS; i++) {
                         if (received.remove(rest)) {
                             return;
@@ -852,7 +871,8 @@
                         Thread.sleep(1);
                     }
                     String next = received.poll(
-                            rest.equals("nothing") ? QUIET_MS : TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                            rest.equals("nothing") ? SILENCE_WAIT_MS : TIMEOUT_MS,
+                            TimeUnit.MILLISECONDS);
                     assertEquals(rest.equals("nothing") ? null : rest, next);
                 }
                 case ">" -> send(rest.split(" ", 3));
@@ -873,15 +893,17 @@
                 case "hears" -> stopsReading = false;
                 case "waits" -> {
                     String[] words = rest.split(" ", 0);
-                    int most = Integer.parseInt(words[1]);
-                    int told = timeoutsMs.get(words[0]);
+                    int maxMs = Integer.parseInt(words[1]);
+                    int timeoutMs = timeoutsMs.get(words[0]);
                     assertEquals(
-                            true, told <= most, "it was told to be waited for " + told + " ms");
+                            true,
+                            timeoutMs <= maxMs,
+                            "the timeout in the attempt is " + timeoutMs + " ms");
                 }
                 case "until" -> awaitFrame(rest);
-                case "lists" -> chunks(newestConnection(), fullList() + "\n");
-                case "tells" -> chunks(newestConnection(), change(rest) + "\n");
-                case "says" -> chunks(newestConnection(), rest + "\n");
+                case "lists" -> writeChunks(newestConnection(), fullList() + "\n");
+                case "tells" -> writeChunks(newestConnection(), change(rest) + "\n");
+                case "says" -> writeChunks(newestConnection(), rest + "\n");
                 case "silent" -> firstUpdate = "";
                 case "hangs" -> hangs = true;
                 case "answers" -> hangs = false;
@@ -893,50 +915,58 @@
                     startsWithFullList = rest.equals("whole");
                     if (!startsWithFullList) {
                         firstUpdate = change(rest);
-                        firstUpdateDelayMs = LATE_MS;
+                        firstUpdateDelayMs = UPDATE_DELAY_MS;
                     }
                 }
                 case "links" ->
-                    assertEquals(Integer.parseInt(rest), connections.size(), "links in all");
+                    assertEquals(
+                            Integer.parseInt(rest),
+                            connections.size(),
+                            "connections accepted so far");
                 case "refuses" -> refuse();
                 case "returns" -> {
                     server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
                     accept();
                 }
                 case "accepts" -> accept();
-                default -> throw new IllegalArgumentException(what);
+                default -> throw new IllegalArgumentException("unknown step: " + verb);
             }
         }
 
-        /** MOST R FRAME: waits for this frame, before which no more than so many part calls came. */
+        /** MAXIMUM FRAME: waits for that frame; at most that many request frames may precede it. */
         private void awaitFrame(String rest) throws InterruptedException {
             String[] words = rest.split(" ", 2);
-            int calls = 0;
+            int requests = 0;
             String next = received.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             while (next != null && !next.equals(words[1])) {
-                calls += next.startsWith("R ") ? 1 : 0;
+                requests += next.startsWith("R ") ? 1 : 0;
                 next = received.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
             assertEquals(words[1], next);
             assertEquals(
-                    true, calls <= Integer.parseInt(words[0]), calls + " part calls came before");
+                    true,
+                    requests <= Integer.parseInt(words[0]),
+                    requests + " request frames arrived before the expected one");
         }
 
-        /** Until the thread that accepts has let go of it, the kernel still takes connections. */
+        /**
+         * Closes the server socket and waits until connects are refused. The kernel accepts connections
+         * until the accepting thread has left its call.
+         */
         private void refuse() throws IOException {
             server.close();
-            for (boolean taken = true; taken; ) {
+            for (boolean accepted = true; accepted; ) {
                 try {
                     new Socket(InetAddress.getLoopbackAddress(), port).close();
                 } catch (ConnectException e) {
-                    taken = false;
+                    accepted = false;
                 } catch (SocketException e) {
-                    // Taken by the kernel, and reset at once.
+                    // Accepted by the kernel and reset at once.
                 }
             }
         }
 
-        /** NODE STATE [BOOT]: one change of the list. */
+        /** NODE STATE [BOOT]: an update with one changed entry. */
         private String change(String rest) {
             String[] words = rest.split(" ", 0);
             String entry = dataNodes
@@ -945,8 +975,8 @@
             return "{\"rev\":50,\"all\":false,\"targets\":[" + entry + "]}";
         }
 
-        /** Small ones. */
-        private static void chunks(Socket to, String text) throws IOException {
+        /** Writes the text in small chunks, so that the router has to join them. */
+        private static void writeChunks(Socket to, String text) throws IOException {
             for (int at = 0; at < text.length(); at += 7) {
                 String piece = text.substring(at, Math.min(at + 7, text.length()));
                 String chunk = Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n";
@@ -963,11 +993,11 @@
         private void send(String[] words) throws IOException {
             switch (words[0]) {
                 case "OK", "ERROR", "REJECTED" ->
-                    frame(connectionByPart.get(words[1]), answer(words));
+                    writeFrame(connectionByPart.get(words[1]), answer(words));
                 case "N" ->
-                    frame(newestConnection(), "N" + String.join(" ", words).substring(1));
+                    writeFrame(newestConnection(), "N" + String.join(" ", words).substring(1));
                 case "frame" ->
-                    frame(
+                    writeFrame(
                             newestConnection(),
                             new String(
                                     ParserPlayer.bytes(String.join(" ", words).substring(6)),
@@ -981,7 +1011,8 @@
                     newestConnection().setSoLinger(true, 0);
                     newestConnection().close();
                 }
-                default -> throw new IllegalArgumentException(words[0]);
+                default ->
+                    throw new IllegalArgumentException("unknown kind of message: " + words[0]);
             }
         }
 
@@ -992,12 +1023,12 @@
                             : "");
         }
 
-        private static void frame(Socket to, String rest) throws IOException {
-            to.getOutputStream().write(framed(rest));
+        private static void writeFrame(Socket to, String content) throws IOException {
+            to.getOutputStream().write(framed(content));
         }
 
-        private static byte[] framed(String rest) {
-            byte[] bytes = rest.getBytes(StandardCharsets.UTF_8);
+        private static byte[] framed(String content) {
+            byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
             return ByteBuffer.allocate(4 + bytes.length)
                     .putInt(bytes.length)
                     .put(bytes)
@@ -1006,16 +1037,19 @@
 
         void close() throws IOException {
             server.close();
-            for (Socket s : connections) {
-                s.close();
+            for (Socket connection : connections) {
+                connection.close();
             }
-            for (Socket s : backlogFillers) {
-                s.close();
+            for (Socket filler : backlogFillers) {
+                filler.close();
             }
         }
     }
 
-    /** Each byte leaves in a segment of its own, and now and then all so far has been read before. */
+    /**
+     * Sends each byte in a TCP segment of its own. At intervals it waits until the router has read all
+     * bytes so far, so that the router also sees reads that end in the middle of a message.
+     */
     private static void byteByByte(Socket to, byte[] bytes)
             throws IOException, InterruptedException {
         to.setTcpNoDelay(true);
@@ -1027,35 +1061,41 @@
         }
     }
 
-    /** Waits until the router's process has read all that was sent, as the kernel has it. */
-    private static void awaitRead(Socket sent) throws IOException, InterruptedException {
-        Pattern ends = Pattern.compile(String.format(
+    /** Waits until the router has read all bytes sent, according to the socket table of the kernel. */
+    private static void awaitRead(Socket socket) throws IOException, InterruptedException {
+        Pattern emptyReceiveQueue = Pattern.compile(String.format(
                 ":%04X [0-9A-F]+:%04X [0-9A-F]+ [0-9A-F]+:00000000 ",
-                sent.getPort(), sent.getLocalPort()));
+                socket.getPort(), socket.getLocalPort()));
         for (int i = 0; i < TIMEOUT_MS; i++) {
-            if (ends.matcher(Files.readString(Path.of("/proc/net/tcp"))).find()
-                    || ends.matcher(Files.readString(Path.of("/proc/net/tcp6"))).find()) {
+            if (emptyReceiveQueue
+                            .matcher(Files.readString(Path.of("/proc/net/tcp")))
+                            .find()
+                    || emptyReceiveQueue
+                            .matcher(Files.readString(Path.of("/proc/net/tcp6")))
+                            .find()) {
                 return;
             }
             Thread.sleep(1);
         }
-        throw new AssertionError("what was sent is not read");
+        throw new AssertionError("the router has not read all bytes sent");
     }
 
+    /** Reads the head of an HTTP message, with the empty line. */
     private static String head(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
-            int b = in.read();
-            if (b < 0) {
+            int next = in.read();
+            if (next < 0) {
                 throw new EOFException(head.toString());
             }
-            head.append((char) b);
+            head.append((char) next);
         }
         return head.toString();
     }
 
-    // ---- A client. ----
+    // ---- Clients. ----
 
+    /** A scripted client with one connection. */
     private final class Client {
         private Socket socket;
 
@@ -1066,7 +1106,7 @@
             }
         }
 
-        /** Connects as soon as the router listens, and says this at once. */
+        /** Connects as soon as the router listens, and runs the step at once. */
         void connectEarly(String line) {
             String[] words = line.split(" ", 2);
             while (socket == null) {
@@ -1075,16 +1115,16 @@
                     socket.setSoTimeout(TIMEOUT_MS);
                     runStep(words[0], words[1]);
                 } catch (ConnectException e) {
-                    Thread.onSpinWait(); // It does not listen yet.
+                    Thread.onSpinWait(); // The router does not listen yet.
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
             }
         }
 
-        void runStep(String what, String rest) throws Exception {
+        void runStep(String verb, String rest) throws Exception {
             connect();
-            switch (what) {
+            switch (verb) {
                 case "asks" -> write(request(rest.split(" ", 0)));
                 case ">" -> socket.getOutputStream().write(ParserPlayer.bytes(rest));
                 case "slowly" ->
@@ -1098,12 +1138,13 @@
                                     : rest.equals("nothing") ? readNothing() : readAnswer());
                 case "leaves" -> socket.close();
                 case "taken" -> awaitRead(socket);
-                case "floods" -> assertEquals(true, flood() < 20 << 20, "so much was taken");
-                default -> throw new IllegalArgumentException(what);
+                case "floods" ->
+                    assertEquals(true, flood() < 20 << 20, "the router accepted 20 MiB or more");
+                default -> throw new IllegalArgumentException("unknown step: " + verb);
             }
         }
 
-        /** Sends until the router has ended the connection; how much went. */
+        /** Sends until the router has closed the connection; returns the number of bytes sent. */
         private int flood() {
             int sent = 0;
             try {
@@ -1111,7 +1152,7 @@
                     socket.getOutputStream().write(block);
                 }
             } catch (IOException e) {
-                // That is the end.
+                // The router has closed the connection.
             }
             return sent;
         }
@@ -1120,11 +1161,11 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** ID CLASS BUDGET SHARDS [KEY] */
+        /** ID CLASS BUDGET SHARDS [KEY]: the request of one lookup. */
         private String request(String[] words) {
             String segments = Arrays.stream(words[3].split(","))
-                    .map(s -> "{\"segment\":" + s + ",\"boost\":" + 1.0 / words[3].split(",").length
-                            + "}")
+                    .map(shard -> "{\"segment\":" + shard + ",\"boost\":"
+                            + 1.0 / words[3].split(",").length + "}")
                     .collect(Collectors.joining(","));
             String body = "{\"segments\":[" + segments + "],\"text\":\"t" + words[0] + "\"}";
             return "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + words[0] + "\r\nX-Call-Class: "
@@ -1134,7 +1175,10 @@
                     + "Content-Length: " + body.length() + "\r\n\r\n" + body;
         }
 
-        /** Status, "close" and "again" where the head says so, and the body of a 200. */
+        /**
+         * Reads a response: its status, "close" if the connection closes, "again" if there is a
+         * Retry-After, and the body of a 200.
+         */
         private String readAnswer() throws IOException {
             InputStream in = socket.getInputStream();
             String head = head(in).toLowerCase(Locale.ROOT);
@@ -1166,7 +1210,7 @@
         }
 
         private String readNothing() throws IOException {
-            socket.setSoTimeout(QUIET_MS);
+            socket.setSoTimeout(SILENCE_WAIT_MS);
             try {
                 return socket.getInputStream().read() < 0 ? "end" : "a byte";
             } catch (SocketTimeoutException e) {
@@ -1189,11 +1233,11 @@
         }
         discovery.close();
         secondDiscovery.close();
-        for (StubServer s : dataNodes.values()) {
-            s.close();
+        for (StubServer dataNode : dataNodes.values()) {
+            dataNode.close();
         }
-        for (Client c : clients.values()) {
-            c.close();
+        for (Client client : clients.values()) {
+            client.close();
         }
     }
 }
