--- a/src/main/java/tinlink/router/AttemptBatch.java
+++ b/src/main/java/tinlink/router/AttemptBatch.java
@@ -6,7 +6,7 @@
 /** A group of attempts to one data node that are sent in one frame and use one slot of a connection. */
 final class AttemptBatch implements AttemptTransport {
     final List<SentAttempt> sentAttempts = new ArrayList<>();
-    /** The connection that carries the frame; null until the end of the turn chooses one. */
+    /** The connection that carries the frame; null until the dispatcher has chosen one. */
     NodeConnection connection;
     /** The position of the end of the frame in the bytes written to the connection; 0 while queued. */
     long frameEndPosition;
--- a/src/main/java/tinlink/router/AttemptDispatcher.java
+++ b/src/main/java/tinlink/router/AttemptDispatcher.java
@@ -29,7 +29,7 @@
     private final IdentityHashMap<Attempt.SharedCall, AttemptBatch> batches =
             new IdentityHashMap<>();
 
-    /** The same batches in the order in which they were created. */
+    /** The batches of this turn in the order in which they were created. */
     private final List<AttemptBatch> batchesToSend = new ArrayList<>();
 
     AttemptDispatcher(
@@ -54,7 +54,7 @@
         return http2;
     }
 
-    /** Sets the listener for outcomes at data nodes of the endpoint list; it gets the uid of the node. */
+    /** Sets the listener for outcomes at listed data nodes, which is passed the uid of the node. */
     void setOutcomeListener(BiConsumer<String, Outcome> listener) {
         outcomeListener = listener;
     }
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -107,7 +107,7 @@
         retired = true;
     }
 
-    /** Whether an answer to an earlier attempt with the same part id could be taken for one to this. */
+    /** Whether the answer to an earlier attempt with that part id could be taken for its answer. */
     boolean hasIdInUse(SentAttempt sent) {
         return awaited.isIdInUse(sent.part().id);
     }
@@ -126,7 +126,7 @@
         flush();
     }
 
-    /** Removes an attempt that has ended. The data node cancels it only if its frame was written. */
+    /** Removes an ended attempt; a cancel frame is sent on request, if the attempt had been written. */
     void attemptEnded(SentAttempt sent, boolean cancelAtNode) {
         if (!sent.batch.isQueued() && awaited.ended(sent) && cancelAtNode) {
             idsToCancel.add(sent.part().id);
