--- a/src/main/java/tinlink/decision/Attempt.java
+++ b/src/main/java/tinlink/decision/Attempt.java
@@ -1,13 +1,15 @@
 package tinlink.decision;
 
-/** One send of a part to one data node. Fields only; the host reads, the coordinator writes. */
+/** One request for one part to one data node. The host reads the fields, and the coordinator writes them. */
 public final class Attempt {
-    /** What several attempts to one node share that depart in one turn and travel as one call. */
+    /**
+     * One call to a data node. The attempts that are sent to the same node in the same turn may share a call.
+     */
     public static final class SharedCall {
         private int inFlight;
         private int size;
 
-        /** How many attempts travel by it. */
+        /** Number of attempts in the call, whether in flight or ended. */
         int size() {
             return size;
         }
@@ -17,41 +19,44 @@
             inFlight++;
         }
 
-        /** True with the last one. */
+        /** Returns true where the attempt was the last one of the call in flight. */
         boolean attemptEnded() {
             return --inFlight == 0;
         }
     }
 
-    /** What is sent. */
+    /** The part that is sent. */
     public Part part;
-    /** Where it goes. */
+    /** The data node that the part is sent to. */
     public DataNode node;
-    /** From 0, in order of sending, among the attempts of its part. */
+    /** Number of the attempt among those at its part, from 0, in the order in which they were sent. */
     public int number;
 
-    /** When it was decided on, in microseconds of the coordinator's clock. */
+    /** When the coordinator decided on the attempt, in microseconds of its clock. */
     public long sentAtUs;
-    /** Null while it is in flight. */
+    /** Null while the attempt is in flight. */
     public Outcome outcome;
 
-    /** The call that it travels by, alone or with others. */
+    /** The call that carries the attempt, alone or with other attempts. */
     public SharedCall sharedCall;
-    /** Calls that were in flight to its node when it was sent. */
+    /** Number of calls that were in flight to the data node before the attempt was added to one. */
     int callsInFlightBefore;
 
-    boolean isCancelled;
-    /** How long its connection was idle before, as {@link IdleConnectionDetector#idleStep} counts it. */
+    boolean cancelled;
+    /**
+     * How long the attempt's connection was idle before it, as {@link IdleConnectionDetector#idleStep}
+     * counts.
+     */
     int idleStep;
 
-    /** The idle connections to its node are closed before it is sent, so that it goes on a new one. */
+    /** Whether the idle connections to the data node are to be closed first, so that a new one is opened. */
     boolean reconnectFirst;
 
     boolean isInFlight() {
         return outcome == null;
     }
 
-    /** Whether it is proven that the part did not run by this attempt, and will not. */
+    /** Whether it is certain that the attempt has not run the part, and will not. */
     boolean neverRan() {
         return outcome != null && outcome.neverRan;
     }
--- a/src/main/java/tinlink/decision/AttemptTiming.java
+++ b/src/main/java/tinlink/decision/AttemptTiming.java
@@ -1,67 +1,65 @@
 package tinlink.decision;
 
 /**
- * The rounds of a lookup: how long an attempt may be silent before the part is hedged, and when the lookup
- * has to have its final answer. Times are microseconds.
+ * Sets the times of a lookup: the length of its rounds, after which unanswered parts are hedged, and the
+ * latest time for its final answer. Times are microseconds.
  */
 public final class AttemptTiming {
     private static final int STALL_STEPS = 20;
     private static final double LEAVING_SMOOTHING = 0.05;
-    private static final double MANY_LEAVE = 0.1;
-    /** Who is gone within this fraction of the objective did not wait. */
-    private static final int NOT_WAITED = 16;
+    private static final double LEAVING_THRESHOLD = 0.1;
+    /** A client that leaves within the latency objective divided by this did not wait at all. */
+    private static final int NO_WAIT_DIVISOR = 16;
 
     private final long stepUs;
-    /** Share of lookups, smoothed, whose clients left early, and how long after they had asked. */
+    /** Share of recent lookups whose clients left early, smoothed. */
     private double leavingShare;
-
+    /** How long the clients that left early had waited, smoothed; 0 before the first one. */
     private double leavesAfterUs;
 
-    /** @param stepUs of the host's clock: timers fire up to one step late */
+    /** @param stepUs resolution of the host's clock; timers fire up to one step late */
     public AttemptTiming(long stepUs) {
         this.stepUs = stepUs;
     }
 
     /**
-     * The clock coming so late means that the router itself stood still. Also how long a decision of one turn
-     * may wait until it is carried out.
+     * A timer that is later than this means that the router itself was stalled. It also bounds how long a
+     * decision of one turn waits until it is carried out.
      */
     long stallUs() {
         return STALL_STEPS * stepUs;
     }
 
     /**
-     * Begins a step of the lookup. A round is a third of the latency objective: the first round, the round of
-     * hedged attempts and the receive-only round end the lookup.
+     * Begins a step of the lookup. A round is a third of the latency objective, which leaves time for a first
+     * round, a round for hedged attempts, and a round in which the router only receives.
      */
     void begin(Lookup lookup, long nowUs) {
         long patienceUs = patienceUs(lookup.lookupClass.latencyObjectiveUs);
-        // Two steps of the clock early: a timer fires up to one late, and the client's end is
-        // final.
+        // Two clock steps early: a timer fires up to one step late, and the client does not wait.
         long lastUs = Math.max(nowUs, lookup.clientDeadlineUs - 2 * stepUs);
-        // One tenant's clients that give short times would make good nodes look silent to all.
-        lookup.isSilenceConclusive = lastUs - nowUs >= patienceUs;
+        // Otherwise one tenant with short deadlines would make healthy nodes look slow to all.
+        lookup.fullLengthRound = lastUs - nowUs >= patienceUs;
         lookup.roundUs = Math.max(stepUs, Math.min(patienceUs, lastUs - nowUs) / 3);
         lookup.endsAtUs = endsAtUs(lookup, lastUs, nowUs);
         lookup.nextCheckAtUs = nowUs;
-        lookup.isStarted = false;
-        lookup.isFirstRoundOver = false;
+        lookup.started = false;
+        lookup.firstRoundOver = false;
     }
 
-    /** The last moment for a final answer to this step. */
+    /** The latest time for the final answer of the present step. */
     private long endsAtUs(Lookup lookup, long lastUs, long nowUs) {
         LookupClass lookupClass = lookup.lookupClass;
         long objectiveUs = lookup.arrivedAtUs + lookupClass.latencyObjectiveUs;
-        // A partial answer that leaves at the objective reaches its client after it, and earns
-        // nothing.
+        // A partial answer sent exactly at the objective arrives after it, and is worth nothing.
         long inTimeUs = objectiveUs - 2 * stepUs;
         if (lookupClass.allowsPartialAnswers()
                 && lookupClass.lateAnswerWeight <= lookupClass.partialAnswerWeight
                 && inTimeUs > nowUs) {
             return Math.min(lastUs, inTimeUs);
         }
-        // Departure: where all parts are needed and a late answer is still worth something, an
-        // abort at the objective would only make the client ask for all of it again.
+        // Differs from the fastest-valid configuration. Where all parts are needed and a late
+        // answer has a value, an abort at the objective would only make the client ask again.
         if (lookupClass.completeShare >= 1 && lookupClass.lateAnswerWeight > 0) {
             return lastUs;
         }
@@ -69,28 +67,30 @@
     }
 
     /**
-     * How long clients wait. Guards against clients that leave long before the time they state, and ask
-     * again, so that all that was sent for them is lost: while over one in ten leaves, a round is a third of
-     * the time after which they do. May hurt where one kind of client alone is impatient.
+     * How long clients are expected to wait, at most the latency objective. Clients that leave long before
+     * their stated deadline and ask again waste all attempts that were made for them. So while more than one
+     * client in ten leaves early, the time after which they leave replaces the objective. Where only one kind
+     * of client is impatient, this shortens the rounds of all others too.
      */
     private long patienceUs(long objectiveUs) {
-        return leavingShare > MANY_LEAVE
+        return leavingShare > LEAVING_THRESHOLD
                 ? Math.min(objectiveUs, (long) leavesAfterUs)
                 : objectiveUs;
     }
 
-    /** A lookup was answered, or its client has left. */
-    void recordEnd(Lookup lookup, boolean isClientGone, long nowUs) {
-        boolean isEarly = isClientGone
+    /** Records that a lookup was answered, or that its client left. */
+    void recordEnd(Lookup lookup, boolean clientGone, long nowUs) {
+        boolean early = clientGone
                 && !lookup.isForwarded
                 && nowUs < lookup.clientDeadlineUs - lookup.roundUs;
         long waitedUs = nowUs - lookup.arrivedAtUs;
-        // Who is gone at once, or before a late router has read the lookup, did not wait: that says
-        // nothing of patience.
-        boolean isNoWait = isEarly && waitedUs < lookup.lookupClass.latencyObjectiveUs / NOT_WAITED;
-        double weight = isNoWait ? 0 : LEAVING_SMOOTHING;
-        leavingShare += weight * ((isEarly ? 1 : 0) - leavingShare);
-        if (isEarly && !isNoWait) {
+        // A client that leaves at once, or before a delayed router has read the lookup, did not
+        // wait. Such a client does not show how long clients wait.
+        boolean atOnce =
+                early && waitedUs < lookup.lookupClass.latencyObjectiveUs / NO_WAIT_DIVISOR;
+        double weight = atOnce ? 0 : LEAVING_SMOOTHING;
+        leavingShare += weight * ((early ? 1 : 0) - leavingShare);
+        if (early && !atOnce) {
             leavesAfterUs +=
                     (leavesAfterUs == 0 ? 1 : 4 * LEAVING_SMOOTHING) * (waitedUs - leavesAfterUs);
         }
--- a/src/main/java/tinlink/decision/EvidenceDecay.java
+++ b/src/main/java/tinlink/decision/EvidenceDecay.java
@@ -1,23 +1,24 @@
 package tinlink.decision;
 
 /**
- * How the weight of evidence on data nodes fades with its age: to 1/e over four of the longest objectives.
+ * Exponential decay of evidence on data nodes by its age. The time constant is four times the longest latency
+ * objective.
  */
 final class EvidenceDecay {
-    private final long memoryUs;
+    private final long timeConstantUs;
 
-    /** @param longestObjectiveUs the longest latency objective of any class of lookups */
+    /** @param longestObjectiveUs the longest latency objective of any lookup class */
     EvidenceDecay(long longestObjectiveUs) {
-        memoryUs = 4 * longestObjectiveUs;
+        timeConstantUs = 4 * longestObjectiveUs;
     }
 
-    /** The share that is left now of evidence from that time, from 0 to 1. */
+    /** The weight, from 0 to 1, that evidence of the given time still has. */
     double remaining(long atUs, long nowUs) {
-        return Math.exp(-(double) (nowUs - atUs) / memoryUs);
+        return Math.exp(-(double) (nowUs - atUs) / timeConstantUs);
     }
 
-    /** Over this time, in microseconds, evidence fades to 1/e. */
-    long memoryUs() {
-        return memoryUs;
+    /** The time, in microseconds, in which the weight of evidence falls to 1/e. */
+    long timeConstantUs() {
+        return timeConstantUs;
     }
 }
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -4,13 +4,12 @@
 import java.util.ArrayList;
 
 /**
- * The life cycle of lookups in one query router, after the fastest-valid setting of the design page: all
- * parts leave together, the n-th valid part answers, what is silent after a round is hedged once, and what
- * comes short of n at the end is aborted, rejected or answered in part.
+ * Runs the lifecycle of the lookups in one query router, in the fastest-valid configuration that
+ * {@code docs/design.md} describes and justifies. All parts of a lookup are sent at once, and the lookup is
+ * answered as soon as enough of them are satisfied. Parts that are unanswered after one round are hedged
+ * once. A lookup that ends with too few satisfied parts is answered in part, rejected or aborted.
  *
- * <p>Callers use it through {@link QueryCoordinator}: build one instance for each router, from parts that
- * each take their few settings; tell it each input; then pull decisions through {@link #decide} until it says
- * false. It is used by one thread. {@code docs/design.md} says why it decides as it does.
+ * <p>Callers use one instance for each router, on one thread, as {@link QueryCoordinator} describes.
  */
 public final class FastestValidCoordinator implements QueryCoordinator {
     private static final long NEVER = Long.MAX_VALUE;
@@ -25,16 +24,18 @@
     private final EndpointListPoller poller;
     private final AttemptDispatcher dispatcher;
     private final RetryPlanner retries;
-    /** Lookups in flight; each leaves with its final answer or its client. */
-    private final ArrayList<Lookup> open = new ArrayList<>();
-    /** Lookups that may have a decision to make; emptied within the turn. */
-    private final ArrayDeque<Lookup> queue = new ArrayDeque<>();
+    /** A lookup is removed with its final answer, or when its client leaves. */
+    private final ArrayList<Lookup> lookupsInFlight = new ArrayList<>();
+    /** Lookups that may have a decision to make; empty once {@link #decide} has returned false. */
+    private final ArrayDeque<Lookup> lookupsToCheck = new ArrayDeque<>();
 
     private long now;
-    private long wakesAtUs = NEVER;
+    /** When the earliest timer that the host was asked for fires; {@code NEVER} where none is set. */
+    private long wakeAtUs = NEVER;
+    /** Clock of the turn in which the last stall of this router was detected. */
     private long stalledAtUs = NEVER;
 
-    /** A coordinator for one router; its parts are used by no other. */
+    /** Creates the coordinator of one router; no other coordinator may use the same collaborators. */
     public FastestValidCoordinator(
             AttemptTiming timing,
             RepeatGuard guard,
@@ -56,14 +57,15 @@
     }
 
     /**
-     * A router that itself stood still takes its own delay for slow nodes, and rejects. Its timers tell: one
-     * that comes late by many steps of the clock means that what came with it was seen late too.
+     * Sets the clock, and detects that this router itself was stalled. A stalled router would take its own
+     * delay for slow data nodes, and reject lookups. A timer that fires many clock steps late shows the
+     * stall; the outcomes of the same turn were read late too, so their latencies are not used.
      */
     @Override
     public void advanceClock(long nowUs) {
         now = nowUs;
-        if (now - wakesAtUs > timing.stallUs()) {
-            wakesAtUs = NEVER;
+        if (now - wakeAtUs > timing.stallUs()) {
+            wakeAtUs = NEVER;
             stalledAtUs = now;
         }
     }
@@ -72,7 +74,7 @@
     public void onLookup(Lookup lookup) {
         lookup.arrivedAtUs = now;
         timing.begin(lookup, now);
-        open.add(lookup);
+        lookupsInFlight.add(lookup);
         budget.onLookup(lookup, now);
         enqueue(lookup);
     }
@@ -115,19 +117,18 @@
     @Override
     public void onEndpointListUpdate(EndpointListUpdate update) {
         poller.onUpdate(update, now);
-        open.forEach(this::enqueue);
+        lookupsInFlight.forEach(this::enqueue);
     }
 
     @Override
     public void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs) {
-        // A health check proves that a process runs, not that it answers: nothing here rests on
-        // one.
+        // Ignored: a health check shows that the process runs, not that it answers parts.
     }
 
     @Override
     public void onTimer() {
-        wakesAtUs = now >= wakesAtUs ? NEVER : wakesAtUs;
-        for (Lookup lookup : open) {
+        wakeAtUs = now >= wakeAtUs ? NEVER : wakeAtUs;
+        for (Lookup lookup : lookupsInFlight) {
             if (lookup.nextCheckAtUs <= now) {
                 enqueue(lookup);
             }
@@ -141,84 +142,86 @@
     }
 
     private void enqueue(Lookup lookup) {
-        if (!lookup.isQueued) {
-            lookup.isQueued = true;
-            queue.add(lookup);
+        if (!lookup.queued) {
+            lookup.queued = true;
+            lookupsToCheck.add(lookup);
         }
     }
 
     private void end(Lookup lookup) {
-        if (lookup.isStarted && !lookup.isFirstRoundOver && lookup.isSilenceConclusive) {
+        // A lookup that ends within its first round counts as a round without unanswered parts.
+        if (lookup.started && !lookup.firstRoundOver && lookup.fullLengthRound) {
             health.outliers().recordRound(lookup.parts.size(), 0);
         }
         lookup.isEnded = true;
-        open.remove(lookup);
+        lookupsInFlight.remove(lookup);
         lookup.parts.forEach(dispatcher::cancelInFlight);
     }
 
     @Override
     public boolean decide(DecisionHandler handler) {
-        if (dispatcher.send(handler, now) || dispatcher.cancel(handler)) {
+        if (dispatcher.sendNext(handler, now) || dispatcher.cancelNext(handler)) {
             return true;
         }
         if (poller.takeDuePoll(now)) {
             handler.subscribeToEndpointList();
             return true;
         }
-        while (!queue.isEmpty()) {
-            Lookup lookup = queue.peek();
-            if (!lookup.isEnded && step(lookup, handler)) {
+        while (!lookupsToCheck.isEmpty()) {
+            Lookup lookup = lookupsToCheck.peek();
+            if (!lookup.isEnded && decideFor(lookup, handler)) {
                 return true;
             }
-            lookup.isQueued = false;
-            queue.poll();
+            lookup.queued = false;
+            lookupsToCheck.poll();
         }
-        return wake(handler);
+        return requestWakeup(handler);
     }
 
-    private boolean wake(DecisionHandler handler) {
+    /** Asks the host for an earlier timer where one is needed; false where the present one is enough. */
+    private boolean requestWakeup(DecisionHandler handler) {
         long nextUs = poller.nextPollAtUs();
-        for (Lookup lookup : open) {
+        for (Lookup lookup : lookupsInFlight) {
             nextUs = Math.min(nextUs, lookup.nextCheckAtUs);
         }
-        if (nextUs >= wakesAtUs) {
+        if (nextUs >= wakeAtUs) {
             return false;
         }
-        wakesAtUs = nextUs;
+        wakeAtUs = nextUs;
         handler.wakeAt(nextUs);
         return true;
     }
 
-    /**
-     * The next decision for one lookup; false when it only has to wait, until its next check at the latest.
-     */
-    private boolean step(Lookup lookup, DecisionHandler handler) {
-        double satisfied = lookup.satisfiedWeight();
-        boolean hasAllParts = lookup.hasAllParts();
-        // The n-th valid part ends the lookup (design page); a second step needs all of its parts.
-        if (hasAllParts && lookup.isComplete(satisfied)) {
-            return answer(lookup, handler, !lookup.isSecondStep || lookup.isFirstStepComplete);
+    /** Makes the next decision for a lookup; false where the lookup waits until its next check or input. */
+    private boolean decideFor(Lookup lookup, DecisionHandler handler) {
+        double satisfiedWeight = lookup.satisfiedWeight();
+        boolean allPartsKnown = lookup.hasAllParts();
+        // Enough satisfied parts end a step (docs/design.md); a second step needs all of its parts.
+        if (allPartsKnown && lookup.isComplete(satisfiedWeight)) {
+            return answer(lookup, handler, !lookup.isSecondStep || lookup.firstStepComplete);
         }
-        if (now >= lookup.endsAtUs || (hasAllParts && isLost(lookup, satisfied))) {
-            return giveUp(lookup, handler, satisfied);
+        if (now >= lookup.endsAtUs || (allPartsKnown && mustEndEarly(lookup, satisfiedWeight))) {
+            return endIncomplete(lookup, handler, satisfiedWeight);
         }
         lookup.nextCheckAtUs = lookup.endsAtUs;
-        if (!hasAllParts) {
+        if (!allPartsKnown) {
             return false;
         }
-        if (!lookup.isStarted) {
+        if (!lookup.started) {
             return start(lookup, handler);
         }
-        goOn(lookup, satisfied);
-        return dispatcher.hasSendsOrCancels();
+        hedgeAndRetry(lookup, satisfiedWeight);
+        return dispatcher.hasQueuedSendsOrCancels();
     }
 
     /**
-     * Guards against lookups that bring down every node that begins a part of theirs: one that has lost two
-     * nodes and satisfied no part is not sent again. May hurt where good nodes lose many connections.
+     * Whether the lookup ends before its time. A lookup that has lost connections to two data nodes and has
+     * no satisfied part is not sent again: it may crash every node that starts one of its parts. Where
+     * healthy nodes lose many connections, the rule also ends harmless lookups.
      */
-    private boolean isLost(Lookup lookup, double satisfied) {
-        return (lookup.isSuspect() && satisfied == 0) || retries.isHopeless(lookup, satisfied, now);
+    private boolean mustEndEarly(Lookup lookup, double satisfiedWeight) {
+        return (lookup.isSuspect() && satisfiedWeight == 0)
+                || retries.cannotComplete(lookup, satisfiedWeight, now);
     }
 
     /** Rejects the lookup, or sends its parts. */
@@ -229,21 +232,21 @@
             handler.reject(lookup, admission.retryAfterUs(lookup));
             return true;
         }
-        lookup.isStarted = true;
+        lookup.started = true;
         if (lookup.parts.size() > 1
                 && health.outliers().areNodesGoingDown(lookup.isClientRetry, now)) {
-            lookup.awaitsCanary = sendCanary(lookup);
+            lookup.awaitingCanary = sendCanary(lookup);
         } else {
-            lookup.awaitsCanary = false;
+            lookup.awaitingCanary = false;
             sendUnsent(lookup);
         }
-        // Silence means nothing before the link to another site could have brought an answer.
+        // The round starts once the longest link to another site can have delivered an answer.
         lookup.roundStartedAtUs = now + dispatcher.longestLinkUs();
         lookup.nextCheckAtUs = Math.min(lookup.endsAtUs, lookup.roundStartedAtUs + lookup.roundUs);
-        return dispatcher.hasSends() || step(lookup, handler);
+        return dispatcher.hasQueuedSends() || decideFor(lookup, handler);
     }
 
-    /** While nodes die around us one part goes first, to see whether the lookup kills. */
+    /** Sends one part ahead, to see whether the lookup crashes nodes; false if none can be sent. */
     private boolean sendCanary(Lookup lookup) {
         for (Part part : lookup.parts) {
             if (dispatcher.dispatch(part, false, now)) {
@@ -253,7 +256,7 @@
         return false;
     }
 
-    /** All parts that have not been sent leave together. */
+    /** Sends all parts that have no attempt yet. */
     private void sendUnsent(Lookup lookup) {
         for (Part part : lookup.parts) {
             if (part.attempts.isEmpty()) {
@@ -262,75 +265,81 @@
         }
     }
 
-    /** What a started lookup does as time passes and attempts end. */
-    private void goOn(Lookup lookup, double satisfied) {
-        if (lookup.awaitsCanary && (satisfied > 0 || lookup.isRoundOver(now))) {
-            lookup.awaitsCanary = false;
+    /** Makes the further attempts of a started lookup that are due now. */
+    private void hedgeAndRetry(Lookup lookup, double satisfiedWeight) {
+        if (lookup.awaitingCanary && (satisfiedWeight > 0 || lookup.isRoundOver(now))) {
+            lookup.awaitingCanary = false;
             lookup.roundStartedAtUs = now;
             sendUnsent(lookup);
         }
-        if (!lookup.isFirstRoundOver && lookup.isRoundOver(now)) {
-            lookup.isFirstRoundOver = true;
-            judgeSilence(lookup);
-            retries.hedge(lookup, satisfied, now);
+        if (!lookup.firstRoundOver && lookup.isRoundOver(now)) {
+            lookup.firstRoundOver = true;
+            recordUnansweredAttempts(lookup);
+            retries.hedge(lookup, satisfiedWeight, now);
         }
-        retries.retry(lookup, satisfied, now);
-        if (!lookup.isFirstRoundOver) {
+        retries.retry(lookup, satisfiedWeight, now);
+        if (!lookup.firstRoundOver) {
             lookup.checkBy(lookup.roundStartedAtUs + lookup.roundUs);
         }
     }
 
-    /** What the silence of its round says of the nodes; with less than a full round it says nothing. */
-    private void judgeSilence(Lookup lookup) {
-        if (!lookup.isSilenceConclusive) {
+    /**
+     * Counts attempts that are unanswered after the first round against their data nodes. After a shortened
+     * round they prove nothing, and do not count.
+     */
+    private void recordUnansweredAttempts(Lookup lookup) {
+        if (!lookup.fullLengthRound) {
             return;
         }
-        int silentParts = 0;
+        int unansweredParts = 0;
         for (Part part : lookup.parts) {
             for (Attempt attempt : part.attempts) {
                 if (attempt.isInFlight()) {
-                    health.onSilence(replicas.stats(attempt.node), attempt, now);
+                    health.onUnanswered(replicas.stats(attempt.node), attempt, now);
                 }
             }
-            silentParts += part.isAwaited() ? 1 : 0;
+            unansweredParts += part.isAwaited() ? 1 : 0;
         }
-        health.outliers().recordRound(lookup.parts.size(), silentParts);
+        health.outliers().recordRound(lookup.parts.size(), unansweredParts);
     }
 
-    private boolean answer(Lookup lookup, DecisionHandler handler, boolean isComplete) {
+    private boolean answer(Lookup lookup, DecisionHandler handler, boolean complete) {
         if (lookup.lookupClass.secondStepParts > 0 && !lookup.isSecondStep) {
-            beginSecondStep(lookup, isComplete);
+            beginSecondStep(lookup, complete);
         } else {
             timing.recordEnd(lookup, false, now);
             end(lookup);
         }
-        handler.answer(lookup, isComplete);
+        handler.answer(lookup, complete);
         return true;
     }
 
-    private void beginSecondStep(Lookup lookup, boolean isFirstStepComplete) {
+    private void beginSecondStep(Lookup lookup, boolean firstStepComplete) {
         int satisfiedParts = 0;
         for (Part part : lookup.parts) {
             satisfiedParts += part.isSatisfied ? 1 : 0;
             dispatcher.cancelInFlight(part);
         }
         lookup.isSecondStep = true;
-        lookup.isFirstStepComplete = isFirstStepComplete;
+        lookup.firstStepComplete = firstStepComplete;
         lookup.announcedParts = Math.min(lookup.lookupClass.secondStepParts, satisfiedParts);
         lookup.parts = new ArrayList<>();
         timing.begin(lookup, now);
     }
 
-    /** Short of n: a partial answer above the floor, a rejection where nothing forbids it, else an abort. */
-    private boolean giveUp(Lookup lookup, DecisionHandler handler, double satisfied) {
+    /**
+     * Ends a lookup with too few satisfied parts for a complete answer: with a partial answer where the class
+     * allows one of this weight, else with a rejection where a repeat is harmless, else with an abort.
+     */
+    private boolean endIncomplete(Lookup lookup, DecisionHandler handler, double satisfiedWeight) {
         if (lookup.hasAllParts()
-                && satisfied > 0
-                && satisfied >= lookup.minimumWeight() - Lookup.WEIGHT_TOLERANCE) {
+                && satisfiedWeight > 0
+                && satisfiedWeight >= lookup.minimumWeight() - Lookup.WEIGHT_TOLERANCE) {
             return answer(lookup, handler, false);
         }
-        boolean isRejected = now < lookup.endsAtUs && guard.mayReject(lookup);
+        boolean rejected = now < lookup.endsAtUs && guard.mayReject(lookup);
         end(lookup);
-        if (isRejected) {
+        if (rejected) {
             handler.reject(lookup, admission.retryAfterUs(lookup));
         } else {
             handler.abort(lookup);
--- a/src/main/java/tinlink/decision/IdleConnectionDetector.java
+++ b/src/main/java/tinlink/decision/IdleConnectionDetector.java
@@ -3,30 +3,31 @@
 import java.util.Arrays;
 
 /**
- * Detects connections that something on the way drops unseen after a while without use, such as a middle box
- * that is full or has restarted. What is sent on one is never answered, and a good node looks hung.
+ * Detects connections that a device on the network path drops without notice after some idle time, such as a
+ * firewall that has restarted or whose connection table is full. An attempt on a dropped connection is never
+ * answered, so that a healthy data node looks hung.
  *
- * <p>What drops connections goes by their idle time. So past some idle time, calls go silent more often than
- * on connections used more recently, and by more than chance. Slow calls do so at any idle time; they are no
- * sign to a router of many, which uses each connection seldom, and new connections from all routers would
- * load the nodes more.
+ * <p>Such a device drops connections by their idle time. So above some idle time, attempts are unanswered
+ * significantly more often than on connections that were used more recently. Slow nodes leave attempts
+ * unanswered at any idle time. They must not count as dropped connections: a router in a large fleet uses
+ * each connection seldom, and new connections from all routers would add to the load of the nodes.
  */
 final class IdleConnectionDetector {
-    /** So many standard errors between two shares are no chance. */
-    static final double SURE = 2.5;
+    /** Two shares that differ by this many standard errors differ significantly. */
+    static final double SIGNIFICANT_STANDARD_ERRORS = 2.5;
 
     private static final int IDLE_STEPS = 8;
-    private static final double LEAST_SILENT_SHARE = 0.08;
-    private static final double LEAST_RATIO = 1.2;
-    /** What connections show is forgotten so many times slower than what nodes do. */
-    private static final double FADING = 0.25;
+    private static final double MIN_UNANSWERED_SHARE = 0.08;
+    private static final double MIN_RATIO = 1.2;
+    /** Evidence on connections decays at this multiple of the rate for evidence on data nodes. */
+    private static final double RELATIVE_DECAY_RATE = 0.25;
 
     private final EvidenceDecay decay;
     private final long usualRoundUs;
-    /** Attempts, and silent ones, by the idle step of the connection that they went on; fading. */
+    /** Number of attempts by the idle step of their connection; decays with time. */
     private final double[] attempts = new double[IDLE_STEPS];
 
-    private final double[] silent = new double[IDLE_STEPS];
+    private final double[] unanswered = new double[IDLE_STEPS];
     private long recordedAtUs;
 
     IdleConnectionDetector(EvidenceDecay decay, long usualRoundUs) {
@@ -34,7 +35,7 @@
         this.usualRoundUs = usualRoundUs;
     }
 
-    /** Step 0 is an idle time up to half a round; each doubling of it is one step more. */
+    /** Step 0 is an idle time of up to half a round; the step rises by one with each doubling. */
     int idleStep(long idleUs) {
         return idleUs <= usualRoundUs / 2
                 ? 0
@@ -43,56 +44,62 @@
                         Long.SIZE - Long.numberOfLeadingZeros(2 * idleUs / usualRoundUs));
     }
 
-    /** @param silentAttempts 1 where the attempt outlasted its round, 0 where it was answered */
-    void record(Attempt attempt, double silentAttempts, long nowUs) {
+    /** @param unansweredAttempts 1 where the attempt was unanswered after its round, 0 for an answer */
+    void record(Attempt attempt, double unansweredAttempts, long nowUs) {
         double remaining = remaining(nowUs);
         recordedAtUs = nowUs;
         for (int i = 0; i < IDLE_STEPS; i++) {
             attempts[i] *= remaining;
-            silent[i] *= remaining;
+            unanswered[i] *= remaining;
         }
         attempts[attempt.idleStep]++;
-        silent[attempt.idleStep] += silentAttempts;
+        unanswered[attempt.idleStep] += unansweredAttempts;
     }
 
     private double remaining(long nowUs) {
-        return Math.pow(decay.remaining(recordedAtUs, nowUs), FADING);
+        return Math.pow(decay.remaining(recordedAtUs, nowUs), RELATIVE_DECAY_RATE);
     }
 
     /**
-     * Whether connections that were idle for so long are held to be dropped.
+     * Whether connections that were idle for this long are probably dropped.
      *
-     * @param errors how many standard errors the shares of silence have to differ by at least
+     * @param standardErrors number of standard errors by which the unanswered shares must differ
      */
-    boolean isDropped(int idleStep, double errors, long nowUs) {
+    boolean isDropped(int idleStep, double standardErrors, long nowUs) {
         double remaining = remaining(nowUs);
         double all = Arrays.stream(attempts).sum() * remaining;
-        double allSilent = Arrays.stream(silent).sum() * remaining;
-        double silentShare = allSilent / Math.max(1, all);
-        double young = 0;
-        double youngSilent = 0;
-        for (int from = 1; from <= idleStep; from++) {
-            young += attempts[from - 1] * remaining;
-            youngSilent += silent[from - 1] * remaining;
-            double old = all - young;
-            double variance = silentShare
-                    * (1 - silentShare)
-                    * (1 / Math.max(1, old) + 1 / Math.max(1, young));
-            double margin = errors * Math.sqrt(variance);
-            if (isSilentMoreOften(old, allSilent - youngSilent, young, youngSilent, margin)) {
+        double allUnanswered = Arrays.stream(unanswered).sum() * remaining;
+        double unansweredShare = allUnanswered / Math.max(1, all);
+        double shortIdle = 0;
+        double shortIdleUnanswered = 0;
+        for (int step = 1; step <= idleStep; step++) {
+            shortIdle += attempts[step - 1] * remaining;
+            shortIdleUnanswered += unanswered[step - 1] * remaining;
+            double longIdle = all - shortIdle;
+            double variance = unansweredShare
+                    * (1 - unansweredShare)
+                    * (1 / Math.max(1, longIdle) + 1 / Math.max(1, shortIdle));
+            double margin = standardErrors * Math.sqrt(variance);
+            double longIdleUnanswered = allUnanswered - shortIdleUnanswered;
+            if (isUnansweredMoreOften(
+                    longIdle, longIdleUnanswered, shortIdle, shortIdleUnanswered, margin)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean isSilentMoreOften(
-            double old, double oldSilent, double young, double youngSilent, double margin) {
-        // One slow call is no sign, whatever it is compared with.
-        return oldSilent > 1
-                && oldSilent / Math.max(1, old)
+    private static boolean isUnansweredMoreOften(
+            double longIdle,
+            double longIdleUnanswered,
+            double shortIdle,
+            double shortIdleUnanswered,
+            double margin) {
+        // A single unanswered attempt is no evidence, whatever share the other connections have.
+        return longIdleUnanswered > 1
+                && longIdleUnanswered / Math.max(1, longIdle)
                         > Math.max(
-                                LEAST_SILENT_SHARE,
-                                LEAST_RATIO * youngSilent / Math.max(1, young) + margin);
+                                MIN_UNANSWERED_SHARE,
+                                MIN_RATIO * shortIdleUnanswered / Math.max(1, shortIdle) + margin);
     }
 }
--- a/src/main/java/tinlink/decision/Lookup.java
+++ b/src/main/java/tinlink/decision/Lookup.java
@@ -5,65 +5,68 @@
 import java.util.function.Predicate;
 
 /**
- * A lookup in flight and its parts. The host sets the public fields before {@link QueryCoordinator#onLookup};
- * the others are the coordinator's notes on the present step. Times are microseconds of the coordinator's
- * clock.
+ * A lookup in flight and its parts. The host sets the public fields before {@link QueryCoordinator#onLookup},
+ * unless their comment says otherwise; the coordinator keeps the state of the present step in the other
+ * fields. Times are microseconds of the coordinator's clock.
  */
 public class Lookup {
-    /** Sums of part weights may be this much short. */
+    /** Sums of part weights may fall short of a limit by this much, because of rounding. */
     static final double WEIGHT_TOLERANCE = 1e-4;
 
-    /** What is agreed for lookups like it. */
+    /** The objectives and limits of the lookup. */
     public LookupClass lookupClass;
-    /** A client's retry, where clients mark them. */
+    /** Whether the client marked the lookup as a retry. */
     public boolean isClientRetry;
-    /** A part that a router of another site has forwarded: it goes to one node here, once, and never on. */
+    /**
+     * Whether a router of another site forwarded the lookup, which then has a single part. The part goes to
+     * one data node of this site, once, and is not forwarded again.
+     */
     public boolean isForwarded;
 
-    /** Set by the coordinator. */
+    /** When the lookup arrived; set by the coordinator. */
     public long arrivedAtUs;
     /** When the client stops waiting. */
     public long clientDeadlineUs;
-    /** How many parts the present step has. */
+    /** Number of parts in the present step; set by the coordinator for the second step. */
     public int announcedParts;
-    /** Those of them that have come so far; the coordinator adds them. */
+    /** The parts of the present step that have arrived so far; filled by the coordinator. */
     public List<Part> parts = new ArrayList<>();
-    /** It has its final answer, or its client has left. */
+    /** Whether the lookup has its final answer, or its client has left; set by the coordinator. */
     public boolean isEnded;
 
-    /** Length of a round: this long an attempt may be silent before the part is hedged. */
+    /** Length of a round: a part whose attempt is unanswered for this long is hedged. */
     long roundUs;
-    /** The last moment for a final answer to this step. */
+    /** Latest time for the final answer of the present step. */
     long endsAtUs;
-    /** Its round is as long as its class's, so that silence means something. */
-    boolean isSilenceConclusive;
+    /** Whether the round is not shortened, so that an unanswered attempt counts against its data node. */
+    boolean fullLengthRound;
 
-    /** The coordinator looks at it again by then, if nothing happens before. */
+    /** When the coordinator checks the lookup again if no input makes it do so before. */
     long nextCheckAtUs;
-    /** When the first round began. */
+    /** When the first round began; the time until an answer can arrive from another site is left out. */
     long roundStartedAtUs;
 
-    boolean isStarted;
-    boolean isFirstRoundOver;
-    boolean isQueued;
-    /** One part has gone first as the canary, and the others wait for it. */
-    boolean awaitsCanary;
-    /** The node that it last lost a connection to, and whether it has lost two. */
+    boolean started;
+    boolean firstRoundOver;
+    boolean queued;
+    /** Whether one part was sent ahead as the canary, and the other parts wait for its answer. */
+    boolean awaitingCanary;
+    /** The data node of the latest lost connection; null where none was lost. */
     private DataNode lostNode;
 
-    private boolean hasLostTwoNodes;
-    /** The parts are those of the second step. */
+    private boolean lostTwoNodes;
+    /** Whether the present step is the second one; set by the coordinator. */
     public boolean isSecondStep;
 
-    boolean isFirstStepComplete = true;
+    boolean firstStepComplete = true;
 
     boolean hasAllParts() {
         return parts.size() >= announcedParts;
     }
 
-    /** The sum of the weights of these parts. */
-    double weight(Predicate<Part> which) {
-        return parts.stream().filter(which).mapToDouble(part -> part.weight).sum();
+    /** The sum of the weights of the parts that match. */
+    double weight(Predicate<Part> predicate) {
+        return parts.stream().filter(predicate).mapToDouble(part -> part.weight).sum();
     }
 
     double satisfiedWeight() {
@@ -79,32 +82,35 @@
         return isSecondStep ? 1 : lookupClass.completeShare;
     }
 
-    /** Whether parts of that weight complete the step. */
+    /** Whether satisfied parts of this weight complete the present step. */
     boolean isComplete(double weight) {
         return weight >= neededWeight() - WEIGHT_TOLERANCE;
     }
 
-    /** The least weight for any answer at the end; a second step may be partial only where the first may. */
+    /**
+     * The least weight for an answer once the lookup can wait no longer. The second step may be answered in
+     * part only where the class allows partial answers.
+     */
     double minimumWeight() {
         return isSecondStep && !lookupClass.allowsPartialAnswers() ? 1 : lookupClass.minimumShare;
     }
 
-    /** A connection with a part of this lookup on it was lost. */
+    /** Records that the connection to a data node was lost with an attempt of this lookup on it. */
     void recordLostNode(DataNode node) {
-        hasLostTwoNodes |= lostNode != null && lostNode != node;
+        lostTwoNodes |= lostNode != null && lostNode != node;
         lostNode = node;
     }
 
-    /** It has lost connections to two nodes, which it may have brought down. */
+    /** Whether the lookup has lost connections to two data nodes, and may have crashed them. */
     boolean isSuspect() {
-        return hasLostTwoNodes;
+        return lostTwoNodes;
     }
 
     boolean isRoundOver(long nowUs) {
         return nowUs >= roundStartedAtUs + roundUs;
     }
 
-    /** The coordinator looks at it again at that time, or before. */
+    /** Makes the coordinator check the lookup again at the given time or earlier. */
     void checkBy(long atUs) {
         nextCheckAtUs = Math.min(nextCheckAtUs, atUs);
     }
--- a/src/main/java/tinlink/decision/OutlierDetector.java
+++ b/src/main/java/tinlink/decision/OutlierDetector.java
@@ -1,17 +1,20 @@
 package tinlink.decision;
 
-/** Tells data nodes that fail from trouble that all of them share, by this router's own part calls alone. */
+/**
+ * Tells failures of single data nodes from slowness or failures of many nodes at once, from the attempts of
+ * this router alone.
+ */
 final class OutlierDetector {
-    private static final double SILENCE_SMOOTHING = 0.05;
-    private static final double SHARED_SILENCE = 0.3;
-    private static final double NODES_GOING_DOWN = 1.5;
-    /** A client's retry is the likelier one to have brought the nodes down. */
-    private static final double RETRY_SUSPICION = 4;
+    private static final double UNANSWERED_SMOOTHING = 0.05;
+    private static final double WIDESPREAD_UNANSWERED_SHARE = 0.3;
+    private static final double MIN_NODES_GOING_DOWN = 1.5;
+    /** A client's retry is more likely to have crashed the nodes, and is suspected at fewer of them. */
+    private static final double RETRY_SUSPICION_FACTOR = 4;
 
     private final EvidenceDecay decay;
-    /** Share of parts, smoothed, that were still in flight after a round. */
-    private double silentShare;
-    /** Nodes that were found down of late, fading. */
+    /** Share of parts, smoothed, that were unanswered after a round. */
+    private double unansweredShare;
+    /** Number of data nodes that were found down; decays with time. */
     private double nodesDown;
 
     private long nodesDownAtUs;
@@ -24,7 +27,7 @@
         stats.recordFailure(decay, nowUs);
     }
 
-    /** A connection to the node was lost or did not come up. */
+    /** Records that a connection to the data node was lost or could not be opened. */
     void recordConnectionFailure(ReplicaStats stats, long nowUs) {
         stats.recordFailure(decay, nowUs);
         if (stats.markDown()) {
@@ -33,28 +36,34 @@
         }
     }
 
-    /** From 0 for a node with no recent failure up to 1. */
+    /** Share of recent failures, from 0 for a data node without any to 1. */
     double failureShare(ReplicaStats stats, long nowUs) {
         return stats.failureShare(decay, nowUs);
     }
 
-    /** A lookup's parts count together: one by one its silent ones, judged last, would pass for all. */
-    void recordRound(int parts, int silentParts) {
-        silentShare += (1 - Math.pow(1 - SILENCE_SMOOTHING, parts))
-                * ((double) silentParts / parts - silentShare);
+    /**
+     * Records a lookup's round. All of its parts count at once: one by one, the unanswered parts would be
+     * recorded last, and outweigh the others.
+     */
+    void recordRound(int parts, int unansweredParts) {
+        unansweredShare += (1 - Math.pow(1 - UNANSWERED_SMOOTHING, parts))
+                * ((double) unansweredParts / parts - unansweredShare);
     }
 
     /**
-     * Hedged attempts for what all nodes are slow at only add to it. Guards against overload, bursts and
-     * whatever the nodes share; may hurt where a third of them hang at once.
+     * Whether so many parts are unanswered after a round that hedged attempts would only add to the load, as
+     * in overload, in a burst, or when something that all nodes share is slow. The rule also holds back
+     * useful hedged attempts where a third of the nodes hang at once.
      */
-    boolean isTroubleShared() {
-        return silentShare > SHARED_SILENCE;
+    boolean isSlownessWidespread() {
+        return unansweredShare > WIDESPREAD_UNANSWERED_SHARE;
     }
 
-    /** Whether enough nodes were found down of late for a lookup to be suspected of bringing them down. */
-    boolean areNodesGoingDown(boolean isClientRetry, long nowUs) {
+    /** Whether enough nodes were found down recently for a lookup to be suspected of crashing them. */
+    boolean areNodesGoingDown(boolean clientRetry, long nowUs) {
         return nodesDown * decay.remaining(nodesDownAtUs, nowUs)
-                >= (isClientRetry ? NODES_GOING_DOWN / RETRY_SUSPICION : NODES_GOING_DOWN);
+                >= (clientRetry
+                        ? MIN_NODES_GOING_DOWN / RETRY_SUSPICION_FACTOR
+                        : MIN_NODES_GOING_DOWN);
     }
 }
--- a/src/main/java/tinlink/decision/Part.java
+++ b/src/main/java/tinlink/decision/Part.java
@@ -3,27 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One part of a lookup, on one shard. Fields only, and what can be read off them. */
+/** One part of a lookup, on one shard. The public fields are set by the host or by the coordinator. */
 public class Part {
-    /** What it is a part of. */
+    /** The lookup that the part belongs to; set by the host. */
     public Lookup lookup;
-    /** Which part of the data it asks. */
+    /** Number of the shard that the part asks; set by the host. */
     public int shard;
-    /** Its share of the lookup's answer; those of all parts add up to 1. */
+    /** The part's share of the lookup's answer, set by the host; the shares of all parts add up to 1. */
     public double weight;
-    /** In order of sending. */
+    /** All attempts at the part, in the order in which they were sent; filled by the coordinator. */
     public List<Attempt> attempts = new ArrayList<>();
 
-    /** Those without an outcome. */
+    /** Number of attempts without an outcome; kept by the coordinator. */
     public int attemptsInFlight;
-    /** One of its attempts was answered. */
+    /** Whether one of the attempts was answered; set by the coordinator. */
     public boolean isSatisfied;
-    /** It is not sent again before this time. */
+    /** The part is not sent again before this time, in microseconds. */
     long notBeforeUs;
-    /** Its next attempt was charged as a hedge when the silent one before it was given up. */
-    boolean isHedgePaid;
+    /** Whether the next attempt was charged as a hedge when its unanswered predecessor was cancelled. */
+    boolean hedgePaid;
 
-    /** Not answered yet, and an attempt is in flight that may do it. */
+    /** Whether the part is not answered yet, and an attempt that may answer it is in flight. */
     boolean isAwaited() {
         return !isSatisfied && attemptsInFlight > 0;
     }
@@ -41,7 +41,7 @@
         return false;
     }
 
-    /** Whether it is proven that no attempt ran, or will. */
+    /** Whether it is certain that no attempt has run the part or will. */
     boolean neverRan() {
         for (Attempt attempt : attempts) {
             if (!attempt.neverRan()) {
--- a/src/main/java/tinlink/decision/RepeatGuard.java
+++ b/src/main/java/tinlink/decision/RepeatGuard.java
@@ -2,9 +2,7 @@
 
 import tinlink.decision.LookupClass.Idempotency;
 
-/**
- * What may be attempted again, and what may be rejected: guards against an effect that happens twice.
- */
+/** Decides which attempts and rejections are safe, so that no part has its effect twice. */
 public final class RepeatGuard {
     private final AttemptTiming timing;
     private final int attemptLimit;
@@ -12,9 +10,9 @@
     private final boolean cancelAllowed;
 
     /**
-     * @param attemptLimit attempts at one part at most
-     * @param hedgingAllowed whether a part may be in flight to two nodes at once
-     * @param cancelAllowed whether an attempt may be given up before its limit
+     * @param attemptLimit greatest number of attempts at one part
+     * @param hedgingAllowed whether a part may be in flight to two data nodes at once
+     * @param cancelAllowed whether an attempt may be cancelled before its time limit
      */
     public RepeatGuard(
             AttemptTiming timing, int attemptLimit, boolean hedgingAllowed, boolean cancelAllowed) {
@@ -28,7 +26,7 @@
         return cancelAllowed;
     }
 
-    /** Whether one more attempt at the part can do no harm. */
+    /** Whether one more attempt at the part is within the limits and harmless. */
     boolean mayAttempt(Part part, long nowUs) {
         int limit = part.lookup.isForwarded ? 1 : attemptLimit;
         if (part.attempts.size() >= limit || (part.attemptsInFlight > 0 && !hedgingAllowed)) {
@@ -47,23 +45,26 @@
     }
 
     /**
-     * Whether a repeat that is sent now is dropped by the data node if the attempt ran. A window must not
-     * pass while the repeat is on its way, so what it may wait for in a turn of ours has to fit in.
+     * Whether the data node would drop a repeat sent now if the attempt had run. The time that a repeat may
+     * wait in the router's turn counts as well, so that the window can't end before the repeat is sent.
      */
     private boolean isDeduplicated(Attempt attempt, LookupClass lookupClass, long nowUs) {
         return lookupClass.idempotency == Idempotency.BY_KEY
                 && nowUs + timing.stallUs() <= attempt.sentAtUs + lookupClass.deduplicationWindowUs;
     }
 
-    /** Whether an attempt that is silent may be cancelled for another one elsewhere. */
-    boolean mayGiveUpSilent(Part part) {
+    /** Whether an unanswered attempt may be cancelled in favour of an attempt at another data node. */
+    boolean mayCancelUnanswered(Part part) {
         return !hedgingAllowed
                 && cancelAllowed
                 && part.lookup.lookupClass.idempotency == Idempotency.IDEMPOTENT
                 && part.attempts.size() < attemptLimit;
     }
 
-    /** A rejection says that a retry is harmless: not so once a part may have run that must not run twice. */
+    /**
+     * Whether the lookup may be rejected. A rejection promises that a retry is harmless, which does not hold
+     * once a part that must not run twice may have run.
+     */
     boolean mayReject(Lookup lookup) {
         if (lookup.isSecondStep) {
             return false;
--- a/src/main/java/tinlink/decision/ReplicaDirectory.java
+++ b/src/main/java/tinlink/decision/ReplicaDirectory.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * The data nodes that this router knows of, and which of them hold a part's shard: those of its cell and of
- * the next ones, as many as hold each shard.
+ * The data nodes that this router knows, and which of them are replicas of a shard. A shard is held by the
+ * cell with its number modulo the number of cells, and by a configured number of cells that follow.
  */
 public final class ReplicaDirectory {
     private final int cells;
     private final int cellsPerShard;
     private final ReplicaHealth health;
     private final Map<DataNode, ReplicaStats> known = new LinkedHashMap<>();
-    /** The same nodes by cell: the cost of a part goes with its holders, not with the fleet. */
+    /** The known nodes by cell, so that the cost of a part does not grow with the fleet. */
     private final List<List<ReplicaStats>> byCell = new ArrayList<>();
 
     /**
-     * @param cells that shards fall on, by the remainder
-     * @param cellsPerShard successive cells that hold each shard
+     * @param cells number of cells that the shards are spread over
+     * @param cellsPerShard number of successive cells that hold each shard
      */
     public ReplicaDirectory(int cells, int cellsPerShard, ReplicaHealth health) {
         this.cells = cells;
@@ -30,12 +30,12 @@
         }
     }
 
-    /** What was seen of a node is dropped once it has restarted or moved to another cell. */
+    /** Adds or updates a data node; its statistics start anew after a restart or in another cell. */
     void onEndpoint(DataNode node, boolean restarted) {
         ReplicaStats stats = known.get(node);
         int cell = Math.floorMod(node.cell, cells);
         if (stats == null || restarted || stats.cell() != cell) {
-            ReplicaStats fresh = ReplicaStats.afresh(node, cell, stats);
+            ReplicaStats fresh = ReplicaStats.withoutHistory(node, cell, stats);
             forget(stats);
             known.put(node, fresh);
             byCell.get(cell).add(fresh);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Never null: an attempt may end after its node was forgotten. */
+    /** The node's statistics; never null, since an attempt may end after its node was forgotten. */
     ReplicaStats stats(DataNode node) {
         ReplicaStats stats = known.get(node);
         return stats == null ? ReplicaStats.ofForgotten(node) : stats;
@@ -71,27 +71,30 @@
         return stats(part.lastAttempt().node);
     }
 
-    /** In the order in which they were first listed. */
+    /** All known nodes, in the order in which they were first listed. */
     Iterable<ReplicaStats> all() {
         return known.values();
     }
 
-    boolean hasHolder(Part part, long nowUs) {
-        return !holders(part, nowUs).isEmpty();
+    boolean hasAvailableReplica(Part part, long nowUs) {
+        return !availableReplicas(part, nowUs).isEmpty();
     }
 
-    /** Nodes that may take the part now: none that drains or is gone, nor one over too long a link. */
-    List<ReplicaStats> holders(Part part, long nowUs) {
-        List<ReplicaStats> ready = new ArrayList<>();
+    /**
+     * The replicas of the part's shard that may take the part now. They are ready, and an answer over their
+     * link can still arrive in time; a forwarded part stays at this site.
+     */
+    List<ReplicaStats> availableReplicas(Part part, long nowUs) {
+        List<ReplicaStats> available = new ArrayList<>();
         for (int i = 0; i < Math.min(cellsPerShard, cells); i++) {
             for (ReplicaStats stats : byCell.get(Math.floorMod(part.shard + i, cells))) {
                 if (stats.node().state == DataNode.State.READY
                         && isReachable(stats.node(), part.lookup, nowUs)) {
-                    ready.add(stats);
+                    available.add(stats);
                 }
             }
         }
-        return ready;
+        return available;
     }
 
     private static boolean isReachable(DataNode node, Lookup lookup, long nowUs) {
--- a/src/main/java/tinlink/decision/ReplicaHealth.java
+++ b/src/main/java/tinlink/decision/ReplicaHealth.java
@@ -1,8 +1,8 @@
 package tinlink.decision;
 
 /**
- * How data nodes are judged, by this router's own part calls alone: each outcome and each silence becomes
- * evidence on latency, on outliers and on idle connections.
+ * Judges data nodes by the attempts of this router alone. Outcomes and unanswered attempts become evidence on
+ * latency, on outliers and on idle connections.
  */
 public final class ReplicaHealth {
     private final EvidenceDecay decay;
@@ -11,8 +11,8 @@
     private final IdleConnectionDetector idleConnections;
 
     /**
-     * @param longestObjectiveUs the longest latency objective of any class; evidence fades over a few of
-     * these
+     * @param longestObjectiveUs the longest latency objective of any lookup class, which sets how fast
+     *     evidence decays
      */
     public ReplicaHealth(long longestObjectiveUs) {
         long usualRoundUs = longestObjectiveUs / 3;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * An attempt is over.
+     * Records the outcome of an attempt.
      *
-     * @param tookUs below 0 where the router can't tell
+     * @param tookUs negative where it is unknown
      */
     void onOutcome(ReplicaStats stats, Attempt attempt, Outcome outcome, long tookUs, long nowUs) {
         switch (outcome) {
@@ -46,7 +46,7 @@
                 idleConnections.record(attempt, 0, nowUs);
                 stats.recordAnswer(attempt.sentAtUs, decay, nowUs);
             }
-            // A full node ends calls fast; without this it would look like the fastest one.
+            // A full node rejects fast; by its real latency it would look like the fastest node.
             case REJECTED -> {
                 long twoRoundsUs = 2 * attempt.part.lookup.roundUs;
                 double latencyUs = Math.max((double) twoRoundsUs, stats.smoothedLatencyUs());
@@ -56,27 +56,29 @@
             case CONNECTION_LOST, NO_CONNECTION -> outliers.recordConnectionFailure(stats, nowUs);
             case NO_ANSWER -> latency.record(stats, attempt, (double) tookUs, nowUs);
             case CANCELLED, NOT_SENT -> {
-                // They say nothing of the node.
+                // These outcomes show nothing about the data node.
             }
         }
     }
 
     /**
-     * An attempt is still in flight after a full round. Guards against a node that takes parts and answers
-     * none, and so costs every lookup a round.
+     * Records that an attempt is still in flight after a full round. Without this, a data node that takes
+     * parts and never answers would cost every lookup a round.
      */
-    void onSilence(ReplicaStats stats, Attempt attempt, long nowUs) {
+    void onUnanswered(ReplicaStats stats, Attempt attempt, long nowUs) {
         double latencyUs = Math.max((double) (nowUs - attempt.sentAtUs), stats.smoothedLatencyUs());
         latency.record(stats, attempt, latencyUs, nowUs);
         idleConnections.record(attempt, 1, nowUs);
         if (stats.lastAnswerAtUs() < attempt.sentAtUs
                 && !idleConnections.isDropped(
-                        attempt.idleStep, IdleConnectionDetector.SURE, nowUs)) {
+                        attempt.idleStep,
+                        IdleConnectionDetector.SIGNIFICANT_STANDARD_ERRORS,
+                        nowUs)) {
             outliers.recordFailure(stats, nowUs);
         }
     }
 
-    /** Parts a microsecond that this router has had from the node of late. */
+    /** Parts per microsecond that the data node has recently answered for this router. */
     double answerRate(ReplicaStats stats, long nowUs) {
         return stats.answerRate(decay, nowUs);
     }
--- a/src/main/java/tinlink/decision/ReplicaSelector.java
+++ b/src/main/java/tinlink/decision/ReplicaSelector.java
@@ -1,31 +1,32 @@
 package tinlink.decision;
 
 /**
- * The companion of the design page: which replica serves a part. The holder with the least smoothed latency
- * times its own calls in flight plus one; one whose call departs in this turn costs no call of its own. Nodes
- * that this part has tried go last.
+ * Selects the replica for an attempt, by the companion rule of {@code docs/design.md}: the replica with the
+ * lowest product of smoothed latency and calls in flight plus one. A replica whose call is sent in this turn
+ * and has room counts as cheaper. Data nodes that have had an attempt at the part come last.
  */
 public final class ReplicaSelector {
-    /** A node at another site costs so many times more: it serves when near ones are gone, or as bad. */
-    private static final double OTHER_SITE = 10;
-    /** How many times the price of crossing zones makes a node in another zone count slower. */
-    private static final double PRICE_TO_COST = 10;
-    /** Rounds that a failed attempt costs a lookup, by whether it can spare a part. */
-    private static final int ROUNDS_IF_SPARED = 3;
+    /** Makes a data node of another site serve only where the near ones are gone or as bad. */
+    private static final double OTHER_SITE_COST_FACTOR = 10;
+    /** Weight of the price of a call into another zone in the cost of a data node there. */
+    private static final double ZONE_PRICE_WEIGHT = 10;
+    /** Cost of a failed attempt in rounds, for lookups that can complete without one of their parts. */
+    private static final int FAILURE_ROUNDS_IF_SPARABLE = 3;
 
-    private static final int ROUNDS_IF_NEEDED = 9;
+    /** Cost of a failed attempt in rounds, for lookups that need all of their parts. */
+    private static final int FAILURE_ROUNDS_IF_NEEDED = 9;
 
     private final ReplicaDirectory replicas;
     private final SlowStart slowStart;
     private final CallSharing callSharing;
     private final int zone;
-    private final double otherZone;
+    private final double otherZoneCostFactor;
     private final ReplicaHealth health;
 
     /**
      * @param zone of this router
-     * @param crossZonePrice what a call into another zone costs, as a share of the gain of a lookup; 0 for
-     *     free
+     * @param crossZonePrice price of a call into another zone, as a share of the value of a lookup; 0 where
+     *     such calls are free
      */
     public ReplicaSelector(
             ReplicaDirectory replicas,
@@ -38,7 +39,7 @@
         this.slowStart = slowStart;
         this.callSharing = callSharing;
         this.zone = zone;
-        otherZone = 1 + PRICE_TO_COST * crossZonePrice;
+        otherZoneCostFactor = 1 + ZONE_PRICE_WEIGHT * crossZonePrice;
         this.health = health;
     }
 
@@ -50,7 +51,7 @@
         return callSharing;
     }
 
-    /** Whether slow start lets this router send one more call to the node now. */
+    /** Whether slow start allows one more attempt of this router at the data node now. */
     boolean admits(ReplicaStats stats, long nowUs) {
         return slowStart.admits(stats, replicas.all(), nowUs);
     }
@@ -60,28 +61,28 @@
     }
 
     /**
-     * The replica for the part's next attempt; null where no holder may take it.
+     * Selects the replica for the part's next attempt; null where no data node may take the part now.
      *
-     * @param isHedge a hedged attempt goes to no node that the part has tried
+     * @param hedged whether the attempt is hedged, and must go to a data node that the part has not tried
      */
-    ReplicaStats select(Part part, boolean isHedge, long nowUs) {
+    ReplicaStats select(Part part, boolean hedged, long nowUs) {
         double saving = callSharing.saving(health.latency().averageUs(part.lookup.roundUs));
         ReplicaStats best = null;
-        double leastCost = Double.MAX_VALUE;
-        boolean isBestTried = true;
-        for (ReplicaStats stats : replicas.holders(part, nowUs)) {
-            boolean isTried = part.hasTried(stats.node());
-            if ((isHedge && isTried) || !admits(stats, nowUs)) {
+        double lowestCost = Double.MAX_VALUE;
+        boolean bestTried = true;
+        for (ReplicaStats stats : replicas.availableReplicas(part, nowUs)) {
+            boolean tried = part.hasTried(stats.node());
+            if ((hedged && tried) || !admits(stats, nowUs)) {
                 continue;
             }
             double cost = cost(stats, part.lookup, saving, nowUs);
             if (best == null
-                    || (isTried != isBestTried
-                            ? isBestTried
-                            : cost < leastCost || (cost == leastCost && isOlder(stats, best)))) {
+                    || (tried != bestTried
+                            ? bestTried
+                            : cost < lowestCost || (cost == lowestCost && isOlder(stats, best)))) {
                 best = stats;
-                isBestTried = isTried;
-                leastCost = cost;
+                bestTried = tried;
+                lowestCost = cost;
             }
         }
         return best;
@@ -89,23 +90,29 @@
 
     private double cost(ReplicaStats stats, Lookup lookup, double saving, long nowUs) {
         double latencyUs = health.latency().latencyUs(stats, lookup.roundUs, nowUs);
-        // An attempt that fails costs its lookup the rounds; without this, failing fast looks
-        // quick. Lookups that can spare a part are the trials by which a node finds its way back.
-        int rounds = lookup.lookupClass.completeShare < 1 ? ROUNDS_IF_SPARED : ROUNDS_IF_NEEDED;
+        // The rounds that a failed attempt costs its lookup are added, so that a node that fails
+        // fast does not look fast. They are fewer for lookups that can complete without one of
+        // their parts, so that those lookups try a failing node first and show its recovery.
+        int rounds = lookup.lookupClass.completeShare < 1
+                ? FAILURE_ROUNDS_IF_SPARABLE
+                : FAILURE_ROUNDS_IF_NEEDED;
         double failureCost =
                 health.outliers().failureShare(stats, nowUs) * (double) (rounds * lookup.roundUs);
         return (latencyUs * (stats.callsInFlight() + 1) + failureCost)
                 / slowStart.capacity(stats.node(), nowUs)
                 * (callSharing.canJoin(stats, nowUs) ? 1 - saving : 1)
-                * distance(stats.node());
+                * distanceFactor(stats.node());
     }
 
-    /** Departure: crossing zones has a price, so a near node may be a little slower. */
-    private double distance(DataNode node) {
+    /**
+     * Differs from the fastest-valid configuration: calls into another zone have a price, so that a near node
+     * is preferred even where it is a little slower.
+     */
+    private double distanceFactor(DataNode node) {
         if (node.linkRoundTripUs > 0) {
-            return OTHER_SITE;
+            return OTHER_SITE_COST_FACTOR;
         }
-        return node.zone == zone ? 1 : otherZone;
+        return node.zone == zone ? 1 : otherZoneCostFactor;
     }
 
     private static boolean isOlder(ReplicaStats one, ReplicaStats other) {
--- a/src/main/java/tinlink/decision/ReplicaStats.java
+++ b/src/main/java/tinlink/decision/ReplicaStats.java
@@ -1,19 +1,20 @@
 package tinlink.decision;
 
 /**
- * What this router has seen of one data node through its own part calls. Dropped once the endpoint list says
- * that the node is gone and no call to it is in flight. How evidence is weighed is up to
- * {@link ReplicaHealth}.
+ * What this router knows of one data node from its own attempts. The statistics are dropped once the node is
+ * gone from the endpoint list and no call to it is in flight. {@link ReplicaHealth} decides how evidence is
+ * weighted.
  */
 final class ReplicaStats {
     private static final double CONCURRENCY_SMOOTHING = 0.2;
     private static final double FAILURE_STEP = 0.35;
-    private static final int FORGOTTEN = -1;
+    /** The cell of a node that the directory has forgotten. */
+    private static final int FORGOTTEN_CELL = -1;
 
     private final DataNode node;
     private final SlowStart.Quota slowStartQuota = new SlowStart.Quota();
     private int cell;
-    private boolean isDown;
+    private boolean down;
     private double smoothedLatencyUs;
     private double usualCallsInFlight;
     private double failureShare;
@@ -21,26 +22,30 @@
     private long lastAnswerAtUs = Long.MIN_VALUE / 2;
     private long lastUsedAtUs = Long.MAX_VALUE;
     private long newestAnsweredSentAtUs = Long.MIN_VALUE;
+    /** Number of answers, decayed by their age up to {@code recentAnswersAtUs}. */
     private double recentAnswers;
+
     private long recentAnswersAtUs;
     private int callsInFlight;
-    private Attempt.SharedCall departingCall;
-    private long departingCallAtUs = Long.MIN_VALUE;
+    /** The call that was last opened, and the turn that it is sent in; null before the first call. */
+    private Attempt.SharedCall currentCall;
+
+    private long currentCallAtUs = Long.MIN_VALUE;
 
     ReplicaStats(DataNode node, int cell) {
         this.node = node;
         this.cell = cell;
     }
 
-    /** For a node that the endpoint list no longer names; what ends later is still recorded here. */
+    /** Creates statistics that are kept nowhere, for attempts that end after their node was forgotten. */
     static ReplicaStats ofForgotten(DataNode node) {
-        return new ReplicaStats(node, FORGOTTEN);
+        return new ReplicaStats(node, FORGOTTEN_CELL);
     }
 
-    /** For the same node after a restart or in another cell: only its calls in flight are taken over. */
-    static ReplicaStats afresh(DataNode node, int cell, ReplicaStats before) {
+    /** Creates statistics for a new, restarted or moved node; only the calls in flight are carried over. */
+    static ReplicaStats withoutHistory(DataNode node, int cell, ReplicaStats previous) {
         ReplicaStats fresh = new ReplicaStats(node, cell);
-        fresh.callsInFlight = before == null ? 0 : before.callsInFlight;
+        fresh.callsInFlight = previous == null ? 0 : previous.callsInFlight;
         return fresh;
     }
 
@@ -48,7 +53,7 @@
         return node;
     }
 
-    /** For {@link SlowStart}, which alone knows what is in it. */
+    /** State that {@link SlowStart} keeps for the node. */
     SlowStart.Quota slowStartQuota() {
         return slowStartQuota;
     }
@@ -62,29 +67,29 @@
     }
 
     void forget() {
-        cell = FORGOTTEN;
+        cell = FORGOTTEN_CELL;
     }
 
-    // Calls in flight; several part calls that travel as one count once.
+    // Calls in flight. Attempts that share a call count once.
 
     int callsInFlight() {
         return callsInFlight;
     }
 
-    /** Whether a call to the node departs in this turn that has room for one more part. */
+    /** Whether a call to the node is sent in this turn and has room for one more part. */
     boolean canShareCall(int maxPartsPerCall, long nowUs) {
-        return departingCallAtUs == nowUs && departingCall.size() < maxPartsPerCall;
+        return currentCallAtUs == nowUs && currentCall.size() < maxPartsPerCall;
     }
 
-    /** The call that departs in this turn, opened if there is none with room; counts one attempt into it. */
+    /** Adds an attempt to the call of this turn, or to a new call where there is none with room. */
     Attempt.SharedCall joinCall(int maxPartsPerCall, long nowUs) {
         if (!canShareCall(maxPartsPerCall, nowUs)) {
-            departingCall = new Attempt.SharedCall();
-            departingCallAtUs = nowUs;
+            currentCall = new Attempt.SharedCall();
+            currentCallAtUs = nowUs;
             callsInFlight++;
         }
-        departingCall.attemptJoined();
-        return departingCall;
+        currentCall.attemptJoined();
+        return currentCall;
     }
 
     void onAttemptEnded(Attempt.SharedCall call) {
@@ -93,7 +98,7 @@
         }
     }
 
-    /** When something was last sent to the node or came from it; {@code Long.MAX_VALUE} before that. */
+    /** When the node was last sent an attempt or answered one; {@code Long.MAX_VALUE} before that. */
     long lastUsedAtUs() {
         return lastUsedAtUs;
     }
@@ -104,22 +109,22 @@
 
     // Latency.
 
-    /** 0 until the first sample. */
+    /** Smoothed latency in microseconds; 0 until the first sample. */
     double smoothedLatencyUs() {
         return smoothedLatencyUs;
     }
 
-    /** When latency or failure was last recorded. */
+    /** When a latency or a failure was last recorded. */
     long lastEvidenceAtUs() {
         return lastEvidenceAtUs;
     }
 
-    /** How many calls were in flight, smoothed, when those were sent whose latency is known. */
+    /** Smoothed number of calls that were in flight before the attempts with a recorded latency. */
     double usualCallsInFlight() {
         return usualCallsInFlight;
     }
 
-    /** @param weight of this sample against all before it, from 0 to 1 */
+    /** @param weight of this sample, from 0 to 1; the earlier samples have the rest */
     void recordLatency(double latencyUs, double weight, int callsInFlightBefore, long nowUs) {
         usualCallsInFlight += CONCURRENCY_SMOOTHING * (callsInFlightBefore - usualCallsInFlight);
         smoothedLatencyUs = smoothedLatencyUs == 0
@@ -130,12 +135,12 @@
 
     // Answers and failures.
 
-    /** When a part was last satisfied by the node. */
+    /** When the node last answered a part. */
     long lastAnswerAtUs() {
         return lastAnswerAtUs;
     }
 
-    /** When the newest part call that the node has answered was sent. */
+    /** When the latest-sent attempt that the node has answered was sent. */
     long newestAnsweredSentAtUs() {
         return newestAnsweredSentAtUs;
     }
@@ -143,7 +148,7 @@
     void recordAnswer(long sentAtUs, EvidenceDecay decay, long nowUs) {
         lastAnswerAtUs = nowUs;
         lastUsedAtUs = nowUs;
-        isDown = false;
+        down = false;
         newestAnsweredSentAtUs = Math.max(newestAnsweredSentAtUs, sentAtUs);
         failureShare -= FAILURE_STEP * failureShare;
         recentAnswers = recentAnswers(decay, nowUs) + 1;
@@ -154,12 +159,12 @@
         return recentAnswers * decay.remaining(recentAnswersAtUs, nowUs);
     }
 
-    /** Parts that this router has had from the node of late, per microsecond. */
+    /** Parts per microsecond that the node has recently answered for this router. */
     double answerRate(EvidenceDecay decay, long nowUs) {
-        return recentAnswers(decay, nowUs) / decay.memoryUs();
+        return recentAnswers(decay, nowUs) / decay.timeConstantUs();
     }
 
-    /** Share of recent part calls that failed, smoothed; fades with the time since. */
+    /** Share of recent attempts that failed, smoothed; decays with the time since the last evidence. */
     double failureShare(EvidenceDecay decay, long nowUs) {
         return failureShare * decay.remaining(lastEvidenceAtUs, nowUs);
     }
@@ -170,10 +175,10 @@
         lastEvidenceAtUs = nowUs;
     }
 
-    /** The last connection to it failed; true where it was not down before. */
+    /** Marks the node down after a failed connection; returns true where it was not down before. */
     boolean markDown() {
-        boolean wasUp = !isDown;
-        isDown = true;
+        boolean wasUp = !down;
+        down = true;
         return wasUp;
     }
 }
--- a/src/main/java/tinlink/decision/RetryPlanner.java
+++ b/src/main/java/tinlink/decision/RetryPlanner.java
@@ -3,10 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Further attempts: one hedged attempt after a silent round, and retries of what ended without an answer. */
+/**
+ * Makes the further attempts of a lookup: one hedged attempt for each part that is unanswered after a round,
+ * and retries of parts whose attempts have ended without an answer.
+ */
 final class RetryPlanner {
-    /** A part that no node may take now is looked at again after this fraction of a round. */
-    private static final int PAUSE = 4;
+    /** A part that no data node may take now is checked again after a round divided by this. */
+    private static final int RETRY_PAUSE_DIVISOR = 4;
 
     private final RepeatGuard guard;
     private final RetryBudget budget;
@@ -28,59 +31,59 @@
     }
 
     /**
-     * Whether too few parts are satisfied, in flight or may still be sent. Where a partial answer may do,
-     * those in flight are awaited.
+     * Whether the lookup can't be completed any more, since too few parts are satisfied, are in flight or may
+     * still be sent. Where the class allows partial answers, the lookup still waits for parts in flight.
      */
-    boolean isHopeless(Lookup lookup, double satisfied, long nowUs) {
-        double possible = satisfied;
-        boolean isAnyInFlight = false;
+    boolean cannotComplete(Lookup lookup, double satisfiedWeight, long nowUs) {
+        double possibleWeight = satisfiedWeight;
+        boolean anyInFlight = false;
         for (Part part : lookup.parts) {
-            boolean isInFlight = part.attemptsInFlight > 0;
-            if (!part.isSatisfied && (isInFlight || maySend(part, nowUs))) {
-                possible += part.weight;
-                isAnyInFlight |= isInFlight;
+            boolean inFlight = part.attemptsInFlight > 0;
+            if (!part.isSatisfied && (inFlight || maySend(part, nowUs))) {
+                possibleWeight += part.weight;
+                anyInFlight |= inFlight;
             }
         }
-        boolean isPartialAwaited = isAnyInFlight && lookup.lookupClass.allowsPartialAnswers();
-        return !lookup.isComplete(possible) && !isPartialAwaited;
+        boolean partialAwaited = anyInFlight && lookup.lookupClass.allowsPartialAnswers();
+        return !lookup.isComplete(possibleWeight) && !partialAwaited;
     }
 
     private boolean maySend(Part part, long nowUs) {
-        return guard.mayAttempt(part, nowUs) && replicas.hasHolder(part, nowUs);
+        return guard.mayAttempt(part, nowUs) && replicas.hasAvailableReplica(part, nowUs);
     }
 
     /**
-     * After the silent first round: missing parts that the step still needs go once more, to another replica.
-     * The paper that the design comes from calls this the replay.
+     * Hedges as many unanswered parts after the first round as the present step still needs, each on another
+     * replica. The paper that the fastest-valid design follows calls a hedged attempt a replay.
      */
-    void hedge(Lookup lookup, double satisfied, long nowUs) {
-        double missing = lookup.neededWeight() - Lookup.WEIGHT_TOLERANCE - satisfied;
-        for (Part part : silentParts(lookup)) {
-            if (missing <= 0) {
+    void hedge(Lookup lookup, double satisfiedWeight, long nowUs) {
+        double missingWeight = lookup.neededWeight() - Lookup.WEIGHT_TOLERANCE - satisfiedWeight;
+        for (Part part : partsToHedge(lookup)) {
+            if (missingWeight <= 0) {
                 break;
             }
-            boolean isHedged = (guard.mayAttempt(part, nowUs) && budget.allowsHedge(nowUs))
+            boolean hedged = (guard.mayAttempt(part, nowUs) && budget.allowsHedge(nowUs))
                     ? dispatcher.dispatch(part, true, nowUs)
-                    : giveUpSilent(part, nowUs);
-            missing -= isHedged ? part.weight : 0;
+                    : cancelUnanswered(part, nowUs);
+            missingWeight -= hedged ? part.weight : 0;
         }
     }
 
-    /** Parts to be hedged, first those whose node has not answered anything for longest. */
-    private List<Part> silentParts(Lookup lookup) {
-        // When most nodes look bad the cause is shared, and a hedged attempt only adds to it; but a
-        // part that later ones have overtaken at its node is stuck, not slow.
-        boolean isTroubleShared = outliers.isTroubleShared();
-        List<Part> silent = new ArrayList<>();
+    /** The unanswered parts to hedge, first those whose data node has not answered for the longest time. */
+    private List<Part> partsToHedge(Lookup lookup) {
+        // Where most nodes are slow, the cause is shared, and hedged attempts would add to the
+        // load. But a part is stuck, not slow, where its node has answered a later attempt.
+        boolean slownessWidespread = outliers.isSlownessWidespread();
+        List<Part> unanswered = new ArrayList<>();
         for (Part part : lookup.parts) {
-            if (part.isAwaited() && (!isTroubleShared || isOvertaken(part))) {
-                silent.add(part);
+            if (part.isAwaited() && (!slownessWidespread || isOvertaken(part))) {
+                unanswered.add(part);
             }
         }
-        silent.sort((one, other) -> Long.compare(
+        unanswered.sort((one, other) -> Long.compare(
                 replicas.lastStats(one).lastAnswerAtUs(),
                 replicas.lastStats(other).lastAnswerAtUs()));
-        return silent;
+        return unanswered;
     }
 
     private boolean isOvertaken(Part part) {
@@ -88,56 +91,63 @@
     }
 
     /**
-     * Departure: where a part may not be in flight twice, a node that has answered nothing since loses the
-     * part. The hedge is paid now, and is sent once the cancel is confirmed.
+     * Differs from the fastest-valid configuration: where a part may not be in flight twice, the part's
+     * attempt is cancelled if its data node has answered nothing since the part was first sent. The hedge is
+     * charged to the budget now, and the next attempt is sent once the cancel is confirmed.
      */
-    private boolean giveUpSilent(Part part, long nowUs) {
-        if (!guard.mayGiveUpSilent(part)
+    private boolean cancelUnanswered(Part part, long nowUs) {
+        if (!guard.mayCancelUnanswered(part)
                 || replicas.lastStats(part).lastAnswerAtUs() >= part.attempts.get(0).sentAtUs
                 || !budget.allowsHedge(nowUs)) {
             return false;
         }
         budget.spendHedge(nowUs);
-        part.isHedgePaid = true;
+        part.hedgePaid = true;
         dispatcher.cancelInFlight(part);
         return true;
     }
 
-    /** Sends parts that were never sent, or whose attempts all ended without an answer. */
-    void retry(Lookup lookup, double satisfied, long nowUs) {
-        double expected = satisfied + lookup.awaitedWeight();
+    /** Sends parts that have no attempt yet, or whose attempts have all ended without an answer. */
+    void retry(Lookup lookup, double satisfiedWeight, long nowUs) {
+        double expectedWeight = satisfiedWeight + lookup.awaitedWeight();
         for (Part part : lookup.parts) {
             if (part.isSatisfied
                     || part.attemptsInFlight > 0
-                    || waitsForSign(part, satisfied, expected)
+                    || waitsForOtherParts(part, satisfiedWeight, expectedWeight)
                     || !guard.mayAttempt(part, nowUs)
-                    || lookup.isComplete(expected)) {
+                    || lookup.isComplete(expectedWeight)) {
                 continue;
             }
             if (nowUs >= part.notBeforeUs
-                    && isPaid(part, nowUs)
+                    && isWithinBudget(part, nowUs)
                     && dispatcher.dispatch(part, false, nowUs)) {
-                expected += part.weight;
-                part.isHedgePaid = false;
+                expectedWeight += part.weight;
+                part.hedgePaid = false;
             } else {
-                // No node may take it now: look again within the round, not on every input.
-                part.notBeforeUs = Math.max(part.notBeforeUs, nowUs + lookup.roundUs / PAUSE);
+                // No data node may take the part now, or the budget is used up. The part is checked
+                // again within the round, and not on every input.
+                part.notBeforeUs =
+                        Math.max(part.notBeforeUs, nowUs + lookup.roundUs / RETRY_PAUSE_DIVISOR);
                 lookup.checkBy(part.notBeforeUs);
             }
         }
     }
 
-    /** What has lost its node waits for a sign that the lookup is not what brought it down. */
-    private static boolean waitsForSign(Part part, double satisfied, double expected) {
+    /**
+     * Whether the part waits until another part shows that the lookup does not crash data nodes: an unsent
+     * part for the canary, and a part that has lost its connection for the first part to be satisfied.
+     */
+    private static boolean waitsForOtherParts(
+            Part part, double satisfiedWeight, double expectedWeight) {
         if (part.attempts.isEmpty()) {
-            return part.lookup.awaitsCanary;
+            return part.lookup.awaitingCanary;
         }
-        return satisfied == 0
-                && expected > 0
+        return satisfiedWeight == 0
+                && expectedWeight > 0
                 && part.lastAttempt().outcome == Outcome.CONNECTION_LOST;
     }
 
-    private boolean isPaid(Part part, long nowUs) {
-        return part.attempts.isEmpty() || part.isHedgePaid || budget.allowsRetry(nowUs);
+    private boolean isWithinBudget(Part part, long nowUs) {
+        return part.attempts.isEmpty() || part.hedgePaid || budget.allowsRetry(nowUs);
     }
 }
