--- a/src/main/java/tinlink/decision/CallSharing.java
+++ b/src/main/java/tinlink/decision/CallSharing.java
@@ -1,15 +1,16 @@
 package tinlink.decision;
 
 /**
- * Parts that depart to one node in one turn may travel as one call, which saves the node part of its work.
+ * Lets parts that are sent to the same data node in the same turn share one call, which saves the node the
+ * fixed cost of the other calls.
  */
 public final class CallSharing {
-    private static final double LARGEST_SAVING = 0.9;
+    private static final double MAX_SAVING = 0.9;
 
     private final int maxPartsPerCall;
     private final long callUs;
 
-    /** @param callUs work that a call costs its node, however many parts travel by it */
+    /** @param callUs the data node's work for each call, however many parts are in it */
     public CallSharing(int maxPartsPerCall, long callUs) {
         this.maxPartsPerCall = Math.max(1, maxPartsPerCall);
         this.callUs = callUs;
@@ -23,8 +24,8 @@
         return stats.canShareCall(maxPartsPerCall, nowUs);
     }
 
-    /** Which share of the usual latency a part saves that shares a call. */
+    /** The share of the average latency that a part saves by joining a call. */
     double saving(double averageLatencyUs) {
-        return Math.min(LARGEST_SAVING, callUs / Math.max(1, averageLatencyUs));
+        return Math.min(MAX_SAVING, callUs / Math.max(1, averageLatencyUs));
     }
 }
--- a/src/main/java/tinlink/decision/DataNode.java
+++ b/src/main/java/tinlink/decision/DataNode.java
@@ -1,36 +1,36 @@
 package tinlink.decision;
 
-/** A data node as the endpoint list last showed it. Fields only; the host writes them. */
+/** A data node as the endpoint list last described it. The host writes the fields. */
 public final class DataNode {
-    /** What the endpoint list says of it. */
+    /** State of the data node in the endpoint list. */
     public enum State {
-        /** It takes parts. */
+        /** Takes parts. */
         READY,
-        /** It finishes what it has, and takes nothing new. */
+        /** Finishes the parts it has, and takes no new ones. */
         DRAINING,
-        /** The list no longer names it. */
+        /** No longer in the endpoint list. */
         GONE
     }
 
-    /** The same at every router. */
+    /** Identifies the data node; the same at every router. */
     public final long nodeId;
 
-    /** As the list last said. */
+    /** State in the latest endpoint list. */
     public State state = State.READY;
-    /** Numbered by the host; calls into another zone may have a price. */
+    /** Number of the zone, assigned by the host; calls into another zone may have a price. */
     public int zone;
-    /** Numbered by the host; nodes of one kind have like capacity. */
+    /** Number of the node's kind, assigned by the host; nodes of one kind have similar capacity. */
     public int kind;
-    /** Which shards it holds: those that fall on this cell, as {@link ReplicaDirectory} counts them. */
+    /** The cell that the node is in; {@link ReplicaDirectory} maps shards to cells. */
     public int cell;
-    /** The list's hint of its capacity; no decision rests on it. */
+    /** Capacity hint from the endpoint list; no decision uses it. */
     public double size = 1;
-    /** Time of its last start in microseconds; {@code Long.MIN_VALUE} when that is long ago. */
+    /** When the node last started, in microseconds; {@code Long.MIN_VALUE} when that is long ago. */
     public long startedAtUs = Long.MIN_VALUE;
-    /** Microseconds there and back over the link to another site; 0 for a node at this one. */
+    /** Round trip of the link to the node's site, in microseconds; 0 for a node at this site. */
     public long linkRoundTripUs;
 
-    /** A node that is ready, warm, and at this site. */
+    /** Creates a data node of this site that is ready and warm. */
     public DataNode(long nodeId) {
         this.nodeId = nodeId;
     }
--- a/src/main/java/tinlink/decision/DecisionHandler.java
+++ b/src/main/java/tinlink/decision/DecisionHandler.java
@@ -1,39 +1,41 @@
 package tinlink.decision;
 
 /**
- * Carries decisions out. Called from within {@link QueryCoordinator#decide}, which must not be called back
- * from here; inputs that result are given to the coordinator after it has returned.
+ * Carries out decisions. {@link QueryCoordinator#decide} calls the handler, which must not call back into the
+ * coordinator; the host passes any resulting inputs after {@code decide} has returned.
  */
 public interface DecisionHandler {
-    /** Sends the attempt's part to its node; after {@code limitUs} from now it ends as NO_ANSWER. */
+    /** Sends the attempt's part to its data node; the attempt ends as NO_ANSWER after {@code limitUs}. */
     void send(Attempt attempt, long limitUs);
 
-    /** Gives the attempt up; its outcome follows as for any other. */
+    /** Cancels the attempt; its outcome follows as for any other attempt. */
     void cancel(Attempt attempt);
 
-    /** Closes the idle connections to the node; the next send opens a new one. */
+    /** Closes the idle connections to the data node; the next attempt opens a new one. */
     void closeIdleConnections(DataNode node);
 
     /**
-     * Answers the client with the parts that are satisfied. Final, or the end of the first step where the
-     * class has a second: then {@link Lookup#isEnded} is false, and the parts of the second step are to
-     * follow.
+     * Answers the client with the parts that are satisfied. The answer is final where
+     * {@link Lookup#isEnded} is true. Otherwise it ends the first of two steps, and the host passes in the
+     * parts of the second step next.
+     *
+     * @param complete false for a partial answer
      */
-    void answer(Lookup lookup, boolean isComplete);
+    void answer(Lookup lookup, boolean complete);
 
     /**
-     * Final: rejected, and a retry does no harm.
+     * Rejects the lookup, which ends it; a retry by the client is harmless.
      *
-     * @param retryAfterUs when the client should retry; 0 gives no advice
+     * @param retryAfterUs the Retry-After for the client, in microseconds; 0 for none
      */
     void reject(Lookup lookup, long retryAfterUs);
 
-    /** Final: given up; the lookup may have had its effect. */
+    /** Aborts the lookup, which ends it; the lookup may have had its effect. */
     void abort(Lookup lookup);
 
-    /** Asks for {@link QueryCoordinator#onTimer} at that time of the clock. */
+    /** Requests a call of {@link QueryCoordinator#onTimer} at the given time of the clock. */
     void wakeAt(long atUs);
 
-    /** Asks discovery for the endpoint list, and for all that changes from then on. */
+    /** Asks discovery for the endpoint list and for all later changes to it. */
     void subscribeToEndpointList();
 }
--- a/src/main/java/tinlink/decision/EndpointListPoller.java
+++ b/src/main/java/tinlink/decision/EndpointListPoller.java
@@ -2,48 +2,48 @@
 
 import java.util.SplittableRandom;
 
-/** Keeps the subscription to the endpoint list open where the list must be asked for. */
+/** Schedules subscriptions to the endpoint list where the router has to ask for the list. */
 public final class EndpointListPoller {
     private static final long NEVER = Long.MAX_VALUE;
-    /**
-     * The first poll and the least backoff, as a fraction of the time within which the list must be asked.
-     */
-    private static final int FIRST = 16;
+    /** The first poll's latest time and the shortest backoff are the poll limit divided by this. */
+    private static final int MIN_BACKOFF_DIVISOR = 16;
 
-    private static final int LONGEST = 2;
+    private static final int MAX_BACKOFF_DIVISOR = 2;
 
     private final SplittableRandom random;
-    private final boolean polls;
+    private final boolean polling;
     private final long maxPollUs;
     private long nextPollAtUs = NEVER;
     private long backoffUs;
 
     /**
-     * @param seed of the times to wait
-     * @param polls false where the list is pushed: then nothing is asked for
-     * @param maxPollUs within which the list must have been asked
+     * @param seed of the random delays
+     * @param polling false where the list is pushed, and the router never asks for it
+     * @param maxPollUs time within which the router must have asked for the list
      */
-    public EndpointListPoller(long seed, boolean polls, long maxPollUs) {
+    public EndpointListPoller(long seed, boolean polling, long maxPollUs) {
         random = new SplittableRandom(seed);
-        this.polls = polls;
+        this.polling = polling;
         this.maxPollUs = maxPollUs;
-        backoffUs = maxPollUs / FIRST;
+        backoffUs = maxPollUs / MIN_BACKOFF_DIVISOR;
     }
 
     /**
-     * Guards against many routers that restart together and overrun the list: each waits a time of its own.
+     * Schedules the next poll. Each router waits for a random time, so that many routers that restart
+     * together don't overload discovery.
      */
     void onUpdate(QueryCoordinator.EndpointListUpdate update, long nowUs) {
-        if (!polls) {
+        if (!polling) {
             return;
         }
+        long minBackoffUs = maxPollUs / MIN_BACKOFF_DIVISOR;
         switch (update) {
-            case CACHED -> nextPollAtUs = nowUs + random.nextLong(Math.max(1, maxPollUs / FIRST));
+            case CACHED -> nextPollAtUs = nowUs + random.nextLong(Math.max(1, minBackoffUs));
             case FAILED -> {
                 nextPollAtUs = nowUs + backoffUs / 2 + random.nextLong(Math.max(1, backoffUs));
-                backoffUs = Math.min(maxPollUs / LONGEST, 2 * backoffUs);
+                backoffUs = Math.min(maxPollUs / MAX_BACKOFF_DIVISOR, 2 * backoffUs);
             }
-            case CHANGES, FULL -> backoffUs = maxPollUs / FIRST;
+            case CHANGES, FULL -> backoffUs = minBackoffUs;
         }
     }
 
@@ -52,10 +52,10 @@
         return nextPollAtUs;
     }
 
-    /** Whether a poll is due; it then counts as made. */
+    /** Returns whether a poll is due, and counts it as made. */
     boolean takeDuePoll(long nowUs) {
-        boolean isDue = nowUs >= nextPollAtUs;
-        nextPollAtUs = isDue ? NEVER : nextPollAtUs;
-        return isDue;
+        boolean due = nowUs >= nextPollAtUs;
+        nextPollAtUs = due ? NEVER : nextPollAtUs;
+        return due;
     }
 }
--- a/src/main/java/tinlink/decision/LatencyEstimator.java
+++ b/src/main/java/tinlink/decision/LatencyEstimator.java
@@ -1,13 +1,13 @@
 package tinlink.decision;
 
-/** What a part call to each data node takes, smoothed, and the average of all nodes that were heard of. */
+/** Estimates the latency of attempts at each data node, and its average over all nodes with samples. */
 final class LatencyEstimator {
-    /** Smoothing weight of the companion: the one figure that the design leaves open. */
-    private static final double SMOOTHING = 0.2;
+    /** Least weight of a new sample; the companion of {@code docs/design.md} leaves the value open. */
+    private static final double MIN_SAMPLE_WEIGHT = 0.2;
 
     private final EvidenceDecay decay;
     private final long usualRoundUs;
-    /** The smoothed latencies of all nodes heard of, kept up as samples come. */
+    /** Sum of the smoothed latencies of all nodes with samples; updated with each sample. */
     private double sumUs;
 
     private int sampledNodes;
@@ -17,40 +17,44 @@
         this.usualRoundUs = usualRoundUs;
     }
 
-    /** @param latencyUs below 0 where the router can't tell: nothing is recorded */
+    /** @param latencyUs negative where it is unknown, and nothing is recorded */
     void record(ReplicaStats stats, Attempt attempt, double latencyUs, long nowUs) {
         if (latencyUs < 0) {
             return;
         }
-        double before = stats.smoothedLatencyUs();
+        double previousUs = stats.smoothedLatencyUs();
         double weight = sampleWeight(stats, nowUs);
         stats.recordLatency(latencyUs, weight, attempt.callsInFlightBefore, nowUs);
         if (!stats.isForgotten()) {
-            sampledNodes += before == 0 ? 1 : 0;
-            sumUs += stats.smoothedLatencyUs() - before;
+            sampledNodes += previousUs == 0 ? 1 : 0;
+            sumUs += stats.smoothedLatencyUs() - previousUs;
         }
     }
 
     /**
-     * A router of many hears of a node once in a second, and by the smoothing weight alone its estimate would
-     * move only after the node is full. So a sample that comes a round after the last one counts for many.
+     * The weight of a new sample, which grows with the time since the last evidence. A router in a large
+     * fleet may get one sample a second from a data node; at a constant weight, its estimate would rise only
+     * after the node is full. So a sample that comes a round after the last evidence counts for several.
      */
     private double sampleWeight(ReplicaStats stats, long nowUs) {
         long sinceUs = nowUs - stats.lastEvidenceAtUs();
-        return Math.max(SMOOTHING, 1 - Math.exp(-(double) sinceUs / usualRoundUs));
+        return Math.max(MIN_SAMPLE_WEIGHT, 1 - Math.exp(-(double) sinceUs / usualRoundUs));
     }
 
-    /** A node without samples counts as average; estimates fade to the average with their age. */
+    /**
+     * The estimated latency of a data node. The estimate decays to the average of all nodes with its age; a
+     * node without samples has the average.
+     */
     double latencyUs(ReplicaStats stats, long roundUs, long nowUs) {
-        double average = averageUs(roundUs);
+        double averageUs = averageUs(roundUs);
         return stats.smoothedLatencyUs() == 0
-                ? average
-                : average
-                        + (stats.smoothedLatencyUs() - average)
+                ? averageUs
+                : averageUs
+                        + (stats.smoothedLatencyUs() - averageUs)
                                 * decay.remaining(stats.lastEvidenceAtUs(), nowUs);
     }
 
-    /** @param roundUs what counts before the first sample of any node */
+    /** @param roundUs the average before the first sample of any node */
     double averageUs(long roundUs) {
         return sampledNodes == 0 ? roundUs : sumUs / sampledNodes;
     }
@@ -59,7 +63,7 @@
         return averageUs(usualRoundUs);
     }
 
-    /** The node no longer counts into the average. */
+    /** Removes a data node from the average. */
     void forget(ReplicaStats stats) {
         sampledNodes -= stats.smoothedLatencyUs() > 0 ? 1 : 0;
         sumUs = sampledNodes == 0 ? 0 : sumUs - stats.smoothedLatencyUs();
--- a/src/main/java/tinlink/decision/LookupClass.java
+++ b/src/main/java/tinlink/decision/LookupClass.java
@@ -1,37 +1,40 @@
 package tinlink.decision;
 
-/** What is agreed for one class of lookups. Times are microseconds. */
+/** Objectives and limits of one class of lookups. Times are microseconds. */
 public final class LookupClass {
-    /** What a repeated attempt at a part does. */
+    /** The effect of a repeated attempt at a part. */
     public enum Idempotency {
-        /** Nothing beyond what the first did. */
+        /** A repeat has no further effect. */
         IDEMPOTENT,
-        /** Nothing while the data node remembers its idempotency key. */
+        /** A repeat has no further effect while the data node remembers the idempotency key. */
         BY_KEY,
-        /** It has its effect again. */
+        /** A repeat has its effect again. */
         ONCE_ONLY
     }
 
-    /** What a repeat does. */
+    /** The effect of a repeated attempt at a part. */
     public Idempotency idempotency = Idempotency.IDEMPOTENT;
-    /** An answer later than this after the arrival is late. */
+    /** An answer that takes longer than this from the lookup's arrival is late. */
     public long latencyObjectiveUs;
-    /** The longest that a client waits. */
+    /** The longest time that a client waits. */
     public long deadlineUs;
-    /** By key only: how long repeats are dropped, from the first attempt that may have run. */
+    /**
+     * How long data nodes remember an idempotency key, from the first attempt that may have run; used with
+     * BY_KEY only.
+     */
     public long deduplicationWindowUs;
 
-    /** What a complete answer in time is worth, against the other classes. */
+    /** Value of a complete answer in time, relative to the other classes. */
     public double priorityWeight = 1;
-    /** What a late answer is worth; 0 for nothing. */
+    /** Value of a late answer; 0 where a late answer has none. */
     public double lateAnswerWeight;
-    /** Share of the parts' weight that makes a complete answer. */
+    /** Share of the parts' weight that makes an answer complete. */
     public double completeShare = 1;
-    /** The least share for any answer, which is then a partial one. */
+    /** Least share of the parts' weight for a partial answer. */
     public double minimumShare = 1;
-    /** What a partial answer in time is worth. */
+    /** Value of a partial answer in time. */
     public double partialAnswerWeight;
-    /** Parts of a second step at most; 0 for one step only. */
+    /** Greatest number of parts in the second step; 0 where the class has one step only. */
     public int secondStepParts;
 
     boolean allowsPartialAnswers() {
--- a/src/main/java/tinlink/decision/Outcome.java
+++ b/src/main/java/tinlink/decision/Outcome.java
@@ -2,24 +2,24 @@
 
 /** How an attempt or a health check ended. */
 public enum Outcome {
-    /** The part was answered. */
+    /** The data node answered the part. */
     SATISFIED(false),
-    /** The data node failed at it. */
+    /** The data node failed at the part. */
     ERROR(false),
-    /** The data node had no capacity for it. */
+    /** The data node had no capacity for the part. */
     REJECTED(true),
-    /** Nothing came within the limit of the attempt. */
+    /** No answer came within the attempt's time limit. */
     NO_ANSWER(false),
-    /** No connection came up. */
+    /** No connection could be opened. */
     NO_CONNECTION(true),
-    /** The connection was lost with the attempt on it. */
+    /** The connection was lost while the attempt was in flight on it. */
     CONNECTION_LOST(false),
-    /** It was given up; it may have run. */
+    /** The attempt was cancelled; the part may have run. */
     CANCELLED(false),
-    /** It was given up before it left. */
+    /** The attempt was cancelled before it was sent. */
     NOT_SENT(true);
 
-    /** Proof that the part did not run by this attempt and will not. */
+    /** Whether it is certain that the attempt has not run the part, and will not. */
     public final boolean neverRan;
 
     Outcome(boolean neverRan) {
--- a/src/main/java/tinlink/decision/QueryCoordinator.java
+++ b/src/main/java/tinlink/decision/QueryCoordinator.java
@@ -1,62 +1,63 @@
 package tinlink.decision;
 
 /**
- * What a query router asks of its decision module, whatever protocol stands before it.
+ * The interface between a query router and its decision module, independent of the router's protocols.
  *
- * <p>One instance serves one router, on one thread, and shares nothing with others. Inputs (the methods named
- * {@code on...}) only update what is known. After a turn's inputs the host calls {@link #decide} until it
- * returns false; each call makes at most one decision, which leaves through {@link DecisionHandler}. Times
- * are microseconds of one clock that only goes forward.
+ * <p>One instance serves one router on one thread, and shares no state with other instances. Inputs (the
+ * methods named {@code on...}) only update the state. After the inputs of a turn, the host calls
+ * {@link #decide} until it returns false; each call makes at most one decision and passes it to the
+ * {@link DecisionHandler}. Times are microseconds of one monotonic clock.
  */
 public interface QueryCoordinator {
-    /** How an update of the endpoint list relates to what was known. */
+    /** How an update of the endpoint list relates to the list known before. */
     enum EndpointListUpdate {
         /** Some entries have changed. */
         CHANGES,
-        /** The whole list, from discovery itself. */
+        /** The whole list, from discovery. */
         FULL,
-        /** The whole list as it was known before; discovery was not asked. */
+        /** The whole list as the router has cached it, without a request to discovery. */
         CACHED,
-        /** Discovery was asked and has not answered, or the watch has ended. */
+        /** Discovery did not answer a request, or the subscription has ended. */
         FAILED
     }
 
-    /** The time of the inputs that follow. */
+    /** Sets the time of the inputs that follow. */
     void advanceClock(long nowUs);
 
-    /** A lookup has arrived; its parts follow, as a rule in the same turn. */
+    /** A lookup has arrived. Its parts follow, usually in the same turn. */
     void onLookup(Lookup lookup);
 
-    /** A part of a lookup in flight. */
+    /** A part of a lookup in flight has arrived. */
     void onPart(Part part);
 
     /**
-     * An attempt is over.
+     * An attempt has ended.
      *
-     * @param tookUs from its sending; below 0 where the router can't tell
-     * @param reportedLatencyUs as the data node reported it; below 0 where it did not
+     * @param tookUs time since the attempt was sent; negative where it is unknown
+     * @param reportedLatencyUs latency that the data node reported; negative where it reported none
      */
     void onOutcome(Attempt attempt, Outcome outcome, long tookUs, long reportedLatencyUs);
 
     /**
-     * An entry of the update that the next {@link #onEndpointListUpdate} closes; its fields are up to date.
+     * An entry of the endpoint list has changed; the node's fields are up to date. The update is complete
+     * with the next call of {@link #onEndpointListUpdate}.
      *
-     * @param restarted the node's process has started anew since it was last listed
+     * @param restarted whether the node's process has restarted since its last entry
      */
     void onEndpoint(DataNode node, boolean restarted);
 
-    /** All entries of an update have been told. */
+    /** All entries of an endpoint list update have been passed in. */
     void onEndpointListUpdate(EndpointListUpdate update);
 
-    /** A health check of a data node has ended; figures as with {@link #onOutcome}. */
+    /** A health check of a data node has ended; the times are those of {@link #onOutcome}. */
     void onHealthCheck(DataNode node, Outcome outcome, long tookUs, long reportedLatencyUs);
 
-    /** The time that was asked for by {@link DecisionHandler#wakeAt} has come. */
+    /** The time given to {@link DecisionHandler#wakeAt} has come. */
     void onTimer();
 
-    /** The client has left; the lookup and its parts are over. */
+    /** The client has left, which ends the lookup and its parts. */
     void onClientGone(Lookup lookup);
 
-    /** Makes at most one decision; false when there is none left in this turn. */
+    /** Makes at most one decision; returns false when the turn has no more. */
     boolean decide(DecisionHandler handler);
 }
--- a/src/main/java/tinlink/decision/RetryBudget.java
+++ b/src/main/java/tinlink/decision/RetryBudget.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Bounds further attempts: hedged ones under a tenth of parts, retries under a fifth, and both together
- * within the stated budget.
+ * Limits further attempts: hedged attempts to a tenth of the parts, retries to a fifth, and both together to
+ * the configured budget.
  */
 public final class RetryBudget {
     private static final double HEDGES_PER_PART = 0.1;
@@ -13,40 +13,45 @@
     private final long windowUs;
     private final double freeAttempts;
     private final double attemptsPerArrival;
-    private final double cap;
-    private double hedges;
-    private double retries;
-    /** When lookups and parts arrived, and further attempts left; emptied as the window passes. */
+    private final double maxTokens;
+    private double hedgeTokens;
+    private double retryTokens;
+    /** Times at which lookups and parts arrived within the window; empty where no budget is configured. */
     private final ArrayDeque<Long> arrivals = new ArrayDeque<>();
 
+    /** Times of the further attempts within the window; empty where no budget is configured. */
     private final ArrayDeque<Long> furtherAttempts = new ArrayDeque<>();
 
     /**
-     * @param windowUs over which the stated budget counts; 0 where none is stated
-     * @param freeAttempts further attempts that are allowed in any window
-     * @param attemptsPerArrival further attempts that each lookup and each part allows besides
-     * @param openCap lookups and parts in flight at most
+     * @param windowUs window of the configured budget, in microseconds; 0 where none is configured
+     * @param freeAttempts further attempts that any window allows
+     * @param attemptsPerArrival further attempts that each lookup and each part in the window adds
+     * @param maxInFlight greatest number of lookups and parts in flight
      */
-    public RetryBudget(long windowUs, double freeAttempts, double attemptsPerArrival, int openCap) {
+    public RetryBudget(
+            long windowUs, double freeAttempts, double attemptsPerArrival, int maxInFlight) {
         this.windowUs = windowUs;
         this.freeAttempts = freeAttempts;
         this.attemptsPerArrival = attemptsPerArrival;
-        cap = openCap;
-        retries = RETRIES_PER_PART * cap / 2;
+        maxTokens = maxInFlight;
+        retryTokens = RETRIES_PER_PART * maxTokens / 2;
     }
 
-    /** What another site forwards is counted there; counted twice it would be over the budget. */
+    /**
+     * Counts a lookup. A forwarded lookup counts at the site that it comes from; counted here as well, it
+     * would allow more further attempts than the budget.
+     */
     void onLookup(Lookup lookup, long nowUs) {
         if (!lookup.isForwarded) {
             recordArrival(nowUs);
         }
     }
 
-    /** Of a lookup that another site has forwarded nothing counts here, as above. */
+    /** Counts a part of the lookup; as above, the part of a forwarded lookup does not count here. */
     void onPart(Lookup lookup, long nowUs) {
         if (!lookup.isForwarded) {
-            hedges = Math.min(cap, hedges + HEDGES_PER_PART);
-            retries = Math.min(cap, retries + RETRIES_PER_PART);
+            hedgeTokens = Math.min(maxTokens, hedgeTokens + HEDGES_PER_PART);
+            retryTokens = Math.min(maxTokens, retryTokens + RETRIES_PER_PART);
             recordArrival(nowUs);
         }
     }
@@ -58,15 +63,18 @@
     }
 
     boolean allowsHedge(long nowUs) {
-        return withinStatedBudget(nowUs) && hedges >= 1;
+        return isWithinConfiguredBudget(nowUs) && hedgeTokens >= 1;
     }
 
     boolean allowsRetry(long nowUs) {
-        return withinStatedBudget(nowUs) && retries >= 1;
+        return isWithinConfiguredBudget(nowUs) && retryTokens >= 1;
     }
 
-    /** The stated budget holds in any window: what has arrived by now may soon leave it. */
-    private boolean withinStatedBudget(long nowUs) {
+    /**
+     * Whether one more attempt keeps the configured budget, which must hold in any window. So an arrival at
+     * the very start of the window, which is about to leave it, no longer counts, and a further attempt does.
+     */
+    private boolean isWithinConfiguredBudget(long nowUs) {
         while (!arrivals.isEmpty() && arrivals.peek() <= nowUs - windowUs) {
             arrivals.poll();
         }
@@ -79,12 +87,12 @@
     }
 
     void spendHedge(long nowUs) {
-        hedges -= 1;
+        hedgeTokens -= 1;
         recordFurtherAttempt(nowUs);
     }
 
     void spendRetry(long nowUs) {
-        retries -= 1;
+        retryTokens -= 1;
         recordFurtherAttempt(nowUs);
     }
 
--- a/src/main/java/tinlink/decision/SlowStart.java
+++ b/src/main/java/tinlink/decision/SlowStart.java
@@ -4,22 +4,27 @@
 import java.util.SplittableRandom;
 
 /**
- * Holds back what goes to data nodes that are warming up. Guards against a node that has just started, is
- * sent more than it can do, falls over and stays down.
+ * Limits the attempts at data nodes that are warming up. Without a limit, a node that has just started may
+ * get more than it can handle, crash, and stay down.
  *
- * <p>Times in microseconds. A <em>window</em> is the time within which too much brings a cold node down.
+ * <p>Times are microseconds. A <em>window</em> is the span of time over which attempts count towards the
+ * limit: too many of them within one window bring a cold node down.
  */
 public final class SlowStart {
-    /** Like nodes do what they are asked, which is less than they could. */
-    private static final double HEADROOM = 1.2;
-    /** Keeps costs finite for a node that can do nothing yet. */
-    private static final double LEAST_CAPACITY = 0.01;
+    /** The rate of warm nodes shows how much they were asked to do, which is less than they could do. */
+    private static final double HEADROOM_FACTOR = 1.2;
+    /** Keeps the cost of a data node finite while it has no capacity yet. */
+    private static final double MIN_CAPACITY = 0.01;
 
-    /** What this router has sent to one node that warms up, and may still send within the present window. */
+    /** The attempts that this router has made at one warming node, and the figures of its limit. */
     static final class Quota {
+        /** Times of the attempts within the last window; emptied once the node is warm. */
         private final ArrayDeque<Long> sentAtUs = new ArrayDeque<>();
+        /** Number of the present window, counted from the node's start; -1 before the first one. */
         private long window = -1;
-        private double chance;
+        /** Random number from 0 to 1, by which a fractional limit is rounded in the present window. */
+        private double draw;
+        /** Parts per microsecond of a warm node, as of the start of the present window. */
         private double warmRate;
     }
 
@@ -32,12 +37,12 @@
     private final SplittableRandom random;
 
     /**
-     * @param seed of the chances by which routers share parts of a call
-     * @param routers that send to the same nodes, as the settings say
-     * @param startCapacity share of its capacity that a node has as it starts
+     * @param seed of the random numbers by which fractional limits are rounded
+     * @param routers configured number of routers that send to the same nodes
+     * @param startCapacity share of its full capacity that a node has when it starts
      * @param warmUpUs time from a node's start to its full capacity
-     * @param windowMultiple of its present capacity that a node stands within one window
-     * @param windowUs 0 where no rule is stated: all nodes count as warm
+     * @param windowMultiple multiple of its present capacity that a node can take within one window
+     * @param windowUs length of a window; 0 where none is configured, and all nodes count as warm
      */
     public SlowStart(
             long seed,
@@ -56,7 +61,7 @@
         this.health = health;
     }
 
-    /** The least share of its capacity that the node can have now; 1 once it is warm. */
+    /** The share of its full capacity that the node has at least now; 1 once the node is warm. */
     double capacity(DataNode node, long nowUs) {
         if (node.startedAtUs == Long.MIN_VALUE
                 || windowUs <= 0
@@ -64,14 +69,14 @@
             return 1;
         }
         double warmed = Math.max(0, (double) (nowUs - node.startedAtUs) / warmUpUs);
-        return Math.max(LEAST_CAPACITY, startCapacity + (1 - startCapacity) * warmed);
+        return Math.max(MIN_CAPACITY, startCapacity + (1 - startCapacity) * warmed);
     }
 
     /**
-     * Whether this router's quota of what may be sent within a window has room for one more call.
+     * Whether this router may make one more attempt at the node within the present window.
      *
-     * <p>One call from each router adds up over many routers. Where the quota is no whole call, chance from
-     * the seed says within which windows, counted from the node's start, this router may make one.
+     * <p>If each router rounded its limit up to one attempt, the attempts of all routers would add up to too
+     * many. So a fractional limit is rounded at random, anew for each window since the node's start.
      */
     boolean admits(ReplicaStats stats, Iterable<ReplicaStats> all, long nowUs) {
         Quota quota = stats.slowStartQuota();
@@ -86,22 +91,23 @@
         long window = (nowUs - stats.node().startedAtUs) / windowUs;
         if (quota.window != window) {
             quota.window = window;
-            quota.chance = random.nextDouble();
+            quota.draw = random.nextDouble();
             quota.warmRate = warmRate(stats.node().kind, all, nowUs);
         }
-        double usual = windowUs * quota.warmRate;
-        double allowed = HEADROOM * windowMultiple * capacity * usual;
-        // A chance counts for those windows alone in which a part comes up for it.
-        allowed = allowed < 1 ? Math.min(1, allowed / -Math.expm1(-usual)) : allowed;
-        return quota.sentAtUs.size() + quota.chance < allowed;
+        double usualParts = windowUs * quota.warmRate;
+        double limit = HEADROOM_FACTOR * windowMultiple * capacity * usualParts;
+        // Only windows in which a part comes up for the node can use a fractional limit, so the
+        // limit is divided by the share of such windows.
+        limit = limit < 1 ? Math.min(1, limit / -Math.expm1(-usualParts)) : limit;
+        return quota.sentAtUs.size() + quota.draw < limit;
     }
 
     /**
-     * Parts a microsecond that this router may count on a warm node of the kind to do for it.
+     * Parts per microsecond that a warm node of the kind answers for this router.
      *
-     * <p>Where each router takes a share of a node by their stated number, and there are more of them, the
-     * sum is too much; by what nodes do for each, the sum is what they do. A router that knows nothing goes
-     * by the number.
+     * <p>The rates of all routers add up to what the nodes really answer. Shares by the configured number of
+     * routers would add up to too much where there are more routers than configured; a router without answers
+     * from such nodes still uses that number.
      */
     private double warmRate(int kind, Iterable<ReplicaStats> all, long nowUs) {
         double rate = 0;
--- a/src/main/java/tinlink/decision/package-info.java
+++ b/src/main/java/tinlink/decision/package-info.java
@@ -1,13 +1,12 @@
 /**
- * The decision module: every decision, table and tuned value of a query router. Free of input and output:
- * time and chance come from outside, inputs only update what is known, and decisions are pulled.
+ * The decision module of a query router, with all of its decisions and their constants. The module does no
+ * input or output: the host passes in the time, random seeds and inputs, and pulls the decisions.
  *
- * <p>Callers use {@link tinlink.decision.QueryCoordinator} and carry out what
- * {@link tinlink.decision.DecisionHandler} asks for. A reader begins with
- * {@link tinlink.decision.FastestValidCoordinator}, the life cycle of a lookup, and goes on with
- * {@link tinlink.decision.RetryPlanner} and {@link tinlink.decision.AttemptDispatcher}, which make its
- * attempts; {@link tinlink.decision.ReplicaSelector} says where they go, and
- * {@link tinlink.decision.ReplicaHealth} what is known of the data nodes. {@code docs/design.md} gives the
- * reasons.
+ * <p>Hosts call {@link tinlink.decision.QueryCoordinator} and implement
+ * {@link tinlink.decision.DecisionHandler}, which carries out the decisions. The lifecycle of a lookup is in
+ * {@link tinlink.decision.FastestValidCoordinator}. {@link tinlink.decision.RetryPlanner} and
+ * {@link tinlink.decision.AttemptDispatcher} make its attempts, {@link tinlink.decision.ReplicaSelector}
+ * selects their data nodes, and {@link tinlink.decision.ReplicaHealth} records how the data nodes perform.
+ * {@code docs/design.md} gives the reasons.
  */
 package tinlink.decision;
