--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -19,82 +19,87 @@
 import java.util.Map;
 
 /**
- * One router: its decision module, the wire ids of what is in flight, and the actions of the batch.
+ * One simulated router. It keeps the decision module, maps the lookups and parts in flight to their ids in
+ * the simulator's protocol, and writes the decisions as the protocol's actions.
  */
 final class SimulatedRouter implements DecisionHandler {
     private static final class WireLookup extends Lookup {
         String wireId;
-        long queryNo;
-        final List<WirePart> held = new ArrayList<>();
+        long queryNumber;
+        /** The parts of the lookup whose step is not over. */
+        final List<WirePart> currentParts = new ArrayList<>();
     }
 
     private static final class WirePart extends Part {
         String wireId;
     }
 
-    private final QueryCoordinator module;
+    private final QueryCoordinator coordinator;
     private final LookupClass[] lookupClasses;
     private final Map<Long, DataNode> nodes = new LinkedHashMap<>();
-    /** Each leaves as its lookup ends and the last attempt of its parts has its outcome. */
+    /** Lookups in flight by their wire id; a lookup is removed when it ends. */
     private final Map<String, WireLookup> lookups = new HashMap<>();
 
-    private final Map<Long, WireLookup> byQuery = new HashMap<>();
+    private final Map<Long, WireLookup> lookupsByQueryNumber = new HashMap<>();
+    /** Parts by their wire id; a part is removed once its step is over and no attempt is in flight. */
     private final Map<String, WirePart> parts = new HashMap<>();
+
     private final StringBuilder out = new StringBuilder();
 
     SimulatedRouter(long seed, FlatSettings settings) {
         DecisionConfig decision = new DecisionConfig(seed, settings);
         lookupClasses = decision.lookupClasses;
-        module = decision.module;
+        coordinator = decision.module;
     }
 
-    void clock(long nowUs) {
-        module.advanceClock(nowUs);
+    void advanceClock(long nowUs) {
+        coordinator.advanceClock(nowUs);
     }
 
-    void onJob(WireLine line, long nowUs) {
+    /** Reads a lookup, or a part of one, which has a shard of 0 or above. */
+    void onLookupOrPart(WireLine line, long nowUs) {
         String wireId = line.requiredField("xid");
         line.field("partitionKey");
         line.field("costMs");
         long flags = line.wholeNumber("marks", 0);
         int shard = (int) line.number("rangeNo", -1);
-        long queryNo = line.wholeNumber("queryNo");
-        line.wholeNumber("party", 0); // No decision rests on the tenant.
+        long queryNumber = line.wholeNumber("queryNo");
+        line.wholeNumber("party", 0); // The tenant; no decision uses it.
         double weight = line.number("heft", 1);
         int profile = (int) line.wholeNumber("profile", 0);
         long leftUs = line.micros("leftMs");
         line.expectEnd();
         if (profile < 0 || profile >= lookupClasses.length) {
-            throw new WireFormatException("job_in", "no such profile: " + profile);
+            throw new WireFormatException("job_in", "unknown profile: " + profile);
         }
         if (shard < 0) {
             WireLookup lookup = new WireLookup();
             lookup.wireId = wireId;
-            lookup.queryNo = queryNo;
+            lookup.queryNumber = queryNumber;
             lookup.lookupClass = lookupClasses[profile];
             lookup.isClientRetry = (flags & 2) != 0;
             lookup.announcedParts = (int) Math.round(weight);
             lookup.clientDeadlineUs = nowUs + leftUs;
             lookups.put(wireId, lookup);
-            byQuery.put(queryNo, lookup);
-            module.onLookup(lookup);
+            lookupsByQueryNumber.put(queryNumber, lookup);
+            coordinator.onLookup(lookup);
             return;
         }
-        WireLookup lookup = byQuery.get(queryNo);
+        WireLookup lookup = lookupsByQueryNumber.get(queryNumber);
         if (lookup == null) {
-            return; // Its lookup is over.
+            return; // The lookup has ended.
         }
         WirePart part = new WirePart();
         part.wireId = wireId;
         part.lookup = lookup;
         part.shard = shard;
         part.weight = weight;
-        lookup.held.add(part);
+        lookup.currentParts.add(part);
         parts.put(wireId, part);
-        module.onPart(part);
+        coordinator.onPart(part);
     }
 
-    void onVerdict(WireLine line) {
+    void onOutcome(WireLine line) {
         String wireId = line.requiredField("xid");
         Outcome outcome = outcome(line);
         long tookUs = line.micros("rttMs", 0);
@@ -110,9 +115,9 @@
                 || attemptNumber >= part.attempts.size()
                 || part.attempts.get(attemptNumber).outcome != null) {
             throw new InvalidInputException(
-                    "verdict: no part call " + attemptNumber + " is out for " + wireId);
+                    "verdict: part " + wireId + " has no attempt " + attemptNumber + " in flight");
         }
-        module.onOutcome(
+        coordinator.onOutcome(
                 part.attempts.get(attemptNumber), outcome, tookUs, reportedServiceTimeUs(feedback));
         if (part.attemptsInFlight == 0
                 && (part.lookup.isEnded || !part.lookup.parts.contains(part))) {
@@ -131,11 +136,11 @@
             case "connection_lost" -> Outcome.CONNECTION_LOST;
             case "called_off" -> Outcome.CANCELLED;
             case "not_sent" -> Outcome.NOT_SENT;
-            default -> throw new WireFormatException(line.name(), "no such outcome: " + code);
+            default -> throw new WireFormatException(line.name(), "unknown outcome: " + code);
         };
     }
 
-    /** The reported service time; below 0 where none came. */
+    /** The service time that the data node reported; negative where it reported none. */
     private static long reportedServiceTimeUs(String feedback) {
         for (String pair : feedback.isEmpty() ? new String[0] : feedback.split(",")) {
             if (pair.startsWith("latency_ms:")) {
@@ -147,76 +152,76 @@
     }
 
     void onHealthCheckAnswer(WireLine line) {
-        long id = line.wholeNumber("node");
+        long nodeId = line.wholeNumber("node");
         Outcome outcome = outcome(line);
         long tookUs = line.micros("rttMs", 0);
         long reportedUs = reportedServiceTimeUs(line.rest());
-        DataNode node = nodes.get(id);
+        DataNode node = nodes.get(nodeId);
         if (node != null) {
-            module.onHealthCheck(node, outcome, tookUs, reportedUs);
+            coordinator.onHealthCheck(node, outcome, tookUs, reportedUs);
         }
     }
 
-    void clientGone(String wireId) {
+    void onClientGone(String wireId) {
         WireLookup lookup = lookups.get(wireId);
         if (lookup != null) {
-            module.onClientGone(lookup);
+            coordinator.onClientGone(lookup);
             forgetEnded(lookup);
         }
     }
 
     void onTimer() {
-        module.onTimer();
+        coordinator.onTimer();
     }
 
-    /** One entry of a watch event. */
+    /** Applies one entry of an endpoint list update. */
     void applyEntry(WireEndpointList.Entry entry) {
-        DataNode node = nodes.get(entry.id());
+        DataNode node = nodes.get(entry.nodeId());
         boolean known = node != null;
         if (!known) {
             if (entry.state() == DataNode.State.GONE) {
                 return;
             }
-            node = new DataNode(entry.id());
+            node = new DataNode(entry.nodeId());
         }
         boolean restarted = known
-                && node.startedAtUs != entry.startedAt()
+                && node.startedAtUs != entry.startedAtUs()
                 && entry.state() != DataNode.State.GONE;
         node.state = entry.state();
         if (node.state == DataNode.State.GONE) {
-            nodes.remove(entry.id());
+            nodes.remove(entry.nodeId());
         } else {
             node.zone = entry.zone();
             node.kind = entry.kind();
             node.cell = entry.cell();
             node.size = entry.size();
-            node.startedAtUs = entry.startedAt();
-            nodes.put(entry.id(), node);
+            node.startedAtUs = entry.startedAtUs();
+            nodes.put(entry.nodeId(), node);
         }
-        module.onEndpoint(node, restarted);
+        coordinator.onEndpoint(node, restarted);
     }
 
-    /** A full list: what it does not name is gone. */
+    /** Applies a full endpoint list; known data nodes that are not in the list are gone. */
     void applyFullList(WireEndpointList endpointList) {
         for (DataNode node : new ArrayList<>(nodes.values())) {
             if (!endpointList.contains(node.nodeId)) {
                 node.state = DataNode.State.GONE;
                 nodes.remove(node.nodeId);
-                module.onEndpoint(node, false);
+                coordinator.onEndpoint(node, false);
             }
         }
         endpointList.entries().forEach(this::applyEntry);
     }
 
-    void onWatchEvent(QueryCoordinator.EndpointListUpdate watchEvent) {
-        module.onEndpointListUpdate(watchEvent);
+    void onEndpointListUpdate(QueryCoordinator.EndpointListUpdate update) {
+        coordinator.onEndpointListUpdate(update);
     }
 
-    /** Pulls decisions until there is none; the actions of this batch. */
+    /** Pulls all decisions of this batch, and returns them as actions. */
     StringBuilder actions() {
         out.setLength(0);
-        while (module.decide(this)) {
-            // Each decision has been written as it left.
+        while (coordinator.decide(this)) {
+            // The handler methods below write each decision.
         }
         return out;
     }
@@ -248,10 +253,10 @@
     }
 
     @Override
-    public void answer(Lookup lookup, boolean isComplete) {
+    public void answer(Lookup lookup, boolean complete) {
         out.append("respond ")
                 .append(((WireLookup) lookup).wireId)
-                .append(isComplete ? " 1\n" : " 0\n");
+                .append(complete ? " 1\n" : " 0\n");
         forgetEnded((WireLookup) lookup);
     }
 
@@ -281,25 +286,28 @@
         out.append("track 1\n");
     }
 
-    /** Whole microseconds as milliseconds, ending the line. */
-    private void appendMillis(long us) {
-        out.append(us / 1000).append('.');
-        long rest = us % 1000;
+    /** Appends a time in milliseconds with three decimals, and ends the line. */
+    private void appendMillis(long timeUs) {
+        out.append(timeUs / 1000).append('.');
+        long rest = timeUs % 1000;
         out.append(rest / 100).append(rest / 10 % 10).append(rest % 10).append('\n');
     }
 
-    /** Forgets what is over: the lookup, and its parts with no attempt in flight. */
+    /**
+     * Removes the parts whose step is over, and the lookup where it has ended. A part with an attempt in
+     * flight stays known by its wire id until the attempt's outcome.
+     */
     private void forgetEnded(WireLookup lookup) {
-        lookup.held.removeIf(part -> {
-            boolean isOver = lookup.isEnded || !lookup.parts.contains(part);
-            if (isOver && part.attemptsInFlight == 0) {
+        lookup.currentParts.removeIf(part -> {
+            boolean over = lookup.isEnded || !lookup.parts.contains(part);
+            if (over && part.attemptsInFlight == 0) {
                 parts.remove(part.wireId);
             }
-            return isOver;
+            return over;
         });
         if (lookup.isEnded) {
             lookups.remove(lookup.wireId);
-            byQuery.remove(lookup.queryNo);
+            lookupsByQueryNumber.remove(lookup.queryNumber);
         }
     }
 }
--- a/src/main/java/tinlink/simadapter/SimulatorAdapter.java
+++ b/src/main/java/tinlink/simadapter/SimulatorAdapter.java
@@ -18,23 +18,32 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The wire on standard input and output: batches of events in, one reply to each out. */
+/**
+ * Runs simulated routers for a simulator, over its protocol on standard input and output. The adapter reads
+ * batches of events, and writes one reply to each batch.
+ */
 public final class SimulatorAdapter {
-    private final BufferedReader in;
+    private final BufferedReader input;
     private final OutputStream out;
     private final PrintStream err;
+    /** Started routers by their instance number in the protocol. */
     private final Map<Long, SimulatedRouter> instances = new HashMap<>();
+
+    /** Endpoint lists by their number in the protocol; null where none was read. */
     private final WireEndpointList[] endpointLists = new WireEndpointList[16];
+
     private long lineNumber;
     private long nowUs;
 
-    public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+    /** Creates an adapter; invalid input and internal errors are reported to {@code err}. */
+    public SimulatorAdapter(InputStream input, OutputStream out, PrintStream err) {
+        this.input =
+                new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
         this.err = err;
     }
 
-    /** Serves until the input ends; the exit status. */
+    /** Runs until the input ends; returns the exit status of the process. */
     public int run() {
         try {
             for (WireLine line = read(); line != null; line = read()) {
@@ -54,7 +63,7 @@
     }
 
     private WireLine read() throws IOException {
-        String text = in.readLine();
+        String text = input.readLine();
         lineNumber++;
         return text == null ? null : new WireLine(text);
     }
@@ -69,7 +78,9 @@
 
     private String runBatch(WireLine firstLine) throws IOException {
         if (!firstLine.name().equals("round")) {
-            throw new WireFormatException("", "a batch opens with round, not " + firstLine.name());
+            throw new WireFormatException(
+                    "",
+                    "expected 'round' at the start of a batch, found '" + firstLine.name() + "'");
         }
         nowUs = firstLine.micros("clock");
         long number = firstLine.wholeNumber("batch");
@@ -120,7 +131,7 @@
         line.expectEnd();
         if (number < 0 || number >= endpointLists.length || count < 0) {
             throw new InvalidInputException(
-                    "sheet: no such list or count: " + number + " " + count);
+                    "sheet: invalid list " + number + " or member count " + count);
         }
         List<WireEndpointList.Entry> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
@@ -131,7 +142,7 @@
 
     private void dispatchEvent(long instanceId, WireLine line) {
         if (instanceId < 0) {
-            throw new WireFormatException(line.name(), "no target_instance before it");
+            throw new WireFormatException(line.name(), "expected target_instance before the event");
         }
         if (line.name().equals("start")) {
             long seed = line.wholeNumber("prng");
@@ -143,21 +154,21 @@
         SimulatedRouter instance = instances.get(instanceId);
         if (instance == null) {
             throw new InvalidInputException(
-                    line.name() + ": instance " + instanceId + " is not started");
+                    line.name() + ": instance " + instanceId + " has not been started");
         }
-        instance.clock(nowUs);
+        instance.advanceClock(nowUs);
         switch (line.name()) {
             case "killed" -> {
                 line.expectEnd();
                 instances.remove(instanceId);
             }
             case "endpoints" -> onEndpoints(instance, line);
-            case "job_in" -> instance.onJob(line, nowUs);
-            case "verdict" -> instance.onVerdict(line);
+            case "job_in" -> instance.onLookupOrPart(line, nowUs);
+            case "verdict" -> instance.onOutcome(line);
             case "timed_out_client" -> {
-                String xid = line.requiredField("xid");
+                String wireId = line.requiredField("xid");
                 line.expectEnd();
-                instance.clientGone(xid);
+                instance.onClientGone(wireId);
             }
             case "due" -> {
                 line.wholeNumber("tag");
@@ -165,8 +176,8 @@
                 instance.onTimer();
             }
             case "echo" -> instance.onHealthCheckAnswer(line);
-            case "started", "whisper" -> line.rest(); // No streamed index and no peers here.
-            default -> throw new WireFormatException("", "no such event: " + line.name());
+            case "started", "whisper" -> line.rest(); // Streamed indexes and peers are not used.
+            default -> throw new WireFormatException("", "unknown event: " + line.name());
         }
     }
 
@@ -175,26 +186,26 @@
         line.field("revision");
         long list = line.wholeNumber("list", -1);
         line.expectEnd();
-        QueryCoordinator.EndpointListUpdate watchEvent =
+        QueryCoordinator.EndpointListUpdate update =
                 switch ((int) scope) {
                     case 1 -> QueryCoordinator.EndpointListUpdate.CHANGES;
                     case 2 -> QueryCoordinator.EndpointListUpdate.CACHED;
                     case 3 -> QueryCoordinator.EndpointListUpdate.FAILED;
                     case 4 -> QueryCoordinator.EndpointListUpdate.FULL;
                     default ->
-                        throw new WireFormatException("endpoints", "no such scope: " + scope);
+                        throw new WireFormatException("endpoints", "unknown scope: " + scope);
                 };
-        if (watchEvent != QueryCoordinator.EndpointListUpdate.FAILED) {
+        if (update != QueryCoordinator.EndpointListUpdate.FAILED) {
             if (list < 0 || list >= endpointLists.length || endpointLists[(int) list] == null) {
-                throw new WireFormatException("endpoints", "no such list: " + list);
+                throw new WireFormatException("endpoints", "unknown list: " + list);
             }
             WireEndpointList endpointList = endpointLists[(int) list];
-            if (watchEvent == QueryCoordinator.EndpointListUpdate.CHANGES) {
+            if (update == QueryCoordinator.EndpointListUpdate.CHANGES) {
                 endpointList.entries().forEach(instance::applyEntry);
             } else {
                 instance.applyFullList(endpointList);
             }
         }
-        instance.onWatchEvent(watchEvent);
+        instance.onEndpointListUpdate(update);
     }
 }
--- a/src/main/java/tinlink/simadapter/WireEndpointList.java
+++ b/src/main/java/tinlink/simadapter/WireEndpointList.java
@@ -6,39 +6,40 @@
 import java.util.List;
 import java.util.Set;
 
-/** A numbered list of data nodes, as the wire gives it to all routers of the process. */
+/** An endpoint list of the simulator's protocol, which all routers of the process share. */
 final class WireEndpointList {
-    /** One entry, decoded. */
+    /** One data node of the list. */
     record Entry(
-            long id,
+            long nodeId,
             int zone,
             int kind,
             int cell,
             DataNode.State state,
             double size,
-            long startedAt) {}
+            long startedAtUs) {}
 
     private final List<Entry> entries;
-    private final Set<Long> ids = new HashSet<>();
+    private final Set<Long> nodeIds = new HashSet<>();
 
     WireEndpointList(List<Entry> entries) {
         this.entries = entries;
-        entries.forEach(e -> ids.add(e.id()));
+        entries.forEach(entry -> nodeIds.add(entry.nodeId()));
     }
 
     List<Entry> entries() {
         return entries;
     }
 
-    boolean contains(long id) {
-        return ids.contains(id);
+    boolean contains(long nodeId) {
+        return nodeIds.contains(nodeId);
     }
 
     static Entry parseEntry(WireLine line) {
         if (!line.name().equals("node")) {
-            throw new WireFormatException("sheet", "a node line was expected, not " + line.name());
+            throw new WireFormatException(
+                    "sheet", "expected a node line, found '" + line.name() + "'");
         }
-        long id = line.wholeNumber("node");
+        long nodeId = line.wholeNumber("node");
         int zone = (int) line.wholeNumber("campus", 0);
         int kind = (int) line.wholeNumber("kind", 0);
         int cell = (int) line.wholeNumber("setNo", 0);
@@ -49,12 +50,18 @@
                     case 1 -> DataNode.State.READY;
                     case 2 -> DataNode.State.DRAINING;
                     default ->
-                        throw new WireFormatException("node", "no such health: " + stateCode);
+                        throw new WireFormatException("node", "unknown health: " + stateCode);
                 };
         double size = line.number("capacityHint", 1);
-        long startedAt = line.micros("readyAtMs", 0);
+        long startedAtUs = line.micros("readyAtMs", 0);
         line.expectEnd();
         return new Entry(
-                id, zone, kind, cell, state, size, startedAt == 0 ? Long.MIN_VALUE : startedAt);
+                nodeId,
+                zone,
+                kind,
+                cell,
+                state,
+                size,
+                startedAtUs == 0 ? Long.MIN_VALUE : startedAtUs);
     }
 }
--- a/src/main/java/tinlink/simadapter/WireFormatException.java
+++ b/src/main/java/tinlink/simadapter/WireFormatException.java
@@ -3,13 +3,13 @@
 import tinlink.config.InvalidInputException;
 
 /**
- * A line of the simulator's wire that is not what it may be. The message is {@code EVENT: field 'FIELD'
- * PROBLEM}, without what there is none of.
+ * Reports an invalid line of the simulator's protocol. The message is {@code EVENT: field 'FIELD' PROBLEM},
+ * where the event and the field may be left out.
  */
 final class WireFormatException extends InvalidInputException {
     private static final long serialVersionUID = 1L;
 
-    /** @param event the first word of the line; empty where it is the order of lines that is wrong */
+    /** @param event first word of the line; empty where the line itself or its place is the problem */
     WireFormatException(String event, String problem) {
         super((event.isEmpty() ? "" : event + ": ") + problem);
     }
--- a/src/main/java/tinlink/simadapter/WireLine.java
+++ b/src/main/java/tinlink/simadapter/WireLine.java
@@ -3,10 +3,11 @@
 import tinlink.config.FlatSettings;
 import tinlink.config.InvalidInputException;
 
-/** One line of the wire, read field by field. */
+/** Reads one line of the simulator's protocol, field by field. */
 final class WireLine {
     private final String text;
     private final String name;
+    /** Start of the next field in the text; past the end of the text where no field is left. */
     private int position;
 
     WireLine(String text) {
@@ -20,7 +21,7 @@
         return name;
     }
 
-    /** The next field; null where it is absent. */
+    /** Reads the next field; null where its value is {@code -}, which stands for no value. */
     String field(String fieldName) {
         if (position > text.length()) {
             throw new WireFormatException(name, fieldName, "is missing");
@@ -35,7 +36,7 @@
         return value.equals("-") ? null : value;
     }
 
-    /** The rest of the line; empty where there is none. */
+    /** Reads the rest of the line; empty where nothing or {@code -} is left. */
     String rest() {
         String rest = position > text.length() ? "" : text.substring(position);
         position = text.length() + 1;
@@ -44,14 +45,14 @@
 
     void expectEnd() {
         if (position <= text.length()) {
-            throw new WireFormatException(name, "more fields than it has");
+            throw new WireFormatException(name, "expected the end of the line, found more fields");
         }
     }
 
     String requiredField(String fieldName) {
         String value = field(fieldName);
         if (value == null) {
-            throw new WireFormatException(name, fieldName, "is absent");
+            throw new WireFormatException(name, fieldName, "has no value");
         }
         return value;
     }
@@ -70,7 +71,7 @@
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
             throw new InvalidInputException(
-                    name + ": field '" + fieldName + "' is no whole number: " + value);
+                    name + ": field '" + fieldName + "' is not an integer: " + value);
         }
     }
 
@@ -85,13 +86,13 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Reported below, like one that is not finite.
+            // Reported below, like a number that is not finite.
         }
         throw new InvalidInputException(
-                name + ": field '" + fieldName + "' is no number: " + value);
+                name + ": field '" + fieldName + "' is not a finite number: " + value);
     }
 
-    /** Milliseconds with fractions, as whole microseconds. */
+    /** Reads a time in milliseconds, with decimals, and returns it in whole microseconds. */
     long micros(String fieldName) {
         return micros(name, fieldName, requiredField(fieldName));
     }
@@ -101,11 +102,12 @@
         return value == null ? defaultValue : micros(name, fieldName, value);
     }
 
-    static long micros(String name, String fieldName, String millis) {
+    static long micros(String event, String fieldName, String millis) {
         try {
             return FlatSettings.parseMillis(millis);
         } catch (NumberFormatException e) {
-            throw new WireFormatException(name, fieldName, "is no time: " + millis);
+            throw new WireFormatException(
+                    event, fieldName, "is not a time in milliseconds: " + millis);
         }
     }
 }
