--- a/src/test/java/tinlink/decision/DecisionTranscriptTest.java
+++ b/src/test/java/tinlink/decision/DecisionTranscriptTest.java
@@ -17,20 +17,20 @@
 import java.util.Map;
 
 /**
- * Plays recorded inputs from fixed seeds and holds every decision, with its order, its time and
- * what chance chose, against a stored transcript: a digest for each block of lookups. What this
- * test finds is a change of decisions. Where one is meant, the new digests lie in
- * {@code target/decision-transcript/digests.txt}, and the lines of each play beside it, to be
- * compared with those of the build before.
+ * Guards against unintended changes of decisions. The test plays simulated inputs from fixed seeds, and
+ * compares every decision, with its order, time and random choices, to a stored transcript that has a digest
+ * for each block of lookups. After an intended change, the new digests are in
+ * {@code target/decision-transcript/digests.txt}. The lines of each play are in the same directory, to be
+ * compared with those of the previous build.
  */
 class DecisionTranscriptTest {
     private static final String STORED = "/decision/transcript.txt";
-    private static final Path LINES = Path.of("target", "decision-transcript");
-    private static final int LOOKUPS = 800;
-    private static final int DRAWN = 24;
+    private static final Path OUTPUT = Path.of("target", "decision-transcript");
+    private static final int LOOKUPS_PER_PLAY = 800;
+    private static final int RANDOM_PLAYS = 24;
 
     /** All settings that the scenario files use. */
-    private static final List<String> OF_SCENARIOS = List.of(
+    private static final List<String> SCENARIO_SETTINGS = List.of(
             "",
             "asks 1 mustask 16000000",
             "bundle 2 call 200000",
@@ -47,8 +47,11 @@
             "tries 3",
             "zone 1 cross 0.02");
 
-    /** Connections dropped unseen, which takes nodes that are seldom used; calls that cost much. */
-    private static final List<String> OF_IDLE_CONNECTIONS = List.of(
+    /**
+     * Idle connections that are dropped without notice, which needs data nodes that are seldom used; in the
+     * last line, calls with a high fixed cost.
+     */
+    private static final List<String> IDLE_CONNECTION_SETTINGS = List.of(
             "nodes 12 load 0.02 rough 0 idle 1500000",
             "nodes 12 load 0.03 rough 1 idle 900000 copies 0",
             "nodes 24 load 0.02 rough 0 idle 700000 cells 12 reach 2",
@@ -58,27 +61,27 @@
 
     private static Map<String, PlayedSettings> plays() {
         Map<String, PlayedSettings> all = new LinkedHashMap<>();
-        for (int i = 0; i < OF_SCENARIOS.size(); i++) {
-            all.put("scenario-" + i, new PlayedSettings(OF_SCENARIOS.get(i)));
+        for (int i = 0; i < SCENARIO_SETTINGS.size(); i++) {
+            all.put("scenario-" + i, new PlayedSettings(SCENARIO_SETTINGS.get(i)));
         }
-        for (int i = 0; i < OF_IDLE_CONNECTIONS.size(); i++) {
-            all.put("idle-" + i, new PlayedSettings(OF_IDLE_CONNECTIONS.get(i)));
+        for (int i = 0; i < IDLE_CONNECTION_SETTINGS.size(); i++) {
+            all.put("idle-" + i, new PlayedSettings(IDLE_CONNECTION_SETTINGS.get(i)));
         }
-        for (int i = 0; i < DRAWN; i++) {
-            all.put("drawn-" + i, PlayedSettings.drawn(9000 + i));
+        for (int i = 0; i < RANDOM_PLAYS; i++) {
+            all.put("drawn-" + i, PlayedSettings.random(9000 + i));
         }
         return all;
     }
 
     @Test
-    void everyDecisionIsAsRecorded() throws IOException {
+    void everyDecisionMatchesTheTranscript() throws IOException {
         List<String> stored = stored();
         List<String> played = new ArrayList<>();
         Map<String, String> lines = new LinkedHashMap<>();
         long seed = 1;
         for (Map.Entry<String, PlayedSettings> play : plays().entrySet()) {
             Transcript transcript = new Transcript();
-            new RecordedPlay(play.getValue(), seed++, transcript).play(LOOKUPS);
+            new RecordedPlay(play.getValue(), seed++, transcript).play(LOOKUPS_PER_PLAY);
             List<String> blocks = transcript.blocks();
             for (int i = 0; i < blocks.size(); i++) {
                 played.add(play.getKey() + " " + i + " " + blocks.get(i));
@@ -86,20 +89,21 @@
             lines.put(play.getKey(), transcript.text());
         }
         if (!stored.equals(played)) {
-            keep(played, lines);
+            writeOutput(played, lines);
         }
         for (int i = 0; i < Math.min(stored.size(), played.size()); i++) {
             assertEquals(
                     stored.get(i),
                     played.get(i),
-                    "the first block (play, block, lines, digest) to differ; lines in " + LINES);
+                    "first block (play, block, lines, digest) that differs; lines of all plays are in "
+                            + OUTPUT);
         }
-        assertEquals(stored.size(), played.size(), "blocks");
+        assertEquals(stored.size(), played.size(), "number of blocks");
     }
 
-    /** The check itself: the least change of a setting or of the seed of chance is seen. */
+    /** Checks that the digests show even a small change of a setting or of the random seed. */
     @Test
-    void aChangedSettingIsSeen() {
+    void aChangedSettingChangesTheDigests() {
         String settings = "rough 2 lookback 1000000 free 1 ratio 0.1 cells 2";
         String digests = digests(settings);
         assertEquals(digests, digests(settings));
@@ -110,7 +114,7 @@
 
     private static String digests(String settings) {
         Transcript transcript = new Transcript();
-        new RecordedPlay(new PlayedSettings(settings), 77, transcript).play(LOOKUPS);
+        new RecordedPlay(new PlayedSettings(settings), 77, transcript).play(LOOKUPS_PER_PLAY);
         return String.join("\n", transcript.blocks());
     }
 
@@ -123,11 +127,12 @@
         }
     }
 
-    private static void keep(List<String> played, Map<String, String> lines) throws IOException {
-        Files.createDirectories(LINES);
-        Files.write(LINES.resolve("digests.txt"), played);
+    private static void writeOutput(List<String> played, Map<String, String> lines)
+            throws IOException {
+        Files.createDirectories(OUTPUT);
+        Files.write(OUTPUT.resolve("digests.txt"), played);
         for (Map.Entry<String, String> play : lines.entrySet()) {
-            Files.writeString(LINES.resolve(play.getKey() + ".txt"), play.getValue());
+            Files.writeString(OUTPUT.resolve(play.getKey() + ".txt"), play.getValue());
         }
     }
 }
--- a/src/test/java/tinlink/decision/PlayedClasses.java
+++ b/src/test/java/tinlink/decision/PlayedClasses.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Classes of lookups for recorded plays: those of the scenario files, and a few drawn ones. */
-@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
+/** Lookup classes for recorded plays: those of the scenario files, and a few random ones. */
+@SuppressWarnings("EnumOrdinal") // The recorded transcript contains ordinals.
 final class PlayedClasses {
     private PlayedClasses() {}
 
-    static List<LookupClass> draw(SplittableRandom random) {
+    static List<LookupClass> create(SplittableRandom random) {
         List<LookupClass> all = new ArrayList<>(List.of(
                 lookupClass(900, 1, 1, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
                 lookupClass(1800, 1, 1, 0, 0, LookupClass.Idempotency.IDEMPOTENT),
@@ -21,59 +21,61 @@
                 lookupClass(900, 1, 1, 0, 0, LookupClass.Idempotency.ONCE_ONLY),
                 lookupClass(900, 1, 1, 0, 0, LookupClass.Idempotency.BY_KEY)));
         for (int i = 0; i < 4; i++) {
-            double need = 0.3 + 0.7 * random.nextDouble();
-            LookupClass one = lookupClass(
+            double completeShare = 0.3 + 0.7 * random.nextDouble();
+            LookupClass lookupClass = lookupClass(
                     200 + random.nextInt(2500),
-                    need,
-                    need * random.nextDouble(),
+                    completeShare,
+                    completeShare * random.nextDouble(),
                     random.nextInt(2) * 0.4,
                     random.nextInt(3) == 0 ? 1 + random.nextInt(3) : 0,
                     LookupClass.Idempotency.values()[random.nextInt(3)]);
-            one.partialAnswerWeight = random.nextDouble();
-            all.add(one);
+            lookupClass.partialAnswerWeight = random.nextDouble();
+            all.add(lookupClass);
         }
         return all;
     }
 
     /**
-     * Each is replaced by one with another latency objective and window; lookups in hand keep
-     * theirs.
+     * Replaces each class by one with another latency objective and deduplication window. Lookups in flight
+     * keep their class.
      */
     static void change(List<LookupClass> all, SplittableRandom random) {
         for (int i = 0; i < all.size(); i++) {
-            LookupClass old = all.get(i);
-            LookupClass one = lookupClass(
+            LookupClass previous = all.get(i);
+            LookupClass lookupClass = lookupClass(
                     1,
-                    old.completeShare,
-                    old.minimumShare,
-                    old.lateAnswerWeight,
-                    old.secondStepParts,
-                    old.idempotency);
-            one.latencyObjectiveUs =
-                    Math.max(50_000, old.latencyObjectiveUs * (60 + random.nextInt(70)) / 100);
-            one.deadlineUs = 4 * one.latencyObjectiveUs;
-            one.deduplicationWindowUs = old.deduplicationWindowUs + random.nextInt(100_000);
-            one.partialAnswerWeight = old.partialAnswerWeight;
-            all.set(i, one);
+                    previous.completeShare,
+                    previous.minimumShare,
+                    previous.lateAnswerWeight,
+                    previous.secondStepParts,
+                    previous.idempotency);
+            lookupClass.latencyObjectiveUs =
+                    Math.max(50_000, previous.latencyObjectiveUs * (60 + random.nextInt(70)) / 100);
+            lookupClass.deadlineUs = 4 * lookupClass.latencyObjectiveUs;
+            lookupClass.deduplicationWindowUs =
+                    previous.deduplicationWindowUs + random.nextInt(100_000);
+            lookupClass.partialAnswerWeight = previous.partialAnswerWeight;
+            all.set(i, lookupClass);
         }
     }
 
     private static LookupClass lookupClass(
-            long softMs,
-            double need,
-            double floor,
-            double lateGain,
-            int secondStep,
-            LookupClass.Idempotency effect) {
-        LookupClass one = new LookupClass();
-        one.latencyObjectiveUs = 1000 * softMs;
-        one.deadlineUs = 4 * one.latencyObjectiveUs;
-        one.deduplicationWindowUs = effect == LookupClass.Idempotency.BY_KEY ? 100_000 : 0;
-        one.completeShare = need;
-        one.minimumShare = floor;
-        one.lateAnswerWeight = lateGain;
-        one.secondStepParts = secondStep;
-        one.idempotency = effect;
-        return one;
+            long latencyObjectiveMs,
+            double completeShare,
+            double minimumShare,
+            double lateAnswerWeight,
+            int secondStepParts,
+            LookupClass.Idempotency idempotency) {
+        LookupClass lookupClass = new LookupClass();
+        lookupClass.latencyObjectiveUs = 1000 * latencyObjectiveMs;
+        lookupClass.deadlineUs = 4 * lookupClass.latencyObjectiveUs;
+        lookupClass.deduplicationWindowUs =
+                idempotency == LookupClass.Idempotency.BY_KEY ? 100_000 : 0;
+        lookupClass.completeShare = completeShare;
+        lookupClass.minimumShare = minimumShare;
+        lookupClass.lateAnswerWeight = lateAnswerWeight;
+        lookupClass.secondStepParts = secondStepParts;
+        lookupClass.idempotency = idempotency;
+        return lookupClass;
     }
 }
--- a/src/test/java/tinlink/decision/PlayedNode.java
+++ b/src/test/java/tinlink/decision/PlayedNode.java
@@ -1,8 +1,8 @@
 package tinlink.decision;
 
-/** A data node of a recorded play: a queue for each core, and what is wrong with it. */
+/** A simulated data node of a recorded play: a queue for each core, and the fault that the node has. */
 final class PlayedNode {
-    /** Each acts on the part calls that reach the node meanwhile. */
+    /** What happens to the attempts that reach the node while it has the fault. */
     enum Fault {
         NONE,
         SLOW,
@@ -15,30 +15,32 @@
     }
 
     final DataNode node;
-    private final long[] freeAt;
+    /** For each core, when its work is done. */
+    private final long[] coreFreeAtUs;
+
     Fault fault = Fault.NONE;
-    /** When its connection was last used. */
-    long usedAt;
+    /** When the connection to the node was last used. */
+    long connectionUsedAtUs;
 
     PlayedNode(long nodeId, int cores) {
         node = new DataNode(nodeId);
-        freeAt = new long[cores];
+        coreFreeAtUs = new long[cores];
     }
 
-    /** When a part is done that comes now and takes a core so long. */
-    long take(long nowUs, long workUs) {
+    /** Adds a part that takes a core for {@code workUs}; returns when the part is done. */
+    long addWork(long nowUs, long workUs) {
         int first = 0;
-        for (int i = 1; i < freeAt.length; i++) {
-            first = freeAt[i] < freeAt[first] ? i : first;
+        for (int i = 1; i < coreFreeAtUs.length; i++) {
+            first = coreFreeAtUs[i] < coreFreeAtUs[first] ? i : first;
         }
-        freeAt[first] = Math.max(nowUs, freeAt[first]) + workUs;
-        return freeAt[first];
+        coreFreeAtUs[first] = Math.max(nowUs, coreFreeAtUs[first]) + workUs;
+        return coreFreeAtUs[first];
     }
 
-    /** Whether all cores have work for longer than this. */
-    boolean busyFor(double workUs, long nowUs) {
-        for (long free : freeAt) {
-            if (free - nowUs < workUs) {
+    /** Whether all cores have work for at least this long. */
+    boolean isBusyFor(double workUs, long nowUs) {
+        for (long freeAtUs : coreFreeAtUs) {
+            if (freeAtUs - nowUs < workUs) {
                 return false;
             }
         }
--- a/src/test/java/tinlink/decision/SlowStartFleetTest.java
+++ b/src/test/java/tinlink/decision/SlowStartFleetTest.java
@@ -14,37 +14,42 @@
 import java.util.SplittableRandom;
 
 /**
- * Many routers, each with a module of its own, are told of one node's start. What all of them
- * together send it within any fall time stays within what the settings allow it then, and chance.
+ * Guards against many routers that together crash a data node which has just started, although each router
+ * keeps its own limit. Each simulated router has its own decision module and learns of the node's start. The
+ * number of attempts that all routers together send to the node within any slow-start window must not exceed
+ * the configured limit, apart from random deviations.
  */
 class SlowStartFleetTest {
-    private static final double WORK_US = 120_000;
-    private static final long FALL_US = 3_000_000;
-    private static final long COLD_US = 15_000_000;
-    private static final double MULTIPLE = 1;
-    private static final double FROM = 0.16;
+    private static final double PART_WORK_US = 120_000;
+    private static final long WINDOW_US = 3_000_000;
+    private static final long WARM_UP_US = 15_000_000;
+    private static final double WINDOW_MULTIPLE = 1;
+    private static final double START_CAPACITY = 0.16;
     private static final int CELLS = 6;
-    private static final long WARM_US = 30_000_000;
+    /** When the new node starts; until then, the routers measure the other nodes. */
+    private static final long START_US = 30_000_000;
 
-    private record Event(long dueAtUs, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long dueAtUs, long number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return dueAtUs != other.dueAtUs
                     ? Long.compare(dueAtUs, other.dueAtUs)
-                    : Long.compare(order, other.order);
+                    : Long.compare(number, other.number);
         }
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<Node> nodes = new ArrayList<>();
-    private final List<One> routers = new ArrayList<>();
-    private final List<Long> cold = new ArrayList<>();
+    private final List<SimulatedNode> nodes = new ArrayList<>();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
+    /** Times of the attempts that all routers sent to the new node. */
+    private final List<Long> sentToNewNodeAtUs = new ArrayList<>();
+
     private SplittableRandom random;
     private long now;
-    private long order;
+    private long nextEvent;
 
-    private void schedule(long dueAtUs, Runnable what) {
-        events.add(new Event(dueAtUs, order++, what));
+    private void schedule(long dueAtUs, Runnable action) {
+        events.add(new Event(dueAtUs, nextEvent++, action));
     }
 
     private double exponential(double mean) {
@@ -52,62 +57,77 @@
     }
 
     /**
-     * Cores that take one part each, in order; it does less while it is cold, as little as it may.
+     * A simulated data node with a queue of parts; each core runs one part at a time. While the node warms
+     * up, it has only the least capacity that the settings allow.
      */
-    private final class Node {
+    private final class SimulatedNode {
         private final int cell;
         private final int cores;
-        private final long startedAt;
+        private final long startedAtUs;
         private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-        private int busy;
+        private int busyCores;
 
-        Node(int cell, int cores, long startedAt) {
+        SimulatedNode(int cell, int cores, long startedAtUs) {
             this.cell = cell;
             this.cores = cores;
-            this.startedAt = startedAt;
+            this.startedAtUs = startedAtUs;
         }
 
-        double present() {
-            return startedAt == Long.MIN_VALUE
+        /** Share of its full capacity that the node has now. */
+        double capacity() {
+            return startedAtUs == Long.MIN_VALUE
                     ? 1
-                    : Math.min(1, FROM + (1 - FROM) * (now - startedAt) / COLD_US);
+                    : Math.min(
+                            1,
+                            START_CAPACITY
+                                    + (1 - START_CAPACITY) * (now - startedAtUs) / WARM_UP_US);
         }
 
-        void take(Runnable done) {
+        void addPart(Runnable done) {
             queue.add(done);
-            begin();
+            startNext();
         }
 
-        private void begin() {
-            if (busy < cores && !queue.isEmpty()) {
-                busy++;
+        private void startNext() {
+            if (busyCores < cores && !queue.isEmpty()) {
+                busyCores++;
                 Runnable done = queue.poll();
-                // As uneven as parts are: half of it fixed.
+                // Half of the mean work is fixed, and the rest is exponentially distributed.
                 schedule(
-                        now + (long) ((WORK_US / 2 + exponential(WORK_US / 2)) / present()), () -> {
-                            busy--;
+                        now
+                                + (long) ((PART_WORK_US / 2 + exponential(PART_WORK_US / 2))
+                                        / capacity()),
+                        () -> {
+                            busyCores--;
                             done.run();
-                            begin();
+                            startNext();
                         });
             }
         }
     }
 
-    /** One router: its module, and what it asks for carried out at once. */
-    private final class One implements DecisionHandler {
+    /** A simulated router, which carries out its decisions at once. */
+    private final class SimulatedRouter implements DecisionHandler {
         private final QueryCoordinator module;
-        private final IdentityHashMap<DataNode, Node> known = new IdentityHashMap<>();
+        private final IdentityHashMap<DataNode, SimulatedNode> known = new IdentityHashMap<>();
 
         /**
-         * @param coldUs for how long nodes are cold to it; of the number of routers it is told too
-         *     little
+         * Creates a router whose configured number of routers is too low.
+         *
+         * @param warmUpUs configured time from a node's start to its full capacity
          */
-        One(long coldUs) {
-            LookupClass lookupClass = index();
+        SimulatedRouter(long warmUpUs) {
+            LookupClass lookupClass = lookupClass();
             ReplicaHealth health = new ReplicaHealth(lookupClass.latencyObjectiveUs);
             AttemptTiming timing = new AttemptTiming(5000);
-            SlowStart slowStart =
-                    new SlowStart(random.nextLong(), 2, FROM, coldUs, MULTIPLE, FALL_US, health);
+            SlowStart slowStart = new SlowStart(
+                    random.nextLong(),
+                    2,
+                    START_CAPACITY,
+                    warmUpUs,
+                    WINDOW_MULTIPLE,
+                    WINDOW_US,
+                    health);
             module = new FastestValidCoordinator(
                     timing,
                     new RepeatGuard(timing, 3, true, true),
@@ -128,21 +148,21 @@
             module.advanceClock(now);
             inputs.run();
             while (module.decide(this)) {
-                // Carried out as it comes.
+                // The handler methods below carry out each decision.
             }
         }
 
-        void told(List<Node> some) {
+        void learnOf(List<SimulatedNode> changedNodes) {
             turn(() -> {
-                for (Node simulatedNode : some) {
+                for (SimulatedNode simulatedNode : changedNodes) {
                     DataNode dataNode = new DataNode(nodes.indexOf(simulatedNode));
                     dataNode.cell = simulatedNode.cell;
-                    dataNode.startedAtUs = simulatedNode.startedAt;
+                    dataNode.startedAtUs = simulatedNode.startedAtUs;
                     known.put(dataNode, simulatedNode);
                     module.onEndpoint(dataNode, false);
                 }
-                if (some.size() == 1) {
-                    // It stands for the one that had its block until now.
+                if (changedNodes.size() == 1) {
+                    // The new node replaces the node that was in its cell before.
                     DataNode before = known.keySet().stream()
                             .filter(dataNode -> dataNode.nodeId == 0)
                             .findFirst()
@@ -154,10 +174,10 @@
             });
         }
 
-        void asked() {
+        void receiveLookup() {
             turn(() -> {
                 Lookup lookup = new Lookup();
-                lookup.lookupClass = index();
+                lookup.lookupClass = lookupClass();
                 lookup.announcedParts = 1;
                 lookup.clientDeadlineUs = now + lookup.lookupClass.deadlineUs;
                 Part part = new Part();
@@ -171,15 +191,15 @@
 
         @Override
         public void send(Attempt attempt, long limitUs) {
-            Node simulatedNode = known.get(attempt.node);
-            if (simulatedNode.startedAt != Long.MIN_VALUE) {
-                cold.add(now);
+            SimulatedNode simulatedNode = known.get(attempt.node);
+            if (simulatedNode.startedAtUs != Long.MIN_VALUE) {
+                sentToNewNodeAtUs.add(now);
             }
-            simulatedNode.take(() -> turn(() -> ended(attempt, Outcome.SATISFIED)));
-            schedule(now + limitUs, () -> turn(() -> ended(attempt, Outcome.NO_ANSWER)));
+            simulatedNode.addPart(() -> turn(() -> end(attempt, Outcome.SATISFIED)));
+            schedule(now + limitUs, () -> turn(() -> end(attempt, Outcome.NO_ANSWER)));
         }
 
-        private void ended(Attempt attempt, Outcome outcome) {
+        private void end(Attempt attempt, Outcome outcome) {
             if (attempt.outcome == null) {
                 module.onOutcome(attempt, outcome, now - attempt.sentAtUs, -1);
             }
@@ -187,7 +207,7 @@
 
         @Override
         public void cancel(Attempt attempt) {
-            schedule(now, () -> turn(() -> ended(attempt, Outcome.CANCELLED)));
+            schedule(now, () -> turn(() -> end(attempt, Outcome.CANCELLED)));
         }
 
         @Override
@@ -197,31 +217,31 @@
 
         @Override
         public void closeIdleConnections(DataNode node) {
-            // There are no connections here.
+            // Connections are not simulated.
         }
 
         @Override
-        public void answer(Lookup lookup, boolean whole) {
-            // Nobody waits.
+        public void answer(Lookup lookup, boolean complete) {
+            // The clients are not simulated.
         }
 
         @Override
-        public void reject(Lookup lookup, long comeBackUs) {
-            // Nobody waits.
+        public void reject(Lookup lookup, long retryAfterUs) {
+            // The clients are not simulated.
         }
 
         @Override
         public void abort(Lookup lookup) {
-            // Nobody waits.
+            // The clients are not simulated.
         }
 
         @Override
         public void subscribeToEndpointList() {
-            // Lists are pushed here.
+            // The endpoint list is pushed in this test.
         }
     }
 
-    private static LookupClass index() {
+    private static LookupClass lookupClass() {
         LookupClass lookupClass = new LookupClass();
         lookupClass.latencyObjectiveUs = 2_000_000;
         lookupClass.deadlineUs = 4_000_000;
@@ -229,9 +249,9 @@
     }
 
     /**
-     * @param load share of what all warm nodes can do
-     * @param lateMs after its start the routers are told
-     * @param uneven one router in four gets half of what is asked
+     * @param load share of the capacity of all warm nodes
+     * @param lateMs time from the node's start until the routers learn of it
+     * @param uneven whether half of the lookups go to a quarter of the routers, and the rest to all routers
      */
     @ParameterizedTest
     @CsvSource({
@@ -243,71 +263,77 @@
         "30, 4, 0.9, 2900, false",
         "100, 4, 0.6, 2900, true"
     })
-    void theSumOfAllRoutersIsWithinTheBudget(
+    void allRoutersTogetherKeepTheLimit(
             int routerCount, int cores, double load, long lateMs, boolean uneven) {
         for (long seed = 1; seed <= 6; seed++) {
             SlowStartFleetTest play = new SlowStartFleetTest();
-            double worst = play.worst(seed, routerCount, COLD_US, cores, load, lateMs, uneven);
+            double worst =
+                    play.worstExcess(seed, routerCount, WARM_UP_US, cores, load, lateMs, uneven);
+            assertTrue(
+                    worst <= 0,
+                    "seed " + seed + ": " + worst + " attempts over the limit within one window");
             assertTrue(
-                    worst <= 0, "seed " + seed + ": " + worst + " too many within one fall time");
-            assertTrue(play.cold.size() >= 5, "seed " + seed + ": it was sent " + play.cold.size());
+                    play.sentToNewNodeAtUs.size() >= 5,
+                    "seed " + seed + ": expected 5 attempts or more, found "
+                            + play.sentToNewNodeAtUs.size());
         }
     }
 
     @Test
-    void withoutTheGuardTheSumIsFarOverTheBudget() {
+    void withoutSlowStartTheRoutersExceedTheLimit() {
         assertTrue(
-                new SlowStartFleetTest().worst(1, 30, 0, 4, 0.9, 300, false) > 10,
-                "the check bites");
+                new SlowStartFleetTest().worstExcess(1, 30, 0, 4, 0.9, 300, false) > 10,
+                "without slow start the routers must exceed the limit, or the test shows nothing");
     }
 
-    /** By how many the worst fall time is over its budget and chance. */
-    private double worst(
+    /** The greatest number of attempts over the limit in any window, less a margin for random deviations. */
+    private double worstExcess(
             long seed,
             int routerCount,
-            long coldUs,
+            long warmUpUs,
             int cores,
             double load,
             long lateMs,
             boolean uneven) {
         random = new SplittableRandom(seed);
         for (int cell = 0; cell < CELLS; cell++) {
-            nodes.add(new Node(cell, cores, Long.MIN_VALUE));
+            nodes.add(new SimulatedNode(cell, cores, Long.MIN_VALUE));
         }
-        List<Node> warm = List.copyOf(nodes);
-        Node starts = new Node(0, cores, WARM_US);
-        nodes.add(starts);
+        List<SimulatedNode> warm = List.copyOf(nodes);
+        SimulatedNode starting = new SimulatedNode(0, cores, START_US);
+        nodes.add(starting);
         for (int i = 0; i < routerCount; i++) {
-            One one = new One(coldUs);
-            routers.add(one);
-            schedule(0, () -> one.told(warm));
-            // Lists reach routers one after the other.
+            SimulatedRouter router = new SimulatedRouter(warmUpUs);
+            routers.add(router);
+            schedule(0, () -> router.learnOf(warm));
+            // The routers get the endpoint list one after the other.
             schedule(
-                    WARM_US + 1000 * lateMs + random.nextLong(400_000),
-                    () -> one.told(List.of(starts)));
+                    START_US + 1000 * lateMs + random.nextLong(400_000),
+                    () -> router.learnOf(List.of(starting)));
         }
-        double gapUs = WORK_US / (load * cores * CELLS);
-        schedule((long) exponential(gapUs), () -> asks(gapUs, uneven));
-        while (!events.isEmpty() && events.peek().dueAtUs < WARM_US + COLD_US) {
+        double gapUs = PART_WORK_US / (load * cores * CELLS);
+        schedule((long) exponential(gapUs), () -> sendLookup(gapUs, uneven));
+        while (!events.isEmpty() && events.peek().dueAtUs < START_US + WARM_UP_US) {
             Event event = events.poll();
             now = event.dueAtUs;
-            event.what.run();
+            event.action.run();
         }
         double worst = Double.NEGATIVE_INFINITY;
-        for (int last = 0, first = 0; last < cold.size(); last++) {
-            now = cold.get(last);
-            while (cold.get(first) <= now - FALL_US) {
+        for (int last = 0, first = 0; last < sentToNewNodeAtUs.size(); last++) {
+            now = sentToNewNodeAtUs.get(last);
+            while (sentToNewNodeAtUs.get(first) <= now - WINDOW_US) {
                 first++;
             }
-            double budget = MULTIPLE * starts.present() * cores * FALL_US / WORK_US;
-            worst = Math.max(worst, last - first + 1 - (budget + 2 * Math.sqrt(budget) + 2));
+            double limit = WINDOW_MULTIPLE * starting.capacity() * cores * WINDOW_US / PART_WORK_US;
+            worst = Math.max(worst, last - first + 1 - (limit + 2 * Math.sqrt(limit) + 2));
         }
         return worst;
     }
 
-    private void asks(double gapUs, boolean uneven) {
-        boolean few = uneven && random.nextBoolean();
-        routers.get(random.nextInt(few ? routers.size() / 4 : routers.size())).asked();
-        schedule(now + (long) exponential(gapUs), () -> asks(gapUs, uneven));
+    private void sendLookup(double gapUs, boolean uneven) {
+        boolean toQuarter = uneven && random.nextBoolean();
+        routers.get(random.nextInt(toQuarter ? routers.size() / 4 : routers.size()))
+                .receiveLookup();
+        schedule(now + (long) exponential(gapUs), () -> sendLookup(gapUs, uneven));
     }
 }
--- a/src/test/java/tinlink/decision/Transcript.java
+++ b/src/test/java/tinlink/decision/Transcript.java
@@ -8,50 +8,50 @@
 import java.util.List;
 
 /**
- * Lines of a play, and a digest of those of each block of lookups, so that a difference is located.
+ * The recorded lines of a play, with a digest for each block of lookups, so that a difference can be located.
  */
 final class Transcript {
-    private static final int BLOCK = 200;
-    private final StringBuilder all = new StringBuilder();
+    private static final int LOOKUPS_PER_BLOCK = 200;
+    private final StringBuilder text = new StringBuilder();
     private final List<String> blocks = new ArrayList<>();
-    private int from;
-    private int lines;
+    private int blockStart;
+    private int linesInBlock;
 
-    /** A lookup is taken; the lines that follow may belong to a new block. */
-    void lookup(long number) {
-        if (number > 0 && number % BLOCK == 0) {
-            close();
+    /** Begins a lookup; every {@code LOOKUPS_PER_BLOCK} lookups, the lines that follow are a new block. */
+    void beginLookup(long number) {
+        if (number > 0 && number % LOOKUPS_PER_BLOCK == 0) {
+            closeBlock();
         }
     }
 
-    void note(String code, Object... fields) {
-        all.append(code);
+    void record(String code, Object... fields) {
+        text.append(code);
         for (Object field : fields) {
-            all.append(' ').append(field);
+            text.append(' ').append(field);
         }
-        all.append('\n');
-        lines++;
+        text.append('\n');
+        linesInBlock++;
     }
 
-    private void close() {
-        byte[] text = all.substring(from).getBytes(StandardCharsets.UTF_8);
-        from = all.length();
+    private void closeBlock() {
+        byte[] block = text.substring(blockStart).getBytes(StandardCharsets.UTF_8);
+        blockStart = text.length();
         try {
-            byte[] digest = MessageDigest.getInstance("SHA-256").digest(text);
-            blocks.add(lines + " " + HexFormat.of().formatHex(digest, 0, 12));
+            byte[] digest = MessageDigest.getInstance("SHA-256").digest(block);
+            blocks.add(linesInBlock + " " + HexFormat.of().formatHex(digest, 0, 12));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
-        lines = 0;
+        linesInBlock = 0;
     }
 
-    /** The number of lines and the digest of each block, after the play's end. */
+    /** The number of lines and the digest of each block; called once, after the play has ended. */
     List<String> blocks() {
-        close();
+        closeBlock();
         return blocks;
     }
 
     String text() {
-        return all.toString();
+        return text.toString();
     }
 }
