--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -29,114 +29,127 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Plays one scenario against the module; docs/scenarios.md has the notation. */
+/** Plays one scenario against the decision module; docs/scenarios.md describes the notation. */
 final class DecisionScenarioPlayer implements DecisionHandler {
     private final Map<String, String> settings = new HashMap<>(Map.of(
             "step", "1", "tries", "4", "copies", "yes", "cancel", "yes", "cells", "1", "reach", "1",
             "bundle", "1", "call", "0", "group", "1"));
-    private final Map<String, LookupClass> indexes = new LinkedHashMap<>();
+    private final Map<String, LookupClass> lookupClasses = new LinkedHashMap<>();
     private final Map<Long, DataNode> nodes = new LinkedHashMap<>();
     private final Map<String, Lookup> lookups = new HashMap<>();
+    /** Names that the scenario gives to lookups and parts. */
     private final Map<Object, String> names = new HashMap<>();
+
     private final Map<String, Part> parts = new HashMap<>();
+    /** Decisions that the scenario has not named yet. */
     private final List<String> unexpectedDecisions = new ArrayList<>();
+    /** Times of the timers that the module has requested. */
     private final TreeSet<Long> wakeTimes = new TreeSet<>();
+
     private QueryCoordinator module;
     private long now;
 
     void play(List<String> script) {
-        int no = 0;
+        int lineNumber = 0;
         for (String raw : script) {
-            no++;
+            lineNumber++;
             String line = raw.replaceAll("#\\s.*|^#.*", "").trim();
             try {
-                for (String one : line.isEmpty() ? new String[0] : line.split(";\\s*")) {
-                    runStep(one.split("\\s+"));
+                for (String step : line.isEmpty() ? new String[0] : line.split(";\\s*")) {
+                    runStep(step.split("\\s+"));
                 }
             } catch (RuntimeException | AssertionError e) {
                 throw new AssertionError(
-                        "line " + no + ": " + raw.trim() + "\n  " + e.getMessage(), e);
+                        "line " + lineNumber + ": " + raw.trim() + "\n  " + e.getMessage(), e);
             }
         }
         expectNoDecisionLeft();
     }
 
-    private void runStep(String[] words) {
-        switch (words[0]) {
+    private void runStep(String[] tokens) {
+        switch (tokens[0]) {
             case "set" -> {
-                for (int i = 1; i < words.length; i += 2) {
-                    settings.put(words[i], words[i + 1]);
+                for (int i = 1; i < tokens.length; i += 2) {
+                    settings.put(tokens[i], tokens[i + 1]);
                 }
             }
-            case "index" -> index(words);
+            case "index" -> addLookupClass(tokens);
             case "at" -> {
                 expectNoDecisionLeft();
-                advanceTo((long) (1000 * Double.parseDouble(words[1])));
+                advanceTo((long) (1000 * Double.parseDouble(tokens[1])));
             }
             case "stall" -> {
                 pullDecisions();
-                now = ms(words[1]);
+                now = parseMillis(tokens[1]);
                 module().advanceClock(now);
             }
             case "=" -> {
                 pullDecisions();
-                if (words[1].equals("nothing")) {
+                if (tokens[1].equals("nothing")) {
                     expectNoDecisionLeft();
-                } else if (words.length > 2
-                        && lookups.containsKey(words[2])
-                        && words[1].matches("send|cancel")) {
-                    expectAll(words);
+                } else if (tokens.length > 2
+                        && lookups.containsKey(tokens[2])
+                        && tokens[1].matches("send|cancel")) {
+                    expectAll(tokens);
                 } else {
-                    expect(String.join(" ", Arrays.copyOfRange(words, 1, words.length)));
+                    expect(String.join(" ", Arrays.copyOfRange(tokens, 1, tokens.length)));
                 }
             }
-            case "node" -> node(words);
+            case "node" -> updateNode(tokens);
             case "nodes" -> {
-                for (int i = 1; i < words.length; i++) {
-                    node(new String[] {"node", words[i]});
+                for (int i = 1; i < tokens.length; i++) {
+                    updateNode(new String[] {"node", tokens[i]});
                 }
                 module().onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.FULL);
             }
             case "list" ->
                 module().onEndpointListUpdate(QueryCoordinator.EndpointListUpdate.valueOf(
-                        words[1].toUpperCase(Locale.ROOT)));
+                        tokens[1].toUpperCase(Locale.ROOT)));
             case "lookup" -> {
                 Lookup lookup = new Lookup();
-                lookup.lookupClass = indexes.get(words[2]);
-                lookup.clientDeadlineUs = now + ms(words[4]);
-                lookup.isClientRetry = words[words.length - 1].equals("repeat");
-                lookup.isForwarded = words[words.length - 1].equals("forwarded");
-                lookups.put(words[1], lookup);
-                names.put(lookup, words[1]);
-                lookup.announcedParts = shards(words).size();
+                lookup.lookupClass = lookupClasses.get(tokens[2]);
+                lookup.clientDeadlineUs = now + parseMillis(tokens[4]);
+                lookup.isClientRetry = tokens[tokens.length - 1].equals("repeat");
+                lookup.isForwarded = tokens[tokens.length - 1].equals("forwarded");
+                lookups.put(tokens[1], lookup);
+                names.put(lookup, tokens[1]);
+                lookup.announcedParts = shards(tokens).size();
                 module().onLookup(lookup);
-                takeParts(lookup, words);
+                passParts(lookup, tokens);
             }
-            case "more" -> takeParts(lookups.get(words[1]), words);
-            case "gone" -> module().onClientGone(lookups.get(words[1]));
+            case "more" -> passParts(lookups.get(tokens[1]), tokens);
+            case "gone" -> module().onClientGone(lookups.get(tokens[1]));
             default ->
-                end(Outcome.valueOf(words[0].toUpperCase(Locale.ROOT).replace('-', '_')), words[1]);
+                endAttempts(
+                        Outcome.valueOf(tokens[0].toUpperCase(Locale.ROOT).replace('-', '_')),
+                        tokens[1]);
         }
     }
 
-    private void expect(String want) {
-        if (!unexpectedDecisions.remove(want)) {
-            throw new AssertionError("expected '" + want + "', left are " + unexpectedDecisions);
+    private void expect(String decision) {
+        if (!unexpectedDecisions.remove(decision)) {
+            throw new AssertionError("expected decision '" + decision
+                    + "', remaining decisions are " + unexpectedDecisions);
         }
     }
 
-    /** "send q 1 2" over and over for all parts of q, or "cancel q" for the first call of each. */
-    private void expectAll(String[] words) {
-        for (int i = 0; i < lookups.get(words[2]).parts.size(); i++) {
-            String part = words[2] + "." + i;
-            expect(words[1] + " " + part
-                    + (words[1].equals("cancel") ? "#0" : " " + words[3 + i % (words.length - 3)]));
+    /**
+     * Expects a decision for each part of a lookup. "send q 1 2" expects that the parts of q are sent to
+     * nodes 1 and 2 in turn, and "cancel q" that the first attempt at each part is cancelled.
+     */
+    private void expectAll(String[] tokens) {
+        for (int i = 0; i < lookups.get(tokens[2]).parts.size(); i++) {
+            String part = tokens[2] + "." + i;
+            expect(tokens[1] + " " + part
+                    + (tokens[1].equals("cancel")
+                            ? "#0"
+                            : " " + tokens[3 + i % (tokens.length - 3)]));
         }
     }
 
-    private void takeParts(Lookup lookup, String[] words) {
-        List<String> weights = after(words, "weights");
-        List<Integer> shards = shards(words);
+    private void passParts(Lookup lookup, String[] tokens) {
+        List<String> weights = after(tokens, "weights");
+        List<Integer> shards = shards(tokens);
         for (int i = 0; i < shards.size(); i++) {
             Part part = new Part();
             part.lookup = lookup;
@@ -150,10 +163,10 @@
         }
     }
 
-    private static List<Integer> shards(String[] words) {
+    private static List<Integer> shards(String[] tokens) {
         List<Integer> all = new ArrayList<>();
-        for (String s : after(words, "shards")) {
-            String[] ends = s.split("-", 0);
+        for (String range : after(tokens, "shards")) {
+            String[] ends = range.split("-", 0);
             for (int i = Integer.parseInt(ends[0]);
                     i <= Integer.parseInt(ends[ends.length - 1]);
                     i++) {
@@ -163,79 +176,85 @@
         return all;
     }
 
-    private static List<String> after(String[] words, String key) {
-        int from = Arrays.asList(words).indexOf(key) + 1;
-        int to = from;
-        while (from > 0 && to < words.length && Character.isDigit(words[to].charAt(0))) {
-            to++;
+    /** The numeric tokens that follow the key. */
+    private static List<String> after(String[] tokens, String key) {
+        int start = Arrays.asList(tokens).indexOf(key) + 1;
+        int end = start;
+        while (start > 0 && end < tokens.length && Character.isDigit(tokens[end].charAt(0))) {
+            end++;
         }
-        return Arrays.asList(words).subList(from, to);
+        return Arrays.asList(tokens).subList(start, end);
     }
 
     /**
-     * "q" ends every part call that is out of the lookup, "q.0" the last one of a part, "q.0#1"
-     * that one.
+     * Ends attempts with the given outcome: "q" the last attempt at each part of the lookup, "q.0" the last
+     * attempt at the part, and "q.0#1" the attempt with that number.
      */
-    private void end(Outcome outcome, String name) {
+    private void endAttempts(Outcome outcome, String name) {
         if (lookups.containsKey(name)) {
             lookups.get(name).parts.stream()
                     .toList()
-                    .forEach(part -> end(outcome, names.get(part)));
+                    .forEach(part -> endAttempts(outcome, names.get(part)));
             return;
         }
         Part part = parts.get(name.replaceAll("#.*", ""));
         int number = name.contains("#")
                 ? Integer.parseInt(name.replaceAll(".*#", ""))
                 : part.attempts.size() - 1;
-        Attempt c = part.attempts.get(number);
-        if (c.outcome != null) {
-            throw new AssertionError("that part call is over: " + c.outcome);
+        Attempt attempt = part.attempts.get(number);
+        if (attempt.outcome != null) {
+            throw new AssertionError(
+                    "expected attempt " + name + " in flight, found outcome " + attempt.outcome);
         }
-        module().onOutcome(c, outcome, now - c.sentAtUs, -1);
+        module().onOutcome(attempt, outcome, now - attempt.sentAtUs, -1);
     }
 
-    private void index(String[] words) {
+    private void addLookupClass(String[] tokens) {
         LookupClass lookupClass = new LookupClass();
-        lookupClass.latencyObjectiveUs = ms(after(words, "soft").get(0));
+        lookupClass.latencyObjectiveUs = parseMillis(after(tokens, "soft").get(0));
         lookupClass.deadlineUs = 10 * lookupClass.latencyObjectiveUs;
-        after(words, "window").forEach(t -> lookupClass.deduplicationWindowUs = ms(t));
-        after(words, "need").forEach(n -> lookupClass.completeShare = Double.parseDouble(n));
+        after(tokens, "window")
+                .forEach(value -> lookupClass.deduplicationWindowUs = parseMillis(value));
+        after(tokens, "need")
+                .forEach(value -> lookupClass.completeShare = Double.parseDouble(value));
         lookupClass.minimumShare = lookupClass.completeShare;
-        after(words, "floor").forEach(n -> lookupClass.minimumShare = Double.parseDouble(n));
-        after(words, "second").forEach(n -> lookupClass.secondStepParts = Integer.parseInt(n));
-        lookupClass.lateAnswerWeight = Arrays.asList(words).contains("late") ? 0.3 : 0;
-        for (LookupClass.Idempotency e : LookupClass.Idempotency.values()) {
-            if (Arrays.asList(words)
-                    .contains(e.name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
-                lookupClass.idempotency = e;
+        after(tokens, "floor")
+                .forEach(value -> lookupClass.minimumShare = Double.parseDouble(value));
+        after(tokens, "second")
+                .forEach(value -> lookupClass.secondStepParts = Integer.parseInt(value));
+        lookupClass.lateAnswerWeight = Arrays.asList(tokens).contains("late") ? 0.3 : 0;
+        for (LookupClass.Idempotency idempotency : LookupClass.Idempotency.values()) {
+            if (Arrays.asList(tokens)
+                    .contains(idempotency.name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
+                lookupClass.idempotency = idempotency;
             }
         }
-        indexes.put(words[1], lookupClass);
+        lookupClasses.put(tokens[1], lookupClass);
     }
 
-    private void node(String[] words) {
-        long id = Long.parseLong(words[1]);
-        DataNode node = nodes.computeIfAbsent(id, DataNode::new);
-        long startedAt = node.startedAtUs;
-        after(words, "cell").forEach(c -> node.cell = Integer.parseInt(c));
-        after(words, "zone").forEach(z -> node.zone = Integer.parseInt(z));
-        after(words, "line").forEach(t -> node.linkRoundTripUs = ms(t));
-        after(words, "started").forEach(t -> node.startedAtUs = ms(t));
-        String last = words[words.length - 1];
+    private void updateNode(String[] tokens) {
+        long nodeId = Long.parseLong(tokens[1]);
+        DataNode node = nodes.computeIfAbsent(nodeId, DataNode::new);
+        long previousStartUs = node.startedAtUs;
+        after(tokens, "cell").forEach(value -> node.cell = Integer.parseInt(value));
+        after(tokens, "zone").forEach(value -> node.zone = Integer.parseInt(value));
+        after(tokens, "line").forEach(value -> node.linkRoundTripUs = parseMillis(value));
+        after(tokens, "started").forEach(value -> node.startedAtUs = parseMillis(value));
+        String last = tokens[tokens.length - 1];
         node.state = last.equals("draining")
                 ? DataNode.State.DRAINING
                 : last.equals("gone") ? DataNode.State.GONE : DataNode.State.READY;
-        module().onEndpoint(node, startedAt != node.startedAtUs && module != null);
+        module().onEndpoint(node, previousStartUs != node.startedAtUs && module != null);
     }
 
     private QueryCoordinator module() {
         if (module == null) {
-            long longestSoft = indexes.values().stream()
+            long longestObjectiveUs = lookupClasses.values().stream()
                     .mapToLong(lookupClass -> lookupClass.latencyObjectiveUs)
                     .max()
                     .orElse(1);
             AttemptTiming timing = new AttemptTiming(microsSetting("step"));
-            ReplicaHealth health = new ReplicaHealth(longestSoft);
+            ReplicaHealth health = new ReplicaHealth(longestObjectiveUs);
             ReplicaDirectory replicas =
                     new ReplicaDirectory(intSetting("cells"), intSetting("reach"), health);
             module = new FastestValidCoordinator(
@@ -266,21 +285,21 @@
         return module;
     }
 
-    private void advanceTo(long to) {
+    private void advanceTo(long timeUs) {
         pullDecisions();
-        while (!wakeTimes.isEmpty() && wakeTimes.first() <= to) {
+        while (!wakeTimes.isEmpty() && wakeTimes.first() <= timeUs) {
             now = Math.max(now, wakeTimes.pollFirst());
             module().advanceClock(now);
             module().onTimer();
             pullDecisions();
         }
-        now = to;
+        now = timeUs;
         module().advanceClock(now);
     }
 
     private void pullDecisions() {
         while (module().decide(this)) {
-            // Each decision is noted as it leaves.
+            // The handler methods below record each decision.
         }
     }
 
@@ -288,7 +307,7 @@
         pullDecisions();
         if (!unexpectedDecisions.isEmpty()) {
             throw new AssertionError(
-                    "decisions that the scenario does not expect: " + unexpectedDecisions);
+                    "found decisions that the scenario does not expect: " + unexpectedDecisions);
         }
     }
 
@@ -301,25 +320,25 @@
     }
 
     private long microsSetting(String key) {
-        return ms(settings.getOrDefault(key, "0"));
+        return parseMillis(settings.getOrDefault(key, "0"));
     }
 
     private boolean booleanSetting(String key) {
         return settings.getOrDefault(key, "no").equals("yes");
     }
 
-    private static long ms(String text) {
+    private static long parseMillis(String text) {
         return Math.round(1000 * Double.parseDouble(text));
     }
 
     @Override
-    public void send(Attempt c, long limitUs) {
-        unexpectedDecisions.add("send " + names.get(c.part) + " " + c.node.nodeId);
+    public void send(Attempt attempt, long limitUs) {
+        unexpectedDecisions.add("send " + names.get(attempt.part) + " " + attempt.node.nodeId);
     }
 
     @Override
-    public void cancel(Attempt c) {
-        unexpectedDecisions.add("cancel " + names.get(c.part) + "#" + c.number);
+    public void cancel(Attempt attempt) {
+        unexpectedDecisions.add("cancel " + names.get(attempt.part) + "#" + attempt.number);
     }
 
     @Override
@@ -328,14 +347,14 @@
     }
 
     @Override
-    public void answer(Lookup lookup, boolean whole) {
-        unexpectedDecisions.add("answer " + names.get(lookup) + (whole ? " whole" : " partial"));
+    public void answer(Lookup lookup, boolean complete) {
+        unexpectedDecisions.add("answer " + names.get(lookup) + (complete ? " whole" : " partial"));
     }
 
     @Override
-    public void reject(Lookup lookup, long comeBackUs) {
+    public void reject(Lookup lookup, long retryAfterUs) {
         unexpectedDecisions.add(
-                "nack " + names.get(lookup) + (comeBackUs > 0 ? " " + comeBackUs / 1000 : ""));
+                "nack " + names.get(lookup) + (retryAfterUs > 0 ? " " + retryAfterUs / 1000 : ""));
     }
 
     @Override
