--- a/src/main/java/tinlink/decision/AttemptTiming.java
+++ b/src/main/java/tinlink/decision/AttemptTiming.java
@@ -80,9 +80,8 @@
 
     /** Records that a lookup was answered, or that its client left. */
     void recordEnd(Lookup lookup, boolean clientGone, long nowUs) {
-        boolean early = clientGone
-                && !lookup.isForwarded
-                && nowUs < lookup.clientDeadlineUs - lookup.roundUs;
+        boolean early =
+                clientGone && !lookup.forwarded && nowUs < lookup.clientDeadlineUs - lookup.roundUs;
         long waitedUs = nowUs - lookup.arrivedAtUs;
         // A client that leaves at once, or before a delayed router has read the lookup, did not
         // wait. Such a client does not show how long clients wait.
--- a/src/main/java/tinlink/decision/DecisionHandler.java
+++ b/src/main/java/tinlink/decision/DecisionHandler.java
@@ -16,7 +16,7 @@
 
     /**
      * Answers the client with the parts that are satisfied. The answer is final where
-     * {@link Lookup#isEnded} is true. Otherwise it ends the first of two steps, and the host passes in the
+     * {@link Lookup#ended} is true. Otherwise it ends the first of two steps, and the host passes in the
      * parts of the second step next.
      *
      * @param complete false for a partial answer
--- a/src/main/java/tinlink/decision/FastestValidCoordinator.java
+++ b/src/main/java/tinlink/decision/FastestValidCoordinator.java
@@ -96,14 +96,14 @@
         health.onOutcome(stats, attempt, outcome, now == stalledAtUs ? -1 : tookUs, now);
         replicas.forgetIfGone(stats);
         Lookup lookup = part.lookup;
-        if (lookup.isEnded) {
+        if (lookup.ended) {
             return;
         }
         if (outcome == Outcome.CONNECTION_LOST) {
             lookup.recordLostNode(attempt.node);
         }
-        if (outcome == Outcome.SATISFIED && !part.isSatisfied) {
-            part.isSatisfied = true;
+        if (outcome == Outcome.SATISFIED && !part.satisfied) {
+            part.satisfied = true;
             dispatcher.cancelInFlight(part);
         }
         enqueue(lookup);
@@ -153,7 +153,7 @@
         if (lookup.started && !lookup.firstRoundOver && lookup.fullLengthRound) {
             health.outliers().recordRound(lookup.parts.size(), 0);
         }
-        lookup.isEnded = true;
+        lookup.ended = true;
         lookupsInFlight.remove(lookup);
         lookup.parts.forEach(dispatcher::cancelInFlight);
     }
@@ -169,7 +169,7 @@
         }
         while (!lookupsToCheck.isEmpty()) {
             Lookup lookup = lookupsToCheck.peek();
-            if (!lookup.isEnded && decideFor(lookup, handler)) {
+            if (!lookup.ended && decideFor(lookup, handler)) {
                 return true;
             }
             lookup.queued = false;
@@ -198,7 +198,7 @@
         boolean allPartsKnown = lookup.hasAllParts();
         // Enough satisfied parts end a step (docs/design.md); a second step needs all of its parts.
         if (allPartsKnown && lookup.isComplete(satisfiedWeight)) {
-            return answer(lookup, handler, !lookup.isSecondStep || lookup.firstStepComplete);
+            return answer(lookup, handler, !lookup.secondStep || lookup.firstStepComplete);
         }
         if (now >= lookup.endsAtUs || (allPartsKnown && mustEndEarly(lookup, satisfiedWeight))) {
             return endIncomplete(lookup, handler, satisfiedWeight);
@@ -234,7 +234,7 @@
         }
         lookup.started = true;
         if (lookup.parts.size() > 1
-                && health.outliers().areNodesGoingDown(lookup.isClientRetry, now)) {
+                && health.outliers().areNodesGoingDown(lookup.clientRetry, now)) {
             lookup.awaitingCanary = sendCanary(lookup);
         } else {
             lookup.awaitingCanary = false;
@@ -304,7 +304,7 @@
     }
 
     private boolean answer(Lookup lookup, DecisionHandler handler, boolean complete) {
-        if (lookup.lookupClass.secondStepParts > 0 && !lookup.isSecondStep) {
+        if (lookup.lookupClass.secondStepParts > 0 && !lookup.secondStep) {
             beginSecondStep(lookup, complete);
         } else {
             timing.recordEnd(lookup, false, now);
@@ -317,10 +317,10 @@
     private void beginSecondStep(Lookup lookup, boolean firstStepComplete) {
         int satisfiedParts = 0;
         for (Part part : lookup.parts) {
-            satisfiedParts += part.isSatisfied ? 1 : 0;
+            satisfiedParts += part.satisfied ? 1 : 0;
             dispatcher.cancelInFlight(part);
         }
-        lookup.isSecondStep = true;
+        lookup.secondStep = true;
         lookup.firstStepComplete = firstStepComplete;
         lookup.announcedParts = Math.min(lookup.lookupClass.secondStepParts, satisfiedParts);
         lookup.parts = new ArrayList<>();
--- a/src/main/java/tinlink/decision/Lookup.java
+++ b/src/main/java/tinlink/decision/Lookup.java
@@ -16,12 +16,12 @@
     /** The objectives and limits of the lookup. */
     public LookupClass lookupClass;
     /** Whether the client marked the lookup as a retry. */
-    public boolean isClientRetry;
+    public boolean clientRetry;
     /**
      * Whether a router of another site forwarded the lookup, which then has a single part. The part goes to
      * one data node of this site, once, and is not forwarded again.
      */
-    public boolean isForwarded;
+    public boolean forwarded;
 
     /** When the lookup arrived; set by the coordinator. */
     public long arrivedAtUs;
@@ -32,7 +32,7 @@
     /** The parts of the present step that have arrived so far; filled by the coordinator. */
     public List<Part> parts = new ArrayList<>();
     /** Whether the lookup has its final answer, or its client has left; set by the coordinator. */
-    public boolean isEnded;
+    public boolean ended;
 
     /** Length of a round: a part whose attempt is unanswered for this long is hedged. */
     long roundUs;
@@ -56,7 +56,7 @@
 
     private boolean lostTwoNodes;
     /** Whether the present step is the second one; set by the coordinator. */
-    public boolean isSecondStep;
+    public boolean secondStep;
 
     boolean firstStepComplete = true;
 
@@ -70,7 +70,7 @@
     }
 
     double satisfiedWeight() {
-        return weight(part -> part.isSatisfied);
+        return weight(part -> part.satisfied);
     }
 
     double awaitedWeight() {
@@ -79,7 +79,7 @@
 
     /** The weight that completes the present step; a second step needs all of its parts. */
     double neededWeight() {
-        return isSecondStep ? 1 : lookupClass.completeShare;
+        return secondStep ? 1 : lookupClass.completeShare;
     }
 
     /** Whether satisfied parts of this weight complete the present step. */
@@ -92,7 +92,7 @@
      * part only where the class allows partial answers.
      */
     double minimumWeight() {
-        return isSecondStep && !lookupClass.allowsPartialAnswers() ? 1 : lookupClass.minimumShare;
+        return secondStep && !lookupClass.allowsPartialAnswers() ? 1 : lookupClass.minimumShare;
     }
 
     /** Records that the connection to a data node was lost with an attempt of this lookup on it. */
--- a/src/main/java/tinlink/decision/Part.java
+++ b/src/main/java/tinlink/decision/Part.java
@@ -17,7 +17,7 @@
     /** Number of attempts without an outcome; kept by the coordinator. */
     public int attemptsInFlight;
     /** Whether one of the attempts was answered; set by the coordinator. */
-    public boolean isSatisfied;
+    public boolean satisfied;
     /** The part is not sent again before this time, in microseconds. */
     long notBeforeUs;
     /** Whether the next attempt was charged as a hedge when its unanswered predecessor was cancelled. */
@@ -25,7 +25,7 @@
 
     /** Whether the part is not answered yet, and an attempt that may answer it is in flight. */
     boolean isAwaited() {
-        return !isSatisfied && attemptsInFlight > 0;
+        return !satisfied && attemptsInFlight > 0;
     }
 
     Attempt lastAttempt() {
--- a/src/main/java/tinlink/decision/RepeatGuard.java
+++ b/src/main/java/tinlink/decision/RepeatGuard.java
@@ -28,7 +28,7 @@
 
     /** Whether one more attempt at the part is within the limits and harmless. */
     boolean mayAttempt(Part part, long nowUs) {
-        int limit = part.lookup.isForwarded ? 1 : attemptLimit;
+        int limit = part.lookup.forwarded ? 1 : attemptLimit;
         if (part.attempts.size() >= limit || (part.attemptsInFlight > 0 && !hedgingAllowed)) {
             return false;
         }
@@ -66,7 +66,7 @@
      * once a part that must not run twice may have run.
      */
     boolean mayReject(Lookup lookup) {
-        if (lookup.isSecondStep) {
+        if (lookup.secondStep) {
             return false;
         }
         if (lookup.lookupClass.idempotency == Idempotency.IDEMPOTENT) {
--- a/src/main/java/tinlink/decision/ReplicaDirectory.java
+++ b/src/main/java/tinlink/decision/ReplicaDirectory.java
@@ -99,6 +99,6 @@
 
     private static boolean isReachable(DataNode node, Lookup lookup, long nowUs) {
         return node.linkRoundTripUs == 0
-                || (!lookup.isForwarded && lookup.endsAtUs - nowUs > node.linkRoundTripUs);
+                || (!lookup.forwarded && lookup.endsAtUs - nowUs > node.linkRoundTripUs);
     }
 }
--- a/src/main/java/tinlink/decision/RetryBudget.java
+++ b/src/main/java/tinlink/decision/RetryBudget.java
@@ -42,14 +42,14 @@
      * would allow more further attempts than the budget.
      */
     void onLookup(Lookup lookup, long nowUs) {
-        if (!lookup.isForwarded) {
+        if (!lookup.forwarded) {
             recordArrival(nowUs);
         }
     }
 
     /** Counts a part of the lookup; as above, the part of a forwarded lookup does not count here. */
     void onPart(Lookup lookup, long nowUs) {
-        if (!lookup.isForwarded) {
+        if (!lookup.forwarded) {
             hedgeTokens = Math.min(maxTokens, hedgeTokens + HEDGES_PER_PART);
             retryTokens = Math.min(maxTokens, retryTokens + RETRIES_PER_PART);
             recordArrival(nowUs);
--- a/src/main/java/tinlink/decision/RetryPlanner.java
+++ b/src/main/java/tinlink/decision/RetryPlanner.java
@@ -39,7 +39,7 @@
         boolean anyInFlight = false;
         for (Part part : lookup.parts) {
             boolean inFlight = part.attemptsInFlight > 0;
-            if (!part.isSatisfied && (inFlight || maySend(part, nowUs))) {
+            if (!part.satisfied && (inFlight || maySend(part, nowUs))) {
                 possibleWeight += part.weight;
                 anyInFlight |= inFlight;
             }
@@ -111,7 +111,7 @@
     void retry(Lookup lookup, double satisfiedWeight, long nowUs) {
         double expectedWeight = satisfiedWeight + lookup.awaitedWeight();
         for (Part part : lookup.parts) {
-            if (part.isSatisfied
+            if (part.satisfied
                     || part.attemptsInFlight > 0
                     || waitsForOtherParts(part, satisfiedWeight, expectedWeight)
                     || !guard.mayAttempt(part, nowUs)
--- a/src/main/java/tinlink/router/ClientResponse.java
+++ b/src/main/java/tinlink/router/ClientResponse.java
@@ -35,7 +35,7 @@
         String separator = "";
         for (Part part : query.parts) {
             String value = ((QueryPart) part).value;
-            if (part.isSatisfied && value != null) {
+            if (part.satisfied && value != null) {
                 json.append(separator)
                         .append("{\"segment\":")
                         .append(part.shard)
--- a/src/main/java/tinlink/router/DecisionDriver.java
+++ b/src/main/java/tinlink/router/DecisionDriver.java
@@ -119,7 +119,7 @@
     void clientGone(Query query) {
         queries.remove(query, loop.nowUs());
         try {
-            if (!query.isEnded) {
+            if (!query.ended) {
                 module.onClientGone(query);
             }
         } catch (RuntimeException e) {
--- a/src/main/java/tinlink/router/GatewayIntegration.java
+++ b/src/main/java/tinlink/router/GatewayIntegration.java
@@ -177,7 +177,7 @@
                         sent.part().shard,
                         query.idempotencyKey,
                         query.text,
-                        query.isClientRetry),
+                        query.clientRetry),
                 effectDeadlineUs(sent));
         sent.transport = new AttemptTransport() {
             @Override
@@ -248,7 +248,7 @@
 
     @Override
     public void cancelPart(IncomingPart part) {
-        if (part.attachment instanceof Query query && !query.isEnded) {
+        if (part.attachment instanceof Query query && !query.ended) {
             pipeline.driver.clientGone(query);
         }
     }
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -205,8 +205,8 @@
     private void dropStale(AttemptBatch batch) {
         for (SentAttempt sent : List.copyOf(batch.sentAttempts)) {
             if (!sent.ended
-                    && (sent.attempt.part.lookup.isEnded
-                            || sent.attempt.part.isSatisfied
+                    && (sent.attempt.part.lookup.ended
+                            || sent.attempt.part.satisfied
                             || endpoint.node.state != DataNode.State.READY
                             || connections.nowUs() + connections.maxTransitUs()
                                     > sent.effectDeadlineUs())) {
--- a/src/main/java/tinlink/router/QueryParser.java
+++ b/src/main/java/tinlink/router/QueryParser.java
@@ -62,7 +62,7 @@
         Query query =
                 new Query(callId, text.getBytes(StandardCharsets.UTF_8), idempotencyKey, client);
         query.lookupClass = lookupClass;
-        query.isClientRetry = "1".equals(headers.get("x-again"));
+        query.clientRetry = "1".equals(headers.get("x-again"));
         query.clientDeadlineUs = requestedAtUs + budgetUs;
         parseParts(query, map.get("segments"));
         return query;
@@ -94,8 +94,8 @@
         Query query =
                 new Query(id, content.text(), needsKey ? content.idempotencyKey() : null, listener);
         query.lookupClass = lookupClass;
-        query.isClientRetry = content.clientRetry();
-        query.isForwarded = true;
+        query.clientRetry = content.clientRetry();
+        query.forwarded = true;
         query.clientDeadlineUs = part.arrivedAt + part.remainingUs;
         query.parts.add(new QueryPart(query, content.shard(), 1, content.id()));
         query.announcedParts = 1;
--- a/src/main/java/tinlink/simadapter/SimulatedRouter.java
+++ b/src/main/java/tinlink/simadapter/SimulatedRouter.java
@@ -77,7 +77,7 @@
             lookup.wireId = wireId;
             lookup.queryNumber = queryNumber;
             lookup.lookupClass = lookupClasses[profile];
-            lookup.isClientRetry = (flags & 2) != 0;
+            lookup.clientRetry = (flags & 2) != 0;
             lookup.announcedParts = (int) Math.round(weight);
             lookup.clientDeadlineUs = nowUs + leftUs;
             lookups.put(wireId, lookup);
@@ -120,7 +120,7 @@
         coordinator.onOutcome(
                 part.attempts.get(attemptNumber), outcome, tookUs, reportedServiceTimeUs(feedback));
         if (part.attemptsInFlight == 0
-                && (part.lookup.isEnded || !part.lookup.parts.contains(part))) {
+                && (part.lookup.ended || !part.lookup.parts.contains(part))) {
             parts.remove(wireId);
         }
     }
@@ -299,13 +299,13 @@
      */
     private void forgetEnded(WireLookup lookup) {
         lookup.currentParts.removeIf(part -> {
-            boolean over = lookup.isEnded || !lookup.parts.contains(part);
+            boolean over = lookup.ended || !lookup.parts.contains(part);
             if (over && part.attemptsInFlight == 0) {
                 parts.remove(part.wireId);
             }
             return over;
         });
-        if (lookup.isEnded) {
+        if (lookup.ended) {
             lookups.remove(lookup.wireId);
             lookupsByQueryNumber.remove(lookup.queryNumber);
         }
--- a/src/test/java/tinlink/DecisionScenarioPlayer.java
+++ b/src/test/java/tinlink/DecisionScenarioPlayer.java
@@ -109,8 +109,8 @@
                 Lookup lookup = new Lookup();
                 lookup.lookupClass = lookupClasses.get(tokens[2]);
                 lookup.clientDeadlineUs = now + parseMillis(tokens[4]);
-                lookup.isClientRetry = tokens[tokens.length - 1].equals("repeat");
-                lookup.isForwarded = tokens[tokens.length - 1].equals("forwarded");
+                lookup.clientRetry = tokens[tokens.length - 1].equals("repeat");
+                lookup.forwarded = tokens[tokens.length - 1].equals("forwarded");
                 lookups.put(tokens[1], lookup);
                 names.put(lookup, tokens[1]);
                 lookup.announcedParts = shards(tokens).size();
@@ -156,7 +156,7 @@
             part.shard = shards.get(i);
             part.weight =
                     weights.isEmpty() ? 1.0 / shards.size() : Double.parseDouble(weights.get(i));
-            String name = names.get(lookup) + (lookup.isSecondStep ? ".b" : ".") + i;
+            String name = names.get(lookup) + (lookup.secondStep ? ".b" : ".") + i;
             names.put(part, name);
             parts.put(name, part);
             module().onPart(part);
--- a/src/test/java/tinlink/decision/RecordedPlay.java
+++ b/src/test/java/tinlink/decision/RecordedPlay.java
@@ -76,8 +76,8 @@
                 "l",
                 lookup.number,
                 classes.indexOf(lookup.lookupClass),
-                lookup.isClientRetry ? 1 : 0,
-                lookup.isForwarded ? 1 : 0,
+                lookup.clientRetry ? 1 : 0,
+                lookup.forwarded ? 1 : 0,
                 lookup.announcedParts,
                 lookup.clientDeadlineUs);
         module.onLookup(lookup);
@@ -100,9 +100,9 @@
         lookup.number = startedLookups++;
         lookup.clientRetries = clientRetries;
         lookup.lookupClass = classes.get(random.nextInt(classes.size()));
-        lookup.isClientRetry = clientRetries > 0 || random.nextInt(50) == 0;
-        lookup.isForwarded = random.nextInt(25) == 0;
-        lookup.announcedParts = lookup.isForwarded ? 1 : 1 + random.nextInt(8);
+        lookup.clientRetry = clientRetries > 0 || random.nextInt(50) == 0;
+        lookup.forwarded = random.nextInt(25) == 0;
+        lookup.announcedParts = lookup.forwarded ? 1 : 1 + random.nextInt(8);
         long patienceUs = lookup.lookupClass.latencyObjectiveUs * (1 + random.nextInt(4));
         lookup.clientDeadlineUs = now + patienceUs / (random.nextInt(12) == 0 ? 5 : 1);
         return lookup;
@@ -241,10 +241,10 @@
     public void answer(Lookup answered, boolean complete) {
         PlayedLookup lookup = (PlayedLookup) answered;
         StringBuilder satisfiedParts = new StringBuilder();
-        lookup.parts.forEach(part -> satisfiedParts.append(part.isSatisfied ? '1' : '0'));
+        lookup.parts.forEach(part -> satisfiedParts.append(part.satisfied ? '1' : '0'));
         transcript.record(
-                "A", lookup.number, complete ? 1 : 0, lookup.isEnded ? 1 : 0, satisfiedParts);
-        lookup.over = lookup.isEnded;
+                "A", lookup.number, complete ? 1 : 0, lookup.ended ? 1 : 0, satisfiedParts);
+        lookup.over = lookup.ended;
         if (!lookup.over && random.nextInt(10) > 0) {
             schedule(now + random.nextInt(2) * stepUs, () -> passParts(lookup, "b"));
         }
