--- a/src/main/java/tinlink/gateway/forwarding/AccrualFailureDetector.java
+++ b/src/main/java/tinlink/gateway/forwarding/AccrualFailureDetector.java
@@ -3,31 +3,31 @@
 import org.apache.commons.statistics.distribution.NormalDistribution;
 
 /**
- * Whether a connection can be relied on. Accrual: the longer the answer to a heartbeat is overdue, measured
- * by how regularly answers have come so far, the less likely the connection is sound. Two levels: past the
- * first nothing new is sent on it, past the second it is cut. Hysteresis: a channel that has failed of late
- * has to show more answers in a row before it is trusted again. Times are microseconds of one clock; no
- * I/O.
+ * Judges from the answers to heartbeats whether a connection works. Accrual: the longer an answer is overdue,
+ * relative to the mean and deviation of the earlier gaps between answers, the less likely the connection
+ * works. Two thresholds: past the first, nothing new is sent on the connection; past the second, the
+ * connection is closed. Hysteresis: a channel that has failed recently needs more answers in a row before it
+ * is trusted again. Times are microseconds of one clock; no I/O.
  *
- * <p>Source: N. Hayashibara and others, "The phi accrual failure detector" (SRDS 2004), with the two levels
- * computed as times rather than as a figure that is polled.
+ * <p>Source: N. Hayashibara and others, "The phi accrual failure detector" (SRDS 2004), with the two
+ * thresholds computed as times instead of a suspicion level that is polled.
  */
 final class AccrualFailureDetector {
     private static final double SMOOTHING = 0.125;
-    /** Standard deviations past the mean: the chance that a sound connection is suspected, and held dead. */
+    /** Thresholds in standard deviations past the mean, from the probability of a false alarm. */
     private static final double SUSPECT_DEVIATIONS =
             NormalDistribution.of(0, 1).inverseSurvivalProbability(1e-3);
 
     private static final double DEAD_DEVIATIONS =
             NormalDistribution.of(0, 1).inverseSurvivalProbability(1e-8);
-    /** What failed is forgotten by half in so many heartbeats. */
+    /** The half-life of the failure score, in heartbeats. */
     private static final double FAILURE_HALF_LIFE_HEARTBEATS = 40;
 
     private static final int MAX_REQUIRED_ACKS = 12;
     private final long heartbeatUs;
     private double meanUs;
     private double deviationUs;
-    /** When the last answer came, or would have been due. */
+    /** When the last answer came; for a new connection, one interval before the first answer is due. */
     private long lastAckAt;
 
     private int consecutiveAcks;
@@ -39,7 +39,7 @@
         this.heartbeatUs = heartbeatUs;
     }
 
-    /** The connection is up; its first answer is due a round trip from now. */
+    /** Starts to judge a new connection; its first answer is due one round trip from now. */
     void onConnected(long now, long roundTripUs) {
         connected = true;
         consecutiveAcks = 0;
@@ -48,10 +48,11 @@
         lastAckAt = now + roundTripUs - heartbeatUs;
     }
 
-    /** A heartbeat was answered. */
+    /** Records an answer to a heartbeat. */
     void onHeartbeatAck(long now) {
         double gapUs = Math.max(0, now - lastAckAt);
-        // Danger: one long gap, taken in whole, would make the next silence look usual.
+        // The gap is bounded: a single long gap would raise the mean so far that the next failure
+        // would be detected late.
         double boundedGapUs = Math.min(gapUs, meanUs + 4 * deviationUs);
         deviationUs += SMOOTHING * (Math.abs(boundedGapUs - meanUs) - deviationUs);
         meanUs += SMOOTHING * (boundedGapUs - meanUs);
@@ -60,8 +61,8 @@
     }
 
     void onDisconnected(long now) {
-        // Only a connection that was up has failed anybody; a channel that never comes up does not
-        // flap.
+        // Only the loss of an established connection is a failure; a channel that never connects
+        // does not flap.
         if (connected) {
             failureScore = decayedFailureScore(now) + 1;
             failedAt = now;
@@ -75,23 +76,23 @@
         return failureScore * Math.pow(0.5, halfLives);
     }
 
-    /** Answers in a row before it is trusted: one, and twice as many for each recent failure. */
+    /** The answers in a row needed before the connection is trusted: one, doubled for each recent failure. */
     private int requiredAcks(long now) {
         double doublings = Math.max(0, decayedFailureScore(now) - 0.5);
         return (int) Math.min(MAX_REQUIRED_ACKS, Math.round(Math.pow(2, doublings)));
     }
 
     private double boundedDeviationUs() {
-        // Danger: answers that come like clockwork leave no room for the least delay.
+        // Without a lower bound, very regular answers would leave no tolerance for a small delay.
         return Math.max(deviationUs, heartbeatUs / 4.0);
     }
 
-    /** From then on nothing new goes on it, unless an answer comes. */
+    /** The time from which nothing new is sent on the connection, unless an answer comes before. */
     long suspectAt() {
         return lastAckAt + (long) (meanUs + SUSPECT_DEVIATIONS * boundedDeviationUs());
     }
 
-    /** From then on it counts as dead, unless an answer comes. */
+    /** The time from which the connection counts as dead, unless an answer comes before. */
     long deadAt() {
         return lastAckAt + (long) (meanUs + DEAD_DEVIATIONS * boundedDeviationUs());
     }
--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPart.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPart.java
@@ -1,31 +1,31 @@
 package tinlink.gateway.forwarding;
 
-/** A part on its way to another site, as the router that forwards it knows it. State only. */
+/** The forwarding router's state of a part that it forwards to another site. */
 public class ForwardedPart {
     enum State {
-        /** It waits for a credit of the remote router's. */
+        /** The part waits for a credit of the remote router. */
         QUEUED,
-        /** It was sent on its channel. */
+        /** The part was sent on its channel. */
         IN_FLIGHT,
-        /** Its channel was cut; the remote router has not reported yet what became of it. */
+        /** The part's channel was cut, and the remote router has not reported the part's status yet. */
         UNRESOLVED,
         ENDED
     }
 
-    /** Until when an answer counts here, microseconds. */
+    /** The time until which an answer is accepted, in microseconds. */
     public final long deadline;
 
     public final int cell;
-    /** A second run does no harm. */
+    /** Whether the part may safely run twice. */
     public final boolean idempotent;
 
     State state = State.QUEUED;
     GatewayChannel channel;
-    /** Its number on its channel; they only rise. */
+    /** The number of the part on its channel; numbers increase. */
     long number;
 
     long queueDeadline;
-    /** When its channel was first cut; 0 where it has not been. */
+    /** When the part's channel was first cut while the part was in flight; 0 if it was not. */
     long unresolvedSince;
 
     boolean routerRestarted;
@@ -36,17 +36,17 @@
         this.idempotent = idempotent;
     }
 
-    /** It has not been sent on any channel. */
+    /** Whether the part still waits for a credit and has not been sent on any channel. */
     public boolean isQueued() {
         return state == State.QUEUED;
     }
 
-    /** Its channel was cut while it was in flight, and nobody could tell at once whether it ran. */
+    /** Whether the part's channel was cut in flight, so that the part's status had to be queried. */
     public boolean wasUnresolved() {
         return unresolvedSince > 0;
     }
 
-    /** The router that it was sent to has started anew since. */
+    /** Whether the remote router has restarted since the part was sent to it. */
     public boolean routerRestarted() {
         return routerRestarted;
     }
@@ -55,7 +55,7 @@
         return number;
     }
 
-    /** Null while it is queued. */
+    /** The channel on which the part was sent; null while the part is queued. */
     public GatewayChannel channel() {
         return channel;
     }
--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPartTable.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPartTable.java
@@ -5,22 +5,22 @@
 import java.util.function.Predicate;
 
 /**
- * The parts that are held for one remote router: those queued for a credit, those sent, and the ends that
- * have not been handed out yet. It keeps their deadlines. No I/O; times are microseconds.
+ * The parts to be forwarded to one remote router: parts queued for a credit, parts sent, and ended parts that
+ * have not been reported yet. The table enforces the deadlines of the parts. No I/O; times are microseconds.
  */
 final class ForwardedPartTable {
     private record End(ForwardedPart part, PartStatus status) {}
 
     private final List<GatewayChannel> channels;
     private final RemoteRouter.Settings settings;
-    /** For a credit; bounded by the settings, each leaves by its credit or in time. */
+    /** The parts that wait for a credit; bounded by {@code maxQueued}, each at most until its deadline. */
     private final ArrayDeque<ForwardedPart> queued = new ArrayDeque<>();
-    /** What inputs have made of parts; emptied by the decisions of the turn. */
+    /** The ends of parts that inputs have caused; emptied by the decisions of the turn. */
     private final ArrayDeque<End> ends = new ArrayDeque<>();
 
     private final ArrayDeque<ForwardedPart> cancelled = new ArrayDeque<>();
     private int inFlight;
-    /** No deadline passes before; early by some, since parts leave in between. */
+    /** A lower bound of the next deadline; it can be too early, as parts end before their deadlines. */
     private long nextDueAt = Long.MAX_VALUE;
 
     ForwardedPartTable(List<GatewayChannel> channels, RemoteRouter.Settings settings) {
@@ -30,10 +30,10 @@
 
     // ---- Inputs. ----
 
-    /** It waits for a credit, where the bound allows it. */
+    /** Queues the part for a credit, or rejects the part if the queue is full. */
     void enqueue(ForwardedPart part, long now) {
         if (queued.size() >= settings.maxQueued()) {
-            finish(part, PartStatus.REJECTED); // As good as rejected over there.
+            finish(part, PartStatus.REJECTED); // Equivalent to a rejection by the remote router.
             return;
         }
         part.queueDeadline = Math.min(part.deadline, now + settings.heartbeatUs());
@@ -41,7 +41,7 @@
         setDueBy(part.queueDeadline);
     }
 
-    /** The part's outcome is known; its run over there should end too. */
+    /** Cancels a part whose outcome is known already, on the remote router too. */
     void cancel(ForwardedPart part) {
         if (part.state == ForwardedPart.State.IN_FLIGHT && part.channel.isUp()) {
             cancelled.add(part);
@@ -49,10 +49,10 @@
         release(part);
     }
 
-    /** Its channel was cut, and nobody will report unasked any more what becomes of it. */
+    /** Records that the part's channel was cut; the remote router now reports its status only if queried. */
     void markUnresolved(ForwardedPart part, long now) {
-        boolean already = part.state == ForwardedPart.State.UNRESOLVED;
-        part.unresolvedSince = already ? part.unresolvedSince : now;
+        boolean unresolved = part.state == ForwardedPart.State.UNRESOLVED;
+        part.unresolvedSince = unresolved ? part.unresolvedSince : now;
         part.state = ForwardedPart.State.UNRESOLVED;
         setDueBy(recoveryDeadline(part));
     }
@@ -61,7 +61,7 @@
         return part.unresolvedSince + settings.recoveryUs();
     }
 
-    /** It leaves on that channel. */
+    /** Assigns the part, which is sent now, to the channel. */
     void assign(ForwardedPart part, GatewayChannel channel) {
         part.state = ForwardedPart.State.IN_FLIGHT;
         setDueBy(part.deadline);
@@ -74,7 +74,7 @@
         finish(part, status);
     }
 
-    /** The end of a part that is neither queued nor in flight. */
+    /** Records the end of a part that is neither queued nor in flight. */
     void finish(ForwardedPart part, PartStatus status) {
         part.state = ForwardedPart.State.ENDED;
         ends.add(new End(part, status));
@@ -90,14 +90,14 @@
         part.state = ForwardedPart.State.ENDED;
     }
 
-    // ---- What is held. ----
+    // ---- State. ----
 
-    /** Parts that are queued, in flight or unresolved. */
+    /** The number of parts that are queued, in flight or unresolved. */
     int openCount() {
         return queued.size() + inFlight;
     }
 
-    /** Parts that are in flight or unresolved. */
+    /** The number of parts that are in flight or unresolved. */
     int inFlight() {
         return inFlight;
     }
@@ -106,17 +106,17 @@
         return !queued.isEmpty();
     }
 
-    /** The next one for a credit; it is queued no longer. */
+    /** Removes and returns the next part of the queue; null if the queue is empty. */
     ForwardedPart pollQueued() {
         return queued.poll();
     }
 
-    /** No deadline passes before. */
+    /** A lower bound of the next deadline. */
     long nextDueAt() {
         return nextDueAt;
     }
 
-    /** All deadlines are looked at in the next decision. */
+    /** Makes the next decision check all deadlines. */
     void recheckDeadlines() {
         nextDueAt = 0;
     }
@@ -127,7 +127,7 @@
 
     // ---- Decisions. ----
 
-    /** Hands out one end, or one part that is cancelled. @return false where there is none */
+    /** Reports one ended part, or sends one cancel. @return false if there is neither */
     boolean reportNext(ForwardingHandler handler) {
         if (!ends.isEmpty()) {
             End end = ends.poll();
@@ -142,10 +142,10 @@
     }
 
     /**
-     * Ends what is out of time.
+     * Ends the parts whose deadline has passed, and queued parts whose cell can't be reached any more.
      *
-     * @param canServe whether the part's cell may be reached now
-     * @return whether anything was
+     * @param canServe whether the part's cell can be reached now
+     * @return whether any part was ended
      */
     boolean expire(long now, Predicate<ForwardedPart> canServe) {
         if (now < nextDueAt) {
@@ -164,10 +164,10 @@
     private boolean expireQueued(long now, Predicate<ForwardedPart> canServe) {
         boolean anyExpired = false;
         for (ForwardedPart part : List.copyOf(queued)) {
-            boolean isReachable = canServe.test(part);
-            if (now >= part.queueDeadline || !isReachable) {
-                boolean isLost = now >= part.deadline || !isReachable;
-                end(part, isLost ? PartStatus.NOT_SENT : PartStatus.REJECTED);
+            boolean reachable = canServe.test(part);
+            if (now >= part.queueDeadline || !reachable) {
+                boolean lost = now >= part.deadline || !reachable;
+                end(part, lost ? PartStatus.NOT_SENT : PartStatus.REJECTED);
                 anyExpired = true;
             } else {
                 setDueBy(part.queueDeadline);
@@ -177,17 +177,17 @@
     }
 
     private boolean expireInFlight(ForwardedPart part, long now) {
-        boolean isUnresolved = part.state == ForwardedPart.State.UNRESOLVED;
+        boolean unresolved = part.state == ForwardedPart.State.UNRESOLVED;
         if (now >= part.deadline) {
             end(part, PartStatus.NO_ANSWER);
             return true;
         }
-        if (isUnresolved && now >= recoveryDeadline(part)) {
+        if (unresolved && now >= recoveryDeadline(part)) {
             end(part, PartStatus.MAY_HAVE_RUN);
             return true;
         }
         setDueBy(part.deadline);
-        if (isUnresolved) {
+        if (unresolved) {
             setDueBy(recoveryDeadline(part));
         }
         return false;
--- a/src/main/java/tinlink/gateway/forwarding/ForwardingHandler.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardingHandler.java
@@ -9,36 +9,39 @@
      */
     void connect(GatewayChannel channel);
 
-    /** Ends the channel's connection; {@link RemoteRouter#onDisconnected} follows. */
+    /** Closes the channel's connection; {@link RemoteRouter#onDisconnected} follows. */
     void disconnect(GatewayChannel channel);
 
     /**
      * Sends a heartbeat.
      *
-     * @param lowestOpenNumber parts below this number are of no interest any more
+     * @param lowestOpenNumber the remote router may forget parts with lower numbers
      */
     void sendHeartbeat(GatewayChannel channel, long number, long lowestOpenNumber);
 
-    /** Sends the part on its channel. */
+    /** Sends the part on the channel it is assigned to. */
     void sendPart(ForwardedPart part);
 
-    /** Tells the remote router that the part is of no use any more. */
+    /** Tells the remote router that the result of the part is no longer needed. */
     void sendCancel(ForwardedPart part);
 
-    /** Asks on one channel about all parts of another, or of its own, that are still of interest. */
+    /**
+     * Queries on channel {@code via} the status of all open parts of channel {@code about}, which may be the
+     * same channel.
+     */
     void sendStatusQuery(GatewayChannel via, GatewayChannel about);
 
-    /** The end of a part; the value and times, if any, came with the input that it follows from. */
+    /** Reports that a part has ended; its value and times, if any, came with the input that ended it. */
     void partEnded(ForwardedPart part, PartStatus status);
 
     /**
-     * Which cells can be reached has changed, or how far the router is.
+     * Reports that the reachable cells or the round-trip time have changed.
      *
-     * @param cells that can be reached over this router now
-     * @param roundTripUs what the network takes there and back, microseconds
+     * @param cells the cells that can be reached over this router now
+     * @param roundTripUs the round-trip time to this router, in microseconds
      */
     void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs);
 
-    /** Pulls decisions again at that time, in microseconds. */
+    /** Schedules a call of {@link RemoteRouter#decide} at the given time, in microseconds. */
     void wakeAt(RemoteRouter router, long at);
 }
--- a/src/main/java/tinlink/gateway/forwarding/GatewayChannel.java
+++ b/src/main/java/tinlink/gateway/forwarding/GatewayChannel.java
@@ -5,12 +5,12 @@
 import java.util.TreeMap;
 
 /**
- * One of the channels to a remote router: its connection, which is made again after each loss, and the parts
- * that are open on it. State only; {@link RemoteRouter} decides, on its owner's thread. Times are
- * microseconds.
+ * The forwarding router's state of one channel to a remote router: the connection, which is re-established
+ * after each loss, and the open parts. {@link RemoteRouter} makes the decisions, on its owner's thread. Times
+ * are microseconds.
  */
 public final class GatewayChannel {
-    /** The shortest wait before it connects again, in heartbeats, and the longest. */
+    /** The shortest and the longest delay before the channel connects again, in heartbeat intervals. */
     private static final double MIN_BACKOFF_HEARTBEATS = 0.25;
 
     private static final double MAX_BACKOFF_HEARTBEATS = 8;
@@ -22,23 +22,23 @@
     }
 
     public final RemoteRouter router;
-    /** Its place among the channels to that router, the same on every connection. */
+    /** The index of the channel among those to its router; the same on every connection. */
     public final int index;
 
     private final HeartbeatMonitor heartbeats;
     private final ReconnectBackoff backoff;
     State state = State.DOWN;
-    /** The channel on which the status of its parts would be reported; null where none. */
+    /** The channel on which the remote router reports the status of this channel's parts; null if none. */
     GatewayChannel statusChannel;
-    /** It leads to a router that has started anew since. */
+    /** Whether the connection belongs to an earlier incarnation of the remote router. */
     boolean stale;
-    /** What it has carried that the remote router may still report on; each leaves as it ends. */
+    /** The sent parts whose status the remote router may still report; each is removed when it ends. */
     final TreeMap<Long, ForwardedPart> openParts = new TreeMap<>();
 
     private long nextPartNumber = 1;
-    /** How often it has connected. */
+    /** How often the channel has connected. */
     private long connectCount;
-    /** What was in flight when it was cut has to be asked about. */
+    /** Whether the status of the open parts is to be queried after a cut. */
     boolean statusQueryDue;
 
     GatewayChannel(RemoteRouter router, int index, long heartbeatUs) {
@@ -49,7 +49,7 @@
                 (MAX_BACKOFF_HEARTBEATS * heartbeatUs));
     }
 
-    // ---- Its connection. ----
+    // ---- The connection. ----
 
     void onConnected(long now, long roundTripUs) {
         connectCount++;
@@ -58,8 +58,8 @@
         state = State.UP;
         backoff.onConnected();
         heartbeats.onConnected(now, roundTripUs);
-        // Asked even where nothing is open: it keeps what may still be under way from starting, and
-        // cancels the rest.
+        // The query is sent even if no part is open: it keeps parts that are still on their way
+        // from starting, and cancels all others.
         statusQueryDue = true;
     }
 
@@ -79,17 +79,17 @@
         return state == State.DOWN && now >= backoff.retryAt();
     }
 
-    /** It is up, and can be relied on. */
+    /** Whether the channel is up and its failure detector trusts the connection. */
     boolean isTrusted(long now) {
         return isUp() && heartbeats.isTrusted(now);
     }
 
-    /** It is up, and of no use any more. */
+    /** Whether the channel is up, but its connection is stale or dead and is to be closed. */
     boolean isDisconnectDue(long now) {
         return isUp() && (stale || heartbeats.isDead(now));
     }
 
-    /** When something falls due here, unless an input comes before. */
+    /** When the channel next needs a decision, unless an input comes before. */
     long nextDueAt(long now) {
         return switch (state) {
             case DOWN -> backoff.retryAt();
@@ -98,13 +98,13 @@
         };
     }
 
-    // ---- Its heartbeats. ----
+    // ---- Heartbeats. ----
 
     boolean isHeartbeatDue(long now) {
         return isUp() && heartbeats.isDue(now);
     }
 
-    /** A heartbeat leaves. @return its number */
+    /** Records that a heartbeat is sent. @return the number of the heartbeat */
     long onHeartbeatSent(long now) {
         return heartbeats.onSent(now);
     }
@@ -115,49 +115,49 @@
         }
     }
 
-    /** The number of the last heartbeat that was answered; 0 where none was since it connected. */
+    /** The number of the last heartbeat answered on the current connection; 0 if there is none. */
     public long lastAckedHeartbeat() {
         return heartbeats.lastAcked();
     }
 
     /**
-     * How long ago that answer came. Danger: the remote router derives a part's age from this, since no
-     * reading of a clock can cross.
+     * The time since the answer to the last answered heartbeat arrived. The remote router derives a part's
+     * age from this duration, since the clocks of the two routers can't be compared.
      */
     public long sinceAckUs(long now) {
         return heartbeats.sinceAckUs(now);
     }
 
-    /** What the remote router keeps of a part's time beside the round trip that it measures itself. */
+    /** The time that the remote router reserves for a part in addition to the round trip that it measures. */
     public long marginUs() {
         return heartbeats.roundTrip().marginUs();
     }
 
-    /** What is reserved of a part's time for the network, there and back. */
+    /** The time to reserve for a part's round trip. */
     long reservedUs() {
         return heartbeats.roundTrip().reservedUs();
     }
 
-    /** How long the next part would take here, next to the other channels. */
+    /** An estimate of the wait for the next part on this channel, by which channels are compared. */
     double expectedWaitUs() {
         return (double) reservedUs() * (openParts.size() + 1);
     }
 
-    // ---- Its parts. ----
+    // ---- Parts. ----
 
-    /** The part leaves on it. */
+    /** Assigns the part to this channel and gives it the next number. */
     void assign(ForwardedPart part) {
         part.channel = this;
         part.number = nextPartNumber++;
         openParts.put(part.number, part);
     }
 
-    /** The lowest number that is still of interest; what lies below may be forgotten over there. */
+    /** The lowest number of an open part; the remote router may forget parts with lower numbers. */
     public long lowestOpenNumber() {
         return openParts.isEmpty() ? nextPartNumber : openParts.firstKey();
     }
 
-    /** No part of this number or a higher one has left on it yet. */
+    /** The number of the next part; no part with this number or a higher one has been sent on the channel. */
     public long nextPartNumber() {
         return nextPartNumber;
     }
@@ -166,7 +166,7 @@
         return connectCount;
     }
 
-    /** What is open, by number. */
+    /** The open parts, by number. */
     public Map<Long, ForwardedPart> openParts() {
         return openParts;
     }
--- a/src/main/java/tinlink/gateway/forwarding/HeartbeatMonitor.java
+++ b/src/main/java/tinlink/gateway/forwarding/HeartbeatMonitor.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * The heartbeats of one connection: when the next is due, how long answers take, and whether the connection
- * can be trusted. Times are microseconds of the owner's clock.
+ * Tracks the heartbeats of one connection: when the next heartbeat is due, the round-trip time, and whether
+ * the connection can be trusted. Times are microseconds of the owner's clock.
  */
 final class HeartbeatMonitor {
-    /** Heartbeats that are out and measured at a time; a connection with more is dead long before. */
+    /** The maximum of tracked unanswered heartbeats; a connection counts as dead long before it. */
     private static final int MAX_MEASURED = 64;
 
     private final long intervalUs;
     private final AccrualFailureDetector failureDetector;
     private final RoundTripEstimator roundTrip = new RoundTripEstimator();
-    /** When those that are not answered left; bounded, and emptied as the connection comes up. */
+    /** Send times of unanswered heartbeats, by number; bounded, and cleared when the channel connects. */
     private final Map<Long, Long> sentAt = new HashMap<>();
 
     private long dueAt;
     private long lastSent;
-    /** The last heartbeat that was answered; 0 where none has been on this connection. */
+    /** The number of the last heartbeat answered on this connection; 0 if there is none. */
     private long lastAcked;
 
     private long ackedAt;
@@ -45,7 +45,7 @@
         return now >= dueAt;
     }
 
-    /** A heartbeat leaves. @return its number */
+    /** Records that a heartbeat is sent. @return the number of the heartbeat */
     long onSent(long now) {
         dueAt = now + intervalUs;
         if (sentAt.size() < MAX_MEASURED) {
@@ -84,7 +84,7 @@
         return failureDetector.isDead(now);
     }
 
-    /** When a heartbeat is due or the verdict changes, unless an answer comes before. */
+    /** When a heartbeat is due or the connection becomes suspect or dead, unless an answer comes before. */
     long nextDueAt(long now) {
         long next = Math.min(dueAt, failureDetector.deadAt());
         return isTrusted(now) ? Math.min(next, failureDetector.suspectAt()) : next;
--- a/src/main/java/tinlink/gateway/forwarding/PartStatus.java
+++ b/src/main/java/tinlink/gateway/forwarding/PartStatus.java
@@ -3,36 +3,37 @@
 import tinlink.decision.Outcome;
 
 /**
- * All that can be known of a forwarded part, and what each means for its attempt: the one place that says so.
- * Constants stand in the order of their codes.
+ * The status of a forwarded part and the outcome that each status gives to the part's attempt. The constants
+ * are in the order of their codes.
  */
 public enum PartStatus {
-    /** It has not left this router. */
+    /** The part was not sent by the forwarding router. */
     NOT_SENT(0, Outcome.NOT_SENT),
-    /** The remote router has not started it and never will. */
+    /** The remote router has not started the part and never will. */
     NOT_STARTED(1, Outcome.NOT_SENT),
     /**
-     * The remote router rejected it, or its own decisions did before any attempt that may have run.
+     * The remote router rejected the part, on arrival or before it made any attempt that may have run.
      */
     REJECTED(2, Outcome.REJECTED),
-    /** It runs there; no end. */
+    /** The part is running on the remote router. */
     RUNNING(3, null),
-    /** It has run there, and its value is here. */
+    /** The part has run on the remote router, and its value is available. */
     COMPLETED(4, Outcome.SATISFIED),
-    /** A data node there failed it; it may have run. */
+    /** A data node of the remote site failed to execute the part; the part may have run. */
     FAILED(5, Outcome.ERROR),
-    /** Nothing came in time; it may have run, or may yet. */
+    /** No answer came in time; the part may have run or may still run. */
     NO_ANSWER(6, Outcome.NO_ANSWER),
     /**
-     * It left, and nobody can tell any more. Danger: taken for a lost connection, one cut of a link would
-     * pass for the death of every node behind it, and the decisions would let lookups go one part at a time.
+     * The part was sent, and whether it ran can no longer be found out. The outcome is not that of a lost
+     * connection: else one cut of a link would count as the failure of every data node behind the link, and
+     * the router would abandon lookups one part at a time.
      */
     MAY_HAVE_RUN(7, Outcome.CANCELLED);
 
     private static final PartStatus[] BY_CODE = values();
-    /** How the protocol between routers numbers it. */
+    /** The code of the status in the protocol between routers. */
     public final int code;
-    /** Null for one that is no end. */
+    /** The outcome of the part's attempt; null while the part is running. */
     public final Outcome outcome;
 
     PartStatus(int code, Outcome outcome) {
@@ -40,7 +41,7 @@
         this.outcome = outcome;
     }
 
-    /** The status of that code; null where there is none. */
+    /** The status with the given code; null if the code is unknown. */
     public static PartStatus ofCode(int code) {
         return code < 0 || code >= BY_CODE.length ? null : BY_CODE[code];
     }
--- a/src/main/java/tinlink/gateway/forwarding/ReachableCells.java
+++ b/src/main/java/tinlink/gateway/forwarding/ReachableCells.java
@@ -2,9 +2,9 @@
 
 import java.util.BitSet;
 
-/** Which cells were last announced as reachable over a remote router, and what the network takes. */
+/** The cells last announced as reachable over a remote router, with the round-trip time to that router. */
 final class ReachableCells {
-    /** Announced again once the round trip has changed by one part in so many, not at each heartbeat. */
+    /** A round-trip time is announced again after a change of more than one part in this number. */
     private static final int ROUND_TRIP_DIVISOR = 8;
 
     private BitSet cells = new BitSet();
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Takes over what can be reached now.
+     * Stores the current cells and round-trip time if they differ enough from those announced last.
      *
-     * @return whether it differs enough from what was announced before
+     * @return whether the new values were stored and are to be announced
      */
     boolean update(BitSet newCells, long newRoundTripUs) {
         boolean sameRoundTrip =
--- a/src/main/java/tinlink/gateway/forwarding/ReconnectBackoff.java
+++ b/src/main/java/tinlink/gateway/forwarding/ReconnectBackoff.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** When a channel may connect again: exponential backoff with jitter. Microseconds of the owner's clock. */
+/**
+ * Computes when a channel may connect again: exponential backoff with jitter. Times are microseconds of the
+ * owner's clock.
+ */
 final class ReconnectBackoff {
     private final long minUs;
     private final long maxUs;
@@ -18,13 +21,16 @@
         currentUs = 0;
     }
 
-    /** Danger: routers that lost the same link at once and all come back at once. */
+    /**
+     * Schedules the next connect. The jitter keeps routers that lost a link at the same time from all
+     * reconnecting at the same time.
+     */
     void onDisconnected(long now, SplittableRandom random) {
         currentUs = Math.min(maxUs, Math.max(minUs, 2 * currentUs));
         retryAt = now + currentUs / 2 + random.nextLong(currentUs);
     }
 
-    /** At first, at once. */
+    /** The earliest time to connect again; 0 before the first loss of a connection. */
     long retryAt() {
         return retryAt;
     }
--- a/src/main/java/tinlink/gateway/forwarding/RemoteRouter.java
+++ b/src/main/java/tinlink/gateway/forwarding/RemoteRouter.java
@@ -8,52 +8,53 @@
 import java.util.function.Predicate;
 
 /**
- * Decides about one router of another site: whether it may be used and for which cells, on which of its
- * channels a part leaves and when, what is asked about after a cut, when a channel connects again.
+ * Makes the decisions of the forwarding router about one router of another site: whether the remote router
+ * may be used and for which cells, on which channel and when a part is sent, which parts are queried after a
+ * cut, and when a channel connects again.
  *
- * <p>Inputs only update what is known; {@link #decide} is pulled until it returns false. No I/O, no clock, no
- * randomness of its own; times are microseconds. Not thread-safe: all calls come from the owner's thread.
+ * <p>Inputs only update the state; the owner calls {@link #decide} until it returns false. No I/O, no clock,
+ * no randomness of its own; times are microseconds. Not thread-safe: all calls come from the owner's thread.
  */
 public final class RemoteRouter {
     /**
-     * How long and for how many parts the forwarding side waits.
+     * The limits of the forwarding router.
      *
-     * @param heartbeatUs between two heartbeats
-     * @param maxQueued parts that may wait for a credit at a time
-     * @param recoveryUs how long after a cut the status of a part is waited for
+     * @param heartbeatUs the interval between two heartbeats
+     * @param maxQueued how many parts may wait for a credit at a time
+     * @param recoveryUs how long to wait for the status of a part after a cut
      */
     public record Settings(long heartbeatUs, int maxQueued, long recoveryUs) {}
 
-    /** The other remote routers. */
+    /** Knows the other remote routers. */
     public interface AlternativeRoutes {
-        /** Whether one of them can serve the cell too. */
+        /** Whether a remote router other than the given one can serve the cell. */
         boolean hasAlternative(int cell, RemoteRouter other);
     }
 
     public final String name;
-    /** By index. */
+    /** The channels to this router, by index. */
     public final List<GatewayChannel> channels;
 
     private final AlternativeRoutes alternatives;
     private final SplittableRandom random;
     private final ForwardedPartTable partTable;
-    /** Cells that it has said it serves. */
+    /** The cells that the remote router has last announced. */
     private BitSet servedCells = new BitSet();
 
     private final ReachableCells announced = new ReachableCells();
     private long incarnation;
-    /** Parts that it takes from here at a time; 0 until it says so. */
+    /** How many parts may be in flight to the remote router; 0 until it has announced a window. */
     private int creditWindow;
 
     private boolean draining;
     private long now;
-    /** The wake-up that has been asked for; {@link Long#MAX_VALUE} where none is. */
+    /** The time of the requested wake-up; {@link Long#MAX_VALUE} if none is requested. */
     private long wakeAt = Long.MAX_VALUE;
 
     /**
-     * A router that no channel has connected to yet.
+     * Creates the state of a remote router to which no channel has connected yet.
      *
-     * @param random for the jitter of reconnecting; drawn from by this router alone
+     * @param random the source of the reconnect jitter, used by this object only
      */
     public RemoteRouter(
             String name,
@@ -74,7 +75,7 @@
 
     // ---- Inputs. ----
 
-    /** Time has passed; comes before all other inputs of a turn. */
+    /** Sets the current time; called before all other inputs of a turn. */
     public void advanceClock(long nowUs) {
         now = nowUs;
         if (now >= wakeAt) {
@@ -83,8 +84,8 @@
     }
 
     /**
-     * A channel has connected and its far end has authenticated. Danger: a router with another incarnation
-     * has started anew; it knows nothing of what the one before it ran.
+     * A channel has connected, and the remote router has authenticated. A new incarnation means that the
+     * remote router has restarted and knows nothing of the parts that the previous incarnation ran.
      */
     public void onConnected(GatewayChannel channel, long remoteIncarnation, long roundTripUs) {
         if (remoteIncarnation != incarnation) {
@@ -108,7 +109,7 @@
     }
 
     /**
-     * A channel has lost its connection, or did not get one.
+     * A channel has lost its connection or failed to connect.
      *
      * @param mayHaveLeft whether the part's last byte was handed to the kernel, or may have been
      */
@@ -122,15 +123,15 @@
         }
     }
 
-    /** Nobody will report unasked any more on what is in flight on that channel. */
+    /** Resolves the channel's open parts, whose status the remote router now reports only if queried. */
     private void resolveAfterCut(GatewayChannel channel, Predicate<ForwardedPart> mayHaveLeft) {
         for (ForwardedPart part : List.copyOf(channel.openParts.values())) {
-            // Danger: what outlived one cut has left; its place in the stream was that of another
-            // connection.
+            // A part that was unresolved before has been sent: mayHaveLeft refers to the latest
+            // connection and can't be applied to a part of an earlier one.
             if (!part.wasUnresolved() && !mayHaveLeft.test(part)) {
                 partTable.end(part, PartStatus.NOT_SENT);
             } else if (part.idempotent && alternatives.hasAlternative(part.cell, this)) {
-                // A second run does no harm and another router can begin now.
+                // The part may safely run twice, and another router can start it now.
                 partTable.end(part, PartStatus.MAY_HAVE_RUN);
             } else {
                 partTable.markUnresolved(part, now);
@@ -139,24 +140,24 @@
         }
     }
 
-    /** A heartbeat was answered. */
+    /** The remote router has answered a heartbeat. */
     public void onHeartbeatAck(GatewayChannel channel, long number) {
         channel.onHeartbeatAck(number, now);
     }
 
-    /** The router has said which cells it reaches at its site. */
+    /** The remote router has announced the cells that it reaches at its site. */
     public void onServedCells(BitSet cells) {
         servedCells = cells;
     }
 
-    /** The router has said how many parts it takes from here at a time. */
+    /** The remote router has announced how many parts may be in flight to it. */
     public void onCreditWindow(int credits) {
         creditWindow = credits;
     }
 
     /**
-     * The router stops: of what left on that channel, nothing past the last one that it names was started or
-     * will be. It is trusted again as a new incarnation.
+     * The remote router is stopping: no part sent on the channel after {@code lastStarted} was started or
+     * will be. The router is used again after it has connected with a new incarnation.
      */
     public void onGoAway(GatewayChannel channel, long lastStarted) {
         draining = true;
@@ -166,7 +167,7 @@
         }
     }
 
-    /** A part is to be forwarded to this router. */
+    /** Queues a part for this router, or ends the part if its cell can't be reached. */
     public void forward(ForwardedPart part) {
         if (canServe(part.cell)) {
             partTable.enqueue(part, now);
@@ -175,12 +176,12 @@
         }
     }
 
-    /** The part's outcome is known already; its run over there should end too. */
+    /** Cancels a part whose outcome is known already, on the remote router too. */
     public void cancel(ForwardedPart part) {
         partTable.cancel(part);
     }
 
-    /** What the router reports of a part, on its own or asked. */
+    /** The remote router has reported the status of a part, unasked or in answer to a query. */
     public void onPartStatus(GatewayChannel channel, long number, PartStatus status) {
         ForwardedPart part = channel.openParts.get(number);
         if (part == null) {
@@ -195,32 +196,32 @@
 
     // ---- State. ----
 
-    /** The open part of that number; null where it is of no interest any more. */
+    /** The open part with the given number; null if there is none. */
     public ForwardedPart findOpenPart(GatewayChannel channel, long number) {
         return channel.openParts.get(number);
     }
 
-    /** Parts that are queued, in flight or unresolved. */
+    /** The number of parts that are queued, in flight or unresolved. */
     public int openPartCount() {
         return partTable.openCount();
     }
 
-    /** Parts that it takes from here at a time; 0 until it says so. */
+    /** How many parts may be in flight to the remote router; 0 until it has announced a window. */
     public int creditWindow() {
         return creditWindow;
     }
 
-    /** Whether a part for that cell may be forwarded to it now. */
+    /** Whether a part for the cell may be forwarded to this router now. */
     public boolean canServe(int cell) {
         return servedCells.get(cell) && bestTrustedChannel() != null;
     }
 
-    /** Of a part's time, what the remote router may use: the rest is kept for the network, there and back. */
+    /** The share of the part's remaining time that is left after reserving the round trip. */
     public long remainingUs(ForwardedPart part, GatewayChannel channel) {
         return part.deadline - now - channel.reservedUs();
     }
 
-    /** The channel for the next part: the trusted one that would have its answer first; null for none. */
+    /** The trusted channel with the shortest expected wait; null if there is none or the router drains. */
     private GatewayChannel bestTrustedChannel() {
         if (draining) {
             return null;
@@ -236,7 +237,7 @@
         return best;
     }
 
-    /** A channel that is up, the best trusted one if there is one: to ask about another. */
+    /** The channel on which to query: {@code about} if it is up, else the best one up; null if none is. */
     private GatewayChannel channelForQuery(GatewayChannel about) {
         if (about.isUp()) {
             return about;
@@ -249,7 +250,7 @@
 
     // ---- Decisions. ----
 
-    /** Carries out one decision. @return false where there is none */
+    /** Carries out one decision. @return false if there is none */
     public boolean decide(ForwardingHandler handler) {
         if (partTable.reportNext(handler)) {
             return true;
@@ -323,7 +324,7 @@
         if (!announced.update(reachable, roundTripUs)) {
             return false;
         }
-        partTable.recheckDeadlines(); // What is queued may have nowhere to go now.
+        partTable.recheckDeadlines(); // Queued parts may have become unreachable.
         handler.cellsChanged(this, announced.cells(), announced.roundTripUs());
         return true;
     }
--- a/src/main/java/tinlink/gateway/forwarding/RoundTripEstimator.java
+++ b/src/main/java/tinlink/gateway/forwarding/RoundTripEstimator.java
@@ -1,8 +1,7 @@
 package tinlink.gateway.forwarding;
 
 /**
- * How long a connection takes there and back, smoothed, and its deviation: the estimator of RFC 6298.
- * Microseconds.
+ * Estimates the smoothed round-trip time of a connection and its deviation as RFC 6298 does, in microseconds.
  */
 final class RoundTripEstimator {
     private static final double MEAN_GAIN = 0.125;
@@ -22,12 +21,12 @@
         }
     }
 
-    /** What has to be kept of a part's time beside a round trip that is measured anew for each. */
+    /** The time to reserve for a part in addition to the round trip measured for that part. */
     long marginUs() {
         return (long) (DEVIATIONS_RESERVED * deviationUs);
     }
 
-    /** What has to be kept of a part's time for the network, whichever way is the slower one. */
+    /** The time to reserve for a part's round trip; it covers both directions, however unequal they are. */
     long reservedUs() {
         return (long) (smoothedUs + DEVIATIONS_RESERVED * deviationUs);
     }
