--- a/src/main/java/tinlink/gateway/forwarding/ConcurrencyLimit.java
+++ b/src/main/java/tinlink/gateway/forwarding/ConcurrencyLimit.java
@@ -1,13 +1,14 @@
 package tinlink.gateway.forwarding;
 
 /**
- * How many parts of other sites may be in flight to this router, shared out evenly among the channels that
- * are connected. Additive increase, multiplicative decrease: a quarter less after rejections, so that the
- * forwarding sides hold back what would be rejected here. Times are microseconds of the owner's clock.
+ * Limits the parts of other sites that may be in flight to this router, and divides the limit evenly among
+ * the connected channels. Additive increase, multiplicative decrease: rejections lower the limit by a
+ * quarter, so that the forwarding routers queue parts that this router would reject. Times are microseconds
+ * of the owner's clock.
  */
 final class ConcurrencyLimit {
     private static final double DECREASE = 0.75;
-    /** It grows by one part in so many, at least by one. */
+    /** Each increase adds the maximum divided by this number, but at least one part. */
     private static final double INCREASE_DIVISOR = 32.0;
 
     private final int maxRunning;
@@ -27,7 +28,7 @@
         rejectedSinceAdjust = true;
     }
 
-    /** Adjusts the limit where that is due. */
+    /** Adjusts the limit if the adjustment interval has passed. */
     void adjust(long now) {
         if (now < adjustAt) {
             return;
@@ -39,12 +40,12 @@
         rejectedSinceAdjust = false;
     }
 
-    /** The credit window of each of so many connected channels; at least 1. */
+    /** The credit window of each connected channel, given the number of them; at least 1. */
     int windowOfEach(int channels) {
         return Math.max(1, (int) (limit / Math.max(1, channels)));
     }
 
-    /** When it grows next; {@link Long#MAX_VALUE} where it can't. */
+    /** When the limit may increase next; {@link Long#MAX_VALUE} if it is at its maximum. */
     long growsAt() {
         return limit < maxRunning ? adjustAt : Long.MAX_VALUE;
     }
--- a/src/main/java/tinlink/gateway/forwarding/EndedPartCache.java
+++ b/src/main/java/tinlink/gateway/forwarding/EndedPartCache.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashSet;
 
 /**
- * Parts that have ended here and are remembered, so that their routers can ask about them again; in the order
- * in which they ended, bounded by number and by the bytes of their values.
+ * The ended parts whose status the receiving router keeps, so that the forwarding routers can query it again.
+ * The parts are in the order in which they ended, bounded by their number and by the bytes of their values.
  */
 final class EndedPartCache {
     private final int maxParts;
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The part that has to be forgotten next, the oldest; null while the bounds are kept. */
+    /** The oldest part, which is to be evicted, if a bound is exceeded; else null. */
     ReceivedPart overflow() {
         return parts.size() > maxParts || bytes > maxBytes ? parts.iterator().next() : null;
     }
--- a/src/main/java/tinlink/gateway/forwarding/ExecutionHandler.java
+++ b/src/main/java/tinlink/gateway/forwarding/ExecutionHandler.java
@@ -1,35 +1,36 @@
 package tinlink.gateway.forwarding;
 
 /**
- * Carries out the decisions of a {@link ForwardedPartReceiver}. Sessions are the objects that were given to
- * {@link ForwardedPartReceiver#onConnected}. Called from within {@link ForwardedPartReceiver#decide}.
+ * Carries out the decisions of a {@link ForwardedPartReceiver}, which calls the handler from within
+ * {@link ForwardedPartReceiver#decide}. Sessions are the objects that were passed to
+ * {@link ForwardedPartReceiver#onConnected}.
  */
 public interface ExecutionHandler {
-    /** Starts the part; its end comes back by {@link ForwardedPartReceiver#onPartEnded}. */
+    /** Starts the part; {@link ForwardedPartReceiver#onPartEnded} follows when the part has ended. */
     void startPart(ReceivedPart part);
 
-    /** Stops a part that runs: its router has no more use for it. */
+    /** Cancels a running part whose result the forwarding router no longer needs. */
     void cancelPart(ReceivedPart part);
 
     /**
      * Reports the status of a part.
      *
-     * @param channelIndex the channel that it came on, which may be another than the session's
-     * @param part null where it is not remembered; the value of one that is completed is with it
+     * @param channelIndex the channel on which the part arrived, which may differ from the session's channel
+     * @param part the part, with its value if it is completed; null if the part is no longer remembered
      */
     void sendPartStatus(
             Object session, int channelIndex, long number, PartStatus status, ReceivedPart part);
 
     /**
-     * Tells a forwarding router how much is taken.
+     * Sends a credit window to a forwarding router.
      *
-     * @param parts that the session's channel may have in flight to here at a time
+     * @param parts how many parts the session's channel may have in flight to this router at a time
      */
     void sendCreditWindow(Object session, int parts);
 
-    /** Ends the connection; {@link ForwardedPartReceiver#onDisconnected} follows. */
+    /** Closes the connection; {@link ForwardedPartReceiver#onDisconnected} follows. */
     void closeSession(Object session);
 
-    /** Pulls decisions again at that time, in microseconds. */
+    /** Schedules a call of {@link ForwardedPartReceiver#decide} at the given time, in microseconds. */
     void wakeAt(long at);
 }
--- a/src/main/java/tinlink/gateway/forwarding/ForwardedPartReceiver.java
+++ b/src/main/java/tinlink/gateway/forwarding/ForwardedPartReceiver.java
@@ -5,23 +5,23 @@
 import java.util.Set;
 
 /**
- * Decides about the parts that routers of other sites forward to this one: which start, which have been here
- * already, what is reported of them, how many each channel may have in flight, what is forgotten and when. A
- * number that has been seen never runs a second time.
+ * Makes the decisions about the parts that routers of other sites forward to this router: which parts start,
+ * which are duplicates, which status is reported, how many parts each channel may have in flight, and when
+ * parts and channels are forgotten. A part number that was seen before never runs again.
  *
- * <p>Inputs only update what is known; {@link #decide} is pulled until it returns false. No I/O, no clock;
+ * <p>Inputs only update the state; the owner calls {@link #decide} until it returns false. No I/O, no clock;
  * times are microseconds. Not thread-safe: all calls come from the owner's thread.
  */
 public final class ForwardedPartReceiver {
     /**
-     * How much of other sites' work is run and remembered.
+     * The limits on the parts of other sites.
      *
-     * @param maxRunning parts of other sites that may run here at a time
-     * @param maxEnded ended parts that are remembered
-     * @param maxEndedBytes bytes of their values together
-     * @param maxChannels channels of other sites' routers that are known at a time
-     * @param retentionUs how long a channel without a connection is remembered: no client waits longer
-     * @param adjustIntervalUs the credit windows follow rejections no faster
+     * @param maxRunning how many parts of other sites may run on this router at a time
+     * @param maxEnded how many ended parts are remembered
+     * @param maxEndedBytes the total size of the values of ended parts, in bytes
+     * @param maxChannels how many channels of other sites' routers are known at a time
+     * @param retentionUs how long a disconnected channel is remembered; no client waits longer
+     * @param adjustIntervalUs the interval at which the credit windows are adjusted to rejections
      */
     public record Limits(
             int maxRunning,
@@ -35,13 +35,13 @@
     private final InboundChannelTable channels;
     private final EndedPartCache endedParts;
     private final ConcurrencyLimit concurrencyLimit;
-    /** What inputs have led to; emptied by the decisions of the turn. */
+    /** The decisions that inputs have caused; emptied by {@link #decide} in the same turn. */
     private final ArrayDeque<ReceiverDecision> pendingDecisions = new ArrayDeque<>();
 
     private int running;
     private boolean draining;
     private long now;
-    /** The wake-up that has been asked for; {@link Long#MAX_VALUE} where none is. */
+    /** The time of the requested wake-up; {@link Long#MAX_VALUE} if none is requested. */
     private long wakeAt = Long.MAX_VALUE;
 
     public ForwardedPartReceiver(Limits limits) {
@@ -53,7 +53,7 @@
 
     // ---- Inputs. ----
 
-    /** Time has passed; comes before all other inputs of a turn. */
+    /** Sets the current time; called before all other inputs of a turn. */
     public void advanceClock(long nowUs) {
         now = nowUs;
         if (now >= wakeAt) {
@@ -62,14 +62,14 @@
     }
 
     /**
-     * A forwarding router has authenticated on one of its channels. Danger: the connection that the channel
-     * had before may still bring parts of which the router has heard, or will hear, that they never started.
+     * A forwarding router has authenticated on one of its channels. The channel's previous connection is
+     * closed, since it may still deliver parts that are reported to the forwarding router as never started.
      *
-     * @param router site and router
+     * @param router the names of the site and the router
      * @param connectCount how often the channel has connected, this time included
-     * @param nextNumber the router has sent no part of that number or a higher one on the channel yet
-     * @param session the connection, as the handler is to know it
-     * @return the channel, or null where the table is full of channels that are connected
+     * @param nextNumber the number of the next part; no part with it or a higher one has been sent yet
+     * @param session the object that identifies the connection to the handler
+     * @return the channel, or null if the table is full of connected channels
      */
     public InboundChannel onConnected(
             String router,
@@ -78,7 +78,7 @@
             long connectCount,
             long nextNumber,
             Object session) {
-        // It has started anew: nobody waits for these any more.
+        // The router has restarted and no longer waits for parts of its earlier incarnations.
         channels.ofOtherIncarnations(router, incarnation).forEach(this::removeChannel);
         InboundChannel.Key key = new InboundChannel.Key(router, incarnation, channelIndex);
         InboundChannel channel = channels.find(key);
@@ -96,17 +96,17 @@
         return channel;
     }
 
-    /** The connection has ended; the channel and its parts stay for a while. */
+    /** The connection has ended; the channel and its parts are kept for {@code retentionUs}. */
     public void onDisconnected(InboundChannel channel, Object session) {
         channel.onSessionClosed(session, now);
         channels.all().forEach(each -> each.stopReportingOn(session));
     }
 
     /**
-     * A part has arrived. Danger: the same frame twice or late, on this connection or on another: a number
-     * that has been seen, or lies below the lowest one that is accepted, never runs.
+     * A part has arrived. The same frame can arrive twice or late, on this connection or on another, so a
+     * part whose number was seen before or is below the lowest accepted number never runs.
      *
-     * @param inTime it may have its effect now; one that was long on the way may not
+     * @param inTime whether the part may still have its effect; false if the network delayed it too long
      */
     public void onForwardPart(InboundChannel channel, ReceivedPart part, boolean inTime) {
         if (channel.mustNotStart(part.number)) {
@@ -128,22 +128,22 @@
     }
 
     /**
-     * A part that was started has ended; reported once, and remembered.
+     * A started part has ended; its status is reported once and remembered.
      *
-     * @param bytes of its value
+     * @param bytes the size of the part's value
      */
     public void onPartEnded(ReceivedPart part, PartStatus status, int bytes) {
         if (part.status != PartStatus.RUNNING) {
-            return; // It was cancelled, or forgotten with its channel.
+            return; // The part was cancelled, or forgotten with its channel.
         }
-        stopped(part);
+        releaseSlot(part);
         if (status == PartStatus.REJECTED) {
             concurrencyLimit.onRejected();
         }
         recordEnd(part, status, bytes);
     }
 
-    /** Its router has no more use for the part. */
+    /** The forwarding router no longer needs the part. */
     public void onCancelPart(InboundChannel channel, long number) {
         ReceivedPart part = channel.find(number);
         if (part != null) {
@@ -151,20 +151,21 @@
         }
     }
 
-    /** Its router has no more use for anything below that number. */
+    /** The forwarding router no longer needs any part of the channel below the number. */
     public void forgetBelow(InboundChannel channel, long number) {
         channel.partsBelow(number).forEach(this::forgetPart);
     }
 
     /**
-     * A router asks on a session about one of its channels, naming all parts that it still has use for. Its
-     * other parts are cancelled. Danger: a query that comes late over a slow connection, after the channel
-     * that it is about has connected again, knows nothing of what has been sent there since.
+     * A forwarding router queries one of its channels and names all parts that it still needs; the channel's
+     * other parts are cancelled. A query is ignored if the queried channel has connected again since, because
+     * a query that was delayed on a slow connection doesn't name the parts sent on the new connection.
      *
-     * @param asking the channel of the session
-     * @param channelIndex the channel that is asked about
-     * @param connectCount how often that one had connected when this was asked
-     * @param nextNumber no part of that number or a higher one had been sent on it
+     * @param asking the channel of the session on which the query arrived
+     * @param channelIndex the index of the queried channel
+     * @param connectCount how often the queried channel had connected when the query was sent
+     * @param nextNumber the number of the queried channel's next part when the query was sent
+     * @param numbers the numbers of the parts that the router still needs
      */
     public void onStatusQuery(
             InboundChannel asking,
@@ -184,10 +185,10 @@
             return;
         }
         if (connectCount < channel.connectCount()) {
-            return; // Asked again since, on that channel itself.
+            return; // The channel has connected again and sent a newer query itself.
         }
         if (channel != asking && channel.isConnected()) {
-            // Danger: a half-open connection of that channel could still bring a part that is now
+            // A half-open connection of the queried channel could still deliver a part that is now
             // reported as never started.
             pendingDecisions.add(new ReceiverDecision.Close(channel.session()));
         }
@@ -203,17 +204,17 @@
         }
     }
 
-    /** The router stops: nothing starts any more, what runs goes on. */
+    /** This router is stopping: no new part starts, and running parts continue. */
     public void startDraining() {
         draining = true;
     }
 
-    /** Parts of other sites that run here. */
+    /** How many parts of other sites are running on this router. */
     public int running() {
         return running;
     }
 
-    /** The highest number that was started, or rejected, on the channel. */
+    /** The highest number of a part of the channel that was started or rejected. */
     public long lastStarted(InboundChannel channel) {
         return channel.lastStarted();
     }
@@ -243,7 +244,7 @@
     private void recordEnd(ReceivedPart part, PartStatus status, int bytes) {
         part.status = status;
         if (!part.channel().remembers(part)) {
-            return; // Cancelled, or its channel is gone: nobody asks any more.
+            return; // The part was cancelled or its channel removed, so no query will follow.
         }
         part.endedBytes = bytes;
         endedParts.add(part);
@@ -261,18 +262,18 @@
                 channel, number, channel.statusOf(number), channel.find(number)));
     }
 
-    /** A part that still runs is cancelled. */
+    /** Forgets the part, and cancels it if it is still running. */
     private void forgetPart(ReceivedPart part) {
         part.channel().forget(part);
         endedParts.remove(part);
         if (part.status == PartStatus.RUNNING) {
-            stopped(part);
+            releaseSlot(part);
             part.status = PartStatus.MAY_HAVE_RUN;
             pendingDecisions.add(new ReceiverDecision.Cancel(part));
         }
     }
 
-    private void stopped(ReceivedPart part) {
+    private void releaseSlot(ReceivedPart part) {
         running--;
         part.channel().partStopped();
     }
@@ -283,7 +284,7 @@
 
     // ---- Decisions. ----
 
-    /** Carries out one decision. @return false where there is none */
+    /** Carries out one decision. @return false if there is none */
     public boolean decide(ExecutionHandler handler) {
         ReceiverDecision decision = pendingDecisions.poll();
         if (decision != null) {
--- a/src/main/java/tinlink/gateway/forwarding/InboundChannel.java
+++ b/src/main/java/tinlink/gateway/forwarding/InboundChannel.java
@@ -4,38 +4,41 @@
 import java.util.TreeMap;
 
 /**
- * One channel of one incarnation of a router of another site, as the receiver knows it: which part numbers
- * may still start, which parts are remembered, and on which session their status is reported. It outlives its
- * connections. State only; {@link ForwardedPartReceiver} decides, on its owner's thread.
+ * The receiving router's state of one channel of one incarnation of a router of another site: which part
+ * numbers may still start, which parts are remembered, and on which session their status is reported. The
+ * channel outlives its connections. {@link ForwardedPartReceiver} makes the decisions, on its owner's thread.
  *
  * <p>Invariant: a number that was seen once, or lies below {@code minAcceptedNumber}, never starts.
  */
 public final class InboundChannel {
     /**
-     * Which channel of which incarnation of which router.
+     * Identifies a channel of one incarnation of a router.
      *
-     * @param router site and router
-     * @param index which of that router's channels to here
+     * @param router the names of the site and the router
+     * @param index the index of the channel among that router's channels to this router
      */
     record Key(String router, long incarnation, int index) {}
 
     private final Key key;
-    /** The connection, as the owner knows it; null while there is none. */
+    /** The owner's object for the connection; null while the channel is not connected. */
     private Object session;
-    /** Where status is reported: the session that asked last, of this channel or of another. */
+    /** The session on which status is reported: the one that sent the last query, also of another channel. */
     private Object statusSession;
 
-    /** The credit window that the session was last sent; 0 where none has been. */
+    /** The credit window last sent on the session; 0 if none has been sent. */
     private int announcedWindow;
 
     private long disconnectedAt;
-    /** How often it has connected, as the forwarding router counts. */
+    /** How often the channel has connected, as counted by the forwarding router. */
     private long connectCount;
 
     private long minAcceptedNumber;
-    /** Whether a part below it ran is unknown where it is not remembered. */
+    /** For numbers below this one that are not remembered, it is unknown whether the part ran. */
     private long forgottenBelow;
-    /** By number; each leaves as its router loses interest, by a bound, or with its channel. */
+    /**
+     * The remembered parts, by number. A part is removed when its router no longer needs it, when
+     * {@link EndedPartCache} evicts it, or with its channel.
+     */
     private final TreeMap<Long, ReceivedPart> parts = new TreeMap<>();
 
     private int running;
@@ -52,12 +55,12 @@
         return key;
     }
 
-    /** Which of its router's channels to here. */
+    /** The index of the channel among its router's channels to this router. */
     public int index() {
         return key.index();
     }
 
-    // ---- Its connection. ----
+    // ---- The connection. ----
 
     void onConnected(Object newSession, long newConnectCount, long nextNumber) {
         announcedWindow = newSession == session ? announcedWindow : 0;
@@ -68,9 +71,9 @@
     }
 
     /**
-     * A connection has ended, of this channel or not.
+     * Records that a session has ended, which need not be the current one of this channel.
      *
-     * @param now when, in microseconds
+     * @param now the time of the end, in microseconds
      */
     void onSessionClosed(Object closed, long now) {
         if (session == closed) {
@@ -84,12 +87,12 @@
         return session != null;
     }
 
-    /** Null while it has no connection. */
+    /** The current session; null while the channel is not connected. */
     Object session() {
         return session;
     }
 
-    /** Null while nobody would hear of it. */
+    /** The session on which status is reported; null while there is none. */
     Object statusSession() {
         return statusSession;
     }
@@ -118,14 +121,14 @@
         announcedWindow = window;
     }
 
-    // ---- Its parts. ----
+    // ---- Parts. ----
 
-    /** Nothing below that number starts any more. */
+    /** Keeps all parts below the number from starting. */
     void rejectBelow(long number) {
         minAcceptedNumber = Math.max(minAcceptedNumber, number);
     }
 
-    /** It must not start: it has been here, or counts as one that never will be. */
+    /** Whether the part must not start, as its number was seen before or is no longer accepted. */
     boolean mustNotStart(long number) {
         return parts.containsKey(number) || number <= lastStarted || number < minAcceptedNumber;
     }
@@ -135,7 +138,7 @@
         parts.put(part.number, part);
     }
 
-    /** Null where it is not remembered. */
+    /** The part with the given number; null if it is not remembered. */
     ReceivedPart find(long number) {
         return parts.get(number);
     }
@@ -144,12 +147,12 @@
         return parts.get(part.number) == part;
     }
 
-    /** All that are remembered, in the order of their numbers; a copy. */
+    /** A copy of the list of remembered parts, in the order of their numbers. */
     List<ReceivedPart> parts() {
         return List.copyOf(parts.values());
     }
 
-    /** Those below that number that have been here; a copy. */
+    /** A copy of the list of remembered parts below the given number. */
     List<ReceivedPart> partsBelow(long number) {
         return List.copyOf(
                 parts.headMap(Math.min(number, lastStarted + 1), false).values());
@@ -159,12 +162,12 @@
         parts.remove(part.number, part);
     }
 
-    /** From now on nobody can tell whether parts up to that one ran, where they are not remembered. */
+    /** Records that for parts up to the number that are not remembered, it is unknown whether they ran. */
     void forgottenUpTo(long number) {
         forgottenBelow = Math.max(forgottenBelow, number + 1);
     }
 
-    /** What can be said of that number. */
+    /** The status of the part with the given number, also if the part is not remembered. */
     PartStatus statusOf(long number) {
         ReceivedPart part = parts.get(number);
         if (part != null) {
@@ -181,12 +184,12 @@
         running--;
     }
 
-    /** Parts of its router that run here. */
+    /** How many parts of this channel are running on this router. */
     int running() {
         return running;
     }
 
-    /** The highest number that was started or rejected. */
+    /** The highest number of a part that was started or rejected. */
     long lastStarted() {
         return lastStarted;
     }
--- a/src/main/java/tinlink/gateway/forwarding/InboundChannelTable.java
+++ b/src/main/java/tinlink/gateway/forwarding/InboundChannelTable.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * The channels by which routers of other sites forward parts to here, in the order in which they first
- * connected. Bounded; a channel leaves some time after its last connection, for another one when the table is
- * full, or as its router starts anew.
+ * The channels on which routers of other sites forward parts to this router, in the order in which they first
+ * connected. The table is bounded: a channel is removed some time after its last connection has ended, to
+ * make room for another channel when the table is full, or when its router has restarted.
  */
 final class InboundChannelTable {
     private final int maxChannels;
@@ -19,7 +19,7 @@
         this.maxChannels = maxChannels;
     }
 
-    /** Null where there is none. */
+    /** The channel with the given key; null if there is none. */
     InboundChannel find(InboundChannel.Key key) {
         return channels.get(key);
     }
@@ -48,7 +48,7 @@
         return connected;
     }
 
-    /** Those of that router's other incarnations; a copy. */
+    /** A copy of the list of channels that belong to other incarnations of the given router. */
     List<InboundChannel> ofOtherIncarnations(String router, long incarnation) {
         return channels.values().stream()
                 .filter(channel -> channel.key().router().equals(router)
@@ -56,12 +56,12 @@
                 .toList();
     }
 
-    /** The one that lost its connection first; null where all are connected. */
+    /** The channel that has been disconnected longest; null if all channels are connected. */
     InboundChannel oldestDisconnected() {
         InboundChannel oldest = null;
         for (InboundChannel channel : channels.values()) {
-            boolean isOlder = oldest == null || channel.disconnectedAt() < oldest.disconnectedAt();
-            oldest = !channel.isConnected() && isOlder ? channel : oldest;
+            boolean older = oldest == null || channel.disconnectedAt() < oldest.disconnectedAt();
+            oldest = !channel.isConnected() && older ? channel : oldest;
         }
         return oldest;
     }
--- a/src/main/java/tinlink/gateway/forwarding/ReceivedPart.java
+++ b/src/main/java/tinlink/gateway/forwarding/ReceivedPart.java
@@ -1,13 +1,13 @@
 package tinlink.gateway.forwarding;
 
-/** A part that another site's router has forwarded to this one, as its receiver knows it. State only. */
+/** The receiving router's state of a part that a router of another site has forwarded. */
 public class ReceivedPart {
-    /** Its number on its channel, from 1; numbers of a channel only rise. */
+    /** The number of the part on its channel; numbers start at 1 and increase. */
     public final long number;
 
     private final InboundChannel channel;
     PartStatus status = PartStatus.RUNNING;
-    /** Bytes of its value, which count against the bound on remembered parts; 0 until it has ended. */
+    /** The size of the value in bytes, as {@link EndedPartCache} counts it; 0 until the part has ended. */
     int endedBytes;
 
     protected ReceivedPart(InboundChannel channel, long number) {
--- a/src/main/java/tinlink/gateway/forwarding/ReceiverDecision.java
+++ b/src/main/java/tinlink/gateway/forwarding/ReceiverDecision.java
@@ -1,10 +1,10 @@
 package tinlink.gateway.forwarding;
 
-/** What the receiver has decided and its owner has not carried out yet. */
+/** A decision of {@link ForwardedPartReceiver} that is still to be carried out. */
 sealed interface ReceiverDecision {
     void carryOut(ExecutionHandler handler);
 
-    /** Starts the part, unless it was cancelled since. */
+    /** Starts the part, unless the part has been cancelled in the meantime. */
     record Start(ReceivedPart part) implements ReceiverDecision {
         @Override
         public void carryOut(ExecutionHandler handler) {
@@ -22,9 +22,10 @@
     }
 
     /**
-     * Reports on whichever session the channel has for that by now, if any.
+     * Reports the status of a part on the session that receives the channel's reports when the decision is
+     * carried out, if there is one.
      *
-     * @param part null where it is not remembered
+     * @param part null if the part is no longer remembered
      */
     record Report(InboundChannel channel, long number, PartStatus status, ReceivedPart part)
             implements ReceiverDecision {
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Answers a query about a channel that is not known here. */
+    /** Answers a status query about a channel that this router does not know. */
     record ReportUnknownChannel(Object session, int channelIndex, long number)
             implements ReceiverDecision {
         @Override
