--- a/src/main/java/tinlink/gateway/GatewayClientSession.java
+++ b/src/main/java/tinlink/gateway/GatewayClientSession.java
@@ -47,7 +47,7 @@
         send(GatewayMessage.Type.HELLO.code, hello);
     }
 
-    /** The remote router says who it is, and proves it with our nonce; then we do with its own. */
+    /** Checks the remote router's proof over this router's nonce, and answers with this router's proof. */
     private void onChallenge(byte type, ByteBuffer body, byte[] frame)
             throws MessageRejectedException {
         requireType(GatewayMessage.Type.CHALLENGE, type);
@@ -56,12 +56,12 @@
                 new Handshake(gateway::keys, keyId, PROOF_LABELS, hello, readSoFar(frame, body));
         byte[] proof = GatewayMessageCodec.decodeProofBytes(body);
         if (!challenge.site().equals(site) || !challenge.router().equals(channel.router.name)) {
-            throw GatewayMessageCodec.malformed("it is " + challenge.site() + "/"
-                    + challenge.router() + ", not the router that was called");
+            throw GatewayMessageCodec.malformed("expected router " + peerName() + ", but "
+                    + challenge.site() + "/" + challenge.router() + " answered");
         }
         if (!handshake.isResponderProof(proof)) {
             gateway.counters().increment("outbound_wrong_proof");
-            throw GatewayMessageCodec.malformed("a wrong proof");
+            throw GatewayMessageCodec.malformed("CHALLENGE has a wrong proof");
         }
         byte[] claims = GatewayMessageCodec.encode(
                 new GatewayMessage.Proof(channel.connectCount() + 1, channel.nextPartNumber()));
@@ -81,7 +81,7 @@
         channel.router.onConnected(channel, remoteIncarnation, roundTripUs);
     }
 
-    // ---- What the remote router says. ----
+    // ---- Messages of the remote router. ----
 
     @Override
     protected void onMessage(byte code, ByteBuffer body, byte[] frame)
@@ -117,11 +117,12 @@
     private void onPartStatus(GatewayMessage.StatusReport report) throws MessageRejectedException {
         int index = report.channelIndex();
         if (index < 0 || index >= channel.router.channels.size()) {
-            throw GatewayMessageCodec.malformed("a status on channel " + index);
+            throw GatewayMessageCodec.malformed("PART_STATUS of unknown channel " + index);
         }
         GatewayChannel about = channel.router.channels.get(index);
         if (report.number() < 1 || report.number() >= about.nextPartNumber()) {
-            throw GatewayMessageCodec.malformed("a status of a part that was never sent");
+            throw GatewayMessageCodec.malformed("PART_STATUS of part " + report.number()
+                    + ", which was never sent on channel " + index);
         }
         ForwardedPart openPart = channel.router.findOpenPart(about, report.number());
         if (openPart instanceof OutgoingPart part) {
@@ -133,7 +134,7 @@
         }
     }
 
-    // ---- The end. ----
+    // ---- Close. ----
 
     @Override
     protected void onClosed(CloseReason reason) {
--- a/src/main/java/tinlink/gateway/GatewayMessage.java
+++ b/src/main/java/tinlink/gateway/GatewayMessage.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 
 /**
- * The messages between two routers of different sites; docs/protocol-gateway.md describes them byte by byte,
- * {@link GatewayMessageCodec} reads and writes them. Durations are microseconds; no reading of a clock
- * crosses.
+ * The messages between two routers of different sites. docs/protocol-gateway.md specifies their bytes;
+ * {@link GatewayMessageCodec} reads and writes them. Times are durations in microseconds, never clock
+ * readings, since the clocks of the two routers can't be compared.
  */
 @SuppressWarnings("ArrayRecordComponent") // Nonces and values are written and read, never compared.
 sealed interface GatewayMessage {
-    /** The kinds of message, by the byte that each begins with. */
+    /** The types of messages; the code is the first byte of the message. */
     enum Type {
         HELLO(1),
         CHALLENGE(2),
@@ -36,7 +36,7 @@
 
     Type type();
 
-    /** Who connects, on which of its channels, with which key. */
+    /** The connecting router's name and incarnation, the index of its channel, and the id of its key. */
     record Hello(
             String keyId,
             String site,
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Who was called, without its proof. */
+    /** The name and incarnation of the router that accepted the connection, without its proof. */
     record Challenge(String site, String router, long incarnation, byte[] nonce)
             implements GatewayMessage {
         @Override
@@ -61,10 +61,10 @@
     }
 
     /**
-     * What the caller claims with its proof.
+     * The connecting router's claims about its channel, which its proof covers.
      *
      * @param connectCount how often the channel has connected, this time included
-     * @param nextNumber of its next part
+     * @param nextNumber the number of the channel's next part
      */
     record Proof(long connectCount, long nextNumber) implements GatewayMessage {
         @Override
@@ -76,11 +76,11 @@
     /**
      * A part that the receiving router is to run.
      *
-     * @param number of the part on its channel
-     * @param remainingUs how long an answer counts
-     * @param effectRemainingUs how long it may have its effect; Long.MAX_VALUE where that does not matter
-     * @param ackedHeartbeat the last heartbeat that was answered
-     * @param sinceAckUs how long ago that answer came
+     * @param number the number of the part on its channel
+     * @param remainingUs how much longer an answer is accepted
+     * @param effectRemainingUs how much longer the part may have its effect; Long.MAX_VALUE for no limit
+     * @param ackedHeartbeat the number of the last heartbeat that was answered
+     * @param sinceAckUs the time since that answer arrived
      */
     record ForwardPart(
             long number,
@@ -96,7 +96,7 @@
         }
     }
 
-    /** The part is of no use any more. */
+    /** Tells the receiving router that the result of the part is no longer needed. */
     record CancelPart(long number) implements GatewayMessage {
         @Override
         public Type type() {
@@ -105,11 +105,11 @@
     }
 
     /**
-     * Asks about one channel.
+     * Queries the status of the parts of one channel.
      *
-     * @param connectCount how often that one had connected
-     * @param nextNumber of its next part
-     * @param numbers all of its parts that are still of interest
+     * @param connectCount how often the queried channel has connected
+     * @param nextNumber the number of the queried channel's next part
+     * @param numbers the numbers of all its parts that the forwarding router still needs
      */
     record StatusQuery(int channelIndex, long connectCount, long nextNumber, Set<Long> numbers)
             implements GatewayMessage {
@@ -120,9 +120,9 @@
     }
 
     /**
-     * Shows that the connection works, and what may be forgotten.
+     * Shows that the connection works, and tells which parts may be forgotten.
      *
-     * @param lowestOpenNumber parts below it are of no interest any more
+     * @param lowestOpenNumber parts with lower numbers may be forgotten
      */
     record Heartbeat(long number, long lowestOpenNumber) implements GatewayMessage {
         @Override
@@ -139,12 +139,12 @@
     }
 
     /**
-     * What became of a part.
+     * The status of a part.
      *
-     * @param channelIndex the channel that it came on
-     * @param durationUs how long it took
-     * @param retryAfterUs when to try again, 0 for no advice
-     * @param value of one that is completed, else empty
+     * @param channelIndex the index of the channel on which the part was forwarded
+     * @param durationUs how long the part took on the receiving router
+     * @param retryAfterUs when a rejected part may be tried again; 0 for no advice
+     * @param value the value of a completed part, else empty
      */
     record StatusReport(
             int channelIndex,
@@ -161,9 +161,9 @@
     }
 
     /**
-     * How much the receiving router takes.
+     * The credit window of a channel.
      *
-     * @param parts that the channel may have in flight at a time
+     * @param parts how many parts the channel may have in flight at a time
      */
     record CreditWindow(int parts) implements GatewayMessage {
         @Override
@@ -172,7 +172,7 @@
         }
     }
 
-    /** The cells that the router reaches at its own site. */
+    /** The cells that the receiving router reaches at its own site. */
     record ServedCells(BitSet cells) implements GatewayMessage {
         @Override
         public Type type() {
@@ -181,9 +181,9 @@
     }
 
     /**
-     * The receiving router stops.
+     * Announces that the receiving router is stopping.
      *
-     * @param lastStarted number of the last part started on the channel; none past it will be
+     * @param lastStarted the number of the last part started on the channel; no later part will start
      */
     record GoAway(long lastStarted) implements GatewayMessage {
         @Override
--- a/src/main/java/tinlink/gateway/GatewayMessageCodec.java
+++ b/src/main/java/tinlink/gateway/GatewayMessageCodec.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 
 /**
- * Reads and writes the bodies of {@link GatewayMessage}s; docs/protocol-gateway.md. All numbers are
- * big-endian; a text is a length of one byte and so many bytes of UTF-8. A body that ends too early is
- * reported by a {@link java.nio.BufferUnderflowException}, one that does not fit by a
- * {@link MessageRejectedException}.
+ * Reads and writes the bodies of {@link GatewayMessage}s as docs/protocol-gateway.md specifies them. All
+ * numbers are big-endian; a text is a length of one byte followed by that many bytes of UTF-8. The decoders
+ * throw {@link java.nio.BufferUnderflowException} if a body is too short, and
+ * {@link MessageRejectedException} if it is invalid.
  */
 final class GatewayMessageCodec extends MessageCodec {
     static final int VERSION = 1;
-    /** A message holds no more until both sides have authenticated. */
+    /** The maximum size of a message before both routers have authenticated. */
     static final int MAX_UNAUTHENTICATED_BYTES = 1 << 10;
 
     static final int MAX_MESSAGE_BYTES = 1
@@ -34,18 +34,18 @@
 
     private GatewayMessageCodec() {}
 
-    /** The kind of a message, by its first byte. */
+    /** The message type with the given code. */
     static GatewayMessage.Type typeOf(byte code) throws MessageRejectedException {
         for (GatewayMessage.Type type : TYPES) {
             if (type.code == code) {
                 return type;
             }
         }
-        throw malformed("a message of type " + code);
+        throw malformed("unknown message type " + code);
     }
 
     static MessageRejectedException unexpected(GatewayMessage.Type type) {
-        return malformed("a message of type " + type.code);
+        return malformed("unexpected message " + type);
     }
 
     // ---- Writing. ----
@@ -135,11 +135,11 @@
     private static void checkVersion(ByteBuffer body) throws MessageRejectedException {
         int version = body.getShort();
         if (version != VERSION) {
-            throw malformed("a handshake of version " + version);
+            throw malformed("expected handshake version " + VERSION + ", found " + version);
         }
     }
 
-    /** Leaves the position at the end of what the proofs cover. */
+    /** Decodes a HELLO and leaves the position at its end; the proofs cover all bytes before. */
     static GatewayMessage.Hello decodeHello(ByteBuffer body) throws MessageRejectedException {
         checkVersion(body);
         return new GatewayMessage.Hello(
@@ -151,7 +151,10 @@
                 readBytes(body, Handshake.NONCE_BYTES));
     }
 
-    /** Leaves the position at the end of what the proofs cover, where the responder's own begins. */
+    /**
+     * Decodes a CHALLENGE and leaves the position at the responder's proof; the proofs cover all bytes
+     * before it.
+     */
     static GatewayMessage.Challenge decodeChallenge(ByteBuffer body)
             throws MessageRejectedException {
         checkVersion(body);
@@ -162,12 +165,12 @@
                 readBytes(body, Handshake.NONCE_BYTES));
     }
 
-    /** Leaves the position where the initiator's proof begins. */
+    /** Decodes the claims of a PROOF and leaves the position at the initiator's proof. */
     static GatewayMessage.Proof decodeProof(ByteBuffer body) {
         return new GatewayMessage.Proof(body.getLong(), body.getLong());
     }
 
-    /** The proof that a CHALLENGE or a PROOF ends with. */
+    /** Reads the proof at the end of a CHALLENGE or a PROOF. */
     static byte[] decodeProofBytes(ByteBuffer body) throws MessageRejectedException {
         return readBytes(body, Handshake.PROOF_BYTES);
     }
@@ -185,7 +188,8 @@
         String id = readText(body);
         String key = (flags & IDEMPOTENCY_KEY_FLAG) == 0 ? null : readText(body);
         if (number < 1 || sinceAckUs < 0) {
-            throw malformed("a part out of range");
+            throw malformed(
+                    "FORWARD_PART out of range: number " + number + ", sinceAckUs " + sinceAckUs);
         }
         byte[] text = readBytes(body, body.remaining());
         boolean clientRetry = (flags & CLIENT_RETRY_FLAG) != 0;
@@ -209,7 +213,8 @@
         long nextNumber = body.getLong();
         int count = body.getShort() & 0xffff;
         if (count > MAX_QUERIED_PARTS || body.remaining() != count * Long.BYTES) {
-            throw malformed("a status query that does not fit");
+            throw malformed("STATUS_QUERY of " + count + " parts with " + body.remaining()
+                    + " bytes of numbers; at most " + MAX_QUERIED_PARTS + " parts");
         }
         Set<Long> numbers = new HashSet<>();
         for (int i = 0; i < count; i++) {
@@ -235,7 +240,7 @@
         long retryAfterUs = body.getLong();
         PartStatus status = PartStatus.ofCode(statusCode);
         if (status == null) {
-            throw malformed("a status of code " + statusCode);
+            throw malformed("PART_STATUS with unknown status code " + statusCode);
         }
         return new GatewayMessage.StatusReport(
                 channelIndex,
--- a/src/main/java/tinlink/gateway/GatewayServerSession.java
+++ b/src/main/java/tinlink/gateway/GatewayServerSession.java
@@ -11,12 +11,12 @@
 import java.util.logging.Level;
 
 /**
- * The receiving side of a connection from a remote router: whoever connects authenticates, then forwards
- * parts and asks about them. Runs on the event loop's thread.
+ * The receiving side of a connection from a remote router, which authenticates, forwards parts and queries
+ * their status. Runs on the event loop's thread.
  */
 final class GatewayServerSession extends GatewaySession {
     private static final int MAX_ACKED_HEARTBEATS = 64;
-    /** Of a part that names no answer known here: it counts as too old. */
+    /** The age of a part that names an unknown heartbeat; large enough that the part counts as too old. */
     private static final long UNKNOWN_AGE_US = Long.MAX_VALUE / 2;
 
     private static final byte[] NO_VALUE = new byte[0];
@@ -25,7 +25,7 @@
     private GatewayMessage.Hello hello;
     private Handshake handshake;
     private InboundChannel channel;
-    /** When heartbeats were answered, by number; the newest. */
+    /** When the latest {@link #MAX_ACKED_HEARTBEATS} heartbeats were answered, by number. */
     private final LinkedHashMap<Long, Long> ackedHeartbeats = new LinkedHashMap<>();
 
     GatewayServerSession(Gateway gateway, GatewayServer server) {
@@ -33,7 +33,7 @@
         this.server = server;
     }
 
-    /** Null until it has authenticated. */
+    /** The channel of the session; null until the remote router has authenticated. */
     InboundChannel channel() {
         return channel;
     }
@@ -61,8 +61,8 @@
                 || !gateway.settings.identity().acceptedSites().contains(received.site())
                 || channelIndex < 0
                 || channelIndex >= Gateway.MAX_CHANNELS) {
-            throw GatewayMessageCodec.malformed("a site or a key that is not known here: "
-                    + received.site() + ", " + received.keyId());
+            throw GatewayMessageCodec.malformed("HELLO with an unknown site, key or channel: "
+                    + received.site() + ", " + received.keyId() + ", " + channelIndex);
         }
         hello = received;
         Gateway.Identity identity = gateway.settings.identity();
@@ -70,7 +70,7 @@
                 identity.site(), identity.router(), identity.incarnation(), gateway.newNonce()));
         handshake = new Handshake(
                 gateway::keys, hello.keyId(), PROOF_LABELS, readSoFar(frame, body), challenge);
-        // Its proof is a round trip away, however long the network takes.
+        // The proof arrives a round trip later, so that a slow network needs a new deadline.
         restartHandshakeDeadline(gateway.settings.timing().handshakeUs());
         sendWithProof(GatewayMessage.Type.CHALLENGE, challenge, handshake.responderProof());
     }
@@ -81,7 +81,7 @@
         byte[] proof = GatewayMessageCodec.decodeProofBytes(body);
         if (!handshake.isInitiatorProof(proof, claimBytes)) {
             gateway.counters().increment("inbound_wrong_proof");
-            throw GatewayMessageCodec.malformed("a wrong proof");
+            throw GatewayMessageCodec.malformed("PROOF has a wrong proof");
         }
         enableAuthentication(handshake.sessionSecret(), false);
         channel = server.receiver()
@@ -93,7 +93,7 @@
                         claims.nextNumber(),
                         this);
         if (channel == null) {
-            throw GatewayMessageCodec.malformed("too many routers are connected");
+            throw GatewayMessageCodec.malformed("too many channels are connected");
         }
         gateway.counters().increment("inbound_channels_up");
         LOG.log(
@@ -103,7 +103,7 @@
         server.authenticated(this);
     }
 
-    // ---- What the forwarding router says. ----
+    // ---- Messages of the forwarding router. ----
 
     private void onAuthenticatedMessage(GatewayMessage.Type type, ByteBuffer body)
             throws MessageRejectedException {
@@ -141,10 +141,10 @@
     }
 
     /**
-     * Danger: a network that holds a part back for long and then delivers it. Its age is no more than the
-     * time since the answer to a heartbeat left here, less the time for which the forwarding router has had
-     * that answer: a round trip, which is also what the part's own answer needs. An old answer can't be
-     * told apart and counts as too old.
+     * An upper bound of the part's age, since a network can hold a part back for long before it delivers the
+     * part. The bound is the time since this router answered a heartbeat, less the time for which the
+     * forwarding router has had that answer. It covers a round trip, which the part's own answer needs too.
+     * If the heartbeat is too old to be remembered, the part counts as too old.
      */
     private long ageUs(GatewayMessage.ForwardPart message, long now) {
         Long ackedAt = ackedHeartbeats.get(message.ackedHeartbeat());
@@ -162,12 +162,12 @@
                         query.numbers());
     }
 
-    // ---- What is said to it. ----
+    // ---- Messages to the forwarding router. ----
 
     /**
-     * Reports the status of a part.
+     * Sends the status of a part.
      *
-     * @param part null where it is not remembered
+     * @param part null if the part is no longer remembered
      */
     void sendPartStatus(int channelIndex, long number, PartStatus status, IncomingPart part) {
         boolean hasValue = part != null && status == PartStatus.COMPLETED;
@@ -180,7 +180,7 @@
                 hasValue ? part.value : NO_VALUE));
     }
 
-    // ---- The end. ----
+    // ---- Close. ----
 
     @Override
     protected void onClosed(CloseReason reason) {
--- a/src/main/java/tinlink/gateway/GatewaySession.java
+++ b/src/main/java/tinlink/gateway/GatewaySession.java
@@ -27,13 +27,13 @@
     /**
      * Sends a message.
      *
-     * @return where the message ends in what the connection has written
+     * @return the position of the message's end in the connection's output stream
      */
     long send(GatewayMessage message) {
         return send(message.type().code, GatewayMessageCodec.encode(message));
     }
 
-    /** Sends a message of the handshake with the sender's proof behind it. */
+    /** Sends a handshake message followed by the sender's proof. */
     void sendWithProof(GatewayMessage.Type type, byte[] body, byte[] proof) {
         byte[] all = Arrays.copyOf(body, body.length + proof.length);
         System.arraycopy(proof, 0, all, body.length, proof.length);
@@ -41,9 +41,9 @@
     }
 
     /**
-     * What a proof covers of a message of the handshake.
+     * Returns the part of a handshake message that the proofs cover.
      *
-     * @return what of the frame has been read, without its type
+     * @return the bytes of the frame that have been read, without the type
      */
     static byte[] readSoFar(byte[] frame, ByteBuffer body) {
         return Arrays.copyOfRange(frame, 1, body.position());
@@ -52,7 +52,8 @@
     static void requireType(GatewayMessage.Type required, byte code)
             throws MessageRejectedException {
         if (code != required.code) {
-            throw GatewayMessageCodec.malformed("no " + required);
+            throw GatewayMessageCodec.malformed(
+                    "expected " + required + ", found message type " + code);
         }
     }
 
--- a/src/main/java/tinlink/gateway/IncomingPart.java
+++ b/src/main/java/tinlink/gateway/IncomingPart.java
@@ -3,14 +3,14 @@
 import tinlink.gateway.forwarding.InboundChannel;
 import tinlink.gateway.forwarding.ReceivedPart;
 
-/** A part that another site has forwarded to this router. State only; belongs to the event loop's thread. */
+/** A part that another site has forwarded to this router. Used on the event loop's thread only. */
 public final class IncomingPart extends ReceivedPart {
     public final PartContent content;
-    /** Microseconds of the event loop's clock. */
+    /** When the part arrived, in microseconds of the event loop's clock. */
     public final long arrivedAt;
-    /** How long it may run here, and have its effect, microseconds. */
+    /** How long after its arrival the part may run and have its effect, in microseconds. */
     public final long remainingUs;
-    /** Whatever the part is to whoever runs it here. */
+    /** An object that the {@link PartHandler} attaches to the part. */
     public Object attachment;
 
     byte[] value = new byte[0];
--- a/src/main/java/tinlink/gateway/OutgoingPart.java
+++ b/src/main/java/tinlink/gateway/OutgoingPart.java
@@ -2,33 +2,33 @@
 
 import tinlink.gateway.forwarding.ForwardedPart;
 
-/** A part that this router forwards to another site. State only; belongs to the event loop's thread. */
+/** A part that this router forwards to another site. Used on the event loop's thread only. */
 public final class OutgoingPart extends ForwardedPart {
     final PartContent content;
-    /** Until when it may have its effect at all; Long.MAX_VALUE where that does not matter. */
+    /** Until when the part may have its effect, in microseconds; Long.MAX_VALUE for no limit. */
     final long effectDeadline;
-    /** Whatever the part is to whoever forwards it. */
+    /** An object that the creator of the part attaches to it. */
     public final Object attachment;
 
     final long forwardedAt;
-    /** Where its message ends in what its connection has written. */
+    /** The position of the end of the part's message in its connection's output stream. */
     long endPosition;
-    /** What came with its end; null where it has no value. */
+    /** The value that was reported with the status of the part; null until a status is reported. */
     public byte[] value;
 
-    /** How long it took over there, microseconds. */
+    /** How long the part took at the other site, in microseconds. */
     public long durationUs;
-    /** When the client may try again, microseconds; 0 for no advice. */
+    /** How long the client should wait before a repeat, in microseconds; 0 for no advice. */
     public long retryAfterUs;
 
     /**
-     * A part that has not been sent yet.
+     * Creates a part that has not been sent yet. Times are microseconds of the event loop's clock.
      *
-     * @param now microseconds of the event loop's clock, as all times
-     * @param deadline until when an answer counts
-     * @param cell where it is to run
-     * @param idempotent a second run does no harm
-     * @param effectDeadline the end of its key's window; Long.MAX_VALUE where it has none
+     * @param now the current time
+     * @param deadline until when an answer is accepted
+     * @param cell the cell on which the part is to run
+     * @param idempotent whether the part may safely run twice
+     * @param effectDeadline the end of the idempotency key's window; Long.MAX_VALUE if there is no key
      */
     public OutgoingPart(
             Object attachment,
--- a/src/main/java/tinlink/gateway/PartHandler.java
+++ b/src/main/java/tinlink/gateway/PartHandler.java
@@ -5,26 +5,26 @@
 
 import java.util.BitSet;
 
-/** What becomes of parts that cross sites, both ways. Called on the event loop's thread. */
+/** Handles the events of parts forwarded between sites, in both directions, on the event loop's thread. */
 public interface PartHandler {
     /**
-     * The one outcome of a part that was forwarded.
+     * Reports the outcome of a forwarded part; called once per part.
      *
-     * @param durationUs how long it took at the other site; below 0 where nothing is known of it
+     * @param durationUs how long the part took at the other site, in microseconds; negative if unknown
      */
     void partEnded(OutgoingPart part, Outcome outcome, long durationUs);
 
     /**
-     * Which cells a remote router serves has changed, or how far it is.
+     * Reports that the cells reachable over a remote router or its round-trip time have changed.
      *
-     * @param cells that can be reached over that router from now on
-     * @param roundTripUs what the network takes there and back
+     * @param cells the cells that can be reached over the remote router now
+     * @param roundTripUs the round-trip time to the remote router, in microseconds
      */
     void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs);
 
-    /** Runs a part of another site's; {@link Gateway#partEnded} follows. */
+    /** Starts a part of another site; the handler calls {@link Gateway#partEnded} when the part has ended. */
     void startPart(IncomingPart part);
 
-    /** Nobody has a use for the part any more. */
+    /** Cancels a part whose result is no longer needed. */
     void cancelPart(IncomingPart part);
 }
