--- a/src/main/java/tinlink/gateway/Gateway.java
+++ b/src/main/java/tinlink/gateway/Gateway.java
@@ -20,37 +20,37 @@
 import java.util.logging.Logger;
 
 /**
- * The links of one router with those of other sites, both ways: {@link GatewayClient} for the parts that go
- * out, {@link GatewayServer} for those that come in, and what the two share. Runs on the event loop's
- * thread; its decisions are pulled at the end of each turn.
+ * Connects one router with the routers of other sites in both directions: {@link GatewayClient} forwards
+ * parts, {@link GatewayServer} receives them, and this class holds what the two share. Runs on the event
+ * loop's thread; decisions are made at the end of each turn of the loop.
  */
 public final class Gateway {
-    /** Channels that one router may have to another. */
+    /** The maximum number of channels from one router to another. */
     static final int MAX_CHANNELS = 16;
 
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private static final long COUNTER_LOG_INTERVAL_US = 60_000_000;
 
-    /** Who this router is, and which sites' routers it accepts parts from. */
+    /** The names of this router and the sites whose routers may forward parts to it. */
     public record Identity(
             String site, String router, long incarnation, Set<String> acceptedSites) {}
 
     /**
-     * All in microseconds.
+     * Intervals and timeouts, in microseconds.
      *
-     * @param recoveryUs how long the status of a part is waited for after a cut; 0: not at all
-     * @param maxRequestUs no client waits for longer
+     * @param recoveryUs how long to wait for the status of a part after a cut; 0 for not at all
+     * @param maxRequestUs the longest time that any client waits
      */
     public record Timing(long heartbeatUs, long handshakeUs, long recoveryUs, long maxRequestUs) {}
 
     /**
-     * What other sites may have here, and what may wait for a credit of theirs.
+     * The limits on parts of other sites, and on parts that wait for a credit of another site.
      *
-     * @param maxRunningParts parts of other sites that may run here
-     * @param maxEndedParts ended ones that are remembered
-     * @param maxEndedBytes bytes of their values together
-     * @param maxInboundChannels channels from other sites' routers
-     * @param maxQueuedParts own parts that may wait for a credit of one remote router
+     * @param maxRunningParts how many parts of other sites may run on this router at a time
+     * @param maxEndedParts how many ended parts of other sites are remembered
+     * @param maxEndedBytes the total size of the values of these ended parts, in bytes
+     * @param maxInboundChannels how many channels from other sites' routers are known at a time
+     * @param maxQueuedParts how many parts of this router may wait for a credit of one remote router
      */
     public record Limits(
             int maxRunningParts,
@@ -59,13 +59,13 @@
             int maxInboundChannels,
             int maxQueuedParts) {}
 
-    /** A router of another site, with an address for each channel; all lead to the same process. */
+    /** A router of another site, with one address per channel; all addresses lead to the same process. */
     public record RemoteEndpoint(String site, String router, List<InetSocketAddress> addresses) {}
 
     /**
-     * What is fixed while the router runs.
+     * The settings that stay fixed while the router runs.
      *
-     * @param seed of the jitter of reconnecting
+     * @param seed the seed of the reconnect jitter
      */
     public record Settings(
             Identity identity,
@@ -113,24 +113,24 @@
         server = new GatewayServer(this);
     }
 
-    /** What it does in each turn of the event loop. */
+    /** The gateway's work at the start and the end of each turn of the event loop. */
     public EventLoopParticipant turn() {
         return participant;
     }
 
-    /** Pulls and carries out decisions until there is none. */
+    /** Calls {@code decide}, which carries out one decision, until it returns false. */
     static void runAllDecisions(BooleanSupplier decide) {
         while (decide.getAsBoolean()) {
-            // Each has been carried out.
+            // Each call carries out one decision.
         }
     }
 
-    /** The turn in which that time is due pulls decisions. */
+    /** Schedules a turn of the event loop, which ends with decisions, at the given time. */
     void wakeAt(long at) {
         loop.schedule(at, () -> {});
     }
 
-    /** Logs the counters now and once a minute, where one has changed. */
+    /** Logs the counters now and then once a minute, each time only if a counter has changed. */
     public void logCounters() {
         String current = counters.toString();
         if (!current.equals(loggedCounters)) {
@@ -144,7 +144,7 @@
         return counters;
     }
 
-    /** From now on these are the keys; connections that are up stay. */
+    /** Replaces the keys for new connections; established connections stay. */
     public void replaceKeys(KeyRing replacement) {
         keys = replacement;
     }
@@ -157,9 +157,9 @@
         return Handshake.newNonce(secureRandom);
     }
 
-    // ---- Parts that go out. ----
+    // ---- Outgoing parts. ----
 
-    /** The site of a remote router. */
+    /** The name of the remote router's site. */
     public String siteOf(RemoteRouter router) {
         return client.siteOf(router);
     }
@@ -168,17 +168,17 @@
         router.forward(part);
     }
 
-    /** Its outcome is known already. */
+    /** Cancels a part whose outcome is known already. */
     public void cancel(RemoteRouter router, OutgoingPart part) {
         router.cancel(part);
     }
 
-    // ---- Parts that come in. ----
+    // ---- Incoming parts. ----
 
     /**
-     * Accepts connections of other sites' routers from now on.
+     * Starts to accept connections from routers of other sites.
      *
-     * @throws IOException where the address can't be listened on
+     * @throws IOException if the router can't listen on the address
      */
     public void listen(InetSocketAddress address) throws IOException {
         server.listen(address);
@@ -188,35 +188,35 @@
         return server.address();
     }
 
-    /** Which cells this router reaches at its own site. */
+    /** Announces to forwarding routers the cells that this router reaches at its own site. */
     public void announceCells(BitSet reachableCells) {
         server.announceCells(reachableCells);
     }
 
-    /** Connections that have not authenticated. */
+    /** The number of accepted connections that have not authenticated. */
     int unauthenticatedConnections() {
         return server.unauthenticatedConnections();
     }
 
     /**
-     * A part that was started has ended here.
+     * Reports that a started part has ended on this router.
      *
-     * @param value of one that is completed, else null
-     * @param retryAfterUs of a rejected one, 0 for no advice
+     * @param value the value of a completed part, else null
+     * @param retryAfterUs when a rejected part may be tried again, in microseconds; 0 for no advice
      */
     public void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
         server.partEnded(part, status, value, retryAfterUs);
     }
 
-    // ---- The stop. ----
+    // ---- Shutdown. ----
 
-    /** Tells each forwarding router which part was the last; what is in flight is finished. */
+    /** Sends each forwarding router a go-away with its last started part; running parts continue. */
     public void startDraining() {
         logCounters();
         server.startDraining();
     }
 
-    /** No part of another site's is in flight. */
+    /** Whether no part of another site is running on this router. */
     public boolean isIdle() {
         return server.receiver().running() == 0;
     }
--- a/src/main/java/tinlink/gateway/GatewayClient.java
+++ b/src/main/java/tinlink/gateway/GatewayClient.java
@@ -18,16 +18,16 @@
 import java.util.logging.Logger;
 
 /**
- * The forwarding side of a gateway: carries out what each {@link RemoteRouter} decides about the parts that
- * this router forwards to other sites. Runs on the event loop's thread.
+ * The forwarding side of a gateway: carries out the decisions of each {@link RemoteRouter} about the parts
+ * that this router forwards to other sites. Runs on the event loop's thread.
  */
 final class GatewayClient implements ForwardingHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
 
     private final Gateway gateway;
-    /** Those of the file; none comes or goes in service. */
+    /** The remote routers of the configuration; the set is fixed while the router runs. */
     private final Map<RemoteRouter, Gateway.RemoteEndpoint> remoteRouters = new LinkedHashMap<>();
-    /** One for each channel that is up or connecting. */
+    /** The session of each channel that is up or connecting. */
     private final IdentityHashMap<GatewayChannel, GatewayClientSession> sessions =
             new IdentityHashMap<>();
 
@@ -70,13 +70,13 @@
         return remoteRouters.get(router).site();
     }
 
-    /** The session has ended. @return whether it had authenticated */
+    /** Removes a session that has ended. @return whether it had authenticated */
     boolean sessionClosed(GatewayClientSession session) {
         sessions.remove(session.channel, session);
         return session.wasAuthenticated();
     }
 
-    // ---- Decisions of a remote router's. ----
+    // ---- Decisions of a RemoteRouter. ----
 
     @Override
     public void connect(GatewayChannel channel) {
--- a/src/main/java/tinlink/gateway/GatewayKeys.java
+++ b/src/main/java/tinlink/gateway/GatewayKeys.java
@@ -4,13 +4,13 @@
 
 import java.util.Map;
 
-/** The keys that sites share. */
+/** The shared keys with which routers of different sites authenticate to each other. */
 public final class GatewayKeys extends KeyRing {
     /**
-     * Holds them.
+     * Creates a key ring.
      *
-     * @param keysById by the name that a connection is opened under
-     * @param activeKeyId under which this site opens connections
+     * @param keysById the keys by their id, which the connecting router names in its HELLO
+     * @param activeKeyId the id of the key with which this site opens connections
      */
     public GatewayKeys(Map<String, byte[]> keysById, String activeKeyId) {
         super(keysById, activeKeyId);
--- a/src/main/java/tinlink/gateway/GatewayServer.java
+++ b/src/main/java/tinlink/gateway/GatewayServer.java
@@ -21,13 +21,14 @@
 import java.util.logging.Logger;
 
 /**
- * The receiving side of a gateway: accepts connections from routers of other sites and carries out what
- * {@link ForwardedPartReceiver} decides about the parts that they forward. Runs on the event loop's thread.
+ * The receiving side of a gateway: accepts connections from routers of other sites and carries out the
+ * decisions of {@link ForwardedPartReceiver} about the parts that these routers forward. Runs on the event
+ * loop's thread.
  */
 final class GatewayServer implements ExecutionHandler, Network.AcceptHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.gateway");
     private static final int MAX_UNAUTHENTICATED = 16;
-    /** A router that has sent nothing for so many heartbeats is gone. */
+    /** A session that receives no heartbeat for this many heartbeat intervals is closed. */
     private static final int MAX_SILENT_HEARTBEATS = 12;
 
     private final ForwardedPartReceiver receiver;
@@ -35,9 +36,9 @@
     private Network.ListeningSocket listeningSocket;
     private final UnauthenticatedSessions unauthenticated =
             new UnauthenticatedSessions(MAX_UNAUTHENTICATED);
-    /** Sessions of forwarding routers, with the timer of their silence; each leaves as it ends. */
+    /** The authenticated sessions with their heartbeat timeouts; each is removed when it is closed. */
     private final Map<GatewayServerSession, EventLoop.Timer> authenticated = new HashMap<>();
-    /** Which cells this router reaches at its own site. */
+    /** The cells that this router reaches at its own site. */
     private BitSet reachableCells = new BitSet();
 
     private boolean draining;
@@ -79,7 +80,7 @@
         session.send(new GatewayMessage.ServedCells(reachableCells));
     }
 
-    /** Tells each forwarding router which part was the last; what is in flight is finished. */
+    /** Sends each forwarding router a go-away with its last started part; running parts continue. */
     void startDraining() {
         draining = true;
         receiver.startDraining();
@@ -129,7 +130,7 @@
         return unauthenticated.size();
     }
 
-    /** The session has authenticated. */
+    /** Registers a session that has authenticated. */
     void authenticated(GatewayServerSession session) {
         unauthenticated.remove(session);
         authenticated.put(session, null);
@@ -140,14 +141,14 @@
         }
     }
 
-    /** The session has sent a heartbeat. */
+    /** Restarts the heartbeat timeout of an authenticated session. */
     void heartbeatReceived(GatewayServerSession session) {
         if (authenticated.containsKey(session)) {
-            long silenceUs = MAX_SILENT_HEARTBEATS * gateway.settings.timing().heartbeatUs();
-            EventLoop.Timer silence = gateway.loop.schedule(
-                    gateway.loop.nowUs() + silenceUs,
+            long timeoutUs = MAX_SILENT_HEARTBEATS * gateway.settings.timing().heartbeatUs();
+            EventLoop.Timer timeout = gateway.loop.schedule(
+                    gateway.loop.nowUs() + timeoutUs,
                     () -> session.close(CloseReason.UNRESPONSIVE));
-            gateway.loop.cancel(authenticated.put(session, silence));
+            gateway.loop.cancel(authenticated.put(session, timeout));
         }
     }
 
@@ -159,10 +160,10 @@
     // ---- Parts. ----
 
     /**
-     * A part that was started has ended here.
+     * Records that a started part has ended on this router.
      *
-     * @param value of one that is completed, else null
-     * @param retryAfterUs of a rejected one, 0 for no advice
+     * @param value the value of a completed part, else null
+     * @param retryAfterUs when a rejected part may be tried again, in microseconds; 0 for no advice
      */
     void partEnded(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
         part.durationUs = gateway.loop.nowUs() - part.arrivedAt;
