--- a/src/test/java/tinlink/gateway/forwarding/ForwardingPlayer.java
+++ b/src/test/java/tinlink/gateway/forwarding/ForwardingPlayer.java
@@ -20,40 +20,41 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays a scenario of the gateway's choices; docs/scenarios.md has the notation. Time is the
- * script's.
+ * Plays a scenario of the gateway's decisions; docs/scenarios.md describes the notation. The script
+ * sets the time.
  */
 public final class ForwardingPlayer implements ForwardingHandler, ExecutionHandler {
     private static final class TestForwardedPart extends ForwardedPart {
         private final String name;
 
-        TestForwardedPart(String name, long until, int cell, boolean repeatable) {
-            super(until, cell, repeatable);
+        TestForwardedPart(String name, long deadline, int cell, boolean idempotent) {
+            super(deadline, cell, idempotent);
             this.name = name;
         }
     }
 
     private static final class TestReceivedPart extends ReceivedPart {
-        TestReceivedPart(InboundChannel inbound, long number) {
-            super(inbound, number);
+        TestReceivedPart(InboundChannel channel, long number) {
+            super(channel, number);
         }
     }
 
     private static final Set<String> RECEIVER_INPUTS =
             Set.of("opens", "closes", "comes", "ends", "given-up", "lowest", "asks", "leaves");
 
-    private record Timer(long at, Runnable what) {}
+    private record Timer(long at, Runnable task) {}
 
-    private final Map<String, Long> figures = new HashMap<>(Map.of(
+    private final Map<String, Long> settings = new HashMap<>(Map.of(
             "lines", 1L, "beat", 250L, "waiting", 2L, "recover", 2000L, "trip", 100L, "running", 4L,
             "kept", 4L, "bytes", 1000L, "origins", 2L, "keep", 6000L));
-    private final ArrayDeque<String> decided = new ArrayDeque<>();
+    private final ArrayDeque<String> decisions = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private final Map<String, TestForwardedPart> parts = new HashMap<>();
     private final Map<String, InboundChannel> sessions = new LinkedHashMap<>();
     private final Set<Integer> silent = new HashSet<>();
     private boolean hasAlternative;
+    private String reachableCells = "";
     private long connectCount;
     private RemoteRouter remoteRouter;
     private ForwardedPartReceiver receiver;
@@ -61,24 +62,24 @@
 
     public void play(List<String> script) {
         Scenarios.play(script, ";", this::line);
-        assertEquals(List.of(), List.copyOf(decided), "decided and not expected");
+        assertEquals(List.of(), List.copyOf(decisions), "unexpected decisions");
     }
 
     private void line(String[] words) {
         String[] rest = Arrays.copyOfRange(words, 1, words.length);
         switch (words[0]) {
-            case "set" -> figures.put(words[1], Long.parseLong(words[2]));
+            case "set" -> settings.put(words[1], Long.parseLong(words[2]));
             case "=" ->
                 assertEquals(
-                        String.join(" ", rest), decided.isEmpty() ? "nothing" : decided.poll());
+                        String.join(" ", rest), decisions.isEmpty() ? "nothing" : decisions.poll());
             case "at" -> {
-                assertEquals(List.of(), List.copyOf(decided), "decided and not expected");
+                assertEquals(List.of(), List.copyOf(decisions), "unexpected decisions");
                 advanceTo(ms(words[1]));
             }
             default -> {
                 createSide(!RECEIVER_INPUTS.contains(words[0]));
                 for (int i = 0; i < rest.length; i++) {
-                    rest[i] = rest[i].intern(); // Sessions are told apart as objects.
+                    rest[i] = rest[i].intern(); // Sessions are compared by identity.
                 }
                 input(words[0], rest);
                 runAllDecisions();
@@ -86,23 +87,23 @@
         }
     }
 
-    /** Each scenario is of one side; its first input says which. */
-    private void createSide(boolean near) {
-        if (near && remoteRouter == null) {
+    /** Creates the forwarding or the receiving side, which the first input of the scenario selects. */
+    private void createSide(boolean forwarding) {
+        if (forwarding && remoteRouter == null) {
             remoteRouter = new RemoteRouter(
                     "f",
-                    (int) (long) figures.get("lines"),
+                    (int) (long) settings.get("lines"),
                     new RemoteRouter.Settings(
-                            us("beat"), (int) (long) figures.get("waiting"), us("recover")),
+                            us("beat"), (int) (long) settings.get("waiting"), us("recover")),
                     (cell, other) -> hasAlternative,
                     new SplittableRandom(1));
             remoteRouter.advanceClock(now);
-        } else if (!near && receiver == null) {
+        } else if (!forwarding && receiver == null) {
             receiver = new ForwardedPartReceiver(new ForwardedPartReceiver.Limits(
-                    (int) (long) figures.get("running"),
-                    (int) (long) figures.get("kept"),
-                    figures.get("bytes"),
-                    (int) (long) figures.get("origins"),
+                    (int) (long) settings.get("running"),
+                    (int) (long) settings.get("kept"),
+                    settings.get("bytes"),
+                    (int) (long) settings.get("origins"),
                     us("keep"),
                     us("beat")));
             receiver.advanceClock(now);
@@ -119,20 +120,20 @@
         }
     }
 
-    private long us(String figure) {
-        return 1000 * figures.get(figure);
+    private long us(String setting) {
+        return 1000 * settings.get(setting);
     }
 
     private static long ms(String text) {
         return 1000 * Long.parseLong(text);
     }
 
-    /** The clock moves on; timers and the answers to heartbeats that come due are played. */
+    /** Advances the clock and runs the timers and heartbeat answers that become due. */
     private void advanceTo(long to) {
         while (!timers.isEmpty() && timers.peek().at <= to) {
-            Timer t = timers.poll();
-            advanceClock(Math.max(now, t.at));
-            t.what.run();
+            Timer timer = timers.poll();
+            advanceClock(Math.max(now, timer.at));
+            timer.task.run();
             runAllDecisions();
         }
         advanceClock(to);
@@ -142,22 +143,22 @@
     private void runAllDecisions() {
         while ((remoteRouter != null && remoteRouter.decide(this))
                 || (receiver != null && receiver.decide(this))) {
-            // Each has been noted.
+            // The handler methods have recorded the decision.
         }
     }
 
-    private void input(String what, String[] words) {
-        switch (what) {
+    private void input(String name, String[] words) {
+        switch (name) {
             case "up" ->
                 remoteRouter.onConnected(
                         remoteRouter.channels.get(Integer.parseInt(words[0])),
                         Long.parseLong(words[1]),
                         us("trip"));
             case "fails", "lost" -> {
-                Set<String> not = new HashSet<>(Arrays.asList(words).subList(1, words.length));
+                Set<String> notSent = new HashSet<>(Arrays.asList(words).subList(1, words.length));
                 remoteRouter.onDisconnected(
                         remoteRouter.channels.get(Integer.parseInt(words[0])),
-                        part -> !not.contains(((TestForwardedPart) part).name));
+                        part -> !notSent.contains(((TestForwardedPart) part).name));
             }
             case "serves" -> {
                 BitSet cells = new BitSet();
@@ -186,7 +187,7 @@
                 remoteRouter.onGoAway(
                         remoteRouter.channels.get(Integer.parseInt(words[0])),
                         Long.parseLong(words[1]));
-            // The far side.
+            // Inputs of the receiving side.
             case "opens" -> {
                 InboundChannel inbound = receiver.onConnected(
                         words[1],
@@ -196,7 +197,7 @@
                         Long.parseLong(words[4]),
                         words[0]);
                 if (inbound == null) {
-                    decided.add("full");
+                    decisions.add("full");
                 } else {
                     sessions.put(words[0], inbound);
                 }
@@ -227,26 +228,26 @@
                                 .map(Long::parseLong)
                                 .collect(Collectors.toSet()));
             case "leaves" -> receiver.startDraining();
-            default -> throw new IllegalArgumentException(what);
+            default -> throw new IllegalArgumentException("unknown input '" + name + "'");
         }
     }
 
-    // ---- Decisions of the near side. ----
+    // ---- Decisions of the forwarding side. ----
 
     @Override
     public void connect(GatewayChannel channel) {
-        decided.add("connect " + channel.index);
+        decisions.add("connect " + channel.index);
     }
 
     @Override
     public void disconnect(GatewayChannel channel) {
-        decided.add("cut " + channel.index);
+        decisions.add("cut " + channel.index);
         remoteRouter.onDisconnected(channel, part -> true);
     }
 
-    /** Answered after a round trip, unless the line is silent. */
+    /** Schedules the answer one round trip later, unless the channel is silent. */
     @Override
-    public void sendHeartbeat(GatewayChannel channel, long number, long lowest) {
+    public void sendHeartbeat(GatewayChannel channel, long number, long lowestOpenNumber) {
         timers.add(new Timer(now + us("trip"), () -> {
             if (!silent.contains(channel.index)) {
                 remoteRouter.onHeartbeatAck(channel, number);
@@ -256,12 +257,12 @@
 
     @Override
     public void sendPart(ForwardedPart part) {
-        decided.add("send " + ((TestForwardedPart) part).name + " " + part.channel.index);
+        decisions.add("send " + ((TestForwardedPart) part).name + " " + part.channel.index);
     }
 
     @Override
     public void sendCancel(ForwardedPart part) {
-        decided.add("give-up " + ((TestForwardedPart) part).name);
+        decisions.add("give-up " + ((TestForwardedPart) part).name);
     }
 
     @Override
@@ -270,27 +271,26 @@
                 .map(part -> ((TestForwardedPart) part).name)
                 .toList());
         if (!open.isEmpty()) {
-            decided.add("ask " + via.index + " " + about.index + " " + String.join(" ", open));
+            decisions.add("ask " + via.index + " " + about.index + " " + String.join(" ", open));
         }
     }
 
     @Override
     public void partEnded(ForwardedPart part, PartStatus status) {
-        decided.add("end " + ((TestForwardedPart) part).name + " "
+        decisions.add("end " + ((TestForwardedPart) part).name + " "
                 + status.name().toLowerCase(Locale.ROOT));
     }
 
     @Override
     public void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs) {
-        String now = cells.stream().mapToObj(String::valueOf).collect(Collectors.joining(" "));
-        if (!now.equals(served)) {
-            served = now;
-            decided.add(("cells " + now).trim());
+        String reachable =
+                cells.stream().mapToObj(String::valueOf).collect(Collectors.joining(" "));
+        if (!reachable.equals(reachableCells)) {
+            reachableCells = reachable;
+            decisions.add(("cells " + reachable).trim());
         }
     }
 
-    private String served = "";
-
     @Override
     public void wakeAt(RemoteRouter router, long at) {
         wakeAt(at);
@@ -301,32 +301,32 @@
         timers.add(new Timer(at, () -> {}));
     }
 
-    // ---- Decisions of the far side. ----
+    // ---- Decisions of the receiving side. ----
 
     @Override
     public void startPart(ReceivedPart part) {
-        decided.add("begin " + part.channel().index() + " " + part.number);
+        decisions.add("begin " + part.channel().index() + " " + part.number);
     }
 
     @Override
     public void cancelPart(ReceivedPart part) {
-        decided.add("drop " + part.channel().index() + " " + part.number);
+        decisions.add("drop " + part.channel().index() + " " + part.number);
     }
 
     @Override
     public void sendPartStatus(
-            Object session, int line, long number, PartStatus status, ReceivedPart part) {
-        decided.add("say " + session + " " + line + " " + number + " "
+            Object session, int channelIndex, long number, PartStatus status, ReceivedPart part) {
+        decisions.add("say " + session + " " + channelIndex + " " + number + " "
                 + status.name().toLowerCase(Locale.ROOT));
     }
 
     @Override
     public void sendCreditWindow(Object session, int parts) {
-        decided.add("window " + session + " " + parts);
+        decisions.add("window " + session + " " + parts);
     }
 
     @Override
     public void closeSession(Object session) {
-        decided.add("close " + session);
+        decisions.add("close " + session);
     }
 }
--- a/src/test/java/tinlink/gateway/forwarding/LossyChannelsTest.java
+++ b/src/test/java/tinlink/gateway/forwarding/LossyChannelsTest.java
@@ -17,13 +17,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Both choices against each other in simulated time, over lines that are cut, half-open, late, and
- * a far router that starts anew: whatever happens, each part ends once and in time, runs at most
- * once, and what is said never to have run never runs, then or later.
+ * Runs the decisions of the forwarding and the receiving router against each other in simulated time, over
+ * connections that are cut, half-open or slow, and with restarts of the receiving router. Each part must end
+ * once and by its deadline, must run at most once, and must never run if it was reported as not run.
  */
 class LossyChannelsTest {
     private static final int WINDOW = 6;
-    private static final int WAITING = 4;
+    private static final int MAX_QUEUED = 4;
 
     private static final class TestForwardedPart extends ForwardedPart {
         private int ends;
@@ -31,8 +31,8 @@
         private PartStatus status;
         private boolean cancelled;
 
-        TestForwardedPart(long until, boolean repeatable) {
-            super(until, 0, repeatable);
+        TestForwardedPart(long deadline, boolean idempotent) {
+            super(deadline, 0, idempotent);
         }
     }
 
@@ -45,11 +45,11 @@
         }
     }
 
-    private record Event(long at, long order, Runnable what) {}
+    private record Event(long at, long order, Runnable task) {}
 
     /**
-     * A connection: each side ends it for itself; what is under way still comes to a side that has
-     * not.
+     * A connection that each side closes for itself; messages on their way still reach a side that
+     * has not closed it.
      */
     private final class TestConnection {
         private final GatewayChannel channel;
@@ -64,20 +64,20 @@
             this.channel = channel;
         }
 
-        void deliverToReceiver(Runnable what) {
+        void deliverToReceiver(Runnable task) {
             forwardFreeAt = Math.max(forwardFreeAt, now + delay());
-            event(forwardFreeAt, () -> {
+            schedule(forwardFreeAt, () -> {
                 if (!receiverClosed && receiverAtOpen == receiver) {
-                    what.run();
+                    task.run();
                 }
             });
         }
 
-        void deliverToSender(Runnable what) {
+        void deliverToSender(Runnable task) {
             returnFreeAt = Math.max(returnFreeAt, now + delay());
-            event(returnFreeAt, () -> {
+            schedule(returnFreeAt, () -> {
                 if (!senderClosed) {
-                    what.run();
+                    task.run();
                 }
             });
         }
@@ -86,13 +86,13 @@
             if (!senderClosed) {
                 senderClosed = true;
                 connections.remove(channel, this);
-                Set<ForwardedPart> notLeft = new HashSet<>();
+                Set<ForwardedPart> notSent = new HashSet<>();
                 channel.openParts.values().forEach(part -> {
                     if (unsent.contains(part) && !part.wasUnresolved()) {
-                        notLeft.add(part);
+                        notSent.add(part);
                     }
                 });
-                remoteRouter.onDisconnected(channel, part -> !notLeft.contains(part));
+                remoteRouter.onDisconnected(channel, part -> !notSent.contains(part));
             }
         }
 
@@ -110,7 +110,7 @@
             (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<GatewayChannel, TestConnection> connections = new HashMap<>();
     private final List<TestForwardedPart> parts = new ArrayList<>();
-    /** What is in the near router's own buffer when its line ends. */
+    /** Parts that are still in the forwarding router's write buffer when their connection ends. */
     private final Set<ForwardedPart> unsent = new HashSet<>();
 
     private SplittableRandom random;
@@ -121,8 +121,8 @@
     private long nextOrder;
     private boolean faultsStopped;
 
-    private void event(long at, Runnable what) {
-        events.add(new Event(at, nextOrder++, what));
+    private void schedule(long at, Runnable task) {
+        events.add(new Event(at, nextOrder++, task));
     }
 
     private long delay() {
@@ -135,7 +135,7 @@
         @Override
         public void connect(GatewayChannel channel) {
             TestConnection connection = new TestConnection(channel);
-            event(now + 2 * delay(), () -> {
+            schedule(now + 2 * delay(), () -> {
                 if (connection.receiverAtOpen != receiver
                         || (!faultsStopped && random.nextInt(4) == 0)) {
                     remoteRouter.onDisconnected(channel, part -> true);
@@ -143,11 +143,11 @@
                 }
                 connections.put(channel, connection);
                 remoteRouter.onConnected(channel, incarnation, 80_000);
-                long next = channel.nextPartNumber();
-                long ups = channel.connectCount();
+                long nextNumber = channel.nextPartNumber();
+                long connectCount = channel.connectCount();
                 connection.deliverToReceiver(() -> {
-                    connection.inbound =
-                            receiver.onConnected("e1", channel.index, 1, ups, next, connection);
+                    connection.inbound = receiver.onConnected(
+                            "e1", channel.index, 1, connectCount, nextNumber, connection);
                     connection.deliverToSender(() -> {
                         BitSet cells = new BitSet();
                         cells.set(0);
@@ -163,10 +163,10 @@
         }
 
         @Override
-        public void sendHeartbeat(GatewayChannel channel, long number, long lowest) {
+        public void sendHeartbeat(GatewayChannel channel, long number, long lowestOpenNumber) {
             TestConnection connection = connections.get(channel);
             connection.deliverToReceiver(() -> {
-                receiver.forgetBelow(connection.inbound, lowest);
+                receiver.forgetBelow(connection.inbound, lowestOpenNumber);
                 connection.deliverToSender(() -> remoteRouter.onHeartbeatAck(channel, number));
             });
         }
@@ -175,20 +175,19 @@
         public void sendPart(ForwardedPart part) {
             TestConnection connection = connections.get(part.channel);
             long number = part.number;
-            assertTrue(
-                    remoteRouter.openPartCount() <= WINDOW + WAITING, "more is held than may be");
+            assertTrue(remoteRouter.openPartCount() <= WINDOW + MAX_QUEUED, "too many open parts");
             if (!faultsStopped && random.nextInt(200) == 0) {
-                unsent.add(part); // The line stands: it is cut before this leaves.
-                event(now, connection::closeAtSender);
+                unsent.add(part); // The connection is cut before the part is sent.
+                schedule(now, connection::closeAtSender);
                 return;
             }
-            Runnable arrives = () -> receiver.onForwardPart(
+            Runnable deliver = () -> receiver.onForwardPart(
                     connection.inbound,
                     new TestReceivedPart(connection.inbound, number, (TestForwardedPart) part),
                     true);
-            connection.deliverToReceiver(arrives);
+            connection.deliverToReceiver(deliver);
             if (random.nextInt(10) == 0) {
-                connection.deliverToReceiver(arrives); // The same again.
+                connection.deliverToReceiver(deliver); // A duplicate.
             }
         }
 
@@ -203,10 +202,15 @@
         public void sendStatusQuery(GatewayChannel via, GatewayChannel about) {
             TestConnection connection = connections.get(via);
             Set<Long> numbers = new HashSet<>(about.openParts.keySet());
-            long fence = about.nextPartNumber();
-            long ups = about.connectCount();
+            long nextNumber = about.nextPartNumber();
+            long connectCount = about.connectCount();
             connection.deliverToReceiver(() -> receiver.onStatusQuery(
-                    connection.inbound, connection, about.index, ups, fence, numbers));
+                    connection.inbound,
+                    connection,
+                    about.index,
+                    connectCount,
+                    nextNumber,
+                    numbers));
         }
 
         @Override
@@ -216,20 +220,20 @@
 
         @Override
         public void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs) {
-            // The module would hear.
+            // The test doesn't use the announcement.
         }
 
         @Override
         public void wakeAt(RemoteRouter router, long at) {
-            event(Math.max(at, now), () -> {});
+            schedule(Math.max(at, now), () -> {});
         }
     };
 
     private void recordEnd(TestForwardedPart testPart, PartStatus status) {
         testPart.ends++;
         testPart.status = status;
-        assertEquals(1, testPart.ends, "a second end: " + status);
-        assertTrue(now <= testPart.deadline, "an end after its time");
+        assertEquals(1, testPart.ends, "a second end of a part: " + status);
+        assertTrue(now <= testPart.deadline, "a part ended after its deadline");
     }
 
     private final ExecutionHandler executor = new ExecutionHandler() {
@@ -237,13 +241,13 @@
         public void startPart(ReceivedPart part) {
             TestForwardedPart testPart = ((TestReceivedPart) part).part;
             ForwardedPartReceiver at = receiver;
-            assertTrue(receiver.running() <= 2 * WINDOW, "more runs than may");
+            assertTrue(receiver.running() <= 2 * WINDOW, "too many running parts");
             if (random.nextInt(6) == 0) {
-                event(now + 1000, () -> ended(at, part, PartStatus.REJECTED));
+                schedule(now + 1000, () -> ended(at, part, PartStatus.REJECTED));
                 return;
             }
             testPart.effects++;
-            event(
+            schedule(
                     now + 1000 + random.nextLong(200_000),
                     () -> ended(
                             at,
@@ -259,15 +263,19 @@
 
         @Override
         public void cancelPart(ReceivedPart part) {
-            // What has run has run.
+            // A cancel does not undo the effect of a part.
         }
 
         @Override
         public void sendPartStatus(
-                Object session, int line, long number, PartStatus status, ReceivedPart part) {
+                Object session,
+                int channelIndex,
+                long number,
+                PartStatus status,
+                ReceivedPart part) {
             TestConnection connection = (TestConnection) session;
-            connection.deliverToSender(() ->
-                    remoteRouter.onPartStatus(remoteRouter.channels.get(line), number, status));
+            connection.deliverToSender(() -> remoteRouter.onPartStatus(
+                    remoteRouter.channels.get(channelIndex), number, status));
         }
 
         @Override
@@ -279,12 +287,12 @@
         public void closeSession(Object session) {
             TestConnection connection = (TestConnection) session;
             connection.closeAtReceiver();
-            event(now + delay(), connection::closeAtSender);
+            schedule(now + delay(), connection::closeAtSender);
         }
 
         @Override
         public void wakeAt(long at) {
-            event(Math.max(at, now), () -> {});
+            schedule(Math.max(at, now), () -> {});
         }
     };
 
@@ -298,7 +306,7 @@
         if (faultsStopped) {
             return;
         }
-        event(now + 500_000 + random.nextLong(6_000_000), this::injectFault);
+        schedule(now + 500_000 + random.nextLong(6_000_000), this::injectFault);
         List<TestConnection> open = new ArrayList<>(connections.values());
         if (open.isEmpty()) {
             return;
@@ -308,13 +316,13 @@
         switch (random.nextInt(4)) {
             case 0 -> {
                 connection.closeAtSender();
-                event(
+                schedule(
                         now + random.nextLong(3_000_000),
                         connection::closeAtReceiver); // Half-open for a while.
             }
             case 1 -> {
                 connection.closeAtReceiver();
-                event(now + random.nextLong(2_000_000), connection::closeAtSender);
+                schedule(now + random.nextLong(2_000_000), connection::closeAtSender);
             }
             case 2 -> {
                 connection.closeAtSender();
@@ -324,7 +332,7 @@
                 if (random.nextInt(3) == 0) {
                     incarnation++;
                     startReceiver();
-                    open.forEach(each -> event(now + delay(), each::closeAtSender));
+                    open.forEach(each -> schedule(now + delay(), each::closeAtSender));
                 }
             }
         }
@@ -341,20 +349,20 @@
         remoteRouter = new RemoteRouter(
                 "f",
                 2,
-                new RemoteRouter.Settings(250_000, WAITING, 1_500_000),
+                new RemoteRouter.Settings(250_000, MAX_QUEUED, 1_500_000),
                 (cell, other) -> false,
                 random.split());
         startReceiver();
-        event(0, () -> {});
-        event(500_000, this::injectFault);
+        schedule(0, () -> {});
+        schedule(500_000, this::injectFault);
         for (long at = 400_000; at < 40_000_000; at += 5000 + random.nextLong(120_000)) {
-            event(at, () -> {
+            schedule(at, () -> {
                 TestForwardedPart testPart =
                         new TestForwardedPart(now + 300_000 + random.nextLong(2_500_000), false);
                 parts.add(testPart);
                 remoteRouter.forward(testPart);
                 if (random.nextInt(8) == 0) {
-                    event(now + random.nextLong(400_000), () -> {
+                    schedule(now + random.nextLong(400_000), () -> {
                         if (testPart.ends == 0) {
                             testPart.cancelled = true;
                             remoteRouter.cancel(testPart);
@@ -363,36 +371,36 @@
                 }
             });
         }
-        event(41_000_000, () -> faultsStopped = true);
+        schedule(41_000_000, () -> faultsStopped = true);
         while (!events.isEmpty() && events.peek().at < 60_000_000) {
-            Event e = events.poll();
-            now = e.at;
+            Event event = events.poll();
+            now = event.at;
             remoteRouter.advanceClock(now);
             receiver.advanceClock(now);
-            e.what.run();
+            event.task.run();
             while (remoteRouter.decide(sender) || receiver.decide(executor)) {
-                // Each has been carried out.
+                // Each call carries out one decision.
             }
         }
         Map<PartStatus, Integer> seen = new HashMap<>();
         for (TestForwardedPart testPart : parts) {
-            assertEquals(testPart.cancelled ? 0 : 1, testPart.ends, "ends of a part");
-            assertTrue(testPart.effects <= 1, "it ran " + testPart.effects + " times");
+            assertEquals(testPart.cancelled ? 0 : 1, testPart.ends, "number of ends of a part");
+            assertTrue(testPart.effects <= 1, "a part ran " + testPart.effects + " times");
             if (testPart.status != null) {
                 seen.merge(testPart.status, 1, Integer::sum);
                 assertTrue(
                         !testPart.status.outcome.neverRan || testPart.effects == 0,
-                        "it ran, and was reported as " + testPart.status);
+                        "a part ran, but was reported as " + testPart.status);
                 assertEquals(
                         testPart.status == PartStatus.COMPLETED ? 1 : testPart.effects,
                         testPart.effects,
-                        "done without a run");
+                        "a part was reported as completed, but never ran");
             }
         }
         assertTrue(
                 seen.getOrDefault(PartStatus.COMPLETED, 0) > parts.size() / 3,
-                "so few were done: " + seen);
-        assertEquals(0, remoteRouter.openPartCount(), "still held");
-        assertEquals(0, receiver.running(), "still running");
+                "too few completed parts: " + seen);
+        assertEquals(0, remoteRouter.openPartCount(), "parts still open");
+        assertEquals(0, receiver.running(), "parts still running");
     }
 }
