--- a/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
@@ -41,12 +41,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * All that goes over the links between routers of two sites, byte for byte as earlier builds wrote it. A
- * router of the code under test speaks with plain sockets; what it has written on the one side is read by it
- * on the other. Seals are checked and made by the sockets' side and stand in no record.
+ * Compares all messages between routers of two sites byte for byte with those of earlier builds. A gateway
+ * exchanges messages with a plain socket: the forwarding and the receiving side must write the recorded
+ * messages and must read the recorded messages of the other side. The socket computes and checks the tags,
+ * which are not recorded.
  */
 @Timeout(120)
-@SuppressWarnings("EnumOrdinal") // What was recorded numbers constants in their order.
+@SuppressWarnings("EnumOrdinal") // The records contain the ordinals of constants.
 class GatewayLinksGoldenFilesTest {
     private static final String FILE = "gateway-links.txt";
     private static final KeyRing KEYS =
@@ -54,25 +55,25 @@
     private static final int HELLO = 1;
     private static final int CHALLENGE = 2;
     private static final int PROOF = 3;
-    private static final int PART = 4;
-    private static final int GIVE_UP = 5;
-    private static final int FATES = 6;
-    private static final int PING = 7;
-    private static final int PONG = 8;
-    private static final int SAY = 9;
-    private static final int WINDOW = 10;
-    private static final int CELLS = 11;
-    private static final int BYE = 12;
+    private static final int FORWARD_PART = 4;
+    private static final int CANCEL_PART = 5;
+    private static final int STATUS_QUERY = 6;
+    private static final int HEARTBEAT = 7;
+    private static final int HEARTBEAT_ACK = 8;
+    private static final int PART_STATUS = 9;
+    private static final int CREDIT_WINDOW = 10;
+    private static final int SERVED_CELLS = 11;
+    private static final int GO_AWAY = 12;
 
     private static final int NONCE_BYTES = 32;
     private static final int PROOF_BYTES = 32;
-    private static final int SEAL_BYTES = 16;
-    /** Where the times of a part and of a fate stand in their messages. */
-    private static final int LEFT_AT = 9;
+    private static final int TAG_BYTES = 16;
+    /** Offsets of the times in FORWARD_PART and PART_STATUS messages. */
+    private static final int REMAINING_OFFSET = 9;
 
-    private static final int EFFECT_AT = 17;
-    private static final int SINCE_AT = 33;
-    private static final int TOOK_AT = 12;
+    private static final int EFFECT_REMAINING_OFFSET = 17;
+    private static final int SINCE_ACK_OFFSET = 33;
+    private static final int DURATION_OFFSET = 12;
     private static final long SECOND_US = 1_000_000;
     private static final long RETRY_AFTER_US = 250_000;
     private static final byte[] TEXT = "a query é".getBytes(StandardCharsets.UTF_8);
@@ -87,42 +88,42 @@
         }
     }
 
-    // ---- The code under test: a router of a site, and one call a kind of message. ----
+    // ---- The code under test: the gateway of one router. ----
 
-    private final class Site implements AutoCloseable, PartHandler {
+    private final class TestRouter implements AutoCloseable, PartHandler {
         final EventLoop loop = new EventLoop();
         final Network network = new Network(loop);
         final Gateway gateway;
         final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-        final BlockingQueue<IncomingPart> begun = new LinkedBlockingQueue<>();
-        final BlockingQueue<IncomingPart> givenUp = new LinkedBlockingQueue<>();
+        final BlockingQueue<IncomingPart> started = new LinkedBlockingQueue<>();
+        final BlockingQueue<IncomingPart> cancelled = new LinkedBlockingQueue<>();
         final BlockingQueue<BitSet> served = new LinkedBlockingQueue<>();
-        volatile RemoteRouter far;
+        volatile RemoteRouter remoteRouter;
 
-        /** The near one where it has a far router to call, else the far one. */
-        Site(InetSocketAddress calls) throws IOException {
-            boolean near = calls != null;
+        /** Creates a forwarding gateway if there is a remote address to connect to, else a receiving one. */
+        TestRouter(InetSocketAddress remoteAddress) throws IOException {
+            boolean forwarding = remoteAddress != null;
             gateway = new Gateway(
                     loop,
                     network,
                     new Gateway.Settings(
-                            near
+                            forwarding
                                     ? new Gateway.Identity(
                                             "east", "e1", 0x0102030405060708L, Set.of())
                                     : new Gateway.Identity("west", "w1", -2, Set.of("east")),
                             new Gateway.Timing(2 * SECOND_US, 5_000_000, 20_000_000, 20_000_000),
                             new Gateway.Limits(8, 16, 1 << 16, 4, 4),
-                            near
+                            forwarding
                                     ? List.of(new Gateway.RemoteEndpoint(
-                                            "west", "w1", List.of(calls)))
+                                            "west", "w1", List.of(remoteAddress)))
                                     : List.of(),
                             1),
                     KEYS,
                     this);
-            if (!near) {
+            if (!forwarding) {
                 gateway.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             }
-            Thread thread = new Thread(() -> loop.run(gateway.turn()), near ? "near" : "far");
+            Thread thread = new Thread(() -> loop.run(gateway.turn()), forwarding ? "near" : "far");
             thread.setDaemon(true);
             thread.start();
             open.add(this);
@@ -138,66 +139,67 @@
 
         @Override
         public void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs) {
-            far = router;
+            remoteRouter = router;
             served.add((BitSet) cells.clone());
         }
 
         @Override
         public void startPart(IncomingPart part) {
-            begun.add(part);
+            started.add(part);
         }
 
         @Override
         public void cancelPart(IncomingPart part) {
-            givenUp.add(part);
+            cancelled.add(part);
         }
 
-        /** What came of a part, as the near side has it. */
-        String outcome(String what, Outcome how, byte[] value, long retryAfterUs) {
-            return what + " " + how.ordinal() + " " + (value == null ? "" : GoldenFile.hex(value))
-                    + " " + retryAfterUs + " " + (how == Outcome.SATISFIED ? 1 : -1);
+        /** The expected end of a part, in the format of {@link #partEnded}. */
+        String expectedEnd(String attachment, Outcome outcome, byte[] value, long retryAfterUs) {
+            return attachment + " " + outcome.ordinal() + " "
+                    + (value == null ? "" : GoldenFile.hex(value)) + " " + retryAfterUs + " "
+                    + (outcome == Outcome.SATISFIED ? 1 : -1);
         }
 
-        OutgoingPart sends(String what, String key, boolean repeat) {
+        OutgoingPart forward(String attachment, String key, boolean clientRetry) {
             CompletableFuture<OutgoingPart> sent = new CompletableFuture<>();
             loop.execute(() -> {
                 long until = loop.nowUs() + 10 * SECOND_US;
                 OutgoingPart part = new OutgoingPart(
-                        what,
+                        attachment,
                         loop.nowUs(),
                         until,
                         3,
                         false,
-                        new PartContent("q1.é", "sum", 0x01020304, key, TEXT, repeat),
+                        new PartContent("q1.é", "sum", 0x01020304, key, TEXT, clientRetry),
                         key == null ? Long.MAX_VALUE : until);
-                gateway.forward(far, part);
+                gateway.forward(remoteRouter, part);
                 sent.complete(part);
             });
             return sent.join();
         }
 
-        void givesUp(OutgoingPart part) {
-            loop.execute(() -> gateway.cancel(far, part));
+        void cancel(OutgoingPart part) {
+            loop.execute(() -> gateway.cancel(remoteRouter, part));
         }
 
-        void ends(IncomingPart part, PartStatus fate, byte[] value, long retryAfterUs) {
-            loop.execute(() -> gateway.partEnded(part, fate, value, retryAfterUs));
+        void endPart(IncomingPart part, PartStatus status, byte[] value, long retryAfterUs) {
+            loop.execute(() -> gateway.partEnded(part, status, value, retryAfterUs));
         }
 
-        void serves(BitSet cells) {
+        void announceCells(BitSet cells) {
             loop.execute(() -> gateway.announceCells(cells));
         }
 
-        void leaves() {
+        void startDraining() {
             loop.execute(gateway::startDraining);
         }
 
         int window() {
-            return loop.submitAndWait(() -> far.creditWindow());
+            return loop.submitAndWait(() -> remoteRouter.creditWindow());
         }
 
-        /** The fields of a part as they were read. */
-        String shown(IncomingPart part) {
+        /** The decoded fields of a part. */
+        String describe(IncomingPart part) {
             PartContent content = part.content;
             return content.id() + " " + content.lookupClass() + " " + content.shard() + " "
                     + content.idempotencyKey() + " " + GoldenFile.hex(content.text()) + " "
@@ -213,14 +215,14 @@
         }
     }
 
-    // ---- The sockets' side. ----
+    // ---- The plain sockets. ----
 
-    private static byte[] frame(int type, byte[] body, byte[] seal) {
-        return ByteBuffer.allocate(5 + body.length + seal.length)
-                .putInt(1 + body.length + seal.length)
+    private static byte[] frame(int type, byte[] body, byte[] tag) {
+        return ByteBuffer.allocate(5 + body.length + tag.length)
+                .putInt(1 + body.length + tag.length)
                 .put((byte) type)
                 .put(body)
-                .put(seal)
+                .put(tag)
                 .array();
     }
 
@@ -254,31 +256,31 @@
         return ByteBuffer.allocate(8).putLong(value).array();
     }
 
-    /** One connection, as the plain socket has it; messages are type and body. */
-    private class Line implements AutoCloseable {
+    /** A connection of a plain socket; a message is its type followed by its body. */
+    private class TestConnection implements AutoCloseable {
         final Socket socket;
         final DataInputStream in;
         FrameAuthenticator out;
         FrameAuthenticator back;
 
-        Line(Socket socket) throws IOException {
+        TestConnection(Socket socket) throws IOException {
             this.socket = socket;
             socket.setSoTimeout(20_000);
             in = new DataInputStream(socket.getInputStream());
             open.add(this);
         }
 
-        void seals(byte[] secret, boolean near) {
+        void enableTags(byte[] secret, boolean forwarding) {
             byte[] toFar = KeyRing.mac(secret, "to the far side");
             byte[] toNear = KeyRing.mac(secret, "to the near side");
-            out = new FrameAuthenticator(near ? toFar : toNear);
-            back = new FrameAuthenticator(near ? toNear : toFar);
+            out = new FrameAuthenticator(forwarding ? toFar : toNear);
+            back = new FrameAuthenticator(forwarding ? toNear : toFar);
         }
 
-        void says(byte[] message) throws IOException {
+        void send(byte[] message) throws IOException {
             byte[] body = body(message);
-            byte[] seal = out == null ? new byte[0] : out.nextTag(message[0], body, 0, body.length);
-            socket.getOutputStream().write(frame(message[0], body, seal));
+            byte[] tag = out == null ? new byte[0] : out.nextTag(message[0], body, 0, body.length);
+            socket.getOutputStream().write(frame(message[0], body, tag));
         }
 
         byte[] next() throws IOException {
@@ -287,12 +289,12 @@
             if (back == null) {
                 return whole;
             }
-            int end = whole.length - SEAL_BYTES;
-            assertArrayEquals(back.nextTag(whole[0], whole, 1, end - 1), last(whole, SEAL_BYTES));
+            int end = whole.length - TAG_BYTES;
+            assertArrayEquals(back.nextTag(whole[0], whole, 1, end - 1), last(whole, TAG_BYTES));
             return Arrays.copyOf(whole, end);
         }
 
-        byte[] awaits(int type) throws IOException {
+        byte[] await(int type) throws IOException {
             while (true) {
                 byte[] message = next();
                 if (message[0] == type) {
@@ -311,13 +313,13 @@
         return KEYS.proof("k1", label, pieces);
     }
 
-    /** The far router that a site under test calls. */
-    private final class FarSocket implements AutoCloseable {
+    /** The server socket to which the forwarding gateway under test connects. */
+    private final class ReceivingSocket implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         byte[] hello;
         byte[] proof;
 
-        FarSocket() throws IOException {
+        ReceivingSocket() throws IOException {
             open.add(this);
         }
 
@@ -325,21 +327,21 @@
             return (InetSocketAddress) server.getLocalSocketAddress();
         }
 
-        /** @param challenge without its proof, type first */
-        Line accepts(byte[] challenge) throws IOException {
-            Line line = new Line(server.accept());
-            hello = line.next();
+        /** @param challenge the message, with its type but without its proof */
+        TestConnection accept(byte[] challenge) throws IOException {
+            TestConnection connection = new TestConnection(server.accept());
+            hello = connection.next();
             assertEquals(HELLO, hello[0]);
             byte[] own = proof("far proof", body(hello), body(challenge));
-            line.says(join(challenge, own));
-            proof = line.next();
+            connection.send(join(challenge, own));
+            proof = connection.next();
             assertEquals(PROOF, proof[0]);
-            byte[] counts = without(body(proof), PROOF_BYTES);
+            byte[] claims = without(body(proof), PROOF_BYTES);
             assertArrayEquals(
-                    proof("near proof", body(hello), body(challenge), counts),
+                    proof("near proof", body(hello), body(challenge), claims),
                     last(proof, PROOF_BYTES));
-            line.seals(proof("session", body(hello), body(challenge)), false);
-            return line;
+            connection.enableTags(proof("session", body(hello), body(challenge)), false);
+            return connection;
         }
 
         @Override
@@ -348,27 +350,28 @@
         }
     }
 
-    /** A near router that calls a site under test. */
-    private final class NearSocket extends Line {
+    /** A connection to the receiving gateway under test. */
+    private final class ForwardingSocket extends TestConnection {
         final byte[] challenge;
 
-        /** @param counts how often the line has come up, and its next number; type first */
-        NearSocket(Site far, byte[] hello, byte[] counts) throws IOException {
+        /** @param claims the PROOF message, with its type but without its proof */
+        ForwardingSocket(TestRouter receiving, byte[] hello, byte[] claims) throws IOException {
             super(new Socket(
-                    far.gateway.address().getAddress(), far.gateway.address().getPort()));
-            says(hello);
+                    receiving.gateway.address().getAddress(),
+                    receiving.gateway.address().getPort()));
+            send(hello);
             challenge = next();
             assertEquals(CHALLENGE, challenge[0]);
-            byte[] unproved = without(body(challenge), PROOF_BYTES);
+            byte[] challengeBody = without(body(challenge), PROOF_BYTES);
             assertArrayEquals(
-                    proof("far proof", body(hello), unproved), last(challenge, PROOF_BYTES));
-            byte[] own = proof("near proof", body(hello), unproved, body(counts));
-            says(join(counts, own));
-            seals(proof("session", body(hello), unproved), true);
+                    proof("far proof", body(hello), challengeBody), last(challenge, PROOF_BYTES));
+            byte[] own = proof("near proof", body(hello), challengeBody, body(claims));
+            send(join(claims, own));
+            enableTags(proof("session", body(hello), challengeBody), true);
         }
     }
 
-    private static byte[] farChallenge() {
+    private static byte[] challengeMessage() {
         return new MessageCodec.Builder()
                 .putByte(CHALLENGE)
                 .putShort(1)
@@ -391,14 +394,14 @@
         return cells;
     }
 
-    // ---- What is written. ----
+    // ---- Writing. ----
 
     private static GoldenFile.Drawn piece(String name, int from, int length) {
         return new GoldenFile.Drawn(name, from, length);
     }
 
-    /** The records of the file, with fixed bytes where some were drawn or measured. */
-    private static Map<String, byte[]> golden() throws IOException {
+    /** The records of the file, with fixed bytes in place of random and measured ones. */
+    private static Map<String, byte[]> records() throws IOException {
         Map<String, byte[]> fills = new TreeMap<>();
         fills.put("nonce", fixed(0x77, NONCE_BYTES));
         fills.put("left", number(8 * SECOND_US));
@@ -412,72 +415,74 @@
     }
 
     @Test
-    void allMessagesAreWrittenAsTheyWere() throws Exception {
+    void allMessagesMatchTheRecords() throws Exception {
         Map<String, String> all = new LinkedHashMap<>();
-        nearWrites(all);
-        farWrites(all);
+        writeForwardingSide(all);
+        writeReceivingSide(all);
         GoldenFile.holds(FILE, "Messages between routers of two sites, type first, in hex.", all);
     }
 
-    private static String greeting(byte[] hello) {
+    private static String helloRecord(byte[] hello) {
         return GoldenFile.hex(hello, piece("nonce", hello.length - NONCE_BYTES, NONCE_BYTES));
     }
 
-    private static String proved(byte[] proof) {
+    private static String proofRecord(byte[] proof) {
         return GoldenFile.hex(proof, piece("proof", proof.length - PROOF_BYTES, PROOF_BYTES));
     }
 
     private static String part(byte[] part, boolean effect) {
         ByteBuffer in = ByteBuffer.wrap(part);
-        long left = in.getLong(LEFT_AT);
+        long left = in.getLong(REMAINING_OFFSET);
         assertTrue(left > 5 * SECOND_US && left <= 10 * SECOND_US, "left " + left);
-        long since = in.getLong(SINCE_AT);
+        long since = in.getLong(SINCE_ACK_OFFSET);
         assertTrue(since >= 0 && since < 5 * SECOND_US, "since " + since);
         if (!effect) {
-            return GoldenFile.hex(part, piece("left", LEFT_AT, 8), piece("since", SINCE_AT, 8));
+            return GoldenFile.hex(
+                    part, piece("left", REMAINING_OFFSET, 8), piece("since", SINCE_ACK_OFFSET, 8));
         }
-        long effectUs = in.getLong(EFFECT_AT);
+        long effectUs = in.getLong(EFFECT_REMAINING_OFFSET);
         assertTrue(effectUs >= left && effectUs <= 10 * SECOND_US, "effect " + effectUs);
         return GoldenFile.hex(
                 part,
-                piece("left", LEFT_AT, 8),
-                piece("effect", EFFECT_AT, 8),
-                piece("since", SINCE_AT, 8));
-    }
-
-    private void trusted(Site near, Line line) throws Exception {
-        line.says(message(WINDOW, new MessageCodec.Builder().putInt(5)));
-        line.says(message(CELLS, new MessageCodec.Builder().putBytes(cells().toByteArray())));
-        line.says(message(PONG, new MessageCodec.Builder().putLong(1)));
-        assertEquals(cells(), near.served.poll(20, TimeUnit.SECONDS));
-    }
-
-    private void nearWrites(Map<String, String> all) throws Exception {
-        FarSocket far = new FarSocket();
-        Site near = new Site(far.at());
-        Line line = far.accepts(farChallenge());
-        all.put("hello", greeting(far.hello));
-        all.put("proof", proved(far.proof));
-        all.put("fates-of-none", GoldenFile.hex(line.awaits(FATES)));
-        all.put("ping", GoldenFile.hex(line.awaits(PING)));
-        trusted(near, line);
-        near.sends("a", null, false);
-        all.put("part", part(line.awaits(PART), false));
-        near.sends("b", "key é", true);
-        all.put("part-with-a-key-again", part(line.awaits(PART), true));
-        OutgoingPart third = near.sends("c", "", false);
-        all.put("part-with-an-empty-key", part(line.awaits(PART), true));
-        near.givesUp(third);
-        all.put("give-up", GoldenFile.hex(line.awaits(GIVE_UP)));
-        line.close();
-        line = far.accepts(farChallenge());
-        all.put("proof-of-the-second-time", proved(far.proof));
-        all.put("fates-of-two", GoldenFile.hex(line.awaits(FATES)));
-    }
-
-    private static String said(byte[] say) {
-        assertTrue(ByteBuffer.wrap(say).getLong(TOOK_AT) >= 0);
-        return GoldenFile.hex(say, piece("took", TOOK_AT, 8));
+                piece("left", REMAINING_OFFSET, 8),
+                piece("effect", EFFECT_REMAINING_OFFSET, 8),
+                piece("since", SINCE_ACK_OFFSET, 8));
+    }
+
+    private void makeTrusted(TestRouter forwarding, TestConnection connection) throws Exception {
+        connection.send(message(CREDIT_WINDOW, new MessageCodec.Builder().putInt(5)));
+        connection.send(
+                message(SERVED_CELLS, new MessageCodec.Builder().putBytes(cells().toByteArray())));
+        connection.send(message(HEARTBEAT_ACK, new MessageCodec.Builder().putLong(1)));
+        assertEquals(cells(), forwarding.served.poll(20, TimeUnit.SECONDS));
+    }
+
+    private void writeForwardingSide(Map<String, String> all) throws Exception {
+        ReceivingSocket receiving = new ReceivingSocket();
+        TestRouter forwarding = new TestRouter(receiving.at());
+        TestConnection connection = receiving.accept(challengeMessage());
+        all.put("hello", helloRecord(receiving.hello));
+        all.put("proof", proofRecord(receiving.proof));
+        all.put("fates-of-none", GoldenFile.hex(connection.await(STATUS_QUERY)));
+        all.put("ping", GoldenFile.hex(connection.await(HEARTBEAT)));
+        makeTrusted(forwarding, connection);
+        forwarding.forward("a", null, false);
+        all.put("part", part(connection.await(FORWARD_PART), false));
+        forwarding.forward("b", "key é", true);
+        all.put("part-with-a-key-again", part(connection.await(FORWARD_PART), true));
+        OutgoingPart third = forwarding.forward("c", "", false);
+        all.put("part-with-an-empty-key", part(connection.await(FORWARD_PART), true));
+        forwarding.cancel(third);
+        all.put("give-up", GoldenFile.hex(connection.await(CANCEL_PART)));
+        connection.close();
+        connection = receiving.accept(challengeMessage());
+        all.put("proof-of-the-second-time", proofRecord(receiving.proof));
+        all.put("fates-of-two", GoldenFile.hex(connection.await(STATUS_QUERY)));
+    }
+
+    private static String statusRecord(byte[] report) {
+        assertTrue(ByteBuffer.wrap(report).getLong(DURATION_OFFSET) >= 0);
+        return GoldenFile.hex(report, piece("took", DURATION_OFFSET, 8));
     }
 
     private static byte[] hello() {
@@ -493,13 +498,13 @@
                 .build();
     }
 
-    private static byte[] counts(long ups, long next) {
-        return message(PROOF, new MessageCodec.Builder().putLong(ups).putLong(next));
+    private static byte[] proofClaims(long connectCount, long nextNumber) {
+        return message(PROOF, new MessageCodec.Builder().putLong(connectCount).putLong(nextNumber));
     }
 
     private static byte[] plainPart(long number) {
         return message(
-                PART,
+                FORWARD_PART,
                 new MessageCodec.Builder()
                         .putLong(number)
                         .putLong(8 * SECOND_US)
@@ -518,52 +523,53 @@
     private static final List<String> END_NAMES =
             List.of("done", "rejected", "failed", "no-answer");
 
-    private void farWrites(Map<String, String> all) throws Exception {
-        Site far = new Site(null);
-        far.serves(cells());
-        NearSocket near = new NearSocket(far, hello(), counts(1, 1));
-        int nonce = near.challenge.length - PROOF_BYTES - NONCE_BYTES;
+    private void writeReceivingSide(Map<String, String> all) throws Exception {
+        TestRouter receiving = new TestRouter(null);
+        receiving.announceCells(cells());
+        ForwardingSocket forwarding = new ForwardingSocket(receiving, hello(), proofClaims(1, 1));
+        int nonce = forwarding.challenge.length - PROOF_BYTES - NONCE_BYTES;
         all.put(
                 "challenge",
                 GoldenFile.hex(
-                        near.challenge,
+                        forwarding.challenge,
                         piece("nonce", nonce, NONCE_BYTES),
                         piece("proof", nonce + NONCE_BYTES, PROOF_BYTES)));
-        all.put("cells", GoldenFile.hex(near.awaits(CELLS)));
-        all.put("window", GoldenFile.hex(near.awaits(WINDOW)));
-        near.says(message(PING, new MessageCodec.Builder().putLong(1).putLong(1)));
-        all.put("pong", GoldenFile.hex(near.awaits(PONG)));
+        all.put("cells", GoldenFile.hex(forwarding.await(SERVED_CELLS)));
+        all.put("window", GoldenFile.hex(forwarding.await(CREDIT_WINDOW)));
+        forwarding.send(message(HEARTBEAT, new MessageCodec.Builder().putLong(1).putLong(1)));
+        all.put("pong", GoldenFile.hex(forwarding.await(HEARTBEAT_ACK)));
         for (int i = 0; i < ENDS.size(); i++) {
-            near.says(plainPart(i + 1));
-            IncomingPart begun = far.begun.poll(20, TimeUnit.SECONDS);
+            forwarding.send(plainPart(i + 1));
+            IncomingPart started = receiving.started.poll(20, TimeUnit.SECONDS);
             boolean done = ENDS.get(i) == PartStatus.COMPLETED;
-            far.ends(begun, ENDS.get(i), done ? VALUE : null, i == 1 ? RETRY_AFTER_US : 0);
-            all.put("outcome-" + END_NAMES.get(i), said(near.awaits(SAY)));
-        }
-        near.says(plainPart(5));
-        assertNotNull(far.begun.poll(20, TimeUnit.SECONDS));
-        near.says(fates(0, 5));
-        all.put("outcome-running", said(near.awaits(SAY)));
-        near.says(fates(0, 6));
-        all.put("outcome-never-begun", said(near.awaits(SAY)));
-        near.says(fates(1, 5));
-        all.put("outcome-may-have-run", said(near.awaits(SAY)));
-        far.leaves();
-        all.put("bye", GoldenFile.hex(near.awaits(BYE)));
-    }
-
-    private static byte[] fates(int line, long number) {
+            receiving.endPart(
+                    started, ENDS.get(i), done ? VALUE : null, i == 1 ? RETRY_AFTER_US : 0);
+            all.put("outcome-" + END_NAMES.get(i), statusRecord(forwarding.await(PART_STATUS)));
+        }
+        forwarding.send(plainPart(5));
+        assertNotNull(receiving.started.poll(20, TimeUnit.SECONDS));
+        forwarding.send(statusQuery(0, 5));
+        all.put("outcome-running", statusRecord(forwarding.await(PART_STATUS)));
+        forwarding.send(statusQuery(0, 6));
+        all.put("outcome-never-begun", statusRecord(forwarding.await(PART_STATUS)));
+        forwarding.send(statusQuery(1, 5));
+        all.put("outcome-may-have-run", statusRecord(forwarding.await(PART_STATUS)));
+        receiving.startDraining();
+        all.put("bye", GoldenFile.hex(forwarding.await(GO_AWAY)));
+    }
+
+    private static byte[] statusQuery(int channelIndex, long number) {
         return message(
-                FATES,
+                STATUS_QUERY,
                 new MessageCodec.Builder()
-                        .putShort(line)
+                        .putShort(channelIndex)
                         .putLong(1)
                         .putLong(7)
                         .putShort(1)
                         .putLong(number));
     }
 
-    // ---- What is read. ----
+    // ---- Reading. ----
 
     private static byte[] withNumber(byte[] message, int at, long number) {
         byte[] copy = message.clone();
@@ -572,120 +578,125 @@
     }
 
     @Test
-    void theFarSideReadsWhatANearOneSaysAsItWas() throws Exception {
-        Map<String, byte[]> golden = golden();
-        Site far = new Site(null);
-        NearSocket near = new NearSocket(far, golden.get("hello"), golden.get("proof"));
-        near.awaits(CELLS);
-        near.says(golden.get("ping"));
-        assertArrayEquals(golden.get("pong"), near.awaits(PONG));
+    void receivingSideReadsRecordedMessages() throws Exception {
+        Map<String, byte[]> records = records();
+        TestRouter receiving = new TestRouter(null);
+        ForwardingSocket forwarding =
+                new ForwardingSocket(receiving, records.get("hello"), records.get("proof"));
+        forwarding.await(SERVED_CELLS);
+        forwarding.send(records.get("ping"));
+        assertArrayEquals(records.get("pong"), forwarding.await(HEARTBEAT_ACK));
         String fields = " sum " + 0x01020304 + " ";
         String text = " " + GoldenFile.hex(TEXT) + " ";
-        near.says(golden.get("part"));
-        IncomingPart first = far.begun.poll(20, TimeUnit.SECONDS);
-        assertEquals("q1.é" + fields + null + text + false, far.shown(first));
+        forwarding.send(records.get("part"));
+        IncomingPart first = receiving.started.poll(20, TimeUnit.SECONDS);
+        assertEquals("q1.é" + fields + null + text + false, receiving.describe(first));
         assertTrue(first.remainingUs > 7 * SECOND_US && first.remainingUs <= 8 * SECOND_US);
-        near.says(golden.get("part-with-a-key-again"));
-        IncomingPart second = far.begun.poll(20, TimeUnit.SECONDS);
-        assertEquals("q1.é" + fields + "key é" + text + true, far.shown(second));
-        near.says(golden.get("part-with-an-empty-key"));
-        IncomingPart third = far.begun.poll(20, TimeUnit.SECONDS);
-        assertEquals("q1.é" + fields + "" + text + false, far.shown(third));
-        near.says(golden.get("fates-of-two"));
-        assertArrayEquals(running(golden, 1), near.awaits(SAY));
-        assertArrayEquals(running(golden, 2), near.awaits(SAY));
-        assertEquals(third, far.givenUp.poll(20, TimeUnit.SECONDS), "not asked about any more");
-        near.close();
-
-        theSecondTimeIsRead(golden);
-
-        Site other = new Site(null);
-        NearSocket line = new NearSocket(other, golden.get("hello"), golden.get("proof"));
-        line.says(golden.get("fates-of-none"));
-        line.says(golden.get("ping"));
-        line.awaits(PONG);
-        line.says(golden.get("part-with-an-empty-key"));
-        IncomingPart runs = other.begun.poll(20, TimeUnit.SECONDS);
-        line.says(golden.get("give-up"));
-        assertEquals(runs, other.givenUp.poll(20, TimeUnit.SECONDS));
-    }
-
-    /** Its line has come up twice, and its next number is 4. */
-    private void theSecondTimeIsRead(Map<String, byte[]> golden) throws Exception {
-        Site far = new Site(null);
-        NearSocket near =
-                new NearSocket(far, golden.get("hello"), golden.get("proof-of-the-second-time"));
-        near.says(plainPart(3));
-        assertEquals(PartStatus.MAY_HAVE_RUN.ordinal(), near.awaits(SAY)[11]);
-        near.says(golden.get("ping"));
-        near.awaits(PONG);
-        near.says(plainPart(4));
-        assertEquals("q4", far.begun.poll(20, TimeUnit.SECONDS).content.id());
-        near.says(fates(0, 4)); // Asked as the line had come up once: it is not answered.
-        near.says(golden.get("ping"));
-        byte[] next = near.next();
-        while (next[0] != PONG) {
-            assertTrue(next[0] != SAY, "answered though the line has come up again since");
-            next = near.next();
-        }
-    }
-
-    private static byte[] running(Map<String, byte[]> golden, long number) {
-        byte[] say = withNumber(golden.get("outcome-running"), 3, number);
-        return withNumber(say, TOOK_AT, 0);
+        forwarding.send(records.get("part-with-a-key-again"));
+        IncomingPart second = receiving.started.poll(20, TimeUnit.SECONDS);
+        assertEquals("q1.é" + fields + "key é" + text + true, receiving.describe(second));
+        forwarding.send(records.get("part-with-an-empty-key"));
+        IncomingPart third = receiving.started.poll(20, TimeUnit.SECONDS);
+        assertEquals("q1.é" + fields + "" + text + false, receiving.describe(third));
+        forwarding.send(records.get("fates-of-two"));
+        assertArrayEquals(runningStatus(records, 1), forwarding.await(PART_STATUS));
+        assertArrayEquals(runningStatus(records, 2), forwarding.await(PART_STATUS));
+        assertEquals(
+                third,
+                receiving.cancelled.poll(20, TimeUnit.SECONDS),
+                "a part that the query omits must be cancelled");
+        forwarding.close();
+
+        checkReconnectIsRead(records);
+
+        TestRouter other = new TestRouter(null);
+        ForwardingSocket connection =
+                new ForwardingSocket(other, records.get("hello"), records.get("proof"));
+        connection.send(records.get("fates-of-none"));
+        connection.send(records.get("ping"));
+        connection.await(HEARTBEAT_ACK);
+        connection.send(records.get("part-with-an-empty-key"));
+        IncomingPart runs = other.started.poll(20, TimeUnit.SECONDS);
+        connection.send(records.get("give-up"));
+        assertEquals(runs, other.cancelled.poll(20, TimeUnit.SECONDS));
+    }
+
+    /** The recorded proof claims that the channel has connected twice and that its next part is number 4. */
+    private void checkReconnectIsRead(Map<String, byte[]> records) throws Exception {
+        TestRouter receiving = new TestRouter(null);
+        ForwardingSocket forwarding = new ForwardingSocket(
+                receiving, records.get("hello"), records.get("proof-of-the-second-time"));
+        forwarding.send(plainPart(3));
+        assertEquals(PartStatus.MAY_HAVE_RUN.ordinal(), forwarding.await(PART_STATUS)[11]);
+        forwarding.send(records.get("ping"));
+        forwarding.await(HEARTBEAT_ACK);
+        forwarding.send(plainPart(4));
+        assertEquals("q4", receiving.started.poll(20, TimeUnit.SECONDS).content.id());
+        forwarding.send(statusQuery(0, 4)); // A query of the first connection, which is ignored.
+        forwarding.send(records.get("ping"));
+        byte[] next = forwarding.next();
+        while (next[0] != HEARTBEAT_ACK) {
+            assertTrue(next[0] != PART_STATUS, "answered a query from before the reconnect");
+            next = forwarding.next();
+        }
+    }
+
+    private static byte[] runningStatus(Map<String, byte[]> records, long number) {
+        byte[] report = withNumber(records.get("outcome-running"), 3, number);
+        return withNumber(report, DURATION_OFFSET, 0);
     }
 
     @Test
-    void theNearSideReadsWhatAFarOneSaysAsItWas() throws Exception {
-        Map<String, byte[]> golden = golden();
-        FarSocket far = new FarSocket();
-        Site near = new Site(far.at());
-        Line line = far.accepts(golden.get("challenge"));
-        line.awaits(PING);
-        line.says(golden.get("window"));
-        line.says(golden.get("cells"));
-        line.says(golden.get("pong"));
-        assertEquals(cells(), near.served.poll(20, TimeUnit.SECONDS));
-        assertEquals(8, near.window());
+    void forwardingSideReadsRecordedMessages() throws Exception {
+        Map<String, byte[]> records = records();
+        ReceivingSocket receiving = new ReceivingSocket();
+        TestRouter forwarding = new TestRouter(receiving.at());
+        TestConnection connection = receiving.accept(records.get("challenge"));
+        connection.await(HEARTBEAT);
+        connection.send(records.get("window"));
+        connection.send(records.get("cells"));
+        connection.send(records.get("pong"));
+        assertEquals(cells(), forwarding.served.poll(20, TimeUnit.SECONDS));
+        assertEquals(8, forwarding.window());
         Outcome[] outcomes = {Outcome.SATISFIED, Outcome.REJECTED, Outcome.ERROR, Outcome.NO_ANSWER
         };
         for (int i = 0; i < outcomes.length; i++) {
-            near.sends("p" + i, null, false);
-            line.awaits(PART);
-            line.says(golden.get("outcome-" + END_NAMES.get(i)));
-            String want = near.outcome(
+            forwarding.forward("p" + i, null, false);
+            connection.await(FORWARD_PART);
+            connection.send(records.get("outcome-" + END_NAMES.get(i)));
+            String want = forwarding.expectedEnd(
                     "p" + i,
                     outcomes[i],
                     i == 0 ? VALUE : new byte[0],
                     i == 1 ? RETRY_AFTER_US : 0);
-            assertEquals(want, near.ended.poll(20, TimeUnit.SECONDS));
+            assertEquals(want, forwarding.ended.poll(20, TimeUnit.SECONDS));
         }
-        near.sends("runs", null, false);
-        line.awaits(PART);
-        line.says(golden.get("outcome-running"));
-        line.says(withNumber(golden.get("outcome-never-begun"), 3, 5));
+        forwarding.forward("runs", null, false);
+        connection.await(FORWARD_PART);
+        connection.send(records.get("outcome-running"));
+        connection.send(withNumber(records.get("outcome-never-begun"), 3, 5));
         assertEquals(
-                near.outcome("runs", Outcome.NOT_SENT, new byte[0], 0),
-                near.ended.poll(20, TimeUnit.SECONDS));
-        near.sends("sixth", null, false);
-        line.awaits(PART);
-        byte[] about = withNumber(golden.get("outcome-may-have-run"), 3, 6);
-        assertEquals(1, about[2], "of the second line");
+                forwarding.expectedEnd("runs", Outcome.NOT_SENT, new byte[0], 0),
+                forwarding.ended.poll(20, TimeUnit.SECONDS));
+        forwarding.forward("sixth", null, false);
+        connection.await(FORWARD_PART);
+        byte[] about = withNumber(records.get("outcome-may-have-run"), 3, 6);
+        assertEquals(1, about[2], "the recorded status is of channel 1");
         about[2] = 0;
-        line.says(about);
+        connection.send(about);
         assertEquals(
-                near.outcome("sixth", Outcome.CANCELLED, new byte[0], 0),
-                near.ended.poll(20, TimeUnit.SECONDS));
-        near.sends("seventh", null, false);
-        line.awaits(PART);
-        line.says(golden.get("bye"));
+                forwarding.expectedEnd("sixth", Outcome.CANCELLED, new byte[0], 0),
+                forwarding.ended.poll(20, TimeUnit.SECONDS));
+        forwarding.forward("seventh", null, false);
+        connection.await(FORWARD_PART);
+        connection.send(records.get("bye"));
         assertEquals(
-                near.outcome("seventh", Outcome.NOT_SENT, null, 0),
-                near.ended.poll(20, TimeUnit.SECONDS));
-        BitSet served = near.served.poll(20, TimeUnit.SECONDS);
+                forwarding.expectedEnd("seventh", Outcome.NOT_SENT, null, 0),
+                forwarding.ended.poll(20, TimeUnit.SECONDS));
+        BitSet served = forwarding.served.poll(20, TimeUnit.SECONDS);
         while (served != null && !served.isEmpty()) {
-            served = near.served.poll(20, TimeUnit.SECONDS);
+            served = forwarding.served.poll(20, TimeUnit.SECONDS);
         }
-        assertNotNull(served, "a router that leaves serves nothing");
+        assertNotNull(served, "a draining router must serve no cells");
     }
 }
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -39,7 +39,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The far side of a link against peers that are not what they say, byte by byte. */
+/** The receiving side of a gateway against peers that send forged, replayed, late or malformed messages. */
 @Timeout(30)
 class HostilePeerTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
@@ -67,13 +67,14 @@
                 KEYS,
                 new PartHandler() {
                     @Override
-                    public void partEnded(OutgoingPart part, Outcome outcome, long tookUs) {
-                        throw new IllegalStateException("nothing is passed on here");
+                    public void partEnded(OutgoingPart part, Outcome outcome, long durationUs) {
+                        throw new IllegalStateException("no part is forwarded in this test");
                     }
 
                     @Override
-                    public void cellsChanged(RemoteRouter router, BitSet cells, long lineUs) {
-                        throw new IllegalStateException("nobody is far from here");
+                    public void cellsChanged(RemoteRouter router, BitSet cells, long roundTripUs) {
+                        throw new IllegalStateException(
+                                "no remote router is configured in this test");
                     }
 
                     @Override
@@ -88,18 +89,18 @@
 
                     @Override
                     public void cancelPart(IncomingPart part) {
-                        // It has ended already.
+                        // The part has ended already.
                     }
                 });
         gateway.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Thread t = new Thread(() -> loop.run(gateway.turn()));
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(() -> loop.run(gateway.turn()));
+        thread.setDaemon(true);
+        thread.start();
         wellBehavedPeer = new Peer(KEYS, "k1", "east");
         wellBehavedPeer.completeHandshake();
     }
 
-    /** Whatever was done: the good peer's line has stayed, and its parts are served. */
+    /** After each test, the well-behaved peer's connection is still up and its parts are still served. */
     @AfterEach
     void wellBehavedPeerIsUnharmed() throws Exception {
         wellBehavedPeer.exchangeHeartbeat(99);
@@ -117,7 +118,7 @@
         network.close();
     }
 
-    /** A near router as far as its bytes go. */
+    /** A forwarding router that writes and reads raw bytes. */
     private final class Peer {
         final KeyRing keys;
         final String keyId;
@@ -127,8 +128,8 @@
         final byte[] nonce = new byte[NONCE];
         byte[] hello;
         byte[] challenge;
-        FrameAuthenticator outboundSeal;
-        FrameAuthenticator inboundSeal;
+        FrameAuthenticator outboundTags;
+        FrameAuthenticator inboundTags;
         int version = GatewayMessageCodec.VERSION;
         long incarnation = 5;
         long connectCount = 1;
@@ -145,14 +146,14 @@
         }
 
         byte[] frame(byte type, byte[] body) {
-            byte[] seal = outboundSeal == null
+            byte[] tag = outboundTags == null
                     ? new byte[0]
-                    : outboundSeal.nextTag(type, body, 0, body.length);
-            return ByteBuffer.allocate(5 + body.length + seal.length)
-                    .putInt(1 + body.length + seal.length)
+                    : outboundTags.nextTag(type, body, 0, body.length);
+            return ByteBuffer.allocate(5 + body.length + tag.length)
+                    .putInt(1 + body.length + tag.length)
                     .put(type)
                     .put(body)
-                    .put(seal)
+                    .put(tag)
                     .array();
         }
 
@@ -198,8 +199,8 @@
             exchangeHello();
             send(GatewayMessage.Type.PROOF.code, proof());
             byte[] secret = keys.proof(keyId, "session", hello, challenge);
-            outboundSeal = new FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
-            inboundSeal = new FrameAuthenticator(KeyRing.mac(secret, "to the near side"));
+            outboundTags = new FrameAuthenticator(KeyRing.mac(secret, "to the far side"));
+            inboundTags = new FrameAuthenticator(KeyRing.mac(secret, "to the near side"));
             awaitMessage(GatewayMessage.Type.CREDIT_WINDOW.code);
         }
 
@@ -208,7 +209,7 @@
                 byte[] whole = next();
                 int end = whole.length - FrameFormat.TAG_BYTES;
                 assertArrayEquals(
-                        inboundSeal.nextTag(whole[0], whole, 1, end - 1),
+                        inboundTags.nextTag(whole[0], whole, 1, end - 1),
                         Arrays.copyOfRange(whole, end, whole.length));
                 if (whole[0] == type) {
                     return ByteBuffer.wrap(whole, 1, end - 1);
@@ -246,8 +247,12 @@
                     partBody(number, shard, remainingUs, ackedHeartbeat));
         }
 
-        /** The fate that comes next, which must be of that number, and its value. */
-        @SuppressWarnings("EnumOrdinal") // The protocol numbers fates in their order.
+        /**
+         * Awaits the next status, which must be of the given part.
+         *
+         * @return the value of a completed part, else the name of the status
+         */
+        @SuppressWarnings("EnumOrdinal") // The protocol numbers statuses in their order.
         String awaitValue(long number) throws IOException {
             ByteBuffer b = awaitMessage(GatewayMessage.Type.PART_STATUS.code);
             b.getShort();
@@ -260,15 +265,15 @@
                     : status.name();
         }
 
-        /** Ended by the far side within a second, without a further message. */
+        /** Asserts that the gateway closes the connection within a second without sending another message. */
         void assertDisconnected() throws IOException {
             long from = System.nanoTime();
             try {
                 assertEquals(-1, in.read());
             } catch (EOFException | SocketException e) {
-                // Ended all the same.
+                // A reset ends the connection as well.
             }
-            assertTrue(System.nanoTime() - from < 1_000_000_000L, "late");
+            assertTrue(System.nanoTime() - from < 1_000_000_000L, "closed too late");
         }
     }
 
@@ -278,7 +283,7 @@
         peer.exchangeHello();
         peer.send(GatewayMessage.Type.PROOF.code, peer.proof());
         peer.assertDisconnected();
-        Peer other = new Peer(KEYS, "k2", "east"); // Any key of the ring is good.
+        Peer other = new Peer(KEYS, "k2", "east"); // Any key of the ring is accepted.
         other.incarnation = 6;
         other.exchangeHello();
         other.socket.close();
@@ -329,7 +334,7 @@
         again.exchangeHello();
         again.send(
                 GatewayMessage.Type.PROOF.code,
-                recorded); // Of the connection before: its challenge was another.
+                recorded); // The proof of the first connection, which had another challenge.
         again.assertDisconnected();
         first.socket.close();
     }
@@ -369,8 +374,8 @@
     }
 
     /**
-     * A message that is sent again as it was, or changed in one byte, does not have the seal of its
-     * place.
+     * The tag of a replayed message, or of one that was changed in one byte, doesn't match its
+     * position in the stream.
      */
     @Test
     void replayedOrAlteredMessageEndsTheConnection() throws Exception {
@@ -403,9 +408,9 @@
         wellBehavedPeer.exchangeHeartbeat(1);
         Thread.sleep(120);
         wellBehavedPeer.sendPart(
-                1, 3, 100_000, 1); // It has had its heartbeat's answer for no time at all, it says.
+                1, 3, 100_000, 1); // Claims that the answer to its heartbeat arrived just now.
         assertEquals("REJECTED", wellBehavedPeer.awaitValue(1));
-        wellBehavedPeer.sendPart(2, 3, 1_000_000, 12_345); // An answer that never was.
+        wellBehavedPeer.sendPart(2, 3, 1_000_000, 12_345); // A heartbeat that was never answered.
         assertEquals("REJECTED", wellBehavedPeer.awaitValue(2));
         assertEquals(0, startedParts.get());
     }
