--- a/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
+++ b/src/test/java/tinlink/gateway/GatewayLinksGoldenFilesTest.java
@@ -430,18 +430,22 @@
         return GoldenFile.hex(proof, piece("proof", proof.length - PROOF_BYTES, PROOF_BYTES));
     }
 
-    private static String part(byte[] part, boolean effect) {
+    private static String partRecord(byte[] part, boolean hasEffectDeadline) {
         ByteBuffer in = ByteBuffer.wrap(part);
-        long left = in.getLong(REMAINING_OFFSET);
-        assertTrue(left > 5 * SECOND_US && left <= 10 * SECOND_US, "left " + left);
-        long since = in.getLong(SINCE_ACK_OFFSET);
-        assertTrue(since >= 0 && since < 5 * SECOND_US, "since " + since);
-        if (!effect) {
+        long remainingUs = in.getLong(REMAINING_OFFSET);
+        assertTrue(
+                remainingUs > 5 * SECOND_US && remainingUs <= 10 * SECOND_US,
+                "remainingUs " + remainingUs);
+        long sinceAckUs = in.getLong(SINCE_ACK_OFFSET);
+        assertTrue(sinceAckUs >= 0 && sinceAckUs < 5 * SECOND_US, "sinceAckUs " + sinceAckUs);
+        if (!hasEffectDeadline) {
             return GoldenFile.hex(
                     part, piece("left", REMAINING_OFFSET, 8), piece("since", SINCE_ACK_OFFSET, 8));
         }
-        long effectUs = in.getLong(EFFECT_REMAINING_OFFSET);
-        assertTrue(effectUs >= left && effectUs <= 10 * SECOND_US, "effect " + effectUs);
+        long effectRemainingUs = in.getLong(EFFECT_REMAINING_OFFSET);
+        assertTrue(
+                effectRemainingUs >= remainingUs && effectRemainingUs <= 10 * SECOND_US,
+                "effectRemainingUs " + effectRemainingUs);
         return GoldenFile.hex(
                 part,
                 piece("left", REMAINING_OFFSET, 8),
@@ -467,11 +471,11 @@
         all.put("ping", GoldenFile.hex(connection.await(HEARTBEAT)));
         makeTrusted(forwarding, connection);
         forwarding.forward("a", null, false);
-        all.put("part", part(connection.await(FORWARD_PART), false));
+        all.put("part", partRecord(connection.await(FORWARD_PART), false));
         forwarding.forward("b", "key é", true);
-        all.put("part-with-a-key-again", part(connection.await(FORWARD_PART), true));
+        all.put("part-with-a-key-again", partRecord(connection.await(FORWARD_PART), true));
         OutgoingPart third = forwarding.forward("c", "", false);
-        all.put("part-with-an-empty-key", part(connection.await(FORWARD_PART), true));
+        all.put("part-with-an-empty-key", partRecord(connection.await(FORWARD_PART), true));
         forwarding.cancel(third);
         all.put("give-up", GoldenFile.hex(connection.await(CANCEL_PART)));
         connection.close();
@@ -616,9 +620,9 @@
         connection.send(records.get("ping"));
         connection.await(HEARTBEAT_ACK);
         connection.send(records.get("part-with-an-empty-key"));
-        IncomingPart runs = other.started.poll(20, TimeUnit.SECONDS);
+        IncomingPart running = other.started.poll(20, TimeUnit.SECONDS);
         connection.send(records.get("give-up"));
-        assertEquals(runs, other.cancelled.poll(20, TimeUnit.SECONDS));
+        assertEquals(running, other.cancelled.poll(20, TimeUnit.SECONDS));
     }
 
     /** The recorded proof claims that the channel has connected twice and that its next part is number 4. */
--- a/src/test/java/tinlink/gateway/HostilePeerTest.java
+++ b/src/test/java/tinlink/gateway/HostilePeerTest.java
@@ -162,9 +162,9 @@
         }
 
         byte[] next() throws IOException {
-            byte[] b = new byte[in.readInt()];
-            in.readFully(b);
-            return b;
+            byte[] message = new byte[in.readInt()];
+            in.readFully(message);
+            return message;
         }
 
         void exchangeHello() throws IOException {
@@ -254,14 +254,14 @@
          */
         @SuppressWarnings("EnumOrdinal") // The protocol numbers statuses in their order.
         String awaitValue(long number) throws IOException {
-            ByteBuffer b = awaitMessage(GatewayMessage.Type.PART_STATUS.code);
-            b.getShort();
-            assertEquals(number, b.getLong());
-            PartStatus status = PartStatus.ofCode(b.get());
-            b.getLong();
-            b.getLong();
+            ByteBuffer report = awaitMessage(GatewayMessage.Type.PART_STATUS.code);
+            report.getShort();
+            assertEquals(number, report.getLong());
+            PartStatus status = PartStatus.ofCode(report.get());
+            report.getLong();
+            report.getLong();
             return status == PartStatus.COMPLETED
-                    ? StandardCharsets.UTF_8.decode(b).toString()
+                    ? StandardCharsets.UTF_8.decode(report).toString()
                     : status.name();
         }
 
