--- a/src/main/java/tinlink/net/CloseReason.java
+++ b/src/main/java/tinlink/net/CloseReason.java
@@ -6,57 +6,63 @@
  * Why a connection was closed, and what each reason means for an attempt that was in flight on it.
  */
 public enum CloseReason {
-    /** The connect was refused or failed. */
+    /** The connection attempt was refused or failed. */
     CONNECT_REFUSED,
-    /** The connect did not come up in time. */
+    /** The connection was not established within the connect timeout. */
     CONNECT_TIMEOUT,
-    /** No descriptor was left for it. */
+    /** The process had no file descriptor left for the connection. */
     NO_DESCRIPTOR,
-    /** The other side closed it in order. */
+    /** The other side closed the connection in an orderly way. */
     PEER_CLOSED,
-    /** The other side or the network broke it; a read failed. */
+    /** A read failed: the other side or the network broke the connection. */
     READ_FAILED,
     /** A write failed. */
     WRITE_FAILED,
-    /** What came in is not of the protocol. */
+    /** The other side sent bytes that violate the protocol. */
     PROTOCOL_ERROR,
-    /** The data node could not use a frame of ours and said so. */
+    /** The data node reported that it could not use a frame that the router sent. */
     FRAME_REJECTED,
-    /** We closed it: it stood idle. */
+    /** The router closed the connection because it was idle. */
     IDLE_TIMEOUT,
-    /** We closed it: the module asked for a new one. */
+    /** The router closed the connection because the decision module asked for a new one. */
     RELEASED,
-    /** We closed it: what was sent on it went unanswered. */
+    /** The router closed the connection because requests sent on it went unanswered. */
     UNRESPONSIVE,
-    /** We closed it: the other side is no longer listed, or has moved. */
+    /** The router closed the connection because the other side is no longer listed or has moved. */
     ENDPOINT_REMOVED,
-    /** We closed it after the last answer, or as the router stops. */
+    /**
+     * The router closed the connection after the last answer, or because the router is stopping.
+     */
     COMPLETED,
-    /** An internal error. */
+    /** The router closed the connection after an internal error. */
     INTERNAL_ERROR;
 
     /**
-     * Danger: an attempt taken for one that never ran may have its effect twice. And calls that
-     * only shared the connection, taken for calls that failed, make a node look dying that has lost
-     * one answer, or has closed a connection between two.
+     * Returns the outcome of an attempt that was in flight on the closed connection.
+     *
+     * <p>Danger: an attempt that is wrongly reported as not run may be repeated and take effect
+     * twice. Attempts that only shared the connection must not count as failures either: otherwise
+     * a data node that lost one answer, or closed a connection between two requests, looks as if it
+     * were failing.
      *
-     * @param mayHaveLeft the last byte of its frame was handed to the kernel, or may have been
-     * @param concernsCall it is this call that the close speaks of, not one that only shared the
-     *     connection
+     * @param mayHaveLeft whether the last byte of the attempt's frame was handed to the kernel, or
+     *     may have been
+     * @param concernsAttempt whether the close refers to this attempt, rather than to another one on
+     *     the same connection
      */
-    public Outcome toOutcome(boolean mayHaveLeft, boolean concernsCall) {
-        Outcome bystanderOutcome = mayHaveLeft ? Outcome.CANCELLED : Outcome.NOT_SENT;
+    public Outcome toOutcome(boolean mayHaveLeft, boolean concernsAttempt) {
+        Outcome sharedConnectionOutcome = mayHaveLeft ? Outcome.CANCELLED : Outcome.NOT_SENT;
         return switch (this) {
             case NO_DESCRIPTOR -> Outcome.NOT_SENT;
             case CONNECT_REFUSED, CONNECT_TIMEOUT -> Outcome.NO_CONNECTION;
             case READ_FAILED, WRITE_FAILED ->
                 mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
             case PEER_CLOSED ->
-                !concernsCall
-                        ? bystanderOutcome
+                !concernsAttempt
+                        ? sharedConnectionOutcome
                         : mayHaveLeft ? Outcome.CONNECTION_LOST : Outcome.NO_CONNECTION;
             case PROTOCOL_ERROR, FRAME_REJECTED ->
-                mayHaveLeft && concernsCall ? Outcome.ERROR : bystanderOutcome;
+                mayHaveLeft && concernsAttempt ? Outcome.ERROR : sharedConnectionOutcome;
             case IDLE_TIMEOUT,
                     RELEASED,
                     UNRESPONSIVE,
--- a/src/main/java/tinlink/net/Connection.java
+++ b/src/main/java/tinlink/net/Connection.java
@@ -11,24 +11,31 @@
 import java.util.logging.Level;
 
 /**
- * One connection: a ring buffer a direction, at most one read and one write under way. Completion handlers
- * only note what came and queue it; all else happens on the event loop's thread.
+ * A non-blocking connection with one ring buffer per direction and at most one read and one write
+ * in progress. Completion handlers only record their result and queue a task; everything else runs
+ * on the event loop's thread.
  */
 public final class Connection {
     private static final EventLog LOG = new EventLog("tinlink.net");
 
-    /** What happens to a connection, told on the event loop's thread. */
+    /** Receives the events of a connection on the event loop's thread. */
     public interface Listener {
         /** The connection is established. */
         default void connected() {}
 
-        /** There may be bytes; what is not taken now stays in the buffer. */
+        /**
+         * Called when bytes may be available; bytes that the listener does not take stay in the
+         * buffer.
+         */
         void bytesReceived(RingBuffer in);
 
-        /** All that was put has been written: nothing is under way and nothing waits. */
+        /**
+         * Called when all buffered bytes have been written: no write is in progress and no byte
+         * waits.
+         */
         default void writesCompleted() {}
 
-        /** The connection is closed; called once. */
+        /** Called once, when the connection is closed. */
         void connectionClosed(CloseReason closeReason);
     }
 
@@ -43,11 +50,11 @@
     private boolean writeScheduled;
     private boolean closed;
     private boolean lastReadFilledBuffer;
-    /** The kernel took less than it was offered. */
+    /** Whether the last write was partial: the kernel took fewer bytes than it was offered. */
     private boolean writeFellShort;
     /**
-     * Bytes that the kernel has taken, and those it has or will have once the write under way is
-     * over.
+     * The number of bytes that the kernel has taken. {@code submittedBytes} also counts the bytes
+     * of the write in progress.
      */
     private long writtenBytes;
 
@@ -55,15 +62,16 @@
     private long acceptedAtUs;
 
     /**
-     * A read or a write under way; the handler's two fields reach the loop's thread by its queue.
+     * A read or write in progress. The event loop's queue publishes {@code count} and {@code
+     * failure} to the loop's thread.
      */
     private final class PendingOperation implements CompletionHandler<Long, Void>, Runnable {
         private final boolean isRead;
         private long count;
         private Throwable failure;
         /**
-         * Completed in the kernel, not yet processed by the loop; the one field that both threads read
-         * and write.
+         * Whether the operation has completed but the loop has not yet processed the result. This
+         * is the only field that both threads read and write without the queue.
          */
         private volatile boolean unprocessed;
 
@@ -112,7 +120,7 @@
         out = new RingBuffer(bufferPool);
     }
 
-    /** A connection that was accepted; {@link #start} opens it. */
+    /** Creates a connection for an accepted channel; {@link #start} opens it. */
     static Connection accepted(
             EventLoop loop,
             RingBufferPool bufferPool,
@@ -124,12 +132,15 @@
         return connection;
     }
 
-    /** When it was accepted, in microseconds of the event loop's clock; 0 where we have connected. */
+    /**
+     * Returns the time of acceptance, in microseconds of the event loop's clock, or 0 for an
+     * outgoing connection.
+     */
     public long acceptedAtUs() {
         return acceptedAtUs;
     }
 
-    /** Begins to connect; the listener is notified of the connection or of its close. */
+    /** Starts to connect; the listener is notified once the connection is established or closed. */
     static Connection connect(
             EventLoop loop,
             RingBufferPool bufferPool,
@@ -153,13 +164,14 @@
         return connection;
     }
 
-    /** On a connection that is up: reads from now on. */
+    /** Marks the channel as connected, notifies the listener and starts reading. */
     public void start() {
         if (closed) {
             return;
         }
         try {
-            // Danger: Nagle's delay holds back small frames until the one before is acknowledged.
+            // Danger: Nagle's algorithm holds back small frames until the previous frame is
+            // acknowledged.
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) {
             LOG.logFailure(Level.FINE, "no_delay_not_set", e);
@@ -178,35 +190,46 @@
         return closed;
     }
 
-    /** Where bytes to be written go; {@link #scheduleWrite} has them written at the end of the turn. */
+    /**
+     * Returns the buffer for outgoing bytes; after {@link #scheduleWrite} the loop writes them at
+     * the end of the turn.
+     */
     public RingBuffer out() {
         return out;
     }
 
     /**
-     * Danger: bytes that have been read and wait for the loop are no longer the other side's; ended
-     * now, the request that they are is lost, where an unread one goes elsewhere. To be asked while
-     * {@link Network#whileReadsPaused reads stop}: else more may be read right after.
+     * Returns whether a completed read waits for the loop.
+     *
+     * <p>Danger: bytes that have been read from the kernel can no longer be handled by anyone else.
+     * If the connection is closed now, the request in those bytes is lost, whereas an unread
+     * request goes elsewhere. Call this method only {@linkplain Network#whileReadsPaused while
+     * reads are paused}; otherwise a read may complete right after the call.
      */
     public boolean hasUnprocessedRead() {
         return pendingRead.unprocessed;
     }
 
-    /** Nothing waits and nothing is under way: what is put now leaves at once. */
+    /**
+     * Returns whether no byte waits and no write is in progress, so that new bytes are written at
+     * once.
+     */
     public boolean isIdle() {
         return connected && !writing && out.size() == 0 && !closed;
     }
 
     /**
-     * What is put now leaves with this turn's one write: none is under way, none has come to a
-     * halt.
+     * Returns whether bytes that are added now are written in this turn's write: no write is in
+     * progress, and the last write was not partial.
      */
     public boolean canWriteNow() {
         return connected && !writing && !writeFellShort && !closed;
     }
 
     /**
-     * Writes what is in the ring at the end of the turn; the place in the stream where it ends now.
+     * Schedules a write of the buffered bytes for the end of the turn.
+     *
+     * @return the position in the outgoing stream at which the buffered bytes now end
      */
     public long scheduleWrite() {
         if (connected && !writeScheduled && !closed) {
@@ -216,14 +239,17 @@
         return writtenBytes + out.size();
     }
 
-    /** Whether the byte before that place has been handed to the kernel, or may have been. */
+    /**
+     * Returns whether the bytes before the given stream position were handed to the kernel, or may
+     * have been.
+     */
     public boolean mayHaveLeft(long position) {
         return position <= (writing ? submittedBytes : writtenBytes);
     }
 
     /**
-     * Says that nothing more will be written, and goes on reading until the other side ends the
-     * link too.
+     * Shuts down the outgoing direction of an idle connection; reading continues until the other
+     * side closes its direction too.
      */
     public void halfClose() {
         if (isIdle()) {
@@ -312,7 +338,7 @@
         resumeReading();
     }
 
-    /** Passes what has been read to the listener, and reads on. */
+    /** Passes the buffered bytes to the listener and continues reading. */
     public void resumeReading() {
         try {
             listener.bytesReceived(in);
@@ -323,7 +349,7 @@
         read();
     }
 
-    /** Closes the connection now; the listener is notified once. */
+    /** Closes the connection at once; the listener is notified once. */
     public void close(CloseReason closeReason) {
         if (closed) {
             return;
@@ -335,9 +361,8 @@
             LOG.logFailure(Level.FINE, "connection_close_failed", e);
         }
         listener.connectionClosed(closeReason);
-        // Danger: a ring buffer that still belongs to a read or write under way must not go back to
-        // the
-        // pool.
+        // Danger: a ring buffer that a read or write in progress still uses must not be returned to
+        // the pool.
         if (!reading) {
             in.release();
         }
