--- a/src/main/java/tinlink/net/EventLoop.java
+++ b/src/main/java/tinlink/net/EventLoop.java
@@ -10,32 +10,44 @@
 import java.util.logging.Level;
 
 /**
- * The one thread that all state belongs to. Completion handlers only queue tasks; a turn
- * sets the clock once, runs all of them, lets the participant decide, and then writes each
- * connection once.
+ * Runs the single thread that owns all mutable state. Completion handlers only queue tasks. Each
+ * turn updates the clock once, runs all queued tasks, lets the participant make its decisions, and
+ * then writes each connection once.
  *
- * <p>A turn that may come late, since the process got no processor time, first has the I/O thread
- * handle what has come meanwhile, and sets the clock again if it has itself taken long.
+ * <p>A turn may start late because the process got no processor time. Such a turn first waits until
+ * the I/O thread has handled the events that arrived in the meantime, and updates the clock again
+ * if the turn itself has taken long.
  */
 public final class EventLoop {
     private static final EventLog LOG = new EventLog("tinlink.eventloop");
 
-    /** Logged, no more; the decision module judges its own stalls. */
+    /**
+     * A timer that runs later than this is logged. The delay has no other effect, since the
+     * decision module detects its own stalls.
+     */
     private static final long LATE_US = 100_000;
 
-    /** What becomes ready while a turn takes what is ready belongs to it, so many times at most. */
+    /**
+     * The maximum number of times that one turn empties the task queue, including tasks that become
+     * ready while it runs.
+     */
     private static final int MAX_DRAINS = 16;
 
-    /** A timer that is run so much late, or a turn that takes so long, shows that the process stood still. */
+    /** A timer delay or a turn duration above this shows that the process was stalled. */
     private static final long STALL_US = 10_000;
 
-    /** After so long a wait it can't be told whether nothing came or the process stood still. */
+    /**
+     * After a longer wait the loop can't tell whether no event arrived or the process was stalled.
+     */
     private static final long LONG_WAIT_US = 250_000;
 
-    /** What the I/O thread has handled is held to be all that is there for so long. */
+    /**
+     * For this long after a catch-up the loop assumes that the I/O thread has handled all events,
+     * and doesn't wait for it again.
+     */
     private static final long MIN_CATCH_UP_GAP_US = 50_000;
 
-    /** A task that is due at a time, unless it is cancelled. */
+    /** A task that runs at a due time unless it is cancelled. */
     public static final class Timer implements Comparable<Timer> {
         private final long dueUs;
         private final long sequence;
@@ -57,36 +69,45 @@
 
     private final MonotonicClock clock = new MonotonicClock();
     private final LinkedBlockingQueue<Runnable> readyTasks = new LinkedBlockingQueue<>();
-    /** Each leaves as it runs, or as it is cancelled. */
+    /** Pending timers in due order; a timer is removed when it runs or is cancelled. */
     private final TreeSet<Timer> timers = new TreeSet<>();
-    /** Connections with something to write; emptied each turn. */
+    /** Connections with bytes to write; emptied at the end of each turn. */
     private final List<Connection> pendingWrites = new ArrayList<>();
 
     private long timerSequence;
     private long nowUs = clock.nowUs();
     private boolean stopped;
 
-    /** Returns when all events that are there have been handled, so that they are ready here. */
+    /**
+     * Returns once the I/O thread has handled all events that had arrived, so that their tasks are
+     * queued here.
+     */
     private Runnable catchUp = () -> {};
 
     private long caughtUpAtUs = Long.MIN_VALUE / 2;
 
-    /** The time of the turn: Unix microseconds that never go back. */
+    /** Returns the time of the current turn, in Unix microseconds that never go back. */
     public long nowUs() {
         return nowUs;
     }
 
-    /** From any thread: the time as it is, which a turn under way may lie behind. */
+    /**
+     * Returns the current time, which may be later than the time of the turn in progress. Any
+     * thread may call this method.
+     */
     long currentTimeUs() {
         return clock.nowUs();
     }
 
-    /** From any thread: has the loop run this in its next turn, or in the turn under way. */
+    /** Queues a task for the turn in progress or the next one. Any thread may call this method. */
     public void execute(Runnable task) {
         readyTasks.add(task);
     }
 
-    /** From another thread: what this returns on the loop's own; null where that takes over a second. */
+    /**
+     * Runs a task on the loop's thread and returns its result, or null if that takes longer than
+     * one second. To be called from other threads only.
+     */
     public <T> T submitAndWait(Supplier<T> task) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         readyTasks.add(() -> answer.complete(task.get()));
@@ -105,7 +126,10 @@
         }
     }
 
-    /** Where another thread completes reads, a turn that comes late waits until that has caught up. */
+    /**
+     * Sets the task with which a late turn waits for the I/O thread, for a loop whose reads are
+     * completed by another thread.
+     */
     void setCatchUp(Runnable catchUpTask) {
         catchUp = catchUpTask;
     }
@@ -114,7 +138,7 @@
         pendingWrites.add(connection);
     }
 
-    /** The loop ends after the turn under way. */
+    /** Ends the loop after the turn in progress. */
     public void stop() {
         stopped = true;
     }
@@ -137,8 +161,8 @@
                 runGuarded(timers.pollFirst().task);
             }
             if (clock.nowUs() - nowUs > STALL_US) {
-                // Danger: by the time at which the turn began, nodes would be told more than
-                // clients have left.
+                // Danger: with the time at which the turn began, data nodes would be told a longer
+                // remaining time than the clients have left.
                 nowUs = clock.nowUs();
                 runGuarded(() -> participant.turnStarted(nowUs));
                 catchUp(batch);
@@ -160,10 +184,13 @@
     }
 
     /**
-     * Takes what is ready. Danger: a request and the close behind it are two reads, of which the second is
-     * ready once the first is taken; decided between the two, parts would be sent for a client that has gone.
+     * Runs the queued tasks.
+     *
+     * <p>Danger: a request and the close after it are two reads, and the second becomes ready only
+     * once the first has been taken. A decision between the two would send parts for a client that
+     * has disconnected.
      *
-     * @return whether there was anything
+     * @return whether any task was queued
      */
     private boolean runReadyTasks(List<Runnable> batch) {
         readyTasks.drainTo(batch);
@@ -179,8 +206,9 @@
     }
 
     /**
-     * Danger: after a halt of the whole process this thread may run before the one that reads; it would send
-     * to a node that was listed as draining long before, or for a client that has long gone.
+     * Danger: after a stall of the whole process this thread may run before the I/O thread. The
+     * router would then send to a data node that had long been listed as draining, or for a client
+     * that had long disconnected.
      */
     private void catchUp(List<Runnable> batch) {
         if (clock.nowUs() - caughtUpAtUs > MIN_CATCH_UP_GAP_US) {
@@ -202,7 +230,10 @@
         }
     }
 
-    /** Danger: one fault of ours that stops the loop would lose every lookup in flight. */
+    /**
+     * Danger: if an internal error in one task stopped the loop, every lookup in flight would be
+     * lost.
+     */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
--- a/src/main/java/tinlink/net/EventLoopParticipant.java
+++ b/src/main/java/tinlink/net/EventLoopParticipant.java
@@ -1,15 +1,18 @@
 package tinlink.net;
 
-/** What takes part in each turn of the event loop, on its thread. */
+/** A component that takes part in each turn of the event loop, on the loop's thread. */
 public interface EventLoopParticipant {
     /**
-     * Called as a turn begins, before the tasks that are ready; again where the turn has taken so long that
-     * its clock is set anew.
+     * Called when a turn begins, before the queued tasks run, and again if the turn has taken so
+     * long that its clock is updated.
      *
      * @param nowUs the time of the turn, in Unix microseconds that never go back
      */
     void turnStarted(long nowUs);
 
-    /** Called once the tasks that were ready have run; what is put into connections leaves with this turn. */
+    /**
+     * Called after the queued tasks have run; bytes that are added to connections now are written
+     * in this turn.
+     */
     void turnEnding();
 }
--- a/src/main/java/tinlink/net/IoThread.java
+++ b/src/main/java/tinlink/net/IoThread.java
@@ -18,23 +18,26 @@
 import java.util.logging.Level;
 
 /**
- * A handle on the one thread on which a channel group completes reads. The group has no way to stop that
- * thread, so this keeps a loopback connection within the group: a byte written to one end is read by the
- * thread at the other, and the handler of that read stops there.
+ * Pauses the one thread on which a channel group completes reads. The group offers no way to pause
+ * that thread, so this class keeps a loopback connection within the group: the thread reads a byte
+ * that was written to one end, and the completion handler of that read blocks.
  */
 final class IoThread {
     private static final EventLog LOG = new EventLog("tinlink.net");
 
-    /** Danger: a thread that gets no processor time must not hold up the loop for ever. */
+    /** Danger: an I/O thread that gets no processor time must not block the loop indefinitely. */
     private static final int MAX_WAITS = 40;
 
-    /** Danger: of a process that was frozen, one long wait would be over before the I/O thread has run. */
+    /**
+     * Danger: after the whole process was suspended, a single long wait would expire before the I/O
+     * thread has run, so the wait is split into short ones.
+     */
     private static final long WAIT_MS = 50;
 
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
-    /** One stop of the I/O thread: it arrives, waits, and is released. */
-    private static final class Stop {
+    /** One pause of the I/O thread, which reports its arrival and then waits for its release. */
+    private static final class Pause {
         private final CountDownLatch arrived = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
     }
@@ -42,24 +45,24 @@
     private record LoopbackPair(
             AsynchronousSocketChannel writeEnd, AsynchronousSocketChannel readEnd) {}
 
-    /** Null where none could be opened; the I/O thread is then not stopped. */
+    /** Null if no loopback connection could be opened; the I/O thread is then never paused. */
     private final LoopbackPair loopback;
 
     private final ByteBuffer sentByte = ByteBuffer.allocate(1);
     private final ByteBuffer receivedByte = ByteBuffer.allocate(1);
 
-    /** One for each byte that was written; each leaves as its byte is read. */
-    private final Queue<Stop> stops = new ConcurrentLinkedQueue<>();
+    /** One entry for each written byte, removed when the byte is read. */
+    private final Queue<Pause> pauses = new ConcurrentLinkedQueue<>();
 
-    /** Of the loop's thread: the I/O thread stands still. */
-    private boolean stopped;
+    /** Whether a pause is in progress; used on the loop's thread only. */
+    private boolean paused;
 
     private final CompletionHandler<Integer, Void> readHandler = new CompletionHandler<>() {
         @Override
         public void completed(Integer count, Void unused) {
             if (count > 0) {
-                // Danger: read again before the stop, while no byte can be there, so that handlers
-                // don't nest.
+                // Danger: the next read starts before the pause, while no byte can be available;
+                // otherwise completion handlers could nest.
                 read();
                 pauseHere();
             }
@@ -71,17 +74,17 @@
         }
     };
 
-    private final CompletionHandler<Integer, Stop> writeHandler = new CompletionHandler<>() {
+    private final CompletionHandler<Integer, Pause> writeHandler = new CompletionHandler<>() {
         @Override
-        public void completed(Integer count, Stop stop) {
-            // The I/O thread says when it has arrived.
+        public void completed(Integer count, Pause pause) {
+            // The I/O thread reports its arrival when it reads the byte.
         }
 
         @Override
-        public void failed(Throwable e, Stop stop) {
+        public void failed(Throwable e, Pause pause) {
             LOG.logFailure(Level.FINE, "io_thread_signal_failed", e);
-            stops.remove(stop);
-            stop.arrived.countDown();
+            pauses.remove(pause);
+            pause.arrived.countDown();
         }
     };
 
@@ -100,7 +103,7 @@
             Future<Void> connected = writeEnd.connect(server.getLocalAddress());
             AsynchronousSocketChannel readEnd = await(server.accept());
             await(connected);
-            // Danger: any process of this machine can connect to that port.
+            // Danger: any process on this machine can connect to that port.
             while (!writeEnd.getLocalAddress().equals(readEnd.getRemoteAddress())) {
                 readEnd.close();
                 readEnd = await(server.accept());
@@ -116,10 +119,13 @@
         try {
             return result.get(CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("no loopback connection", e);
+            throw new IOException(
+                    "loopback connection failed or was not established within " + CONNECT_TIMEOUT_MS
+                            + " ms",
+                    e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while opening the loopback connection", e);
         }
     }
 
@@ -129,11 +135,11 @@
     }
 
     private void pauseHere() {
-        Stop stop = stops.poll();
-        if (stop != null) {
-            stop.arrived.countDown();
+        Pause pause = pauses.poll();
+        if (pause != null) {
+            pause.arrived.countDown();
             try {
-                stop.released.await();
+                pause.released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -141,42 +147,42 @@
     }
 
     /**
-     * From the loop's thread: runs this while the I/O thread stands still, between two completed reads. What
-     * it has read by then is known, and it reads nothing meanwhile.
+     * Runs a task while the I/O thread is paused between two completed reads. All earlier reads are
+     * then known, and no other read takes place. To be called on the loop's thread.
      */
-    void whileStopped(Runnable task) {
-        if (stopped || loopback == null) {
+    void whilePaused(Runnable task) {
+        if (paused || loopback == null) {
             task.run();
             return;
         }
-        Stop stop = new Stop();
-        stops.add(stop);
-        stopped = true;
+        Pause pause = new Pause();
+        pauses.add(pause);
+        paused = true;
         try {
-            signal(stop);
-            if (!awaitArrival(stop)) {
+            signal(pause);
+            if (!awaitArrival(pause)) {
                 LOG.log(Level.WARNING, "io_thread_pause_timeout", "waited_ms", MAX_WAITS * WAIT_MS);
             }
             task.run();
         } finally {
-            stopped = false;
-            stop.released.countDown();
+            paused = false;
+            pause.released.countDown();
         }
     }
 
-    private void signal(Stop stop) {
+    private void signal(Pause pause) {
         sentByte.clear();
         try {
-            loopback.writeEnd.write(sentByte, stop, writeHandler);
+            loopback.writeEnd.write(sentByte, pause, writeHandler);
         } catch (RuntimeException e) {
-            writeHandler.failed(e, stop);
+            writeHandler.failed(e, pause);
         }
     }
 
-    private static boolean awaitArrival(Stop stop) {
+    private static boolean awaitArrival(Pause pause) {
         try {
             for (int i = 0; i < MAX_WAITS; i++) {
-                if (stop.arrived.await(WAIT_MS, TimeUnit.MILLISECONDS)) {
+                if (pause.arrived.await(WAIT_MS, TimeUnit.MILLISECONDS)) {
                     return true;
                 }
             }
@@ -187,12 +193,13 @@
     }
 
     /**
-     * From the loop's thread: returns when the I/O thread has handled all events that were there at the call.
-     * Of the events of one poll the signal may be handled before others; a second one comes with a later
-     * poll, and shows that all of the first have been handled.
+     * Returns once the I/O thread has handled all events that had arrived before the call. Within
+     * one poll, the signal may be handled before other events; a second signal arrives with a later
+     * poll and shows that all events of the first poll have been handled. To be called on the
+     * loop's thread.
      */
     void catchUp() {
-        whileStopped(() -> {});
-        whileStopped(() -> {});
+        whilePaused(() -> {});
+        whilePaused(() -> {});
     }
 }
--- a/src/main/java/tinlink/net/MonotonicClock.java
+++ b/src/main/java/tinlink/net/MonotonicClock.java
@@ -1,6 +1,9 @@
 package tinlink.net;
 
-/** One clock for module, timers and starts of data nodes: Unix microseconds that never go back. */
+/**
+ * The common clock of the decision module, the timers and the start times of data nodes: Unix
+ * microseconds that never go back.
+ */
 final class MonotonicClock {
     private final long startUnixUs = 1000 * System.currentTimeMillis();
     private final long startNanos = System.nanoTime();
--- a/src/main/java/tinlink/net/Network.java
+++ b/src/main/java/tinlink/net/Network.java
@@ -12,12 +12,15 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 
-/** Opens connections on the event loop: the channel group, the pooled buffers, and the socket for clients. */
+/**
+ * Opens connections on the event loop. Holds the channel group, the buffer pool and the listening
+ * socket for clients.
+ */
 public final class Network {
     /**
-     * Runs a completion handler where it completes: handlers only queue, so no thread of their own
-     * is needed. With a pool of this kind a read or write is first tried at once, on the loop's
-     * thread.
+     * Runs each completion handler on the thread that completes the operation: handlers only queue
+     * tasks, so they need no threads of their own. With an executor of this kind, the channel group
+     * first tries each read or write at once on the loop's thread.
      */
     private static final class DirectExecutorService extends AbstractExecutorService {
         private final Consumer<Runnable> completionRunner;
@@ -59,20 +62,20 @@
         }
     }
 
-    /** Accepts connections at a listening socket; called on the event loop's thread. */
+    /** Handles connections that a listening socket accepts; called on the event loop's thread. */
     public interface AcceptHandler {
-        /** The listener of a connection that was just accepted. */
+        /** Creates the listener of a connection that has just been accepted. */
         Connection.Listener newListener();
 
         void accepted(Connection connection, Connection.Listener listener);
 
         /**
-         * Whether the next one may be accepted now; if not, {@link Network#accept} is called again
-         * later.
+         * Returns whether the next connection may be accepted now. If not, {@link Network#accept}
+         * must be called again later.
          */
         boolean canAccept();
 
-        void acceptFailed(Throwable why);
+        void acceptFailed(Throwable cause);
     }
 
     private static final EventLog LOG = new EventLog("tinlink.net");
@@ -86,7 +89,10 @@
         this(loop, Runnable::run);
     }
 
-    /** @param completionRunner runs a completion handler at once; others only show how late ones are borne */
+    /**
+     * @param completionRunner runs a completion handler at once; tests pass one that delays
+     *     handlers
+     */
     public Network(EventLoop loop, Consumer<Runnable> completionRunner) throws IOException {
         this.loop = loop;
         bufferPool = new RingBufferPool();
@@ -104,20 +110,21 @@
     }
 
     /**
-     * The same loop and channels without a listening socket: its users can't change who is accepted
-     * here.
+     * Returns a view with the same loop and channels but without the listening socket, so that its
+     * users can't change which connections are accepted.
      */
     public Network withoutServer() {
         return new Network(this);
     }
 
     /**
-     * From the loop's thread: runs this while nothing is read. Danger: between the read of a connection and
-     * the mark that it has been read lie microseconds; a connection that is closed just then takes a request
-     * with it, which its client takes for one that is in flight.
+     * Runs a task on the loop's thread while no connection is read.
+     *
+     * <p>Danger: microseconds pass between a read and the flag that marks it as completed. Closing
+     * the connection in between loses a request that its client believes to be in flight.
      */
     public void whileReadsPaused(Runnable task) {
-        ioThread.whileStopped(task);
+        ioThread.whilePaused(task);
     }
 
     public Connection connect(InetSocketAddress address, Connection.Listener listener)
@@ -125,7 +132,7 @@
         return Connection.connect(loop, bufferPool, group, address, listener);
     }
 
-    /** One address at which connections are accepted. */
+    /** A socket that accepts connections at one address. */
     public final class ListeningSocket {
         private final AsynchronousServerSocketChannel server;
         private boolean accepting;
@@ -140,8 +147,8 @@
         }
 
         /**
-         * Accepts one after another, as long as the handler can; a new handler replaces the one
-         * before.
+         * Accepts connections one after another while the handler allows it. A new handler replaces
+         * the previous one.
          */
         public void accept(AcceptHandler handler) {
             acceptHandler = handler;
@@ -185,12 +192,12 @@
         }
     }
 
-    /** Clients connect there. */
+    /** Opens the listening socket for clients. */
     public void listen(InetSocketAddress address) throws IOException {
         server = listenAt(address);
     }
 
-    /** One more address to accept at. */
+    /** Opens another listening socket. */
     public ListeningSocket listenAt(InetSocketAddress address) throws IOException {
         return new ListeningSocket(address);
     }
@@ -199,7 +206,7 @@
         return server.address();
     }
 
-    /** Accepts clients one after another, as long as the handler can. */
+    /** Accepts client connections one after another while the handler allows it. */
     public void accept(AcceptHandler acceptHandler) {
         if (server != null) {
             server.accept(acceptHandler);
@@ -210,7 +217,7 @@
         server.close();
     }
 
-    /** Closes all that is open. */
+    /** Closes all sockets of the channel group. */
     public void close() {
         try {
             group.shutdownNow();
