--- a/src/main/java/tinlink/net/FrameReader.java
+++ b/src/main/java/tinlink/net/FrameReader.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads the frames of a data node, cut anywhere. */
+/** Parses the frames of a data node incrementally; the input may be split at any byte. */
 public final class FrameReader {
-    /** Receives the frames, in order. */
+    /** Receives the parsed frames in order. */
     public interface FrameListener {
-        /** The line of an answer has come; its value may still be on the way. */
+        /** Called when the line of an answer is complete; its value may be incomplete. */
         void answerStarted(String partId) throws MessageRejectedException;
 
         /**
-         * The end of one part: OK, ERROR or REJECTED; its load report, null where there is none; its
-         * value.
+         * Called when the answer to a part is complete: its status (OK, ERROR or REJECTED), its
+         * load report or null, and its value.
          */
         void answerReceived(String partId, String status, String loadReport, String value)
                 throws MessageRejectedException;
 
-        /** The frame before could not be used. */
+        /** Called when the data node reports that it could not use a frame. */
         void frameRejected(String message);
     }
 
@@ -30,14 +30,14 @@
     private int prefixBytes;
     private int frameLength;
     private ByteBuffer frame;
-    /** The line of the answer that is coming, once it is complete; null before. */
+    /** The fields of the current answer's line once the line is complete, otherwise null. */
     private String[] answerLine;
 
     public FrameReader(FrameListener listener) {
         this.listener = listener;
     }
 
-    /** Nothing of a next frame has come. */
+    /** Returns whether no byte of the next frame has been read. */
     public boolean isAtBoundary() {
         return prefixBytes == 0;
     }
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Danger: a frame that lies about its length swallows the answers behind it; what can be checked
-     * is checked now.
+     * Danger: a frame with a wrong length swallows the answers behind it, so everything that can be
+     * checked is checked before the frame is complete.
      */
     private void readAnswerLine(int previousPosition) throws MessageRejectedException {
         byte letter = frame.get(0);
@@ -87,9 +87,8 @@
                 letter == 'Y' && answerLine == null && at < frame.position();
                 at++) {
             if (frame.get(at) == '\n') {
-                // Danger: a load report that can't be read spoils nothing; it may hold anything but
-                // the
-                // line's end.
+                // Danger: an unreadable load report must not make the answer unusable. The report
+                // may contain anything but a line break.
                 String[] fields = new String(frame.array(), 1, at - 1, StandardCharsets.ISO_8859_1)
                         .split(" ", 4);
                 if (fields.length != 4
@@ -110,7 +109,7 @@
         switch (body.get()) {
             case 'Y' -> {
                 while (body.get() != '\n') {
-                    // The line has been read as it came.
+                    // The answer's line was parsed when it arrived.
                 }
                 if (body.remaining() > ProtocolLimits.MAX_BODY_BYTES) {
                     throw new MessageRejectedException("a value too long");
@@ -121,7 +120,8 @@
             case 'N' ->
                 listener.frameRejected(StandardCharsets.UTF_8.decode(body).toString());
             default -> {
-                // Answers to health checks; the module sends none, so they mean nothing here.
+                // Answers to health checks. The decision module sends no health checks, so these
+                // frames are ignored.
             }
         }
     }
--- a/src/main/java/tinlink/net/HttpReader.java
+++ b/src/main/java/tinlink/net/HttpReader.java
@@ -5,18 +5,24 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads HTTP/1.1 requests or responses, cut anywhere, one after another. */
+/**
+ * Parses a sequence of HTTP/1.1 requests or responses incrementally; the input may be split at any
+ * byte.
+ */
 public final class HttpReader {
-    /** Receives the pieces of a message, in order; what it does not override is ignored. */
+    /**
+     * Receives the elements of a message in order; elements without an overridden method are
+     * ignored.
+     */
     public interface MessageListener {
-        /** The three words of the first line; the last may hold spaces. */
+        /** Called with the three fields of the start line; the last may contain spaces. */
         default void startLine(String first, String second, String third)
                 throws MessageRejectedException {}
 
-        /** The name is in lower case. */
+        /** Called for each header field; the name is in lower case. */
         default void header(String name, String value) throws MessageRejectedException {}
 
-        /** All headers are in, a body may follow. */
+        /** Called when all header fields have been read; a body may follow. */
         default void headersEnded() throws MessageRejectedException {}
 
         default void body(ByteBuffer piece) throws MessageRejectedException {}
@@ -36,8 +42,8 @@
     }
 
     private static final Set<String> VERSIONS = Set.of("HTTP/1.0", "HTTP/1.1");
-    private static final Pattern LENGTH_FORM = Pattern.compile("[0-9]{1,18}");
-    private static final Pattern SIZE_FORM = Pattern.compile("[0-9a-fA-F]{1,8}");
+    private static final Pattern LENGTH_PATTERN = Pattern.compile("[0-9]{1,18}");
+    private static final Pattern CHUNK_SIZE_PATTERN = Pattern.compile("[0-9a-fA-F]{1,8}");
     private final MessageListener listener;
     private final boolean readsResponses;
     private final long maxBodyBytes;
@@ -62,17 +68,17 @@
         return new HttpReader(listener, false, ProtocolLimits.MAX_BODY_BYTES);
     }
 
-    /** Responses whose body may go on for ever, as that of a watch does. */
+    /** Creates a reader of responses whose body may be unbounded, like that of a watch. */
     public static HttpReader forResponses(MessageListener listener) {
         return new HttpReader(listener, true, Long.MAX_VALUE);
     }
 
-    /** Between messages: nothing of the next one has come. */
+    /** Returns whether no byte of the next message has been read. */
     public boolean isAtBoundary() {
         return state == State.START_LINE && lineBuffer.length() == 0;
     }
 
-    /** Reads until one message has ended or nothing is left. */
+    /** Parses until one message has ended or the buffer is empty. */
     public void read(RingBuffer in) throws MessageRejectedException {
         messageEnded = false;
         while (!messageEnded && in.size() > 0) {
@@ -183,7 +189,7 @@
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).strip();
         if (name.equals("content-length")) {
-            if (!LENGTH_FORM.matcher(value).matches()
+            if (!LENGTH_PATTERN.matcher(value).matches()
                     || (lengthGiven && length != Long.parseLong(value))) {
                 throw new MessageRejectedException("Content-Length is no length");
             }
@@ -223,7 +229,7 @@
     private void readChunkSize(String text) throws MessageRejectedException {
         int end = text.indexOf(';');
         String hex = (end < 0 ? text : text.substring(0, end)).strip();
-        if (!SIZE_FORM.matcher(hex).matches()) {
+        if (!CHUNK_SIZE_PATTERN.matcher(hex).matches()) {
             throw new MessageRejectedException("a chunk has no size");
         }
         remainingBytes = Long.parseLong(hex, 16);
--- a/src/main/java/tinlink/net/JsonReader.java
+++ b/src/main/java/tinlink/net/JsonReader.java
@@ -12,8 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads one JSON value, cut anywhere, into maps, lists, strings, doubles, booleans and null. A name
- * that comes twice in one object is refused, since two readers of it could differ.
+ * Parses one JSON value incrementally into maps, lists, strings, doubles, booleans and null; the
+ * input may be split at any byte. A name that occurs twice in one object is rejected, since two
+ * parsers could interpret the object differently.
  */
 public final class JsonReader {
     private static final Pattern NUMBER =
@@ -231,7 +232,7 @@
         }
     }
 
-    /** The value, once its last byte has been read. */
+    /** Returns the value once its last byte has been read. */
     public Object value() throws MessageRejectedException {
         if (state == State.WORD && openContainers.isEmpty()) {
             endWord();
@@ -248,7 +249,7 @@
         return reader.value();
     }
 
-    /** The text as a JSON string, with its quotes. */
+    /** Appends the text as a JSON string, with quotes. */
     public static void appendQuoted(StringBuilder target, String text) {
         target.append('"');
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/tinlink/net/MessageRejectedException.java
+++ b/src/main/java/tinlink/net/MessageRejectedException.java
@@ -1,16 +1,19 @@
 package tinlink.net;
 
-/** A message that the protocol does not allow; for a client, with the status that says so. */
+/**
+ * Thrown for a message that violates the protocol; carries the HTTP status of the answer to a
+ * client.
+ */
 public final class MessageRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
     public final int status;
 
-    public MessageRejectedException(int status, String what) {
-        super(what, null, false, false);
+    public MessageRejectedException(int status, String message) {
+        super(message, null, false, false);
         this.status = status;
     }
 
-    MessageRejectedException(String what) {
-        this(400, what);
+    MessageRejectedException(String message) {
+        this(400, message);
     }
 }
--- a/src/test/java/tinlink/net/ParserPlayer.java
+++ b/src/test/java/tinlink/net/ParserPlayer.java
@@ -9,14 +9,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Plays one input through its parser: whole, byte by byte, and cut in two at every byte. */
+/** Feeds one input to its parser in one piece, byte by byte, and split in two at every position. */
 public final class ParserPlayer implements HttpReader.MessageListener, FrameReader.FrameListener {
     private final List<String> events = new ArrayList<>();
     private StringBuilder body = new StringBuilder();
 
     private ParserPlayer() {}
 
-    /** The first word of the title names the parser; docs/scenarios.md has the notation. */
+    /**
+     * Runs one scenario; the first word of its title names the parser. docs/scenarios.md describes
+     * the notation.
+     */
     public static void play(String title, List<String> lines) {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         List<String> expected = new ArrayList<>();
@@ -37,27 +40,27 @@
         for (int cut = 0; cut <= input.length; cut++) {
             assertEquals(expected, run(kind, input, cut, Integer.MAX_VALUE), "cut at " + cut);
         }
-        playChanged(kind, input);
+        playCorrupted(kind, input);
     }
 
     /**
-     * Whatever comes in, a parser reads it or refuses it: nothing else is thrown, however it is
-     * cut.
+     * Checks that a parser accepts or rejects corrupted input without any other exception, and with
+     * the same result however the input is split.
      */
-    private static void playChanged(String kind, byte[] input) {
+    private static void playCorrupted(String kind, byte[] input) {
         SplittableRandom random = new SplittableRandom(input.length);
         for (int i = 0; i < 200 && input.length > 0; i++) {
-            byte[] changed = input.clone();
+            byte[] corrupted = input.clone();
             for (int count = random.nextInt(1, 5); count > 0; count--) {
-                changed[random.nextInt(changed.length)] = (byte) random.nextInt(256);
+                corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
             }
             assertEquals(
-                    run(kind, changed, 0, 1),
-                    run(kind, changed, random.nextInt(changed.length + 1), 1 << 20));
+                    run(kind, corrupted, 0, 1),
+                    run(kind, corrupted, random.nextInt(corrupted.length + 1), 1 << 20));
         }
     }
 
-    /** Bytes from their escaped form. */
+    /** Decodes the escaped notation of scenario files into bytes. */
     public static byte[] bytes(String escaped) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int i = 0; i < escaped.length(); i++) {
@@ -69,7 +72,7 @@
             } else if (next == 'r' || next == 'n') {
                 out.write(next == 'r' ? '\r' : '\n');
                 i++;
-            } else if (next == '*') { // \*N,x stands for N times x
+            } else if (next == '*') { // \*N,x stands for N repetitions of x
                 int comma = escaped.indexOf(',', i);
                 int times = Integer.parseInt(escaped.substring(i + 2, comma));
                 out.writeBytes(escaped.substring(comma + 1, comma + 2)
@@ -148,7 +151,7 @@
 
     @Override
     public void answerStarted(String partId) {
-        // Each answer is to a call that was sent.
+        // Every answer is accepted, as if its attempt had been sent.
     }
 
     @Override
@@ -162,7 +165,7 @@
         events.add("< rejected " + message);
     }
 
-    /** Bytes as they lie in a connection's buffer. */
+    /** Returns a ring buffer that holds the bytes, like the input buffer of a connection. */
     public static RingBuffer ringBuffer(byte[] bytes) {
         return new RingBuffer(new RingBufferPool()).put(bytes);
     }
