--- a/src/main/java/tinlink/net/Counters.java
+++ b/src/main/java/tinlink/net/Counters.java
@@ -4,8 +4,7 @@
 import java.util.TreeMap;
 
 /**
- * What a subsystem has done, by standard names; the names are fixed in the code, so the table is
- * bounded.
+ * Event counts of a subsystem by name. All names are fixed in the code, so the table is bounded.
  */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
@@ -14,7 +13,7 @@
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** A line of name=count pairs, by name. */
+    /** Returns a line of {@code name=count} pairs, sorted by name. */
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder();
--- a/src/main/java/tinlink/net/EventLog.java
+++ b/src/main/java/tinlink/net/EventLog.java
@@ -5,36 +5,39 @@
 import java.util.logging.Logger;
 
 /**
- * The one way of logging: a line is {@code event=name key=value ...}. Names and keys are lower case with
- * underscores; a value that is empty, or holds a blank, a quote or an equals sign, stands in double quotes;
- * one that is absent is {@code -}. Card numbers, keys and texts of lookups are never given. {@code
- * docs/on-call.md} lists all events.
+ * Writes all log lines of the process, in the form {@code event=name key=value ...}. Names and keys
+ * are lower case with underscores. A value that is empty, or that contains white space, a quote or
+ * an equals sign, is put in double quotes; a missing value is written as {@code -}. Card numbers,
+ * keys and texts of lookups are never logged. {@code docs/on-call.md} lists all events.
  *
- * <p>Safe for use by several threads, as the logger of java.util.logging that it writes to. Nothing is
- * formatted while the level is off.
+ * <p>This class is thread-safe, like the java.util.logging logger that it writes to. Nothing is
+ * formatted while the level is disabled.
  */
 public final class EventLog {
-    /** Held here: java.util.logging forgets a logger, and its level, that nobody holds. */
+    /**
+     * Kept as a strong reference: java.util.logging discards a logger, and its level, that nothing
+     * references.
+     */
     private final Logger logger;
 
-    /** @param name of the logger, as it stands in each line */
+    /** @param name the name of the logger, which is part of each line */
     public EventLog(String name) {
         logger = Logger.getLogger(name);
     }
 
     /**
-     * Writes one event without a cause.
+     * Logs an event without an exception.
      *
-     * @param fields keys and values in turn
+     * @param fields alternating keys and values
      */
     public void log(Level level, String event, Object... fields) {
         logFailure(level, event, null, fields);
     }
 
     /**
-     * An event that an exception has caused; its stack trace follows the line.
+     * Logs an event that an exception caused; the stack trace follows the line.
      *
-     * @param fields keys and values in turn
+     * @param fields alternating keys and values
      */
     public void logFailure(Level level, String event, Throwable cause, Object... fields) {
         if (logger.isLoggable(level)) {
@@ -42,7 +45,7 @@
         }
     }
 
-    /** The line of an event, as it is logged. */
+    /** Returns the formatted line of an event. */
     static String format(String event, Object... fields) {
         if (fields.length % 2 != 0) {
             throw new IllegalArgumentException(
@@ -70,8 +73,8 @@
                 if (c == '"' || c == '\\') {
                     line.append('\\');
                 }
-                // Danger: what others have sent could end the line and begin one that is no event
-                // of ours.
+                // Danger: a line break in text from another process could end the line and start a
+                // forged event.
                 line.append(c < ' ' ? ' ' : c);
             }
             line.append('"');
--- a/src/main/java/tinlink/net/ProtocolLimits.java
+++ b/src/main/java/tinlink/net/ProtocolLimits.java
@@ -1,31 +1,35 @@
 package tinlink.net;
 
-/** The figures that PROTOCOL fixes for every message. */
+/** The limits that the protocol specification sets for all messages. */
 public final class ProtocolLimits {
-    /** A body, and so a query's text or a value, holds at most this. */
+    /** The maximum size of a body, and thus of a query's text or of a value. */
     public static final int MAX_BODY_BYTES = 64 << 10;
-    /** The lines before a body or a value. */
+    /** The maximum size of the lines before a body or a value. */
     public static final int MAX_HEAD_BYTES = 16 << 10;
     /**
-     * Unread bytes that a connection holds at most; with so many there it is not read, nor is its end
-     * seen.
+     * The maximum number of unread bytes that a connection buffers. A connection with a full buffer
+     * is not read, so its end is not noticed either.
      */
     public static final int MAX_UNREAD_BYTES = MAX_BODY_BYTES;
-    /** A client's connection with no open request may be closed after this. */
+    /**
+     * The minimum idle time, without an open request, after which a client's connection may be
+     * closed.
+     */
     public static final long MIN_CLIENT_IDLE_US = 2_000_000;
     /**
-     * Whoever connects is owed an error or a close within this, unless a whole request of its is in
-     * hand.
+     * The time within which a connected client must get an error or a close, unless a complete
+     * request of the client is being handled.
      */
     public static final long MAX_CLIENT_WAIT_US = 3_000_000;
     /**
-     * A process that was told to stop is killed no sooner than the longest deadline, up to this,
-     * and so much more.
+     * The upper bound on the longest deadline that counts for a stop: a process that was told to
+     * stop is not killed before the longest deadline, up to this bound, plus {@link
+     * #KILL_MARGIN_US}.
      */
     public static final long MAX_KILL_GRACE_US = 3_000_000;
 
     public static final long KILL_MARGIN_US = 700_000;
-    /** While nothing changes, discovery writes an empty line this often. */
+    /** The interval at which discovery writes an empty line to a watch while nothing changes. */
     public static final long WATCH_KEEPALIVE_US = 2_000_000;
 
     private ProtocolLimits() {}
--- a/src/main/java/tinlink/net/RingBuffer.java
+++ b/src/main/java/tinlink/net/RingBuffer.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The bytes of one direction of a connection. Starts small, grows as needed, shrinks when it is
- * empty.
+ * The buffered bytes of one direction of a connection. The buffer starts small, grows as needed and
+ * shrinks when it is empty.
  */
 public final class RingBuffer {
     private final RingBufferPool pool;
@@ -27,7 +27,7 @@
         return bytes.length - size;
     }
 
-    /** The byte that is taken next. */
+    /** Returns the next byte without removing it. */
     public byte peek() {
         return bytes[readIndex];
     }
@@ -39,7 +39,10 @@
         return b;
     }
 
-    /** Takes up to so many bytes that lie together, as a view that holds until the next call. */
+    /**
+     * Removes up to {@code maxBytes} contiguous bytes and returns a view of them that is valid
+     * until the next call.
+     */
     public ByteBuffer takeContiguous(int maxBytes) {
         int count = Math.min(Math.min(maxBytes, size), bytes.length - readIndex);
         ByteBuffer contiguous = ByteBuffer.wrap(bytes, readIndex, count);
@@ -85,14 +88,17 @@
     }
 
     /**
-     * Danger: bytes that a write under way still reads must not go back to the pool, nor to another
-     * connection.
+     * Danger: an array that a write in progress still reads must not be returned to the pool or
+     * used for another connection.
      */
     void setPinned(boolean isPinned) {
         pinned = isPinned;
     }
 
-    /** An empty buffer goes back to the smallest size; not while a read or a write is under way. */
+    /**
+     * Shrinks an empty buffer to the minimum size. Not to be called while a read or write is in
+     * progress.
+     */
     void shrink() {
         if (size == 0 && bytes.length > RingBufferPool.MIN_BYTES) {
             resize(RingBufferPool.MIN_BYTES);
@@ -100,12 +106,12 @@
         readIndex = size == 0 ? 0 : readIndex;
     }
 
-    /** The bytes that are held, for one gathered write. */
+    /** Returns the buffered bytes for a gathering write. */
     ByteBuffer[] readableSpans() {
         return spans(readIndex, size);
     }
 
-    /** The free space, for one scattering read. */
+    /** Returns the free space for a scattering read. */
     ByteBuffer[] writableSpans() {
         return spans((readIndex + size) & (bytes.length - 1), bytes.length - size);
     }
@@ -127,7 +133,7 @@
         size -= count;
     }
 
-    /** Gives its bytes back; it must not be used after. */
+    /** Returns the array to the pool; the buffer must not be used afterwards. */
     void release() {
         pool.release(bytes);
         bytes = null;
--- a/src/main/java/tinlink/net/RingBufferPool.java
+++ b/src/main/java/tinlink/net/RingBufferPool.java
@@ -4,7 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The arrays of ring buffers, by powers of two; bounded in bytes. Used on the event loop's thread alone. */
+/**
+ * A pool of arrays for ring buffers, grouped by powers of two and bounded in total bytes. Used on
+ * the event loop's thread only.
+ */
 final class RingBufferPool {
     static final int MIN_BYTES = 512;
     private static final int MAX_POOLED_BYTES = 1 << 20;
@@ -24,7 +27,10 @@
         return pooled == null ? new byte[1 << power] : pooled;
     }
 
-    /** What is over the bound goes to the collector. */
+    /**
+     * Returns an array to the pool, or leaves it to the garbage collector if the pool would exceed
+     * its bound.
+     */
     void release(byte[] bytes) {
         if (pooledBytes + bytes.length <= MAX_POOLED_BYTES) {
             pooledBytes += bytes.length;
--- a/src/test/java/tinlink/net/EventLogTest.java
+++ b/src/test/java/tinlink/net/EventLogTest.java
@@ -15,7 +15,7 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** The form of a log line, whatever its values hold. */
+/** Checks the format of log lines, also for values with special characters. */
 class EventLogTest {
     @Test
     void aLineIsTheEventAndItsPairs() {
@@ -83,12 +83,12 @@
 
             @Override
             public void flush() {
-                // Nothing is held back.
+                // This handler buffers nothing.
             }
 
             @Override
             public void close() {
-                // Nothing is open.
+                // This handler has no open resources.
             }
         };
         logger.setUseParentHandlers(false);
