--- a/src/main/java/tinlink/config/ClusterConfig.java
+++ b/src/main/java/tinlink/config/ClusterConfig.java
@@ -8,19 +8,21 @@
 import java.util.Set;
 
 /**
- * The cluster members that this router knows to begin with: the file that NODE_PEERS or {@code --peers}
- * names.
+ * The cluster settings of this router, including the members that are known at the start, from the
+ * file that NODE_PEERS or {@code --peers} names.
  */
 public final class ClusterConfig {
     public final String cluster;
     public final String router;
     public final String zone;
     public final InetSocketAddress listen;
-    /** Where others reach this router; empty for the address that it listens at. */
+    /**
+     * The address at which other routers reach this router; empty if that is the listen address.
+     */
     public final String advertisedAddress;
 
     public final Path dataDirectory;
-    /** By router, where it is reached from here. */
+    /** The address of each other router, as reached from this router, by router name. */
     public final Map<String, String> peers = new LinkedHashMap<>();
 
     public final Set<String> voters;
@@ -32,13 +34,15 @@
     public final long handshakeUs;
     public final long idleUs;
     public final int maxMembers;
-    /** Connections of routers that have not authenticated yet, at a time. */
+    /**
+     * The maximum number of simultaneous connections from routers that have not authenticated yet.
+     */
     public final int maxUnauthenticatedConnections;
 
     public final long maxDiskBytes;
     public final int snapshotInterval;
 
-    /** @param name what the router is called elsewhere, its name here where the file gives none */
+    /** @param name the router's configured name, used if the file gives none */
     ClusterConfig(String file, String name) {
         this(ConfigFile.of(file), name);
     }
@@ -58,14 +62,15 @@
             GatewayConfig.checkedName(peerEntries, peer, peer);
             String peerAddress = peerEntries.text(peer);
             GatewayConfig.checkedAddress(peerEntries, peer, peerAddress);
-            // One file may serve all routers: it names this one too, which is never called.
+            // One file may serve all routers. Its entry for this router is skipped, since a router
+            // never connects to itself.
             if (!peer.equals(router)) {
                 peers.put(peer, peerAddress);
             }
         }
         voters = new LinkedHashSet<>(file.texts("voters"));
         if (voters.size() != 3 && voters.size() != 5 && voters.size() != 7) {
-            throw file.invalid("voters", "is no list of 3, 5 or 7 names, each once");
+            throw file.invalid("voters", "is no list of 3, 5 or 7 distinct names");
         }
         for (String voter : voters) {
             if (!voter.equals(router) && !peers.containsKey(voter)) {
--- a/src/main/java/tinlink/config/ConfigException.java
+++ b/src/main/java/tinlink/config/ConfigException.java
@@ -1,8 +1,8 @@
 package tinlink.config;
 
 /**
- * A setting that is not what it may be. The message is {@code SOURCE: 'KEY' PROBLEM}, or {@code SOURCE:
- * PROBLEM} where it is the source as a whole.
+ * Thrown for an invalid setting. The message is {@code SOURCE: 'KEY' PROBLEM}, or {@code SOURCE:
+ * PROBLEM} if the source as a whole is invalid.
  */
 public final class ConfigException extends InvalidInputException {
     private static final long serialVersionUID = 1L;
@@ -12,10 +12,13 @@
     private final String problem;
 
     /**
-     * @param source the file, or what else the setting comes from: {@code environment}, {@code config},
-     *     {@code policy}
-     * @param key the path of the setting within it; empty where it is the source as a whole
-     * @param problem what is wrong, with the offending value or what is allowed
+     * Creates an exception for one setting or for a whole source.
+     *
+     * @param source the file, or another origin of the setting: {@code environment}, {@code
+     *     config}, {@code policy}
+     * @param key the path of the setting within the source; empty if the source as a whole is
+     *     invalid
+     * @param problem what is wrong, with the invalid value or the allowed values
      */
     public ConfigException(String source, String key, String problem) {
         super(source + ": " + (key.isEmpty() ? "" : "'" + key + "' ") + problem);
@@ -24,17 +27,22 @@
         this.problem = problem;
     }
 
-    /** Where the setting comes from: a file, or {@code environment}, {@code config}, {@code policy}. */
+    /**
+     * Returns the origin of the setting: a file, or {@code environment}, {@code config}, {@code
+     * policy}.
+     */
     public String source() {
         return source;
     }
 
-    /** The path of the setting within its source; empty where it is the source as a whole. */
+    /**
+     * Returns the path of the setting within its source; empty if the source as a whole is invalid.
+     */
     public String key() {
         return key;
     }
 
-    /** What is wrong, with the offending value or what is allowed. */
+    /** Returns what is wrong, with the invalid value or the allowed values. */
     public String problem() {
         return problem;
     }
--- a/src/main/java/tinlink/config/ConfigFile.java
+++ b/src/main/java/tinlink/config/ConfigFile.java
@@ -17,8 +17,9 @@
 import java.util.Set;
 
 /**
- * A configuration file: JSON with comments, trailing commas, single quotes and bare keys. Every key
- * is read or rejected; a message names the file, the key and what is allowed.
+ * A configuration file in JSON, which may contain comments, trailing commas, single quotes and
+ * unquoted keys. Every key must be known to the reader, otherwise the file is rejected; messages
+ * name the file, the key and the allowed values.
  */
 public final class ConfigFile {
     private static final long MAX_BYTES = 1 << 20;
@@ -42,9 +43,9 @@
     }
 
     /**
-     * Reads a file of JSON.
+     * Reads a configuration file.
      *
-     * @throws ConfigException where it can't be read, or is no JSON object
+     * @throws ConfigException if the file can't be read or doesn't contain a JSON object
      */
     public static ConfigFile of(String file) {
         try {
@@ -74,9 +75,9 @@
     }
 
     /**
-     * The exception for an entry that can not be used.
+     * Returns an exception for an invalid entry.
      *
-     * @param problem what is wrong, with the offending value or what is allowed
+     * @param problem what is wrong, with the invalid value or the allowed values
      */
     public ConfigException invalid(String key, String problem) {
         return new ConfigException(file, path + key, problem);
@@ -133,7 +134,7 @@
         return (int) value;
     }
 
-    /** Milliseconds, as microseconds. */
+    /** Returns a setting in milliseconds, converted to microseconds. */
     public long micros(String key, double defaultMs, double minMs, double maxMs) {
         return Math.round(1000 * number(key, defaultMs, minMs, maxMs));
     }
@@ -161,7 +162,7 @@
         return all;
     }
 
-    /** The object under that key; an empty one where it is absent. */
+    /** Returns the object at a key, or an empty object if the key is absent. */
     public ConfigFile object(String key) {
         JsonNode value = get(key);
         if (value != null && !value.isObject()) {
@@ -192,7 +193,7 @@
         return child;
     }
 
-    /** The keys of this object; for one whose keys are names. */
+    /** Returns the keys of this object, for objects whose keys are names. */
     public List<String> keys() {
         List<String> all = new ArrayList<>();
         node.fieldNames().forEachRemaining(all::add);
@@ -200,7 +201,8 @@
     }
 
     /**
-     * Danger: a key that is spelt wrong and passed over leaves a default where a setting was meant.
+     * Danger: if a misspelt key were ignored, a default would apply instead of the intended
+     * setting.
      */
     public void rejectUnknownKeys() {
         for (String key : keys()) {
--- a/src/main/java/tinlink/config/DecisionConfig.java
+++ b/src/main/java/tinlink/config/DecisionConfig.java
@@ -14,38 +14,42 @@
 import tinlink.decision.RetryBudget;
 import tinlink.decision.SlowStart;
 
-/** Builds the decision module from its settings, whichever source they have; each part gets its own few. */
+/**
+ * Builds the decision module from its settings, whatever their source; each component gets only the
+ * settings that it needs.
+ */
 public final class DecisionConfig {
     public final LookupClass[] lookupClasses;
     public final QueryCoordinator module;
-    /** Lookups and parts that may be in flight. */
+    /** The maximum number of lookups and parts in flight. */
     final int maxInFlight;
-    /** The longest Retry-After that clients are given; 0 where they are given none. */
+    /** The longest Retry-After that clients are sent, in microseconds; 0 if none is sent. */
     final long maxRetryAfterUs;
 
     public DecisionConfig(long seed, FlatSettings settings) {
         lookupClasses = new LookupClass[settings.count("profiles.count", 0, 0)];
-        long longestSoftUs = 1;
+        long longestObjectiveUs = 1;
         for (int i = 0; i < lookupClasses.length; i++) {
             lookupClasses[i] = lookupClass(settings, i);
-            longestSoftUs = Math.max(longestSoftUs, lookupClasses[i].latencyObjectiveUs);
+            longestObjectiveUs = Math.max(longestObjectiveUs, lookupClasses[i].latencyObjectiveUs);
         }
         maxInFlight = settings.integer("limits.openCap", 1000);
         maxRetryAfterUs = settings.flag("limits.retryAfter")
                 ? settings.micros("limits.maxRetryAfterMs", 0)
                 : 0;
-        module = coordinator(seed, longestSoftUs, settings);
+        module = coordinator(seed, longestObjectiveUs, settings);
     }
 
-    /** What is wrong first is read first: the order of the settings is that of the messages. */
-    private QueryCoordinator coordinator(long seed, long longestSoftUs, FlatSettings settings) {
+    /** Reads the settings in the order in which invalid settings are reported. */
+    private QueryCoordinator coordinator(
+            long seed, long longestObjectiveUs, FlatSettings settings) {
         AttemptTiming timing = new AttemptTiming(settings.micros("stepMs", 1000));
         RepeatGuard guard = new RepeatGuard(
                 timing,
                 settings.integer("limits.tryLimit", 1),
                 settings.flag("limits.secondCopies"),
                 settings.flag("limits.cancel"));
-        ReplicaHealth health = new ReplicaHealth(longestSoftUs);
+        ReplicaHealth health = new ReplicaHealth(longestObjectiveUs);
         ReplicaDirectory replicas = new ReplicaDirectory(
                 settings.count("familyInfo.sets", 1, 1),
                 settings.integer("familyInfo.reach", 1),
--- a/src/main/java/tinlink/config/FlatSettings.java
+++ b/src/main/java/tinlink/config/FlatSettings.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The settings that a module or a router is started with, by path. The bench gives path=value pairs,
- * a router's file nested JSON; both become the same flat paths. Unknown ones are never asked for.
+ * The settings of a decision module or router, by path. The bench passes path=value pairs and a
+ * router reads nested JSON; both are converted to the same flat paths. Unknown paths are ignored.
  */
 public final class FlatSettings {
     private static final int MAX_COUNT = 100_000;
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Reads figures from pairs of key=value, parted by spaces.
+     * Parses settings from key=value pairs that are separated by spaces.
      *
-     * @param source what the messages call the place that the settings come from
+     * @param source the name of the settings' origin in messages
      */
     public static FlatSettings ofPairs(String source, String text) {
         FlatSettings settings = new FlatSettings(source);
@@ -38,7 +38,10 @@
         return settings;
     }
 
-    /** Nested JSON: lists of plain values are joined with commas, those of objects get a count. */
+    /**
+     * Flattens nested JSON: lists of plain values are joined with commas; lists of objects get a
+     * count.
+     */
     static FlatSettings ofTree(String source, Map<?, ?> tree) {
         FlatSettings settings = new FlatSettings(source);
         tree.forEach((key, element) -> settings.flatten(String.valueOf(key), element));
@@ -66,7 +69,7 @@
         }
     }
 
-    /** A name as it stands in a list of plain values. */
+    /** Returns a name in the form that it has in a list of plain values. */
     public static String plainName(String name) {
         return name.replaceAll("[ ,]", "_");
     }
@@ -98,8 +101,10 @@
     }
 
     /**
-     * Danger: tables are made of this size, and one that fills the heap is not a start that was
-     * rejected.
+     * Returns a setting that determines the size of tables.
+     *
+     * <p>Danger: without an upper bound, a table could exhaust the heap, instead of the
+     * configuration being rejected at the start.
      */
     int count(String path, int defaultValue, int min) {
         int value = integer(path, defaultValue);
@@ -112,7 +117,7 @@
         return value;
     }
 
-    /** Milliseconds with fractions, as whole microseconds. */
+    /** Returns a setting in milliseconds, possibly fractional, converted to whole microseconds. */
     long micros(String path, long defaultValue) {
         if (!has(path)) {
             return defaultValue;
@@ -124,12 +129,12 @@
         }
     }
 
-    /** The items of a list of plain values. */
+    /** Returns the items of a list of plain values. */
     List<String> items(String path) {
         return has(path) ? List.of(pairs.get(path).split(",")) : List.of();
     }
 
-    /** Item i of a list of plain values. */
+    /** Returns item {@code i} of a list of plain values. */
     double item(String path, int i, double defaultValue) {
         List<String> items = items(path);
         return i < items.size() && !items.get(i).isEmpty()
@@ -149,20 +154,20 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Reported below, like one that is not finite.
+            // Reported below, like a number that is not finite.
         }
         throw invalid(path, "is no number: " + value);
     }
 
-    /** A number without a fraction that says nothing. */
+    /** Formats a number without trailing zeros in the fraction. */
     static String plainNumber(double number) {
         return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
     }
 
     /**
-     * Milliseconds with fractions, as whole microseconds.
+     * Converts milliseconds, possibly fractional, to whole microseconds.
      *
-     * @throws NumberFormatException where it is no number, or too large
+     * @throws NumberFormatException if the text is not a number or the number is too large
      */
     public static long parseMillis(String millis) {
         try {
--- a/src/main/java/tinlink/config/GatewayConfig.java
+++ b/src/main/java/tinlink/config/GatewayConfig.java
@@ -10,21 +10,24 @@
 import java.util.Set;
 
 /**
- * What the links with other sites are started with: the file that NODE_GATEWAY or {@code --gateway}
- * names.
+ * The settings of the connections to other sites, from the file that NODE_GATEWAY or {@code
+ * --gateway} names.
  */
 public final class GatewayConfig {
     private static final int MIN_KEY_BYTES = 16;
-    /** A text on the line has a length of one byte; half of that is enough for a name. */
-    private static final String NAME_FORM = "[A-Za-z0-9_.-]{1,64}";
+    /**
+     * On a connection between sites a text has a one-byte length; half of that range is enough for
+     * a name.
+     */
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
 
     public final String site;
     public final String router;
-    /** Where routers of other sites connect; null where none may. */
+    /** The address at which routers of other sites connect; null if none may connect. */
     public final InetSocketAddress listen;
 
     public final Set<String> acceptedSites;
-    /** By id, and the one that we call with. */
+    /** Keys by id. Outgoing connections use the key with the id {@code activeKeyId}. */
     public final Map<String, byte[]> keys = new LinkedHashMap<>();
 
     public final String activeKeyId;
@@ -41,7 +44,7 @@
     /** A router of another site; all its addresses lead to the same process. */
     public record RemoteRouter(String site, String router, List<InetSocketAddress> addresses) {}
 
-    /** @param name what the router is called elsewhere, its name here where the file gives none */
+    /** @param name the router's configured name, used if the file gives none */
     GatewayConfig(String file, String name) {
         this(ConfigFile.of(file), name);
     }
@@ -91,8 +94,9 @@
     }
 
     static String checkedName(ConfigFile file, String key, String name) {
-        if (!name.matches(NAME_FORM)) {
-            throw file.invalid(key, "is no name of up to 64 letters, digits, dots, lines: " + name);
+        if (!name.matches(NAME_PATTERN)) {
+            throw file.invalid(
+                    key, "is no name of 1 to 64 letters, digits, '_', '.' or '-': " + name);
         }
         return name;
     }
@@ -113,13 +117,13 @@
         return all;
     }
 
-    /** Danger: a message with the key in it would end up in a log. */
+    /** Danger: a message must not contain the key, since messages are logged. */
     private static byte[] key(ConfigFile file, String id) {
         byte[] key = new byte[0];
         try {
             key = HexFormat.of().parseHex(file.text(id));
         } catch (IllegalArgumentException e) {
-            // Reported below, like one that is short.
+            // Reported below, like a key that is too short.
         }
         if (key.length < MIN_KEY_BYTES) {
             throw file.invalid(id, "is no key of at least " + MIN_KEY_BYTES + " bytes in hex");
--- a/src/main/java/tinlink/config/HangupSignal.java
+++ b/src/main/java/tinlink/config/HangupSignal.java
@@ -4,13 +4,13 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP. The JVM has no supported way to do so; the one that it has had for long is reached
- * by name, so that the code builds without it too.
+ * Handles SIGHUP. The JVM has no supported interface for signals; the long-standing unsupported one
+ * is accessed by reflection, so that the code compiles without it.
  */
 public final class HangupSignal {
     private HangupSignal() {}
 
-    /** Danger: without this a SIGHUP ends the JVM, and with it all that is in flight. */
+    /** Danger: without a handler, SIGHUP ends the JVM and loses everything in flight. */
     public static void onHangup(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -34,7 +34,8 @@
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException e) {
-            throw new ConfigException("environment", "", "SIGHUP can't be heard here: " + e);
+            throw new ConfigException(
+                    "environment", "", "this JVM offers no way to handle SIGHUP: " + e);
         }
     }
 }
--- a/src/main/java/tinlink/config/Http2Config.java
+++ b/src/main/java/tinlink/config/Http2Config.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Which data nodes are served over HTTP/2, and how: the file that NODE_HTTP2 or {@code --http2}
- * names.
+ * The HTTP/2 settings, which also select the data nodes that are reached over HTTP/2, from the file
+ * that NODE_HTTP2 or {@code --http2} names.
  */
 public final class Http2Config {
-    /** Nodes of that kind and zone; null stands for any. */
+    /** Selects the data nodes of a kind and zone; null matches any. */
     public record Offer(String kind, String zone) {}
 
     public final List<Offer> offers = new ArrayList<>();
--- a/src/main/java/tinlink/config/InvalidInputException.java
+++ b/src/main/java/tinlink/config/InvalidInputException.java
@@ -1,8 +1,8 @@
 package tinlink.config;
 
 /**
- * Input that is not what it may be; the message says what is wrong, with the offending value. Of a setting it
- * is a {@link ConfigException}.
+ * Thrown for invalid input; the message says what is wrong and contains the invalid value. For
+ * settings, {@link ConfigException} is thrown.
  */
 public class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/tinlink/config/MaintenanceConfig.java
+++ b/src/main/java/tinlink/config/MaintenanceConfig.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * What must remain in service while machines are in maintenance: the file that NODE_WORK or {@code --work}
- * names.
+ * The settings of maintenance, including the capacity that must remain in service while machines
+ * are in maintenance, from the file that NODE_WORK or {@code --work} names.
  */
 public final class MaintenanceConfig {
-    /** By zone, its site. */
+    /** The site of each zone, by zone name. */
     public final Map<String, String> siteByZone = new LinkedHashMap<>();
 
     public final int minServingPerCell;
@@ -26,7 +26,7 @@
     public final long observationExpiryUs;
     public final long reportIntervalUs;
     public final long startupWaitUs;
-    /** Where operators connect; null where they may not. */
+    /** The address at which operators connect; null if they may not connect. */
     public final InetSocketAddress controlAddress;
 
     public final String controlToken;
@@ -36,7 +36,7 @@
         this(ConfigFile.of(file));
     }
 
-    /** Whether this router follows policy versions that the cluster agrees on. */
+    /** Whether this router applies the policy versions that the cluster agrees on. */
     public final boolean followsAgreedPolicy;
 
     private MaintenanceConfig(ConfigFile file) {
@@ -67,7 +67,8 @@
         reportIntervalUs = watch.micros("report_ms", 500, 20, 60_000);
         if (observationExpiryUs < 3 * reportIntervalUs) {
             throw watch.invalid(
-                    "old_ms", "is under three times report_ms: words would be old before the next");
+                    "old_ms",
+                    "is under three times report_ms: observations expire before the next");
         }
         followsAgreedPolicy = file.flag("policy", false);
         startupWaitUs = file.micros("await_ms", 3000, 0, 60_000);
--- a/src/main/java/tinlink/config/PlainLogFormatter.java
+++ b/src/main/java/tinlink/config/PlainLogFormatter.java
@@ -6,8 +6,9 @@
 import java.util.logging.LogRecord;
 
 /**
- * A log line: Unix time in seconds, level, logger, message. The usual formatter loads calendars and
- * languages with its first line, which costs a start as much as reading the whole configuration.
+ * Formats a log line as Unix time in seconds, level, logger and message. The default formatter
+ * loads calendar and locale data for its first line, which takes as long at startup as reading the
+ * whole configuration.
  */
 public final class PlainLogFormatter extends Formatter {
     @Override
--- a/src/main/java/tinlink/config/PolicyDocument.java
+++ b/src/main/java/tinlink/config/PolicyDocument.java
@@ -7,22 +7,24 @@
 import java.util.Map;
 
 /**
- * A policy document as this router can use it: the figures of lookups that may change while it
- * serves. Effects and windows are the data nodes' own and stay with each router's file; so do
- * addresses, keys and the machine's limits.
+ * A policy document as applied by this router: the settings of lookups that may change at run time.
+ * Idempotency and deduplication windows are properties of the data nodes and stay in each router's
+ * file, as do addresses, keys and the limits of the machine.
  */
 public final class PolicyDocument {
     /**
-     * For the lookups that are taken by it; those taken before keep the ones that they were taken
-     * by.
+     * The lookup classes for lookups that are accepted under this policy; lookups accepted earlier
+     * keep the classes under which they were accepted.
      */
     public final Map<String, LookupClass> lookupClasses = new LinkedHashMap<>();
-    /** Lookups and parts that may be in flight. */
+    /** The maximum number of lookups and parts in flight. */
     public final int maxInFlight;
 
     /**
-     * @param config what this router was started with: what a document can't go beyond here
-     * @throws ConfigException naming the key that it can't use, and why
+     * Parses a policy document.
+     *
+     * @param config the configuration of this router, which limits what a document may set
+     * @throws ConfigException naming the invalid key and the problem
      */
     public PolicyDocument(String text, RouterConfig config) {
         this(ConfigFile.of("policy", text), config);
@@ -44,8 +46,8 @@
         }
         maxInFlight = file.integer(
                 "open_cap", config.lookups.maxInFlight(), 1, config.maxInFlightOfPolicy);
-        ConfigFile absence =
-                file.object("absent"); // Of the change itself, and read by whoever proposes it.
+        // These terms belong to the proposal; the proposer reads them.
+        ConfigFile absence = file.object("absent");
         absence.text("rule", "");
         for (String key : List.of("wait_ms", "hold_ms", "lease_ms", "clock_error_ms")) {
             absence.number(key, 0, 0, 3_600_000);
--- a/src/main/java/tinlink/config/RouterConfig.java
+++ b/src/main/java/tinlink/config/RouterConfig.java
@@ -15,12 +15,12 @@
 import java.util.logging.Level;
 
 /**
- * What a router is started with: the file named by NODE_CONFIG, and NODE_NAME, NODE_LISTEN and
- * NODE_DISCOVERY, which win over it. Everything is checked here; a {@link ConfigException} names the source
- * and the key at fault.
+ * The configuration of a router: the file that NODE_CONFIG names, and NODE_NAME, NODE_LISTEN and
+ * NODE_DISCOVERY, which override the file. The constructor checks all settings; a {@link
+ * ConfigException} names the source and key of an invalid setting.
  *
- * <p>At a reload the file is read and checked again as a whole. Of what it says only the address of discovery
- * and the gateway's keys are taken over by a router that serves.
+ * <p>On reload the file is read and checked again as a whole. A running router then applies only
+ * the address of discovery and the gateway's keys.
  */
 public final class RouterConfig {
     private static final String ENVIRONMENT = "environment";
@@ -31,74 +31,76 @@
     public final String name;
     public final InetSocketAddress listen;
     public final InetSocketAddress discovery;
-    /** What the file itself says of it. */
+    /** The address of discovery in the file, before NODE_DISCOVERY overrides it. */
     private final String fileDiscovery;
 
     private final Map<String, String> environment;
     public final int maxDescriptors;
     public final double memoryMb;
-    /** Bytes that bodies which are being read may hold together. */
+    /** The maximum total size of the request bodies that are being read. */
     public final long maxBodyBytesInFlight;
-    /** Whether discovery pushes changes; if not, the module says when to poll. */
+    /** Whether discovery pushes changes; otherwise the decision module determines when to poll. */
     public final boolean isDiscoveryPushed;
 
     public final long seed;
     public final Level logLevel;
-    /** The list of data nodes as this router most recently had it, in discovery's form; may be empty. */
+    /**
+     * The most recent list of data nodes that the router had, in discovery's format; may be empty.
+     */
     public final Map<?, ?> cachedEndpoints;
 
     public final DecisionConfig decision;
-    /** The longest hard deadline, in microseconds. */
+    /** The longest deadline of any lookup class, in microseconds. */
     public final long maxDeadlineUs;
 
     public final LookupSettings lookups;
     public final NodeConnectionSettings nodeConnections;
-    /** No policy may allow more in flight here. */
+    /** The upper bound for the maximum in flight that a policy may set. */
     public final int maxInFlightOfPolicy;
-    /** Among which the shards are divided. */
+    /** The number of cells among which the shards are divided. */
     public final int cells;
 
     public final EndpointNames endpointNames;
-    /** The longest Retry-After that clients are given, in microseconds; 0 where they are given none. */
+    /** The longest Retry-After that clients are sent, in microseconds; 0 if none is sent. */
     public final long maxRetryAfterUs;
-    /** Data nodes over HTTP/2; null where there are none. */
+    /** The HTTP/2 settings of data nodes; null if no data node is reached over HTTP/2. */
     public final Http2Config http2;
-    /** The links with other sites; null where there are none. */
+    /** The connections to other sites; null if there are none. */
     public final GatewayConfig gateway;
-    /** The cluster of routers, and maintenance of machines; null, both, where they are off. */
+    /** The cluster of routers; null if it is disabled, as is {@code maintenance} then. */
     public final ClusterConfig cluster;
 
     public final MaintenanceConfig maintenance;
 
     /**
-     * What a lookup is checked against.
+     * The settings against which a lookup is checked.
      *
-     * @param lookupClasses by name
-     * @param maxInFlight lookups and parts that may be in flight
+     * @param lookupClasses the lookup classes by name
+     * @param maxInFlight the maximum number of lookups and parts in flight
      */
     public record LookupSettings(
             Map<String, LookupClass> lookupClasses, int shardCount, int maxInFlight) {}
 
     /**
-     * What connections to data nodes need.
+     * The settings of connections to data nodes.
      *
-     * @param idleTimeoutUs after so long without use a node's machine closes one
+     * @param idleTimeoutUs the idle time after which the data node's machine closes a connection
      */
     public record NodeConnectionSettings(
             long connectTimeoutUs, long idleTimeoutUs, int callsPerConnection, boolean canCancel) {}
 
-    /** What the names in the list of data nodes stand for, in the settings' order. */
+    /** The zone and kind names in the list of data nodes, in the order of the settings. */
     public record EndpointNames(List<String> zones, List<String> kinds) {}
 
-    /** @throws ConfigException naming what can't be used */
+    /** @throws ConfigException naming the invalid setting */
     public RouterConfig(Map<String, String> environment) {
         this(environment, null);
     }
 
     /**
-     * The same sources, read and checked again.
+     * Reads and checks the same sources again.
      *
-     * @throws ConfigException naming what can't be used
+     * @throws ConfigException naming the invalid setting
      */
     public RouterConfig reload() {
         return new RouterConfig(environment, this);
@@ -153,7 +155,7 @@
         maintenance = maintenanceFile.isEmpty() ? null : new MaintenanceConfig(maintenanceFile);
     }
 
-    // ---- The file. ----
+    // ---- Reading the file. ----
 
     private static Map<?, ?> readTree(String file) {
         if (file == null || file.isEmpty()) {
@@ -192,11 +194,13 @@
         return settings;
     }
 
-    // ---- Single settings. ----
+    // ---- Reading single settings. ----
 
     /**
-     * Danger: NODE_DISCOVERY is of the start. Were it to win over a file that has changed since, a reload
-     * would never leave an address that is about to close.
+     * Returns the address of discovery.
+     *
+     * <p>Danger: NODE_DISCOVERY applies at startup only. If the variable overrode a file that has
+     * changed since, a reload could never leave an address that is about to close.
      */
     private InetSocketAddress discovery(FlatSettings topLevel, RouterConfig previous) {
         if (previous == null) {
@@ -210,12 +214,15 @@
                 : address(topLevel, "discovery", fileDiscovery);
     }
 
-    /** What is made of a body while it is read is up to 16 times as large; half the heap is for the rest. */
+    /**
+     * Returns the limit on bodies in flight. The objects that are built from a body while it is
+     * read take up to 16 times its size, and half of the heap is reserved for other uses.
+     */
     private static long maxBodyBytes(FlatSettings topLevel, double memoryMb) {
         long bytes =
                 (long) Math.min(Runtime.getRuntime().maxMemory() / 32.0, memoryMb * (1 << 20) / 96);
         if (bytes <= 0) {
-            throw topLevel.invalid("limits.memory_mb", "is no memory to serve with");
+            throw topLevel.invalid("limits.memory_mb", "is too small to serve any lookup");
         }
         return bytes;
     }
@@ -271,7 +278,7 @@
     private static long positive(FlatSettings settings, String path, long defaultUs) {
         long valueUs = settings.micros(path, defaultUs);
         if (valueUs <= 0) {
-            throw settings.invalid(path, "is no time to wait: " + valueUs + " us");
+            throw settings.invalid(path, "is no positive time: " + valueUs + " us");
         }
         return valueUs;
     }
@@ -292,9 +299,9 @@
     }
 
     /**
-     * HOST:PORT, the host a number: there is no name service here.
+     * Parses HOST:PORT, where HOST is a numeric IP address: the router doesn't resolve names.
      *
-     * @throws IllegalArgumentException where it is none
+     * @throws IllegalArgumentException if the text is not such an address
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/tinlink/config/ShutdownSafeLogManager.java
+++ b/src/main/java/tinlink/config/ShutdownSafeLogManager.java
@@ -3,13 +3,15 @@
 import java.util.logging.LogManager;
 
 /**
- * Danger: java.util.logging takes its handlers away as soon as a SIGTERM comes, while the router
- * still finishes what is in flight; the lines of that time, which tell how the stop went, would
- * be lost.
+ * Keeps the log handlers during shutdown.
+ *
+ * <p>Danger: java.util.logging removes its handlers as soon as SIGTERM arrives, while the router is
+ * still completing what is in flight. The log lines of the shutdown would be lost.
  */
 public final class ShutdownSafeLogManager extends LogManager {
     @Override
     public void reset() {
-        // The handlers stay until the process is gone; they write through and hold nothing back.
+        // The handlers remain until the process ends. They write through without buffering, so no
+        // close is needed.
     }
 }
