--- a/src/main/java/tinlink/maintenance/CordonFile.java
+++ b/src/main/java/tinlink/maintenance/CordonFile.java
@@ -13,29 +13,29 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The file with the ids of the data nodes that a router cordons: one line of fields. Blocks on the disk. */
+/** The file with the ids of the data nodes that a router cordons, as one encoded line. Blocks on disk I/O. */
 final class CordonFile {
-    /** Builds read each other's file: the name stays. */
+    /** The file name. Changing it would lose the cordons on an upgrade or a downgrade. */
     private static final String NAME = "left-out";
 
     private final Path file;
 
-    /** @param folder that is there */
+    /** @param folder an existing folder */
     CordonFile(Path folder) {
         file = folder.resolve(NAME);
     }
 
-    /** Reads the ids; none where there is no file. */
+    /** Reads the ids; the set is empty if the file doesn't exist. */
     Set<String> read() throws IOException {
         if (!Files.exists(file)) {
             return Set.of();
         }
         Set<String> nodes = new TreeSet<>(LineCodec.decode(Files.readString(file)));
-        nodes.remove(""); // What an empty line decodes to.
+        nodes.remove(""); // An empty line decodes to one empty field.
         return nodes;
     }
 
-    /** Replaces the file in one step; it is on the disk when this returns. */
+    /** Replaces the file atomically; the new content is on disk when this method returns. */
     void write(Set<String> nodes) throws IOException {
         byte[] line = LineCodec.encode(nodes.toArray()).getBytes(StandardCharsets.UTF_8);
         Path temporary = file.resolveSibling(NAME + ".new");
--- a/src/main/java/tinlink/maintenance/CordonStore.java
+++ b/src/main/java/tinlink/maintenance/CordonStore.java
@@ -12,10 +12,11 @@
 import java.util.logging.Level;
 
 /**
- * Which data nodes this router cordons, persisted. Danger: started again, and with nobody to ask, it would
- * send to machines that are out by its own confirmation. So a cordon is written to disk before this router
- * confirms that the node is drained, and holds from its next start on until it knows better. Belongs to the
- * event loop's thread; writes have a thread of their own.
+ * Persists the set of data nodes that this router cordons. Without it, a router that restarts while no other
+ * router is reachable would send attempts to machines that are out of service on the strength of its own
+ * confirmation. A cordon is therefore written to disk before this router confirms that the node is drained,
+ * and applies from the next start until the router learns the current state. Not thread-safe: all calls come
+ * from the event loop's thread. Writes run on a separate thread.
  */
 final class CordonStore {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
@@ -23,12 +24,12 @@
     private final CordonFile file;
     private final ExecutorService diskExecutor;
     private final Set<String> cordoned = new TreeSet<>();
-    /** What is on the disk, as far as the loop has heard. */
+    /** The cordons of the last write that the event loop knows to be on disk. */
     private Set<String> persisted;
 
     private boolean writeInProgress;
 
-    /** @throws IOException where what is there can't be read */
+    /** @throws IOException if an existing cordon file can't be read */
     CordonStore(EventLoop loop, Path folder) throws IOException {
         this.loop = loop;
         file = new CordonFile(folder);
@@ -40,18 +41,18 @@
         });
     }
 
-    /** As they were found at the start. */
+    /** The cordons that are on disk; at startup, those of the previous run. */
     Set<String> restored() {
         return Set.copyOf(persisted);
     }
 
-    /** Whether the node would still be cordoned after a stop at any moment from now on. */
+    /** Whether the cordon is on disk, so that the node stays cordoned if this router restarts. */
     boolean isPersisted(String machine) {
         return persisted.contains(machine);
     }
 
-    void setCordoned(String machine, boolean isCordoned) {
-        if (isCordoned) {
+    void setCordoned(String machine, boolean nodeCordoned) {
+        if (nodeCordoned) {
             cordoned.add(machine);
         } else {
             cordoned.remove(machine);
@@ -59,7 +60,7 @@
         writeIfChanged();
     }
 
-    /** One write at a time; what has changed meanwhile follows. */
+    /** Starts a write unless one is running; changes made during a write are written after it. */
     private void writeIfChanged() {
         if (writeInProgress || cordoned.equals(persisted)) {
             return;
@@ -71,7 +72,7 @@
                 file.write(snapshot);
                 loop.execute(() -> onWritten(snapshot));
             } catch (IOException e) {
-                // The cordon is never confirmed: no operator takes a machine on the strength of it.
+                // The drain is never confirmed, so no operator takes the machine out of service.
                 LOG.logFailure(Level.SEVERE, "cordons_not_persisted", e);
             }
         });
