--- a/src/main/java/tinlink/maintenance/ControlRequest.java
+++ b/src/main/java/tinlink/maintenance/ControlRequest.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** What an operator asks over the control socket. {@link ControlRequestParser} reads it from JSON. */
+/** An operator's request on the control socket. {@link ControlRequestParser} parses it from JSON. */
 sealed interface ControlRequest {
     /**
-     * Requests machines.
+     * Submits a request to take machines out of service.
      *
-     * @param selectors which machines; see {@link MachineSelector}
-     * @param durationUs how long each machine is out, microseconds
-     * @param startWithinUs each task has to have started so long after the request
+     * @param selectors the machines, in the notation of {@link MachineSelector}
+     * @param durationUs how long each machine is out of service, microseconds
+     * @param startWithinUs the time after the request within which each task has to start, microseconds
      */
     record Submit(
             String requestId,
@@ -21,46 +21,46 @@
             String reason)
             implements ControlRequest {}
 
-    /** Lists all requests that are known. */
+    /** Lists all known requests. */
     record ListRequests() implements ControlRequest {}
 
     /** Shows one request. */
     record ShowRequest(String requestId) implements ControlRequest {}
 
-    /** Lists all machines that are known. */
+    /** Lists all known machines. */
     record ListMachines() implements ControlRequest {}
 
-    /** Shows the status of the router that is asked. */
+    /** Shows the status of the router that receives this request. */
     record ShowRouter() implements ControlRequest {}
 
-    /** Work is done; of all machines of the request where the machine is empty. */
+    /** Reports the work on a machine as done; an empty machine id means all machines of the request. */
     record Complete(String requestId, String machine, boolean lost) implements ControlRequest {}
 
-    /** Takes a request back. */
+    /** Cancels a request. */
     record Cancel(String requestId, String reason) implements ControlRequest {}
 
-    /** A router's process has ended for good, by the operator's word. */
+    /** Removes a router whose process has ended for good, which the operator vouches for. */
     record RemoveRouter(String router) implements ControlRequest {}
 
-    /** Another router is to vote in a voter's place. */
+    /** Replaces a voter by another router. */
     record ReplaceVoter(String voter, String replacement) implements ControlRequest {}
 
     /** Shows the policy in force. */
     record ShowPolicy() implements ControlRequest {}
 
-    /** Lists the changes of policy that are known. */
+    /** Lists all known policy changes. */
     record ListPolicyChanges() implements ControlRequest {}
 
-    /** Shows one change of policy. */
+    /** Shows one policy change. */
     record ShowPolicyChange(String changeId) implements ControlRequest {}
 
-    /** Takes a change of policy back. */
+    /** Withdraws a policy change. */
     record WithdrawPolicyChange(String changeId, String reason) implements ControlRequest {}
 
     /**
-     * Proposes a change of policy.
+     * Proposes a policy change.
      *
-     * @param againstEpoch the epoch that has to be in force
+     * @param againstEpoch the policy epoch that has to be in force for the change to be accepted
      */
     record ProposePolicyChange(
             String changeId, String text, int againstEpoch, String author, String reason)
--- a/src/main/java/tinlink/maintenance/ControlRequestHandler.java
+++ b/src/main/java/tinlink/maintenance/ControlRequestHandler.java
@@ -3,14 +3,14 @@
 import tinlink.config.ConfigFile;
 import tinlink.policy.PolicyRolloutService;
 
-/** Has an operator's request parsed and carried out. Belongs to the event loop's thread. */
+/** Parses and executes operators' requests. Not thread-safe: all calls come from the event loop's thread. */
 final class ControlRequestHandler {
     private final ControlRequestParser parser;
     private final MaintenanceControlCommands maintenanceCommands;
-    /** Null where policy is off, and then no request about it is parsed. */
+    /** Null if policy is off; the parser then accepts no request about policy. */
     private final PolicyControlCommands policyCommands;
 
-    /** @param policy null where it is off */
+    /** @param policy null if policy is off */
     ControlRequestHandler(MaintenanceService maintenance, PolicyRolloutService policy) {
         ControlViews views = new ControlViews(maintenance);
         parser = new ControlRequestParser(policy != null);
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Carries out a request; the responder gets the answer, now or later.
+     * Executes a request. The responder receives the answer, during this call or later.
      *
-     * @throws tinlink.config.InvalidInputException where it can't be understood; it names the key
-     * @throws IllegalArgumentException where a value in it is out of range
+     * @throws tinlink.config.InvalidInputException if the request is invalid; the message names the key
+     * @throws IllegalArgumentException if a value in the request is out of range
      */
     void handle(String json, ControlResponder responder) {
         ControlRequest request = parser.parse(ConfigFile.of("request", json));
--- a/src/main/java/tinlink/maintenance/ControlResponder.java
+++ b/src/main/java/tinlink/maintenance/ControlResponder.java
@@ -2,30 +2,30 @@
 
 import java.util.Map;
 
-/** Takes the answer to an operator's request. The first one counts; what follows it is dropped. */
+/** Receives the answer to an operator's request. Only the first answer is sent; later ones are dropped. */
 interface ControlResponder {
-    /** The request was carried out, or its outcome is known. */
+    /** The request was executed, or its outcome is known. */
     int OK = 200;
-    /** The request can't be understood. */
+    /** The request is invalid. */
     int BAD_REQUEST = 400;
-    /** What it asks for is not known here. */
+    /** This router doesn't know the object that the request names. */
     int NOT_FOUND = 404;
-    /** It is not known what came of it. */
+    /** The outcome of the request is unknown. */
     int UNAVAILABLE = 503;
 
     /**
-     * Answers.
+     * Answers the request.
      *
-     * @param status of HTTP
-     * @param answer written as JSON
+     * @param status the HTTP status code
+     * @param answer the body, which is written as JSON
      */
     void respond(int status, Map<String, ?> answer);
 
     /**
-     * Answers with what a proposal came to.
+     * Answers with the outcome of a proposal.
      *
-     * @param message of its outcome
-     * @param failure why that is not known; null where it is
+     * @param message the outcome; unused if it is unknown
+     * @param failure the reason why the outcome is unknown; null if the outcome is known
      */
     default void respondProposal(String message, String failure) {
         if (failure == null) {
--- a/src/main/java/tinlink/maintenance/MachineSelector.java
+++ b/src/main/java/tinlink/maintenance/MachineSelector.java
@@ -3,18 +3,18 @@
 import tinlink.maintenance.scheduling.Machine;
 
 /**
- * How an operator selects machines: by id, or by labels as in {@code zone=z1,kind=router}, which all have to
- * match.
+ * Matches machines against an operator's selector. A selector is either an id or a list of labels such as
+ * {@code zone=z1,kind=router}; a machine has to match all of the labels.
  */
 final class MachineSelector {
     private MachineSelector() {}
 
-    /** Whether it selects by labels, and is no id. */
+    /** Whether the selector is a list of labels and not an id. */
     static boolean isLabelSelector(String selector) {
         return selector.contains("=");
     }
 
-    /** @throws IllegalArgumentException where it has a label that machines don't have */
+    /** @throws IllegalArgumentException if the selector has a label that machines don't have */
     static boolean matches(String selector, Machine machine) {
         if (!isLabelSelector(selector)) {
             return machine.id().equals(selector);
--- a/src/main/java/tinlink/maintenance/MaintenanceSettings.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceSettings.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * The settings of maintenance in one router. Times are microseconds.
+ * The maintenance settings of one router. Times are microseconds.
  *
- * @param initialLimits for the first start of a fleet; later the ones agreed on hold
- * @param watchersPerMachine routers that watch one machine
- * @param probeIntervalUs between two probes of one data node
- * @param probeFailureThreshold failed probes in a row make it unhealthy
- * @param reportExpiryUs how long a report counts
- * @param reportIntervalUs between two reports to the leader
+ * @param initialLimits the limits at the first start of a fleet; afterwards those in the replicated log apply
+ * @param watchersPerMachine the number of routers that watch one machine
+ * @param probeIntervalUs the interval between two probes of one data node
+ * @param probeFailureThreshold the number of consecutive failed probes that make a data node unhealthy
+ * @param reportExpiryUs how long the leader uses a report
+ * @param reportIntervalUs the interval between two reports to the leader
  */
 public record MaintenanceSettings(
         Location location,
@@ -23,10 +23,10 @@
         long reportExpiryUs,
         long reportIntervalUs) {
     /**
-     * Where a router stands.
+     * The location of a router.
      *
-     * @param zone the router's
-     * @param sites by zone; a zone that is not named is a site of its own
+     * @param zone the router's zone
+     * @param sites site names by zone; a zone without an entry is a site of its own
      */
     public record Location(String zone, Map<String, String> sites) {
         /** The router's own site. */
--- a/src/main/java/tinlink/maintenance/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 
-/** Carries out operators' requests about policy. Belongs to the event loop's thread. */
+/** Executes operators' requests about policy. Not thread-safe: all calls come from the event loop's thread. */
 final class PolicyControlCommands {
     private final PolicyRolloutService policy;
     private final ControlViews views;
@@ -15,7 +15,7 @@
         this.views = views;
     }
 
-    /** Carries out a request about policy; others are ignored. */
+    /** Executes a request about policy and ignores any other request. */
     void execute(ControlRequest request, ControlResponder responder) {
         if (request instanceof ControlRequest.ShowPolicy) {
             responder.respond(ControlResponder.OK, views.withLeader(policy.status()));
--- a/src/main/java/tinlink/maintenance/ReplicatedMaintenance.java
+++ b/src/main/java/tinlink/maintenance/ReplicatedMaintenance.java
@@ -8,21 +8,21 @@
 
 import java.util.List;
 
-/** The state machine of maintenance behind the agreed log's lines. */
+/** Applies the lines of the replicated log to the state machine of maintenance. */
 public final class ReplicatedMaintenance implements ReplicatedStateMachine {
     private MaintenanceStateMachine stateMachine;
 
-    /** Of a fleet that has agreed on nothing yet. */
+    /** Creates the state of a fleet whose log is empty. */
     public ReplicatedMaintenance() {
         stateMachine = new MaintenanceStateMachine();
     }
 
-    /** @param limits as if they had been agreed on */
+    /** @param limits the initial limits, treated as if the log had set them */
     public ReplicatedMaintenance(DisruptionLimits limits) {
         stateMachine = new MaintenanceStateMachine(limits);
     }
 
-    /** What is agreed on now; another object after a {@link #restore}. */
+    /** The current state; {@link #restore} replaces the object. */
     public MaintenanceState state() {
         return stateMachine.state();
     }
