--- a/src/main/java/tinlink/maintenance/ControlConnection.java
+++ b/src/main/java/tinlink/maintenance/ControlConnection.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 
 /**
- * One operator's connection: reads its request, checks its token, and writes the one response. Belongs to the
- * event loop's thread.
+ * One connection of an operator: reads the request, checks its token and writes the only response. Not
+ * thread-safe: all calls come from the event loop's thread.
  */
 final class ControlConnection
         implements Connection.Listener, HttpReader.MessageListener, ControlResponder {
     private static final int UNAUTHORIZED = 401;
     private static final int TOO_LARGE = 413;
-    /** Characters of a request's body. */
+    /** The maximum length of a request's body. */
     private static final int MAX_BODY_CHARACTERS = 1 << 18;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -40,7 +40,7 @@
         this.server = server;
     }
 
-    /** It is up, and has to be over within that time. */
+    /** Registers the accepted connection, which is closed after the timeout, in microseconds. */
     void opened(Connection accepted, long timeoutUs) {
         connection = accepted;
         setTimeout(timeoutUs, () -> connection.close(CloseReason.IDLE_TIMEOUT));
@@ -77,8 +77,8 @@
 
     @Override
     public void header(String name, String value) {
-        authorized |=
-                name.equals("authorization") && server.isToken(value.replaceFirst("^Bearer ", ""));
+        authorized |= name.equals("authorization")
+                && server.matchesToken(value.replaceFirst("^Bearer ", ""));
     }
 
     @Override
--- a/src/main/java/tinlink/maintenance/ControlRequestParser.java
+++ b/src/main/java/tinlink/maintenance/ControlRequestParser.java
@@ -6,35 +6,34 @@
 import java.util.List;
 
 /**
- * Reads an operator's request. All keys are checked, and unknown ones rejected; the message names the key and
- * what is allowed. Operators' tools write these words, so they stay.
+ * Parses an operator's request. All keys are checked and unknown keys are rejected; the error message names
+ * the key and the allowed values. Operators' tools send these command names and keys, so they must not change.
  */
 final class ControlRequestParser {
     private static final String COMMAND = "do";
     private static final String POLICY_PREFIX = "policy-";
     private static final int MAX_SELECTORS = 1000;
-    /** Milliseconds. */
     private static final double MAX_DURATION_MS = 1e10;
 
     private static final int DEFAULT_URGENCY = 5;
 
-    private final boolean hasPolicy;
+    private final boolean policyEnabled;
 
-    /** @param hasPolicy whether changes of policy are on */
-    ControlRequestParser(boolean hasPolicy) {
-        this.hasPolicy = hasPolicy;
+    /** @param policyEnabled whether requests about policy are accepted */
+    ControlRequestParser(boolean policyEnabled) {
+        this.policyEnabled = policyEnabled;
     }
 
-    /** @throws tinlink.config.InvalidInputException where it can't be understood; it names the key */
+    /** @throws tinlink.config.InvalidInputException if the request is invalid; the message names the key */
     ControlRequest parse(ConfigFile json) {
         String command = json.text(COMMAND);
-        boolean isPolicy = command.startsWith(POLICY_PREFIX);
-        if (isPolicy && !hasPolicy) {
+        boolean aboutPolicy = command.startsWith(POLICY_PREFIX);
+        if (aboutPolicy && !policyEnabled) {
             throw json.invalid(
                     COMMAND, "is of policy, which is off here: 'policy' in the work file");
         }
         ControlRequest request =
-                isPolicy ? policyRequest(command, json) : maintenanceRequest(command, json);
+                aboutPolicy ? policyRequest(command, json) : maintenanceRequest(command, json);
         json.rejectUnknownKeys();
         return request instanceof ControlRequest.Submit submit ? checked(submit, json) : request;
     }
--- a/src/main/java/tinlink/maintenance/ControlServer.java
+++ b/src/main/java/tinlink/maintenance/ControlServer.java
@@ -17,9 +17,11 @@
 import java.util.logging.Level;
 
 /**
- * Where operators ask a router, over HTTP/1.1 on loopback: one POST of a JSON object a connection, with a
- * token. What they change is proposed to all routers; the answer says what came of that, or that it is not
- * known, and then the same may be asked again, here or elsewhere. Belongs to the event loop's thread.
+ * The control server of a router, for operators. It accepts one request per connection over HTTP/1.1 on
+ * loopback: a POST of a JSON object, with a token. A request that changes something is proposed to the
+ * replicated log. The answer gives the outcome of the proposal or says that the outcome is unknown; the
+ * operator may then repeat the request at any router. Not thread-safe: all calls come from the event loop's
+ * thread.
  */
 public final class ControlServer implements Network.AcceptHandler {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
@@ -30,14 +32,15 @@
     private final byte[] token;
     private final long answerTimeoutUs;
     private final Network.ListeningSocket listeningSocket;
-    /** Each leaves with its response, or by its timeout; the oldest gives way. */
+    /** The open connections, oldest first; above {@link #MAX_CONNECTIONS} the oldest is closed. */
     private final Set<ControlConnection> connections = new LinkedHashSet<>();
 
     /**
-     * @param policy null where it is off
-     * @param listenAddress on loopback
-     * @param answerTimeoutUs an operator hears by then whether something is known to be agreed, microseconds
-     * @throws IOException where it can't listen there
+     * @param policy null if policy is off
+     * @param listenAddress an address on loopback
+     * @param answerTimeoutUs the time within which a request is answered, microseconds; the answer then says
+     *     that the outcome is unknown
+     * @throws IOException if the server can't listen at the address
      */
     public ControlServer(
             EventLoop loop,
@@ -56,12 +59,12 @@
         listeningSocket.accept(this);
     }
 
-    /** Where it listens, with the port where any was asked for. */
+    /** The address that the server listens at, with the actual port if the configured port is 0. */
     public InetSocketAddress address() throws IOException {
         return listeningSocket.address();
     }
 
-    /** Ends it with all its connections. */
+    /** Stops listening and closes all connections. */
     public void close() {
         listeningSocket.close();
         List.copyOf(connections).forEach(connection -> connection.close(CloseReason.COMPLETED));
@@ -75,13 +78,13 @@
         return requestHandler;
     }
 
-    /** By when a request is answered in any case, microseconds. */
+    /** The time within which every request is answered, microseconds. */
     long answerTimeoutUs() {
         return answerTimeoutUs;
     }
 
-    /** Danger: a comparison that ends at the first wrong byte shows how much of a guess was right. */
-    boolean isToken(String presented) {
+    /** Compares in constant time: the duration must not reveal how many bytes of a guess are correct. */
+    boolean matchesToken(String presented) {
         return MessageDigest.isEqual(token, presented.getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/tinlink/maintenance/ControlViews.java
+++ b/src/main/java/tinlink/maintenance/ControlViews.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Requests and machines as operators are shown them, ready to be written as JSON; its keys stay. */
+/** Converts requests and machines to the JSON objects shown to operators, whose tools depend on the keys. */
 final class ControlViews {
     private static final int MICROS_PER_MILLI = 1000;
 
@@ -24,7 +24,7 @@
         return maintenance.state();
     }
 
-    /** The answer, with which router gives it and who is known to lead. */
+    /** Adds the answering router and the leader that it knows to an answer. */
     Map<String, Object> withLeader(Map<String, ?> answer) {
         String leader = maintenance.cluster().leader();
         Map<String, Object> view = new LinkedHashMap<>();
@@ -41,9 +41,9 @@
     }
 
     /**
-     * A request.
+     * The view of a request.
      *
-     * @param tasks all of it
+     * @param tasks all tasks of the request; at least one
      */
     Map<String, Object> request(List<MaintenanceTask> tasks) {
         MaintenanceRequest request = tasks.get(0).request();
@@ -71,7 +71,7 @@
         return view;
     }
 
-    /** A machine, and the request by which it can't be counted on. */
+    /** The view of a machine, with the request that currently takes it out of service. */
     Map<String, Object> machine(Machine machine) {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("id", machine.id());
