--- a/src/main/java/tinlink/maintenance/NodeProber.java
+++ b/src/main/java/tinlink/maintenance/NodeProber.java
@@ -13,11 +13,12 @@
 import java.util.TreeMap;
 
 /**
- * Probes data nodes: a connection that comes up and stays up for a while. Danger: proxies accept connections
- * for a node that is gone, and close them a moment later. Belongs to the event loop's thread.
+ * Probes data nodes. A probe succeeds if a connection to the node is established and then stays open for a
+ * quarter of the probe interval, because a proxy may accept a connection for a node that is gone and close it
+ * a moment later. Not thread-safe: all calls come from the event loop's thread.
  */
 final class NodeProber implements MachineFailureDetector.Prober {
-    /** Is told how each probe has ended. */
+    /** Receives the result of each probe. */
     interface ResultListener {
         void onProbeResult(String machine, boolean answered);
     }
@@ -26,10 +27,10 @@
     private final Network network;
     private final long intervalUs;
     private final ResultListener listener;
-    /** By id; as many as are on this router's list. */
+    /** The addresses of the data nodes on this router's list, by id. */
     private Map<String, InetSocketAddress> addresses = Map.of();
 
-    /** @param intervalUs between two probes of one node, microseconds; each ends well before */
+    /** @param intervalUs the interval between two probes of one node, microseconds; a probe ends before it */
     NodeProber(EventLoop loop, Network network, long intervalUs, ResultListener listener) {
         this.loop = loop;
         this.network = network;
@@ -37,7 +38,7 @@
         this.listener = listener;
     }
 
-    /** Where data nodes are reached from now on. */
+    /** Replaces the addresses of all data nodes. */
     void setAddresses(Map<String, InetSocketAddress> byNode) {
         addresses = new TreeMap<>(byNode);
     }
@@ -84,7 +85,7 @@
 
         @Override
         public void bytesReceived(RingBuffer received) {
-            // Nothing is asked.
+            // A probe sends no request, so received bytes have no meaning.
         }
 
         @Override
--- a/src/main/java/tinlink/maintenance/ObservationReporter.java
+++ b/src/main/java/tinlink/maintenance/ObservationReporter.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 
 /**
- * Reports to the leader what this router knows of machines: itself, the health of those that it watches, and
- * its list of data nodes. Belongs to the event loop's thread.
+ * Reports this router's observations to the leader: the router itself, the health of the machines that it
+ * watches, and its list of data nodes. Not thread-safe: all calls come from the event loop's thread.
  */
 final class ObservationReporter {
     private final ClusterNode cluster;
@@ -35,7 +35,7 @@
         this.settings = settings;
     }
 
-    /** The failure detector watches what is on the list, and all other routers. */
+    /** Assigns the listed data nodes and all other routers to the failure detector. */
     void updateAssignment(Collection<MaintenanceService.ListedNode> listed) {
         List<String> alive = new ArrayList<>(List.of(routerName()));
         List<String> known = new ArrayList<>();
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Reports once.
+     * Sends one round of reports.
      *
-     * @param agreed the nodes agreed on, as far as this router has heard
+     * @param agreed the nodes in the replicated state, as far as this router has applied the log
      */
     void report(Collection<MaintenanceService.ListedNode> listed, AgreedNodes agreed, long nowUs) {
         Map<String, Boolean> healthyByMachine = failureDetector.observations();
@@ -71,7 +71,7 @@
         reportList(NodeListDifference.between(settings.location().site(), nodes, agreed), nowUs);
     }
 
-    /** The list goes when it has changed, and before the last report of it expires. */
+    /** Sends the list if it has changed, or if the previous report of it has used a third of its lifetime. */
     private void reportList(NodeListDifference difference, long nowUs) {
         if (!difference.equals(reportedList)
                 || nowUs - listReportedAtUs > settings.reportExpiryUs() / 3) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Reports that this router ends. */
+    /** Reports that this router is leaving. */
     void reportDeparture() {
         send(new MachineReport.Departure(cluster.incarnation().toString()));
     }
