--- a/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceControlCommands.java
@@ -14,17 +14,17 @@
 import java.util.TreeSet;
 
 /**
- * Carries out operators' requests about maintenance. One that reads is answered at once from what this router
- * has heard; one that changes something is proposed, and answered with what came of that. Belongs to the
- * event loop's thread.
+ * Executes operators' requests about maintenance. A request that only reads is answered at once from the log
+ * entries that this router has applied; a request that changes something is proposed and answered with the
+ * outcome of the proposal. Not thread-safe: all calls come from the event loop's thread.
  */
 final class MaintenanceControlCommands {
     private final MaintenanceService maintenance;
     private final ControlViews views;
-    /** Null where policy is off. */
+    /** Null if policy is off. */
     private final PolicyRolloutService policy;
 
-    /** @param policy null where it is off */
+    /** @param policy null if policy is off */
     MaintenanceControlCommands(
             MaintenanceService maintenance, ControlViews views, PolicyRolloutService policy) {
         this.maintenance = maintenance;
@@ -32,7 +32,7 @@
         this.policy = policy;
     }
 
-    /** Carries out a request about maintenance; returns whether it is one. */
+    /** Executes a request about maintenance. Returns false, without an answer, for any other request. */
     boolean execute(ControlRequest request, ControlResponder responder) {
         if (request instanceof ControlRequest.Submit submit) {
             submit(submit, responder);
@@ -108,7 +108,10 @@
         }
     }
 
-    /** Whoever leads does it as soon as that is safe; it is heard by asking who votes. */
+    /**
+     * Passes the replacement on. The leader replaces the voter once that is safe; the list of voters in a
+     * router's status shows the result.
+     */
     private void replaceVoter(ControlRequest.ReplaceVoter request, ControlResponder responder) {
         maintenance.cluster().replaceVoter(request.voter(), request.replacement());
         String message = maintenance.cluster().leader().isEmpty()
@@ -120,8 +123,8 @@
     private void submit(ControlRequest.Submit request, ControlResponder responder) {
         List<MaintenanceTask> known = state().tasksOf(request.requestId());
         if (!known.isEmpty()) {
-            // Submitted before: what was selected then may be other machines by now, and is not
-            // selected anew.
+            // The request was submitted before. Its selectors may match other machines by now, so
+            // they are not evaluated again.
             responder.respond(
                     ControlResponder.OK, Map.of("said", "", "request", views.request(known)));
             return;
--- a/src/main/java/tinlink/maintenance/MaintenanceService.java
+++ b/src/main/java/tinlink/maintenance/MaintenanceService.java
@@ -30,29 +30,30 @@
 import java.util.stream.Collectors;
 
 /**
- * Maintenance in a router that serves: carries out what {@link DrainController}, {@link
- * MachineFailureDetector} and {@link MaintenanceCoordinator} decide. Belongs to the event loop's thread.
- * Requests wait for none of it but once, at the start, for a bounded time.
+ * Runs maintenance in a router: carries out the decisions of {@link DrainController}, {@link
+ * MachineFailureDetector} and {@link MaintenanceCoordinator}. Clients' requests never wait for maintenance,
+ * except for a bounded time at startup. Not thread-safe: all calls come from the event loop's thread.
  */
 public final class MaintenanceService
         implements DrainController.DrainHandler, EventLoopParticipant {
     private static final EventLog LOG = new EventLog("tinlink.maintenance");
 
-    /** A data node as this router has it on its list. */
+    /** A data node on this router's list. */
     public record ListedNode(
             String id, int cell, String zone, String model, InetSocketAddress address) {}
 
-    /** What serves clients, as far as maintenance directs it. */
+    /** The operations that maintenance needs from the part of the router that serves clients. */
     public interface DataPlane extends DrainController.InFlightCounts {
-        /** Whether nothing new goes to this data node from now on, or again as the list says. */
+        /** Cordons a data node, which then gets no new attempts, or removes the cordon. */
         void setCordoned(String machine, boolean cordoned);
 
         /**
-         * Whether clients are sent elsewhere and those that are here served to their end, or accepted again.
+         * Starts or ends the drain of this router. While it drains, new clients are sent to other routers and
+         * the connected clients are served until they end.
          */
         void setDraining(boolean draining);
 
-        /** The list of data nodes as it is now. */
+        /** The current list of data nodes. */
         Collection<ListedNode> listedNodes();
     }
 
@@ -75,9 +76,9 @@
     private boolean stopped;
 
     /**
-     * @param replicatedState to which the cluster node applies what is agreed on
-     * @param folder where cordons are persisted
-     * @throws IOException where the persisted cordons can't be read
+     * @param replicatedState the state to which the cluster node applies the replicated log
+     * @param folder the folder where cordons are persisted
+     * @throws IOException if the persisted cordons can't be read
      */
     public MaintenanceService(
             EventLoop loop,
@@ -118,7 +119,10 @@
                 .ifPresent(report -> coordinator.onReport(from, report)));
     }
 
-    /** A cordon that is not persisted counts as a part in flight: it would be forgotten by a stop. */
+    /**
+     * Counts a cordon that is not yet persisted as a part in flight, so that the drain isn't confirmed: a
+     * restart would lose the cordon.
+     */
     private final DrainController.InFlightCounts inFlight = new DrainController.InFlightCounts() {
         @Override
         public int partsInFlight(String machine) {
@@ -132,9 +136,9 @@
     };
 
     /**
-     * From now on it takes its part.
+     * Starts maintenance.
      *
-     * @param onRegistered runs once this router's start is agreed on
+     * @param onRegistered runs once the replicated log contains the start of this router
      */
     public void start(Runnable onRegistered) {
         this.onRegistered = onRegistered;
@@ -149,17 +153,17 @@
                 cluster.incarnation());
     }
 
-    /** What is agreed on, as far as this router has heard. */
+    /** The replicated state, as far as this router has applied the log. */
     public MaintenanceState state() {
         return replicatedState.state();
     }
 
-    /** The cluster node that it proposes and reports by. */
+    /** The cluster node, which sends this router's proposals and reports. */
     public ClusterNode cluster() {
         return cluster;
     }
 
-    /** What it counts, by standard names. */
+    /** The counters of maintenance, by their outer names. */
     public Counters counters() {
         return counters;
     }
@@ -169,12 +173,12 @@
         return drainController.isDraining();
     }
 
-    /** A call has ended at a data node. */
+    /** Records whether a data node answered an attempt. */
     public void onCallResult(String machine, boolean answered) {
         failureDetector.onCallResult(machine, answered);
     }
 
-    // ---- Its part in a turn of the event loop. ----
+    // ---- The turn of the event loop. ----
 
     @Override
     public void turnStarted(long nowUs) {
@@ -189,7 +193,7 @@
         if (!stopped) {
             controlDrains();
             while (failureDetector.decide(prober)) {
-                // Each has been started.
+                // decide() starts one probe per call.
             }
             coordinate();
         }
@@ -197,15 +201,14 @@
     }
 
     private void controlDrains() {
-        // What is in flight here changes with each call that ends, which nothing signals: it is
-        // looked at anew
-        // while it matters.
+        // The number of parts in flight changes with each attempt that ends, without a
+        // notification, so it is polled while a task is active.
         if (!stateChanged && !hasActiveTasks) {
             return;
         }
         stateChanged = false;
         while (drainController.decide(state(), inFlight, this)) {
-            // Each has been carried out.
+            // decide() carries out one decision per call.
         }
         if (!registered && drainController.isRegistered(state())) {
             registered = true;
@@ -215,13 +218,13 @@
     }
 
     private void coordinate() {
-        boolean isLeader = cluster.isLeader();
-        coordinator.setLeader(isLeader);
-        if (isLeader) {
+        boolean leading = cluster.isLeader();
+        coordinator.setLeader(leading);
+        if (leading) {
             coordinator.setVoters(cluster.voters());
         }
         while (coordinator.decide(state(), this::proposeAsLeader)) {
-            // Each has been proposed.
+            // decide() proposes one command per call.
         }
     }
 
@@ -234,7 +237,7 @@
         });
     }
 
-    /** Reports to the leader what is observed from here, again and again. */
+    /** Sends this router's observations to the leader and schedules the next report. */
     private void reportObservations() {
         if (stopped) {
             return;
@@ -244,11 +247,11 @@
                 .collect(Collectors.toMap(ListedNode::id, ListedNode::address, (a, b) -> b)));
         reporter.updateAssignment(listed);
         reporter.report(listed, state().agreedNodes(), loop.nowUs());
-        stateChanged = true; // What was proposed and got lost is proposed again.
+        stateChanged = true; // Proposals that were lost are sent again.
         loop.schedule(loop.nowUs() + settings.reportIntervalUs(), this::reportObservations);
     }
 
-    // ---- What is decided. ----
+    // ---- Decisions. ----
 
     @Override
     public void propose(MaintenanceCommand command) {
@@ -268,8 +271,8 @@
     /**
      * Proposes a command.
      *
-     * @param onResult gets the message of its outcome, empty where it was accepted, and why that is not
-     *     known, null where it is
+     * @param onResult receives the message of the outcome, which is empty if the command was accepted, and
+     *     the reason why the outcome is unknown, which is null if it is known
      */
     public void propose(MaintenanceCommand command, BiConsumer<String, String> onResult) {
         cluster.propose(MaintenanceCommandCodec.encode(command), onResult);
@@ -294,16 +297,16 @@
         loop.schedule(atUs, () -> stateChanged = true);
     }
 
-    // ---- The stop. ----
+    // ---- Shutdown. ----
 
-    /** Its last client has gone: nobody need wait for its confirmation any more. */
+    /** Leaves the cluster after the last client, so that nobody waits for this router's confirmation. */
     public void leave() {
         reporter.reportDeparture();
         cluster.leave();
         stopped = true;
     }
 
-    /** Ends it; what it persists is on the disk already. */
+    /** Closes the cordon store and the cluster node. All cordons that were confirmed are on disk already. */
     public void close() {
         stopped = true;
         cordonStore.close();
