--- a/src/main/java/tinlink/http2/pool/CallResult.java
+++ b/src/main/java/tinlink/http2/pool/CallResult.java
@@ -3,33 +3,34 @@
 import tinlink.decision.Outcome;
 
 /**
- * All ways in which a part call over HTTP/2 can end while its connection stands, and what each means: the one
- * place that answers whether it may have run. Never: only where the node has said so in the protocol's words,
- * or no byte of it has left. What the end of a connection means stands in {@link tinlink.net.CloseReason}.
+ * The ways in which an attempt over HTTP/2 can end while its connection is open, each with its outcome. This
+ * is the only place that decides whether such an attempt may have run. An attempt counts as not run only if
+ * the node has said so by means of the protocol, or if no byte of the attempt was sent. The outcome of an
+ * attempt whose connection ends is defined in {@link tinlink.net.CloseReason}.
  */
 public enum CallResult {
-    /** No connection could be opened for it: no descriptor is left. */
+    /** No connection could be opened because the process has no file descriptor left. */
     NOT_SENT(Outcome.NOT_SENT),
-    /** Its stream lies above the last one that a GOAWAY names (RFC 9113, 6.8). */
+    /** The stream id is above the last stream id of a GOAWAY (RFC 9113, 6.8). */
     ABOVE_GOAWAY(Outcome.NOT_SENT),
-    /** RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7). */
+    /** The node sent RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7). */
     REFUSED_STREAM(Outcome.REJECTED),
     /**
-     * No connection took it in the time that it may wait: the node's streams are all in use, or it allows
-     * none.
+     * No stream became available within the time that the attempt may wait: all streams of the node are in
+     * use, the node allows none, or too many attempts wait already.
      */
     NO_CAPACITY(Outcome.REJECTED),
-    /** No connection came up. */
+    /** No connection could be established. */
     NO_CONNECTION(Outcome.NO_CONNECTION),
-    /** Answered in order with a value. */
+    /** The node sent a valid response with a value. */
     SATISFIED(Outcome.SATISFIED),
-    /** Answered in order: rejected, with a status that promises that it did not run. */
+    /** The node sent a valid response that rejects the attempt, which promises that it did not run. */
     REJECTED(Outcome.REJECTED),
-    /** Answered in order with any other status. */
+    /** The node sent a valid response with any other status. */
     FAILED(Outcome.ERROR),
-    /** Any other RST_STREAM: it may have run. */
+    /** The node sent any other RST_STREAM; the attempt may have run. */
     RESET(Outcome.ERROR),
-    /** Its answer did not fit the protocol. */
+    /** The response violates the protocol. */
     MALFORMED(Outcome.ERROR);
 
     public final Outcome outcome;
--- a/src/main/java/tinlink/http2/pool/ConnectionPool.java
+++ b/src/main/java/tinlink/http2/pool/ConnectionPool.java
@@ -5,25 +5,27 @@
 import java.util.List;
 
 /**
- * Decides about the connections to one node that offers HTTP/2: how many, which call goes on which, when one
- * is opened, retired, replaced or found dead, and whether the node speaks it at all.
+ * Manages the connections to one node that offers HTTP/2: how many are open, which connection takes an
+ * attempt, when a connection is opened, retired, replaced or considered dead, and whether the node speaks
+ * HTTP/2 at all.
  *
- * <p>Inputs only update what is known; {@link #decide} is pulled until it returns false. No I/O, no clock;
- * times are microseconds. Not thread-safe: all calls come from the owner's thread.
+ * <p>Inputs only update the state; the owner then calls {@link #decide} until it returns false. The pool does
+ * no I/O and reads no clock. Times are microseconds. Not thread-safe: all calls come from the owner's thread.
  */
 public final class ConnectionPool {
     /**
-     * The bounds of a pool; times in microseconds.
+     * The limits of a pool; times are microseconds.
      *
-     * @param maxConnections at a time
-     * @param initialStreams that a connection which is coming up is taken to have capacity for
-     * @param maxPending calls that wait at a time
-     * @param maxWaitUs for how long one may wait for a stream where a connection is up
-     * @param connectTimeoutUs a connection has to be up, and its first settings here, within it
-     * @param idleTimeoutUs one without use is closed
-     * @param pingIntervalUs one with calls out that is silent for so long is pinged, and closed after as long
-     *     again
-     * @param fallbackUs for how long a node is taken not to speak it
+     * @param maxConnections the maximum number of connections that are not retiring
+     * @param initialStreams the number of streams expected of a connection that is being established
+     * @param maxPending the maximum number of waiting attempts
+     * @param maxWaitUs the time that an attempt may wait for a stream if a connection is ready
+     * @param connectTimeoutUs the time within which a connection has to be established, and again the time
+     *     within which the node's first settings have to arrive
+     * @param idleTimeoutUs the time after which an unused connection is closed
+     * @param pingIntervalUs the silence after which a connection with open streams is pinged; the connection
+     *     is closed if the ping stays unanswered for the same time
+     * @param fallbackUs the time for which a node is assumed not to speak HTTP/2
      */
     public record Settings(
             int maxConnections,
@@ -36,24 +38,26 @@
             long fallbackUs) {}
 
     private final Settings settings;
-    /** Each leaves as it ends. */
+    /** All connections that have not ended. */
     private final List<PooledConnection> connections = new ArrayList<>();
-    /** Bounded; each leaves with a stream, or in time. */
+    /** The waiting attempts, oldest first; at most {@link Settings#maxPending()}. */
     private final ArrayDeque<PendingCall> pending = new ArrayDeque<>();
 
-    /** What inputs have made of calls; emptied by the decisions of the turn. */
+    /** Attempts to end with {@link CallResult#NO_CAPACITY}; emptied by {@link #decide}. */
     private final ArrayDeque<PendingCall> rejected = new ArrayDeque<>();
 
+    /** Attempts to end with {@link #unreachableResult}; emptied by {@link #decide}. */
     private final ArrayDeque<PendingCall> unreachable = new ArrayDeque<>();
+
     private CallResult unreachableResult = CallResult.NO_CONNECTION;
-    /** What the node allowed on its last connection; what is usual until it has said so. */
+    /** The stream limit that the node sent last; {@link Settings#initialStreams()} before that. */
     private long expectedStreams;
 
     private long fallbackUntil = Long.MIN_VALUE;
     private long lastPing;
     private boolean nodeRemoved;
     private long now;
-    /** The wake-up that has been asked for; {@link Long#MAX_VALUE} where none is. */
+    /** The time of the scheduled wake-up; {@link Long#MAX_VALUE} if there is none. */
     private long wakeAt = Long.MAX_VALUE;
 
     public ConnectionPool(Settings settings) {
@@ -61,9 +65,9 @@
         expectedStreams = settings.initialStreams();
     }
 
-    // ---- Inputs: calls and the node. ----
+    // ---- Inputs: attempts and the node. ----
 
-    /** Time has passed; comes before all other inputs. */
+    /** Sets the current time; called before all other inputs. */
     public void advanceClock(long nowUs) {
         now = nowUs;
         wakeAt = now >= wakeAt ? Long.MAX_VALUE : wakeAt;
@@ -80,18 +84,18 @@
         }
     }
 
-    /** Given up before it had a stream. */
+    /** Cancels an attempt that has no stream yet. */
     public void cancel(PendingCall call) {
         call.decided = true;
         pending.remove(call);
     }
 
-    /** The node takes nothing new: what is pending was never sent. */
+    /** Ends all waiting attempts as not sent, because the node takes no new ones. */
     public void dropPending() {
         endPending(CallResult.NOT_SENT);
     }
 
-    /** The node is off the list: what is out is finished, nothing new goes there. */
+    /** The node left the list: open streams finish, and the node gets no new attempts. */
     public void onNodeRemoved() {
         nodeRemoved = true;
         dropPending();
@@ -106,19 +110,19 @@
 
     // ---- Inputs: connections. ----
 
-    /** The connection is up; the node's settings are still to come. */
+    /** The connection is established; the node's settings have not arrived yet. */
     public void onConnected(PooledConnection connection) {
         connection.onConnected(now);
     }
 
-    /** The node allows so many streams on it; may be fewer than are open, and none. */
+    /** The node has sent its stream limit, which may be 0 or below the number of open streams. */
     public void onMaxStreams(PooledConnection connection, long maxStreams) {
         connection.onMaxStreams(maxStreams);
         expectedStreams = Math.max(1, Math.min(maxStreams, Integer.MAX_VALUE));
         fallbackUntil = Long.MIN_VALUE;
     }
 
-    /** Something has come on it. */
+    /** Bytes have arrived on the connection. */
     public void onBytes(PooledConnection connection) {
         connection.onBytes(now);
     }
@@ -127,22 +131,26 @@
         connection.onPingAck(number);
     }
 
-    /** A call on it has ended. */
+    /** A stream of the connection has ended. */
     public void onStreamClosed(PooledConnection connection) {
         connection.onStreamClosed(now);
     }
 
-    /** No new calls: its node said GOAWAY, has moved or started anew, or its ids are used up. */
+    /**
+     * Stops new attempts on the connection: the node sent GOAWAY, has moved or was restarted, or all stream ids
+     * are used.
+     */
     public void retire(PooledConnection connection) {
         connection.retire();
     }
 
     /**
-     * It has ended. Danger: a node that takes connections and does not speak HTTP/2 would cost every call a
-     * connect; one whose machine is merely away must not pass for such a node.
+     * The connection has ended. A node that accepts connections but does not speak HTTP/2 would cost each
+     * attempt a connect, so the pool falls back for a while. A node that merely can't be reached must not be
+     * taken for such a node.
      *
-     * @param wasUp it had come up
-     * @param result of a call that has nowhere to go now
+     * @param wasUp whether the connection had been established
+     * @param result the result of waiting attempts if no connection is left for them
      */
     public void onConnectionEnded(PooledConnection connection, boolean wasUp, CallResult result) {
         connection.onClosed();
@@ -156,19 +164,19 @@
 
     // ---- State. ----
 
-    /** False for a while after the node has shown that it speaks something else. */
+    /** False for {@link Settings#fallbackUs()} after the node has shown that it does not speak HTTP/2. */
     public boolean supportsHttp2() {
         return now >= fallbackUntil;
     }
 
-    /** Calls that wait for a stream. */
+    /** The number of attempts that wait for a stream. */
     public int pendingCount() {
         return pending.size();
     }
 
     // ---- Decisions. ----
 
-    /** Carries out one decision. @return false where there is none */
+    /** Carries out one decision. @return false if nothing is left to decide */
     public boolean decide(PoolHandler handler) {
         if (!rejected.isEmpty()) {
             end(rejected.poll(), CallResult.NO_CAPACITY, handler);
@@ -207,9 +215,9 @@
     }
 
     private boolean maintain(PooledConnection connection, PoolHandler handler) {
-        boolean isUnused = connection.isUnused(now);
-        if (isUnused || connection.isUnresponsive(now)) {
-            handler.closeConnection(connection, !isUnused);
+        boolean unused = connection.isUnused(now);
+        if (unused || connection.isUnresponsive(now)) {
+            handler.closeConnection(connection, !unused);
             return true;
         }
         if (connection.isPingDue(now)) {
@@ -220,7 +228,7 @@
         return false;
     }
 
-    /** On the fullest connection that has capacity, so that the others fall idle and are closed. */
+    /** Starts an attempt on the fullest connection with capacity, so that the others become idle and are closed. */
     private boolean startNext(PoolHandler handler) {
         PooledConnection fullest = null;
         for (PooledConnection connection : connections) {
@@ -238,15 +246,14 @@
         return true;
     }
 
-    /** One more, if those that are coming up would not have capacity for all that are pending. */
+    /** Opens a connection if those being established lack capacity for all waiting attempts. */
     private boolean openIfNeeded(PoolHandler handler) {
-        // Danger: a node that allows no streams at all would be met with connection after
-        // connection.
-        boolean isRefused = connections.stream().anyMatch(PooledConnection::allowsNoStreams);
+        // Without this check a node that allows no streams would get one connection after another.
+        boolean refused = connections.stream().anyMatch(PooledConnection::allowsNoStreams);
         if (nodeRemoved
                 || expectedCapacity() >= pending.size()
                 || activeConnections() >= settings.maxConnections()
-                || isRefused) {
+                || refused) {
             return false;
         }
         PooledConnection connection = new PooledConnection(settings, now);
@@ -262,7 +269,9 @@
     }
 
     private long activeConnections() {
-        return connections.stream().filter(each -> !each.isRetiring()).count();
+        return connections.stream()
+                .filter(connection -> !connection.isRetiring())
+                .count();
     }
 
     private boolean isAnyReady() {
@@ -270,9 +279,9 @@
     }
 
     private boolean expirePending(PoolHandler handler) {
-        boolean isReady = isAnyReady();
+        boolean anyReady = isAnyReady();
         for (PendingCall call : pending) {
-            if (now >= call.deadline || (isReady && now >= call.streamDeadline)) {
+            if (now >= call.deadline || (anyReady && now >= call.streamDeadline)) {
                 pending.remove(call);
                 end(call, CallResult.NO_CAPACITY, handler);
                 return true;
@@ -282,10 +291,10 @@
     }
 
     private boolean askForWakeUp(PoolHandler handler) {
-        boolean isReady = isAnyReady();
+        boolean anyReady = isAnyReady();
         long dueAt = Long.MAX_VALUE;
         for (PendingCall call : pending) {
-            dueAt = Math.min(dueAt, isReady ? call.streamDeadline : call.deadline);
+            dueAt = Math.min(dueAt, anyReady ? call.streamDeadline : call.deadline);
         }
         for (PooledConnection connection : connections) {
             dueAt = Math.min(dueAt, connection.nextDueAt());
--- a/src/main/java/tinlink/http2/pool/PendingCall.java
+++ b/src/main/java/tinlink/http2/pool/PendingCall.java
@@ -1,14 +1,14 @@
 package tinlink.http2.pool;
 
-/** A part call that no connection has taken yet. State only. */
+/** An attempt that waits for a stream. Holds state only; {@link ConnectionPool} decides. */
 public class PendingCall {
-    /** Until when an answer counts, microseconds. */
+    /** The time until which an answer is accepted, microseconds. */
     final long deadline;
 
-    /** Until when it waits for a stream where a connection is up. */
+    /** The time until which the attempt waits for a stream if a connection is ready, microseconds. */
     long streamDeadline;
 
-    /** It was started, ended or cancelled. */
+    /** Whether the attempt was started, ended, cancelled or passed to the other protocol. */
     boolean decided;
 
     protected PendingCall(long deadline) {
--- a/src/main/java/tinlink/http2/pool/PoolHandler.java
+++ b/src/main/java/tinlink/http2/pool/PoolHandler.java
@@ -1,19 +1,19 @@
 package tinlink.http2.pool;
 
 /**
- * Carries out the decisions of a {@link ConnectionPool}. Called from within
+ * Carries out the decisions of a {@link ConnectionPool}. All methods are called from within
  * {@link ConnectionPool#decide}.
  */
 public interface PoolHandler {
     void openConnection(PooledConnection connection);
 
-    /** Opens a stream for the call on that connection. */
+    /** Opens a stream for the attempt on the connection. */
     void startCall(PendingCall call, PooledConnection connection);
 
-    /** The end of a call that was never started. */
+    /** Ends an attempt that was never started. */
     void endCall(PendingCall call, CallResult result);
 
-    /** Sends the call by the other protocol: the node does not speak this one. */
+    /** Sends the attempt over the frame protocol, because the node does not speak HTTP/2. */
     void fallBackToFrames(PendingCall call);
 
     void sendPing(PooledConnection connection, long number);
@@ -21,10 +21,11 @@
     /**
      * Closes the connection; {@link ConnectionPool#onConnectionEnded} follows.
      *
-     * @param unresponsive it has answered nothing; else it is not needed any more, and nothing is out on it
+     * @param unresponsive whether the node failed to answer in time; otherwise the connection is unused and has
+     *     no open stream
      */
     void closeConnection(PooledConnection connection, boolean unresponsive);
 
-    /** Pulls decisions again at that time, in microseconds. */
+    /** Schedules the next call of {@link ConnectionPool#decide}, at the given time in microseconds. */
     void wakeAt(long at);
 }
--- a/src/main/java/tinlink/http2/pool/PooledConnection.java
+++ b/src/main/java/tinlink/http2/pool/PooledConnection.java
@@ -1,21 +1,21 @@
 package tinlink.http2.pool;
 
 /**
- * One connection to a node, as far as the pool knows it. State only; {@link ConnectionPool} decides. Times
- * are microseconds.
+ * The pool's view of one connection to a node. Holds state only; {@link ConnectionPool} decides. Times are
+ * microseconds.
  */
 public final class PooledConnection {
     enum State {
         CONNECTING,
         UP,
-        /** No new calls; closed once those that are out have ended. */
+        /** Takes no new attempts; closed once its open streams have ended. */
         RETIRING,
         CLOSED
     }
 
     private final ConnectionPool.Settings settings;
     State state = State.CONNECTING;
-    /** Streams that the node allows; known once its settings are here. */
+    /** The number of streams that the node allows; valid once its settings are received. */
     private long maxStreams;
 
     private boolean settingsReceived;
@@ -23,7 +23,7 @@
     private long connectedAt;
     private long lastUsedAt;
     private long lastBytesAt;
-    /** The ping that is out; 0 where none is. */
+    /** The number of the unanswered ping; 0 if there is none. */
     private long pendingPing;
 
     private long pingSentAt;
@@ -33,7 +33,7 @@
         lastUsedAt = now;
     }
 
-    // ---- What happens to it. ----
+    // ---- Events. ----
 
     void onConnected(long now) {
         if (state == State.CONNECTING) {
@@ -84,14 +84,14 @@
         state = State.CLOSED;
     }
 
-    // ---- What can be said of it. ----
+    // ---- State. ----
 
-    /** Streams that are open on it. */
+    /** The number of open streams. */
     public int openStreams() {
         return openStreams;
     }
 
-    /** The ping that is out; 0 where none is. */
+    /** The number of the unanswered ping; 0 if there is none. */
     long pendingPing() {
         return pendingPing;
     }
@@ -104,12 +104,12 @@
         return state == State.RETIRING;
     }
 
-    /** It is up, and the node has shown that it speaks HTTP/2. */
+    /** Whether the connection is up and the node's settings have shown that it speaks HTTP/2. */
     boolean isReady() {
         return state == State.UP && settingsReceived;
     }
 
-    /** It is connecting, or its node's settings are still to come. */
+    /** Whether the connection is being established or still awaits the node's settings. */
     boolean isComingUp() {
         return state == State.CONNECTING || isAwaitingSettings();
     }
@@ -123,14 +123,15 @@
     }
 
     /**
-     * It may take one more call. Danger: what is sent before the node has shown that it speaks HTTP/2 may run
-     * there, or not, by any protocol.
+     * Whether the connection may take one more attempt. Nothing is sent before the node has shown that it
+     * speaks HTTP/2: a node of another protocol could read the bytes as anything, so it would be unknown
+     * whether the attempt ran.
      */
     boolean hasCapacity() {
         return isReady() && openStreams < maxStreams && pendingPing == 0;
     }
 
-    // ---- What is due on it. ----
+    // ---- Deadlines. ----
 
     private long settingsDueAt() {
         return connectedAt + settings.connectTimeoutUs();
@@ -148,13 +149,13 @@
         return lastUsedAt + settings.idleTimeoutUs();
     }
 
-    /** Its settings, or the answer to a ping, have not come in time. */
+    /** Whether the node's settings or the answer to a ping are overdue. */
     boolean isUnresponsive(long now) {
         return (isAwaitingSettings() && now >= settingsDueAt())
                 || (pendingPing > 0 && now >= pingAckDueAt());
     }
 
-    /** No call is out on it, and none has been for long, or none may come. */
+    /** Whether no stream is open, and the connection is retiring or has been idle for the idle timeout. */
     boolean isUnused(long now) {
         return openStreams == 0
                 && (state == State.RETIRING || (state == State.UP && now >= idleAt()));
@@ -164,7 +165,7 @@
         return openStreams > 0 && pendingPing == 0 && now >= pingDueAt();
     }
 
-    /** When something falls due on it; {@link Long#MAX_VALUE} for never. */
+    /** The time of the next deadline; {@link Long#MAX_VALUE} if there is none. */
     long nextDueAt() {
         long dueAt = isAwaitingSettings() ? settingsDueAt() : Long.MAX_VALUE;
         if (pendingPing > 0) {
