--- a/src/main/java/tinlink/maintenance/ControlRequestParser.java
+++ b/src/main/java/tinlink/maintenance/ControlRequestParser.java
@@ -7,7 +7,7 @@
 
 /**
  * Parses an operator's request. All keys are checked and unknown keys are rejected; the error message names
- * the key and the allowed values. Operators' tools send these command names and keys, so they must not change.
+ * the key and the allowed values. Operators' tools send these command names and keys, which must not change.
  */
 final class ControlRequestParser {
     private static final String COMMAND = "do";
--- a/src/main/java/tinlink/maintenance/PolicyControlCommands.java
+++ b/src/main/java/tinlink/maintenance/PolicyControlCommands.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 
-/** Executes operators' requests about policy. Not thread-safe: all calls come from the event loop's thread. */
+/** Executes operators' requests about policy. Runs on the event loop's thread. */
 final class PolicyControlCommands {
     private final PolicyRolloutService policy;
     private final ControlViews views;
--- a/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
+++ b/src/test/java/tinlink/maintenance/MaintenanceGoldenFilesTest.java
@@ -34,8 +34,8 @@
 import java.util.TreeMap;
 
 /**
- * Commands, answers, reports and snapshots of the maintenance of machines, and the file of excluded nodes,
- * byte for byte as earlier builds wrote them.
+ * Checks the encodings of maintenance commands, answers, reports and snapshots and of the cordon file, byte
+ * for byte, against golden files that earlier builds wrote.
  */
 @Timeout(60)
 class MaintenanceGoldenFilesTest {
@@ -43,14 +43,14 @@
     private static final String ANSWERS = "maintenance-answers.txt";
     private static final String SNAPSHOTS = "maintenance-snapshots.txt";
     private static final String REPORTS = "maintenance-reports.txt";
-    private static final String EXCLUDED = "excluded-nodes.txt";
-    /** Commands between two snapshots; one more is after all of them. */
+    private static final String CORDONED = "excluded-nodes.txt";
+    /** The number of commands between two snapshots; a further snapshot follows the last command. */
     private static final int SNAPSHOT_EVERY = 8;
-    /** Commands of the log before what routers report. */
+    /** The number of commands that are applied before the reports are made. */
     private static final int REPORTS_AFTER = 24;
 
-    /** Lines of the log that are no command of any build. */
-    private static final int NOT_UNDERSTOOD = 3;
+    /** The number of lines in the log that no build knows as a command. */
+    private static final int UNKNOWN_LINES = 3;
 
     private static final long SECOND = 1_000_000;
     private static final String ODD = "a disk,\tswapped\nby \\ them é";
@@ -58,7 +58,7 @@
     @TempDir
     Path folder;
 
-    // ---- The code under test: one call a kind of command. ----
+    // ---- Encoded commands, one method per kind. ----
 
     private static DisruptionLimits limits() {
         return new DisruptionLimits(2, 0.25, 0.5, 3 * SECOND, 4 * SECOND, 20 * SECOND, 6, 100);
@@ -76,7 +76,7 @@
         return MaintenanceCommandCodec.encode(new MaintenanceCommand.RegisterMachine(machine));
     }
 
-    private static String goneCommand(String machine) {
+    private static String removeMachineCommand(String machine) {
         return MaintenanceCommandCodec.encode(new MaintenanceCommand.RemoveMachine(machine));
     }
 
@@ -135,7 +135,7 @@
         return "r" + router + "#1." + Integer.toHexString(router + 9);
     }
 
-    /** One replica of what is agreed. */
+    /** One replica of the maintenance state. */
     private static final class Replica {
         private final ReplicatedMaintenance maintenance = new ReplicatedMaintenance();
 
@@ -162,7 +162,7 @@
 
     // ---- The log. ----
 
-    /** A log as it is made: its commands by name, and what was answered to each. */
+    /** A log under construction: the commands by name, the answer to each, and snapshots in between. */
     private static final class Log {
         final Replica replica = new Replica();
         final Map<String, String> commands = new LinkedHashMap<>();
@@ -233,7 +233,7 @@
         log.put("done-early", doneCommand("w2", "", false));
         log.put("call-off", cancelCommand("w2", ODD));
         log.put("tick", tickCommand(SECOND));
-        log.put("gone", goneCommand("n7"));
+        log.put("gone", removeMachineCommand("n7"));
         log.put("ended", endedCommand("r3", life(3)));
         log.put("tick-too-long", tickCommand(7 * SECOND));
         log.put("done", doneCommand("w5", "", false));
@@ -265,7 +265,7 @@
     }
 
     @Test
-    void commandsAreWrittenAndAnsweredAsTheyWere() throws IOException {
+    void commandsAreEncodedAndAnsweredAsBefore() throws IOException {
         Log log = log();
         GoldenFile.holds(LOG, "Commands of maintenance, in agreed order.", log.commands);
         GoldenFile.holds(ANSWERS, "What was answered to each command.", log.answers);
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void eachCommandIsEncodedAgainAsItWasRead() throws IOException {
+    void decodedCommandsAreEncodedIdentically() throws IOException {
         int encoded = 0;
         for (String line : GoldenFile.read(LOG).values()) {
             MaintenanceCommand command = MaintenanceCommandCodec.decode(line);
@@ -283,11 +283,11 @@
                 encoded++;
             }
         }
-        assertEquals(GoldenFile.read(LOG).size() - NOT_UNDERSTOOD, encoded);
+        assertEquals(GoldenFile.read(LOG).size() - UNKNOWN_LINES, encoded);
     }
 
     @Test
-    void theLogIsReadAndPlayedAsItWas() throws IOException {
+    void theLogIsDecodedAndAppliedAsBefore() throws IOException {
         Replica replica = new Replica();
         Map<String, String> answers = GoldenFile.read(ANSWERS);
         Map<String, String> snapshots = new LinkedHashMap<>();
@@ -319,7 +319,7 @@
     }
 
     @Test
-    void snapshotsAreReadAndTheRestOfTheLogPlayedAfterThem() throws IOException {
+    void snapshotsAreRestoredAndTheRestOfTheLogIsApplied() throws IOException {
         List<String> commands = List.copyOf(GoldenFile.read(LOG).values());
         List<String> answers = List.copyOf(GoldenFile.read(ANSWERS).values());
         for (int after = 0; after < commands.size(); after += SNAPSHOT_EVERY) {
@@ -334,9 +334,9 @@
         }
     }
 
-    /** The golden records hold something of each kind, so that none goes unread. */
+    /** Checks that the golden files cover each kind of state and line, so that all are read. */
     @Test
-    void allKindsOfStatesAndLinesAreThere() throws IOException {
+    void goldenFilesCoverAllStatesAndLines() throws IOException {
         String all = String.join("\n", GoldenFile.read(SNAPSHOTS).values());
         for (String state : List.of(
                 "WAITING",
@@ -355,7 +355,7 @@
         }
     }
 
-    // ---- What routers report to the leader. ----
+    // ---- Reports of routers to the leader. ----
 
     private static List<Machine> listed() {
         return List.of(node(1, 1, "a"), node(2, 5, "a"), node(9, 0, "b"));
@@ -384,15 +384,16 @@
         return all;
     }
 
-    /** What a leader proposes that has been told these. */
-    private static List<String> proposed(MaintenanceState state, Map<String, String> told) {
+    /** The commands that a leader proposes after the reports, which are given by sender. */
+    private static List<String> proposed(
+            MaintenanceState state, Map<String, String> reportsBySender) {
         MaintenanceCoordinator coordinator =
                 new MaintenanceCoordinator(limits(), 1, 1000 * SECOND, 100);
         coordinator.setTime(10);
         coordinator.setLeader(true);
         coordinator.decide(state, command -> {});
         coordinator.setTime(20);
-        told.forEach((from, line) ->
+        reportsBySender.forEach((from, line) ->
                 coordinator.onReport(from, MachineReportCodec.decode(line).orElseThrow()));
         for (int i = 0; i < 100; i++) {
             coordinator.onProposalCompleted();
@@ -403,20 +404,20 @@
     }
 
     @Test
-    void reportsAreWrittenAndReadAsTheyWere() throws IOException {
+    void reportsAreEncodedAndDecodedAsBefore() throws IOException {
         Replica replica = new Replica();
         GoldenFile.read(LOG).values().stream().limit(REPORTS_AFTER).forEach(replica::apply);
         MaintenanceState state = replica.state();
         Map<String, String> all = new LinkedHashMap<>(reports(state));
-        Map<String, String> tellers = new LinkedHashMap<>();
-        tellers.put("self", "r6");
-        tellers.put("saw", "r1");
-        tellers.put("list", "r1");
-        tellers.put("left", "r2");
-        tellers.put("list-difference", "r1");
-        tellers.put("list-difference-of-nothing", "r1");
+        Map<String, String> senders = new LinkedHashMap<>();
+        senders.put("self", "r6");
+        senders.put("saw", "r1");
+        senders.put("list", "r1");
+        senders.put("left", "r2");
+        senders.put("list-difference", "r1");
+        senders.put("list-difference-of-nothing", "r1");
         Map<String, String> golden = GoldenFile.writes() ? all : GoldenFile.read(REPORTS);
-        tellers.forEach((name, from) -> {
+        senders.forEach((name, from) -> {
             int line = 0;
             for (String proposal : proposed(state, Map.of(from, golden.get(name)))) {
                 all.put(String.format("%s-proposes-%02d", name, ++line), proposal);
@@ -426,9 +427,9 @@
                 REPORTS, "What routers tell the leader, and what it proposes by each.", all);
     }
 
-    // ---- Excluded nodes. ----
+    // ---- Cordoned nodes. ----
 
-    private static Set<String> excluded() {
+    private static Set<String> cordoned() {
         return Set.of("n1", "n 2", "n\t3\\", "né");
     }
 
@@ -446,7 +447,7 @@
                     @Override
                     public void turnEnding() {}
                 }),
-                "excluded");
+                "cordon-test");
         thread.setDaemon(true);
         thread.start();
         CordonStore store = new CordonStore(loop, folder);
@@ -471,18 +472,18 @@
     }
 
     @Test
-    void excludedNodesAreWrittenAndReadAsTheyWere() throws Exception {
-        String text = written(excluded());
-        assertEquals(excluded(), read(folder));
+    void cordonedNodesAreWrittenAndReadAsBefore() throws Exception {
+        String text = written(cordoned());
+        assertEquals(cordoned(), read(folder));
         GoldenFile.holds(
-                EXCLUDED,
+                CORDONED,
                 "The file of excluded nodes, in hex.",
                 Map.of("some", GoldenFile.hex(text.getBytes(StandardCharsets.UTF_8))));
-        byte[] golden = GoldenFile.bytes(GoldenFile.read(EXCLUDED).get("some"));
+        byte[] golden = GoldenFile.bytes(GoldenFile.read(CORDONED).get("some"));
         Files.write(folder.resolve("left-out"), golden);
-        assertEquals(excluded(), read(folder));
+        assertEquals(cordoned(), read(folder));
         Path router = folder.resolve("router");
         GoldenFile.copy(GoldenFile.folder("router"), router);
-        assertEquals(excluded(), read(router));
+        assertEquals(cordoned(), read(router));
     }
 }
