--- a/src/main/java/tinlink/http2/pool/ConnectionPool.java
+++ b/src/main/java/tinlink/http2/pool/ConnectionPool.java
@@ -137,8 +137,8 @@
     }
 
     /**
-     * Stops new attempts on the connection: the node sent GOAWAY, has moved or was restarted, or all stream ids
-     * are used.
+     * Stops new attempts on the connection: the node sent GOAWAY, has moved or was restarted, or all stream
+     * ids are used.
      */
     public void retire(PooledConnection connection) {
         connection.retire();
@@ -228,7 +228,7 @@
         return false;
     }
 
-    /** Starts an attempt on the fullest connection with capacity, so that the others become idle and are closed. */
+    /** Starts an attempt on the fullest connection with capacity, so that the others become idle. */
     private boolean startNext(PoolHandler handler) {
         PooledConnection fullest = null;
         for (PooledConnection connection : connections) {
--- a/src/main/java/tinlink/http2/pool/PoolHandler.java
+++ b/src/main/java/tinlink/http2/pool/PoolHandler.java
@@ -21,8 +21,8 @@
     /**
      * Closes the connection; {@link ConnectionPool#onConnectionEnded} follows.
      *
-     * @param unresponsive whether the node failed to answer in time; otherwise the connection is unused and has
-     *     no open stream
+     * @param unresponsive whether the node failed to answer in time; otherwise the connection is unused and
+     *     has no open stream
      */
     void closeConnection(PooledConnection connection, boolean unresponsive);
 
--- a/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
+++ b/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
@@ -13,14 +13,14 @@
 import java.util.PriorityQueue;
 
 /**
- * Plays a scenario of the choice of connections over HTTP/2; docs/scenarios.md has the notation.
+ * Plays a scenario against {@link ConnectionPool}. The notation is described in docs/scenarios.md.
  */
 public final class ConnectionPoolPlayer implements PoolHandler {
     private static final class TestCall extends PendingCall {
         private final String name;
 
-        TestCall(String name, long until) {
-            super(until);
+        TestCall(String name, long deadline) {
+            super(deadline);
             this.name = name;
         }
     }
@@ -52,7 +52,7 @@
 
     public void play(List<String> script) {
         Scenarios.play(script, ";", this::line);
-        assertEquals(List.of(), List.copyOf(decided), "decided and not expected");
+        assertEquals(List.of(), List.copyOf(decided), "unexpected decisions");
     }
 
     private void line(String[] words) {
@@ -63,7 +63,7 @@
                         String.join(" ", words).substring(2),
                         decided.isEmpty() ? "nothing" : decided.poll());
             case "at" -> {
-                assertEquals(List.of(), List.copyOf(decided), "decided and not expected");
+                assertEquals(List.of(), List.copyOf(decided), "unexpected decisions");
                 long to = 1000 * Long.parseLong(words[1]);
                 while (!wakes.isEmpty() && wakes.peek() <= to) {
                     now = Math.max(now, wakes.poll());
@@ -102,7 +102,7 @@
     private void runAllDecisions() {
         pool.advanceClock(now);
         while (pool.decide(this)) {
-            // Each has been noted.
+            // The handler's methods record each decision.
         }
     }
 
@@ -166,8 +166,8 @@
     }
 
     @Override
-    public void closeConnection(PooledConnection pooled, boolean silent) {
-        decided.add("close " + connections.indexOf(pooled) + (silent ? " silent" : ""));
+    public void closeConnection(PooledConnection pooled, boolean unresponsive) {
+        decided.add("close " + connections.indexOf(pooled) + (unresponsive ? " silent" : ""));
         pool.onConnectionEnded(
                 pooled,
                 pooled.state == PooledConnection.State.UP
