--- a/src/main/java/tinlink/http2/FrameParser.java
+++ b/src/main/java/tinlink/http2/FrameParser.java
@@ -4,9 +4,9 @@
 
 import java.nio.ByteBuffer;
 
-/** Reads frames, cut anywhere; one that is longer than we allow is never held. */
+/** Parses frames from bytes that may be split anywhere. A frame above the size limit is never buffered. */
 final class FrameParser {
-    /** What hears the frames. */
+    /** Receives the parsed frames. */
     interface FrameHandler {
         void onFrame(int type, int flags, int streamId, ByteBuffer payload) throws Http2Exception;
     }
@@ -20,7 +20,7 @@
         this.handler = handler;
     }
 
-    /** Nothing of a next frame has come. */
+    /** Whether no part of the next frame has been received. */
     boolean isAtFrameBoundary() {
         return headerBytesRead == 0;
     }
@@ -37,7 +37,8 @@
                 if (length > Http2Constants.DEFAULT_MAX_FRAME_SIZE) {
                     throw new Http2Exception(
                             Http2Constants.ErrorCode.FRAME_SIZE_ERROR,
-                            "a frame of " + length + " bytes");
+                            "frame of " + length + " bytes exceeds the limit of "
+                                    + Http2Constants.DEFAULT_MAX_FRAME_SIZE);
                 }
                 payload = ByteBuffer.allocate(length);
             }
--- a/src/main/java/tinlink/http2/FrameWriter.java
+++ b/src/main/java/tinlink/http2/FrameWriter.java
@@ -9,7 +9,7 @@
     private static final byte[] NOTHING = new byte[0];
 
     private final Consumer<byte[]> sink;
-    /** Bytes of payload that the other side takes in one frame. */
+    /** The maximum payload of one frame, in bytes. */
     private int maxFrameSize = Http2Constants.DEFAULT_MAX_FRAME_SIZE;
 
     FrameWriter(Consumer<byte[]> sink) {
@@ -20,12 +20,12 @@
         return maxFrameSize;
     }
 
-    /** @param bytes of payload that the other side takes in one frame */
+    /** @param bytes the maximum payload of one frame that the server accepts */
     void maxFrameSize(int bytes) {
         maxFrameSize = bytes;
     }
 
-    /** The connection preface with the client's settings: no push, and the given window for each stream. */
+    /** Writes the connection preface with the client's settings: no push, and the window of each stream. */
     void preface(int streamWindow) {
         sink.accept(Http2Constants.PREFACE);
         ByteBuffer settings = ByteBuffer.allocate(3 * SETTING_BYTES);
@@ -40,12 +40,12 @@
         frame(Http2Constants.SETTINGS, Http2Constants.ACK, 0, NOTHING);
     }
 
-    /** Lets the other side send so many more bytes on the connection. */
+    /** Allows the server to send the given number of further bytes on the connection. */
     void connectionWindowUpdate(int bytes) {
         frame(Http2Constants.WINDOW_UPDATE, 0, 0, fourBytes(bytes));
     }
 
-    /** A header block, in as many frames as it needs. */
+    /** Writes a header block, split into as many frames as it needs. */
     void headers(int streamId, byte[] block, boolean endStream) {
         int length = Math.min(block.length, maxFrameSize);
         int endStreamFlag = endStream ? Http2Constants.END_STREAM : 0;
@@ -98,7 +98,7 @@
         frame(Http2Constants.PING, Http2Constants.ACK, 0, payload);
     }
 
-    /** The client has processed none of the other side's streams. */
+    /** Writes a GOAWAY, which says that the client has processed no stream of the server. */
     void goAway(Http2Constants.ErrorCode code) {
         frame(
                 Http2Constants.GOAWAY,
--- a/src/main/java/tinlink/http2/HeaderBlockReader.java
+++ b/src/main/java/tinlink/http2/HeaderBlockReader.java
@@ -5,13 +5,13 @@
 
 /**
  * Joins a HEADERS frame and its CONTINUATION frames to one header block and decodes it (RFC 9113, section
- * 4.3). At most one block is under way on a connection, and no other frame may come within it.
+ * 4.3). At most one block is in progress on a connection, and no other frame may interrupt it.
  */
 final class HeaderBlockReader {
     private static final int MAX_CONTINUATIONS = 16;
 
     private final HeaderCodec headerCodec;
-    /** Null while no block is under way. */
+    /** The bytes of the block in progress; null if there is none. */
     private ByteArrayOutputStream pendingBlock;
 
     private int streamId;
@@ -22,33 +22,33 @@
         this.headerCodec = headerCodec;
     }
 
-    /** A block has begun and has not come whole. */
+    /** Whether a block has begun and is not complete. */
     boolean isInProgress() {
         return pendingBlock != null;
     }
 
-    /** The stream of the block that is under way, or that came last. */
+    /** The stream of the block in progress, or else of the last block. */
     int streamId() {
         return streamId;
     }
 
-    /** Whether the block that is under way, or that came last, ends its stream. */
+    /** Whether the block in progress, or else the last block, ends its stream. */
     boolean endsStream() {
         return endsStream;
     }
 
-    /** Fails where a frame of that type and stream may not come now. */
+    /** Throws if a frame of the type and stream would interrupt the block in progress. */
     void checkNext(int type, int frameStreamId) throws Http2Exception {
         if (pendingBlock != null
                 && (type != Http2Constants.CONTINUATION || frameStreamId != streamId)) {
-            throw Http2Exception.protocolError("a frame within a header block");
+            throw Http2Exception.protocolError("frame of type " + type + " within a header block");
         }
     }
 
     /**
-     * A HEADERS frame, without its padding and its priority.
+     * Reads a HEADERS frame whose padding and priority are removed.
      *
-     * @return the block, or null where more of it is to come
+     * @return the block, or null if continuations follow
      */
     HeaderCodec.HeaderBlock headers(int flags, int frameStreamId, ByteBuffer payload)
             throws Http2Exception {
@@ -60,17 +60,18 @@
     }
 
     /**
-     * A CONTINUATION frame.
+     * Reads a CONTINUATION frame.
      *
-     * @return the block, or null where more of it is to come
+     * @return the block, or null if further continuations follow
      */
     HeaderCodec.HeaderBlock continuation(int flags, ByteBuffer payload) throws Http2Exception {
         if (pendingBlock == null) {
-            throw Http2Exception.protocolError("a continuation without its headers");
+            throw Http2Exception.protocolError("CONTINUATION frame without a HEADERS frame");
         }
         if (++continuations > MAX_CONTINUATIONS) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "too many continuations");
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM,
+                    "more than " + MAX_CONTINUATIONS + " CONTINUATION frames");
         }
         return append(flags, payload);
     }
@@ -79,7 +80,8 @@
         FramePayload.appendTo(pendingBlock, payload);
         if (pendingBlock.size() > HeaderCodec.MAX_BLOCK_BYTES) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header block that is too large");
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM,
+                    "header block exceeds " + HeaderCodec.MAX_BLOCK_BYTES + " bytes");
         }
         if ((flags & Http2Constants.END_HEADERS) == 0) {
             return null;
--- a/src/main/java/tinlink/http2/HeaderCodec.java
+++ b/src/main/java/tinlink/http2/HeaderCodec.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 
 /**
- * Header lists to blocks and back (RFC 7541, by a library), both ways within bounds. Danger: a
- * small block that unfolds into a large list. The block is bounded before it is decoded, and the
- * list while it is.
+ * Encodes and decodes header blocks (RFC 7541, by a library). A small block can expand to a large
+ * header list, so the size of the block is checked before it is decoded and the size of the list
+ * is limited during decoding.
  */
 final class HeaderCodec {
-    /** Compressed, over all frames of a block. */
+    /** The maximum compressed size of a block over all of its frames. */
     static final int MAX_BLOCK_BYTES = 16 << 10;
-    /** As RFC 9113 counts: names, values and 32 for each. */
+    /** The maximum size of a header list as RFC 9113 counts it: names, values and 32 bytes per field. */
     static final int MAX_LIST_BYTES = 16 << 10;
 
     private static final int TABLE_BYTES = 4096;
@@ -33,24 +33,24 @@
     private final Decoder decoder = new Decoder(MAX_LIST_BYTES, TABLE_BYTES);
     private final ByteArrayOutputStream sizeUpdate = new ByteArrayOutputStream();
 
-    /** The other side keeps a table of so many bytes at most; announced with our next block. */
+    /** Sets the maximum table size of the server's decoder; the next encoded block announces it. */
     void setMaxTableSize(long bytes) {
         try {
             encoder.setMaxHeaderTableSize(sizeUpdate, (int) Math.min(bytes, TABLE_BYTES));
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // It is written to memory.
+            throw new UncheckedIOException(e); // Can't happen: the output is in memory.
         }
     }
 
-    /** @param fields in order, pseudo fields first; names in lower case */
+    /** @param fields the fields in order, pseudo fields first, with names in lower case */
     byte[] encode(Map<String, String> fields) {
         try {
             ByteArrayOutputStream encoded = new ByteArrayOutputStream();
             sizeUpdate.writeTo(encoded);
             sizeUpdate.reset();
             for (Map.Entry<String, String> field : fields.entrySet()) {
-                // Danger: what differs with each part, put into the table, pushes out what does
-                // not.
+                // Fields that differ for each part are never indexed: they would evict the
+                // recurring fields from the table.
                 boolean neverIndexed = field.getKey().startsWith("x-part-")
                         || field.getKey().equals("idempotency-key")
                         || field.getKey().equals("content-length");
@@ -67,7 +67,8 @@
     }
 
     /**
-     * What a block held: its fields, and what makes the message malformed, null where nothing does.
+     * The fields of a decoded block, and the reason why the message is malformed; null if it is
+     * well-formed.
      */
     static final class HeaderBlock {
         final Map<String, String> pseudoFields = new LinkedHashMap<>();
@@ -81,15 +82,15 @@
                 if (!fields.isEmpty()
                         || !name.equals(":status")
                         || pseudoFields.put(name, value) != null) {
-                    malformedReason = "a pseudo field " + name + " where none may be";
+                    malformedReason = "pseudo field not allowed here: " + name;
                 }
             } else if (name.isEmpty()
                     || !name.chars().allMatch(HeaderCodec::isFieldNameChar)
                     || CONNECTION_SPECIFIC_FIELDS.contains(name)) {
-                malformedReason = "a field that may not be";
+                malformedReason = "field name not allowed: " + name;
             } else if (value.chars().anyMatch(c -> c == 0 || c == '\r' || c == '\n')
                     || !value.equals(value.strip())) {
-                malformedReason = "a value that may not be";
+                malformedReason = "invalid value of field " + name;
             } else {
                 fields.merge(name, value, (a, b) -> a + ", " + b);
             }
@@ -101,14 +102,14 @@
     }
 
     /**
-     * Danger: also a block that nobody waits for must be decoded, or the tables of both sides
-     * differ after.
+     * Decodes a block. Blocks of cancelled streams must be decoded too: otherwise the tables of
+     * client and server would differ afterwards.
      */
     HeaderBlock decode(byte[] encoded) throws Http2Exception {
         HeaderBlock decoded = new HeaderBlock();
-        // Danger: the library takes a block that stops in its middle for one that goes on. An entry
-        // of the
-        // static table behind it comes out as itself only where nothing was left open.
+        // The library doesn't report a truncated block, since it expects the rest to follow. The
+        // appended sentinel, an entry of the static table, is decoded as itself only if the block
+        // before it is complete.
         byte[] withSentinel = Arrays.copyOf(encoded, encoded.length + 1);
         withSentinel[encoded.length] = SENTINEL;
         ByteArrayInputStream input = new ByteArrayInputStream(withSentinel);
@@ -124,15 +125,16 @@
                 }
             });
             if (!sentinelSeen[0] && !decoder.endHeaderBlock()) {
-                throw new IOException("cut short");
+                throw new IOException("truncated header block");
             }
         } catch (IOException | RuntimeException e) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.COMPRESSION_ERROR, "a block that can't be decoded");
+                    Http2Constants.ErrorCode.COMPRESSION_ERROR, "header block can't be decoded");
         }
         if (!sentinelSeen[0] || decoder.endHeaderBlock() || decoded.listBytes > MAX_LIST_BYTES) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "a header list that is too large");
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM,
+                    "header list exceeds " + MAX_LIST_BYTES + " bytes");
         }
         return decoded;
     }
--- a/src/main/java/tinlink/http2/Http2Constants.java
+++ b/src/main/java/tinlink/http2/Http2Constants.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The numbers of RFC 9113. */
+/** The constants of RFC 9113. */
 final class Http2Constants {
     static final int DATA = 0;
     static final int HEADERS = 1;
@@ -28,7 +28,7 @@
     static final int MAX_FRAME_SIZE = 5;
     static final int MAX_HEADER_LIST_SIZE = 6;
 
-    /** Why a stream or a connection ends, by the code that says so. */
+    /** The error codes, in the order of RFC 9113, section 7, which defines their numbers. */
     enum ErrorCode {
         NO_ERROR,
         PROTOCOL_ERROR,
@@ -45,13 +45,13 @@
         INADEQUATE_SECURITY,
         HTTP_1_1_REQUIRED;
 
-        /** As RFC 9113 numbers it; the codes stand here in the order of section 7. */
-        @SuppressWarnings("EnumOrdinal") // The numbers are those of the order, by the protocol.
+        /** The number of the code in RFC 9113. */
+        @SuppressWarnings("EnumOrdinal") // The protocol numbers the codes in this order.
         int number() {
             return ordinal();
         }
 
-        /** The code of that number; fails where there is none. */
+        /** The code with the given number; throws if there is none. */
         @SuppressWarnings("EnumOrdinal") // As above.
         static ErrorCode ofNumber(int number) {
             return values()[number];
--- a/src/main/java/tinlink/http2/Http2Exception.java
+++ b/src/main/java/tinlink/http2/Http2Exception.java
@@ -1,6 +1,6 @@
 package tinlink.http2;
 
-/** The other side has broken the protocol: the connection ends with that code. */
+/** A violation of the protocol by the server; the connection ends with the error code. */
 final class Http2Exception extends Exception {
     private static final long serialVersionUID = 1L;
     final Http2Constants.ErrorCode code;
--- a/src/main/java/tinlink/http2/PeerSettings.java
+++ b/src/main/java/tinlink/http2/PeerSettings.java
@@ -3,12 +3,12 @@
 import java.nio.ByteBuffer;
 import java.util.Collection;
 
-/** The settings of the other side (RFC 9113, section 6.5): checked, applied and acknowledged. */
+/** Checks, applies and acknowledges the server's settings (RFC 9113, section 6.5). */
 final class PeerSettings {
     private static final int SETTING_BYTES = 6;
-    /** Longer frames are not written, whatever the other side takes. */
+    /** The maximum payload of written frames, even if the server accepts more. */
     private static final int MAX_WRITTEN_FRAME_BYTES = 4 * Http2Constants.DEFAULT_MAX_FRAME_SIZE;
-    /** No setting changes how many streams may be open. */
+    /** The result of settings that don't change the stream limit. */
     static final long UNCHANGED = -1;
 
     private final FrameWriter writer;
@@ -29,12 +29,12 @@
         this.uselessFrameBudget = uselessFrameBudget;
     }
 
-    /** The first settings of the other side are here. */
+    /** Whether the server's first settings have been received. */
     boolean areReceived() {
         return received;
     }
 
-    /** The other side has our settings. */
+    /** The server has acknowledged the client's settings. */
     void onAck() throws Http2Exception {
         uselessFrameBudget.spendUnless(!ownAcknowledged);
         ownAcknowledged = true;
@@ -43,7 +43,7 @@
     /**
      * Applies a SETTINGS frame and acknowledges it.
      *
-     * @return how many streams may be open from now on, or {@link #UNCHANGED}
+     * @return the new stream limit, or {@link #UNCHANGED}
      */
     long apply(ByteBuffer payload, Collection<Http2Stream> openStreams) throws Http2Exception {
         uselessFrameBudget.spendUnless(!received);
@@ -68,7 +68,8 @@
             case Http2Constants.HEADER_TABLE_SIZE -> headerCodec.setMaxTableSize(value);
             case Http2Constants.ENABLE_PUSH -> {
                 if (value != 0) {
-                    throw Http2Exception.protocolError("a server that lets itself be pushed to");
+                    throw Http2Exception.protocolError(
+                            "server sent ENABLE_PUSH " + value + " instead of 0");
                 }
             }
             case Http2Constants.INITIAL_WINDOW_SIZE ->
@@ -76,23 +77,24 @@
             case Http2Constants.MAX_FRAME_SIZE -> {
                 if (value < Http2Constants.DEFAULT_MAX_FRAME_SIZE
                         || value > Http2Constants.LARGEST_MAX_FRAME_SIZE) {
-                    throw Http2Exception.protocolError("frames of " + value + " bytes");
+                    throw Http2Exception.protocolError("MAX_FRAME_SIZE out of range: " + value);
                 }
                 writer.maxFrameSize((int) Math.min(value, MAX_WRITTEN_FRAME_BYTES));
             }
             default -> {
-                // The list size is advice that our few fields keep; unknown ones are ignored.
+                // The maximum list size is advisory, and the few fields of a request stay below it.
+                // Unknown settings are ignored.
             }
         }
     }
 
-    /** Fails where a SETTINGS frame can't be of that form. */
-    static void check(int streamId, boolean isAck, ByteBuffer payload) throws Http2Exception {
+    /** Throws if the stream id or the size of a SETTINGS frame is invalid. */
+    static void check(int streamId, boolean ack, ByteBuffer payload) throws Http2Exception {
         if (streamId != 0) {
-            throw Http2Exception.protocolError("settings of a stream");
+            throw Http2Exception.protocolError("SETTINGS frame on stream " + streamId);
         }
-        boolean isValid =
-                payload.remaining() % SETTING_BYTES == 0 && !(isAck && payload.hasRemaining());
-        FramePayload.checkSize(isValid, "settings", payload);
+        boolean validSize =
+                payload.remaining() % SETTING_BYTES == 0 && !(ack && payload.hasRemaining());
+        FramePayload.checkSize(validSize, "SETTINGS", payload);
     }
 }
--- a/src/main/java/tinlink/http2/UselessFrameBudget.java
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -1,19 +1,19 @@
 package tinlink.http2;
 
-/** Bounds the frames that serve nobody. Danger: a flood of frames that cost the other side nothing. */
+/** Limits frames without use, against a flood of frames that cost the server nothing. */
 final class UselessFrameBudget {
-    /** Frames of no use that may come at once, and for each response besides. */
+    /** The budget at first and at most; each complete response adds {@link #FRAMES_PER_RESPONSE}. */
     private static final int MAX_FRAMES = 256;
 
     private static final int FRAMES_PER_RESPONSE = 16;
 
     private int remaining = MAX_FRAMES;
 
-    /** A frame of no use has come. */
+    /** Counts a useless frame; throws if the budget is used up. */
     void spend() throws Http2Exception {
         if (--remaining < 0) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "too many frames of no use");
+                    Http2Constants.ErrorCode.ENHANCE_YOUR_CALM, "too many useless frames");
         }
     }
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /** A response has come complete. */
+    /** Refills the budget after a complete response. */
     void refill() {
         remaining = Math.min(MAX_FRAMES, remaining + FRAMES_PER_RESPONSE);
     }
