--- a/src/main/java/tinlink/http2/Http2Stream.java
+++ b/src/main/java/tinlink/http2/Http2Stream.java
@@ -4,22 +4,23 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One request and its response. State only; the connection keeps it. */
+/** One request and its response. Holds state only, which {@link Http2Connection} updates. */
 final class Http2Stream {
-    /** Whatever the request is to whoever made it. */
+    /** The caller's object for the request; opaque to the connection. */
     final Object call;
 
     final int id;
-    /** What of the request has not been put into a frame yet. */
+    /** The body of the request, whose first {@link #bodySent} bytes are in frames. */
     byte[] body;
 
     int bodySent;
-    /** How many bytes the other side takes; may be below 0 once its settings have changed. */
+    /** The bytes that the server still accepts; negative if new settings shrank the window. */
     long sendWindow;
-    /** How many bytes of the response we still take. */
+    /** The bytes of the response that the client still accepts. */
     long receiveWindow;
     /**
-     * Its call has ended, but it counts against the node's limit until it has ended there.
+     * Whether the attempt has ended here while the stream is still open. The stream counts against
+     * the node's limit until the node ends it.
      */
     boolean abandoned;
 
@@ -35,7 +36,7 @@
         this.body = body;
     }
 
-    /** All of the request is in frames. */
+    /** Whether the whole request has been written to frames. */
     boolean isRequestSent() {
         return bodySent == body.length;
     }
--- a/src/main/java/tinlink/http2/ReceiveWindow.java
+++ b/src/main/java/tinlink/http2/ReceiveWindow.java
@@ -3,13 +3,13 @@
 import tinlink.net.ProtocolLimits;
 
 /**
- * Flow control of what the client receives (RFC 9113, section 5.2): the windows of the connection and of its
+ * Flow control of the data that the client receives (RFC 9113, section 5.2), for the connection and for its
  * streams.
  */
 final class ReceiveWindow {
-    /** The connection's window is made this large at once, so that responses don't wait for each other. */
+    /** The window of the connection, in bytes; large enough that responses don't block each other. */
     private static final int CONNECTION_WINDOW = 1 << 20;
-    /** A response of the largest size fits, and what is longer is found out by its length. */
+    /** The window of a stream, in bytes. The largest response fits; a longer one shows by its length. */
     static final int STREAM_WINDOW = 2 * ProtocolLimits.MAX_BODY_BYTES;
 
     private final FrameWriter writer;
@@ -19,17 +19,18 @@
         this.writer = writer;
     }
 
-    /** Widens the connection's window from its first size; follows the preface. */
+    /** Enlarges the connection's window from its initial size; called after the preface. */
     void open() {
         writer.connectionWindowUpdate(CONNECTION_WINDOW - Http2Constants.DEFAULT_WINDOW);
     }
 
-    /** A whole DATA frame has come: it counts with its padding, also on a stream that is given up. */
+    /** Counts a DATA frame with its padding on the connection, also if its stream was cancelled. */
     void received(int length) throws Http2Exception {
         connectionWindow -= length;
         if (connectionWindow < 0) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over the connection's window");
+                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR,
+                    "DATA frame of " + length + " bytes exceeds the connection's window");
         }
         if (connectionWindow < CONNECTION_WINDOW / 2) {
             writer.connectionWindowUpdate((int) (CONNECTION_WINDOW - connectionWindow));
@@ -37,12 +38,13 @@
         }
     }
 
-    /** The same frame, on its stream. */
+    /** Counts the same frame on its stream. */
     void received(Http2Stream stream, int length) throws Http2Exception {
         stream.receiveWindow -= length;
         if (stream.receiveWindow < 0) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "over a stream's window");
+                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR,
+                    "DATA frame of " + length + " bytes exceeds the window of stream " + stream.id);
         }
     }
 }
--- a/src/main/java/tinlink/http2/ResponseReader.java
+++ b/src/main/java/tinlink/http2/ResponseReader.java
@@ -4,12 +4,12 @@
 
 import java.nio.ByteBuffer;
 
-/** Puts a response together in its stream, and checks its form (RFC 9113, section 8.1). */
+/** Assembles a response in its stream and checks whether it is well-formed (RFC 9113, section 8.1). */
 final class ResponseReader {
     private static final int OK = 200;
     private static final int SWITCHING_PROTOCOLS = 101;
 
-    /** How far a response has come. */
+    /** The state of a response after a frame. */
     enum Progress {
         INCOMPLETE,
         COMPLETE,
@@ -22,17 +22,17 @@
         this.uselessFrameBudget = uselessFrameBudget;
     }
 
-    /** A header block: an interim response, the response's head, or its trailers. */
+    /** Reads a header block: an interim response, the response's header fields or its trailers. */
     Progress headers(Http2Stream stream, HeaderCodec.HeaderBlock block, boolean endsStream)
             throws Http2Exception {
         String statusText = block.pseudoFields.get(":status");
-        boolean isTrailers = stream.status != 0;
+        boolean trailing = stream.status != 0;
         if (block.malformedReason != null
-                || isTrailers != (statusText == null)
-                || (isTrailers && !endsStream)) {
+                || trailing != (statusText == null)
+                || (trailing && !endsStream)) {
             return Progress.MALFORMED;
         }
-        if (isTrailers) {
+        if (trailing) {
             stream.trailers.putAll(block.fields);
             return finish(stream);
         }
@@ -41,7 +41,7 @@
         }
         int statusCode = Integer.parseInt(statusText);
         if (statusCode < OK) {
-            // An interim response says nothing; what it announces is still to come.
+            // An interim response is ignored; the final response follows.
             uselessFrameBudget.spend();
             return endsStream || statusCode == SWITCHING_PROTOCOLS
                     ? Progress.MALFORMED
@@ -62,7 +62,7 @@
         return endsStream ? finish(stream) : Progress.INCOMPLETE;
     }
 
-    /** A piece of the response's body, without its padding. */
+    /** Reads a part of the response's body whose padding is removed. */
     Progress data(Http2Stream stream, ByteBuffer payload, boolean endsStream)
             throws Http2Exception {
         if (stream.status == 0) {
@@ -78,7 +78,7 @@
         return endsStream ? finish(stream) : Progress.INCOMPLETE;
     }
 
-    /** It has ended in order if it is as long as it said. */
+    /** Completes the response if the length of its body matches its content-length. */
     private static Progress finish(Http2Stream stream) {
         boolean isDeclaredLength =
                 stream.contentLength < 0 || stream.responseBody.size() == stream.contentLength;
--- a/src/main/java/tinlink/http2/SendWindow.java
+++ b/src/main/java/tinlink/http2/SendWindow.java
@@ -3,25 +3,25 @@
 import java.util.Collection;
 
 /**
- * Flow control of what the client sends (RFC 9113, section 5.2): the connection's window, the window of each
- * stream, and the bodies that they let out.
+ * Flow control of the data that the client sends (RFC 9113, section 5.2). Writes request bodies as far as the
+ * windows of the connection and of the stream allow.
  */
 final class SendWindow {
     private final FrameWriter writer;
     private long connectionWindow = Http2Constants.DEFAULT_WINDOW;
-    /** Of a stream that is opened from now on. */
+    /** The initial window of a new stream, in bytes. */
     private long initialStreamWindow = Http2Constants.DEFAULT_WINDOW;
 
     SendWindow(FrameWriter writer) {
         this.writer = writer;
     }
 
-    /** Gives a new stream its window. */
+    /** Sets the initial window of a new stream. */
     void initialize(Http2Stream stream) {
         stream.sendWindow = initialStreamWindow;
     }
 
-    /** Sends of a body what the windows allow. @return whether any byte has left */
+    /** Sends as much of a body as the windows allow. @return whether any byte was sent */
     boolean flush(Http2Stream stream) {
         boolean sent = false;
         while (!stream.isRequestSent()) {
@@ -44,7 +44,7 @@
         return (int) Math.min(frameBytes, Math.min(connectionWindow, stream.sendWindow));
     }
 
-    /** Sends of all bodies what the windows allow. @return whether any byte has left */
+    /** Sends as much of all bodies as the windows allow. @return whether any byte was sent */
     boolean flushAll(Collection<Http2Stream> streams) {
         boolean sent = false;
         for (Http2Stream stream : streams) {
@@ -56,7 +56,7 @@
         return sent;
     }
 
-    /** The other side's settings change the window of all streams, open ones too; it may fall below 0. */
+    /** Applies the server's setting to new and open streams; an open window may become negative. */
     void initialStreamWindow(long value, Collection<Http2Stream> openStreams)
             throws Http2Exception {
         checkWindow(value);
@@ -67,10 +67,10 @@
         initialStreamWindow = value;
     }
 
-    /** The connection's window grows by so many bytes. */
+    /** Increases the connection's window. */
     void growConnection(int bytes) throws Http2Exception {
         if (bytes == 0) {
-            throw Http2Exception.protocolError("a window that does not grow");
+            throw Http2Exception.protocolError("WINDOW_UPDATE frame with an increment of 0");
         }
         connectionWindow += bytes;
         checkWindow(connectionWindow);
@@ -79,7 +79,8 @@
     private static void checkWindow(long window) throws Http2Exception {
         if (window > Http2Constants.MAX_WINDOW) {
             throw new Http2Exception(
-                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR, "a window of " + window);
+                    Http2Constants.ErrorCode.FLOW_CONTROL_ERROR,
+                    "window of " + window + " bytes exceeds " + Http2Constants.MAX_WINDOW);
         }
     }
 }
--- a/src/main/java/tinlink/http2/StreamTable.java
+++ b/src/main/java/tinlink/http2/StreamTable.java
@@ -8,24 +8,24 @@
 import java.util.TreeMap;
 
 /**
- * The streams of one client's connection by id (RFC 9113, section 5.1). An open stream leaves with its
- * response or its reset; of those that this side has reset the newest ids are remembered, since frames on
- * them may still be under way.
+ * The streams of a client's connection by id (RFC 9113, section 5.1). An open stream is removed by its
+ * response or its reset. The newest ids of reset streams are remembered, because frames on these streams may
+ * still be in flight.
  */
 final class StreamTable {
     private final TreeMap<Integer, Http2Stream> openById = new TreeMap<>();
     private final Set<Integer> resetIds = new LinkedHashSet<>();
     private final int maxResetIds;
     private int nextStreamId = 1;
-    /** The last stream that the other side processes, by its newest GOAWAY. */
+    /** The last stream id that the server processes, from its newest GOAWAY. */
     private int lastProcessedId = Http2Constants.MAX_STREAM_ID;
 
-    /** @param maxResetIds so many ids are remembered after this side has reset them */
+    /** @param maxResetIds the maximum number of remembered ids of reset streams */
     StreamTable(int maxResetIds) {
         this.maxResetIds = maxResetIds;
     }
 
-    /** No id is left for a new stream, or the other side takes none. */
+    /** Whether no new stream can be opened: all ids are used, or the server sent GOAWAY. */
     boolean isExhausted() {
         return nextStreamId < 0 || lastProcessedId < Http2Constants.MAX_STREAM_ID;
     }
@@ -37,12 +37,12 @@
         return stream;
     }
 
-    /** Null where it is not open. */
+    /** The open stream with the id; null if there is none. */
     Http2Stream get(int id) {
         return openById.get(id);
     }
 
-    /** An open stream; null for one that this side has reset. No other may be spoken of. */
+    /** The open stream with the id, or null if it was reset; throws for any other id. */
     Http2Stream getKnown(int id) throws Http2Exception {
         Http2Stream stream = openById.get(id);
         if (stream != null || resetIds.contains(id)) {
@@ -53,14 +53,14 @@
                 Http2Constants.ErrorCode.STREAM_CLOSED, "stream " + id + " is closed");
     }
 
-    /** Fails where the id can't be of a stream that this side has opened at any time. */
+    /** Throws if the client never opened a stream with the id. */
     void checkOpened(int id) throws Http2Exception {
         if (id % 2 == 0 || (nextStreamId > 0 && id >= nextStreamId)) {
             throw Http2Exception.protocolError("stream " + id + " was never opened");
         }
     }
 
-    /** Oldest first. */
+    /** The open streams, oldest first. */
     Collection<Http2Stream> openStreams() {
         return Collections.unmodifiableCollection(openById.values());
     }
@@ -74,7 +74,7 @@
         return openById.remove(stream.id, stream);
     }
 
-    /** Frames on it say nothing more, and are no fault. */
+    /** Remembers a reset stream, so that later frames on it are ignored and are not an error. */
     void rememberReset(int id) {
         resetIds.add(id);
         if (resetIds.size() > maxResetIds) {
@@ -82,14 +82,18 @@
         }
     }
 
-    /** Danger: a GOAWAY whose last id rises again would let what was said never to have run, run. */
+    /**
+     * Throws if the last stream id of a GOAWAY rises again: attempts that the node promised not to run could
+     * then run.
+     */
     void checkGoAway(int goAwayId) throws Http2Exception {
         if (goAwayId > lastProcessedId) {
-            throw Http2Exception.protocolError("a GOAWAY that takes back the one before");
+            throw Http2Exception.protocolError(
+                    "GOAWAY raises the last stream id from " + lastProcessedId + " to " + goAwayId);
         }
     }
 
-    /** Closes the streams over the last one that the other side processes. */
+    /** Closes and returns the streams above the last one that the server processes. */
     List<Http2Stream> closeAbove(int goAwayId) {
         lastProcessedId = goAwayId;
         List<Http2Stream> above = List.copyOf(openById.tailMap(goAwayId, false).values());
