--- a/src/main/java/tinlink/http2/Http2Connection.java
+++ b/src/main/java/tinlink/http2/Http2Connection.java
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * The client's side of one HTTP/2 connection (RFC 9113), without its socket: it checks what comes in, and
- * notifies its listener of what each stream came to, and knows nothing of what that means for a part call.
- * Whatever does not fit ends the connection with the code that says why, or, where only one message is
- * malformed, its stream. Runs on the connection's thread.
+ * The client side of one HTTP/2 connection (RFC 9113), without the socket. The connection checks received
+ * frames and notifies its listener of the result of each stream; the listener interprets the result for the
+ * attempt. A protocol error ends the connection with an error code; a malformed message ends its stream only.
+ * Runs on the connection's thread.
  */
 final class Http2Connection implements FrameParser.FrameHandler {
     private static final int RESET_BYTES = 4;
@@ -33,10 +33,10 @@
     private final PeerSettings peerSettings;
 
     /**
-     * A connection of which nothing has been written yet.
+     * Creates a connection that has written nothing yet.
      *
-     * @param out takes what is to be written, in order
-     * @param maxResetIds so many ids are remembered after we have reset them
+     * @param out receives the bytes to write, in order
+     * @param maxResetIds the maximum number of remembered ids of reset streams
      */
     Http2Connection(Consumer<byte[]> out, StreamListener listener, int maxResetIds) {
         this.listener = listener;
@@ -47,24 +47,24 @@
         peerSettings = new PeerSettings(writer, headerCodec, sendWindow, uselessFrameBudget);
     }
 
-    // ---- What goes out. ----
+    // ---- Sending. ----
 
-    /** The preface and our settings; requests may follow at once. */
+    /** Sends the preface and the client's settings; requests may follow at once. */
     void start() {
         writer.preface(ReceiveWindow.STREAM_WINDOW);
         receiveWindow.open();
     }
 
-    /** No id is left for a new stream, or the other side takes none. */
+    /** Whether no new stream can be opened: all ids are used, or the server sent GOAWAY. */
     boolean isExhausted() {
         return streamTable.isExhausted();
     }
 
     /**
-     * Opens a stream; all of the body that the windows allow leaves with it.
+     * Opens a stream and sends as much of the body as the windows allow.
      *
-     * @param call whatever the request is to whoever made it
-     * @param headerFields in order, pseudo fields first; names in lower case
+     * @param call the caller's object for the request; opaque to the connection
+     * @param headerFields the fields in order, pseudo fields first, with names in lower case
      */
     Http2Stream sendRequest(Object call, Map<String, String> headerFields, byte[] body) {
         Http2Stream stream = streamTable.open(call, body);
@@ -75,7 +75,7 @@
         return stream;
     }
 
-    /** Given up: the listener hears of it no more. */
+    /** Resets a stream, of which the listener is no longer notified. */
     void cancel(Http2Stream stream) {
         if (streamTable.remove(stream)) {
             resetStream(stream.id, Http2Constants.ErrorCode.CANCEL);
@@ -91,27 +91,27 @@
         writer.ping(number);
     }
 
-    /** The connection ends after it. We have processed none of the other side's streams. */
+    /** Sends a GOAWAY, after which the caller closes the connection. */
     void sendGoAway(Http2Constants.ErrorCode code) {
         writer.goAway(code);
     }
 
-    /** Open streams, oldest first; a copy. */
+    /** A copy of the open streams, oldest first. */
     List<Http2Stream> openStreams() {
         return List.copyOf(streamTable.openStreams());
     }
 
-    /** Nothing of a next frame or of a header block has come. */
+    /** Whether no part of the next frame or of a header block has been received. */
     boolean isAtFrameBoundary() {
         return parser.isAtFrameBoundary() && !headerBlockReader.isInProgress();
     }
 
-    // ---- What comes in. ----
+    // ---- Receiving. ----
 
     /**
-     * Takes all that has come.
+     * Reads all received bytes.
      *
-     * @throws Http2Exception where the other side has broken the protocol; nothing may be read after
+     * @throws Http2Exception if the server violates the protocol; nothing may be read afterwards
      */
     void read(RingBuffer in) throws Http2Exception {
         parser.read(in);
@@ -120,9 +120,10 @@
     @Override
     public void onFrame(int type, int flags, int streamId, ByteBuffer payload)
             throws Http2Exception {
-        boolean isSettings = type == Http2Constants.SETTINGS && !isAck(flags);
-        if (!peerSettings.areReceived() && !isSettings) {
-            throw Http2Exception.protocolError("it does not begin with settings");
+        boolean settingsFrame = type == Http2Constants.SETTINGS && !isAck(flags);
+        if (!peerSettings.areReceived() && !settingsFrame) {
+            throw Http2Exception.protocolError(
+                    "first frame is of type " + type + " instead of SETTINGS");
         }
         headerBlockReader.checkNext(type, streamId);
         switch (type) {
@@ -132,7 +133,7 @@
             case Http2Constants.RST_STREAM -> onReset(streamId, payload);
             case Http2Constants.SETTINGS -> onSettings(flags, streamId, payload);
             case Http2Constants.PUSH_PROMISE ->
-                throw Http2Exception.protocolError("a push that we have forbidden");
+                throw Http2Exception.protocolError("PUSH_PROMISE frame although push is disabled");
             case Http2Constants.PING -> onPing(flags, streamId, payload);
             case Http2Constants.GOAWAY -> onGoAway(streamId, payload);
             case Http2Constants.WINDOW_UPDATE -> onWindowUpdate(streamId, payload);
@@ -170,9 +171,9 @@
     }
 
     /**
-     * A header block has come, or a piece of one.
+     * Handles a frame of a header block.
      *
-     * @param block null where more of it is to come
+     * @param block the decoded block; null if continuations follow
      */
     private void onHeaderBlock(HeaderCodec.HeaderBlock block) throws Http2Exception {
         if (block == null) {
@@ -198,7 +199,7 @@
         streamTable.remove(stream);
         uselessFrameBudget.refill();
         if (!stream.isRequestSent()) {
-            // Answered before the request was complete: the rest is not wanted.
+            // The server answered before the request was complete and doesn't need the rest.
             resetStream(stream.id, Http2Constants.ErrorCode.NO_ERROR);
         }
         listener.onResponse(stream);
@@ -214,7 +215,7 @@
     private void onPriority(int streamId, ByteBuffer payload) throws Http2Exception {
         uselessFrameBudget.spend();
         if (streamId == 0) {
-            throw Http2Exception.protocolError("a priority of stream 0");
+            throw Http2Exception.protocolError("PRIORITY frame on stream 0");
         }
         Http2Stream stream = streamTable.get(streamId);
         if (!FramePayload.isPriority(payload) && stream != null) {
@@ -223,12 +224,12 @@
     }
 
     private void onReset(int streamId, ByteBuffer payload) throws Http2Exception {
-        FramePayload.checkSize(payload.remaining() == RESET_BYTES, "a reset", payload);
+        FramePayload.checkSize(payload.remaining() == RESET_BYTES, "RST_STREAM", payload);
         Http2Stream stream = streamTable.getKnown(streamId);
         uselessFrameBudget.spend();
         if (stream != null) {
             streamTable.remove(stream);
-            streamTable.rememberReset(streamId); // Another reset of it says nothing more.
+            streamTable.rememberReset(streamId); // A further reset is ignored.
             int code = payload.getInt();
             listener.onStreamReset(
                     stream, code == Http2Constants.ErrorCode.REFUSED_STREAM.number(), false);
@@ -252,9 +253,9 @@
 
     private void onPing(int flags, int streamId, ByteBuffer payload) throws Http2Exception {
         if (streamId != 0) {
-            throw Http2Exception.protocolError("a ping of a stream");
+            throw Http2Exception.protocolError("PING frame on stream " + streamId);
         }
-        FramePayload.checkSize(payload.remaining() == PING_BYTES, "a ping", payload);
+        FramePayload.checkSize(payload.remaining() == PING_BYTES, "PING", payload);
         byte[] opaque = new byte[PING_BYTES];
         payload.get(opaque);
         if (isAck(flags)) {
@@ -267,9 +268,9 @@
 
     private void onGoAway(int streamId, ByteBuffer payload) throws Http2Exception {
         if (streamId != 0) {
-            throw Http2Exception.protocolError("a GOAWAY of a stream");
+            throw Http2Exception.protocolError("GOAWAY frame on stream " + streamId);
         }
-        FramePayload.checkSize(payload.remaining() >= MIN_GOAWAY_BYTES, "a GOAWAY", payload);
+        FramePayload.checkSize(payload.remaining() >= MIN_GOAWAY_BYTES, "GOAWAY", payload);
         int lastStreamId = payload.getInt() & Http2Constants.MAX_STREAM_ID;
         streamTable.checkGoAway(lastStreamId);
         uselessFrameBudget.spend();
@@ -278,15 +279,15 @@
 
     private void onWindowUpdate(int streamId, ByteBuffer payload) throws Http2Exception {
         FramePayload.checkSize(
-                payload.remaining() == WINDOW_UPDATE_BYTES, "a window update", payload);
+                payload.remaining() == WINDOW_UPDATE_BYTES, "WINDOW_UPDATE", payload);
         int increment = payload.getInt() & Http2Constants.MAX_STREAM_ID;
         if (streamId == 0) {
             sendWindow.growConnection(increment);
             uselessFrameBudget.spendUnless(sendWindow.flushAll(streamTable.openStreams()));
             return;
         }
-        // Danger: an update for a stream that has ended may have crossed its end, and is nobody's
-        // fault.
+        // An update for a stream that has ended is no error: the server may have sent it before
+        // it learned of the end.
         Http2Stream stream = streamTable.get(streamId);
         if (stream == null) {
             uselessFrameBudget.spend();
@@ -303,7 +304,7 @@
         }
     }
 
-    /** The body of a response as the text of a value. */
+    /** The body of a response, decoded as UTF-8 text. */
     static String bodyText(Http2Stream stream) {
         return stream.responseBody.toString(StandardCharsets.UTF_8);
     }
--- a/src/main/java/tinlink/http2/Http2NodeClient.java
+++ b/src/main/java/tinlink/http2/Http2NodeClient.java
@@ -22,25 +22,25 @@
 import java.util.logging.Logger;
 
 /**
- * The connections to one data node over HTTP/2: carries out the decisions of its {@link ConnectionPool}.
+ * The HTTP/2 connections to one data node. Carries out the decisions of the node's {@link ConnectionPool}.
  * Runs on the event loop's thread.
  */
 public final class Http2NodeClient implements PoolHandler {
     private static final Logger LOG = Logger.getLogger("tinlink.http2");
 
-    /** Whoever the calls come from. Called on the event loop's thread. */
+    /** Receives the outcomes of attempts. Called on the event loop's thread. */
     public interface CallHandler {
-        /** Whether a descriptor is left for one more connection. */
+        /** Whether a file descriptor is left for one more connection. */
         boolean mayOpenConnection();
 
         void connectionOpened();
 
         void connectionClosed();
 
-        /** The one outcome of a call; its value where it is satisfied, else null. */
+        /** An attempt has ended; the value is null unless the attempt is satisfied. */
         void callEnded(PartRequest request, Outcome outcome, String value);
 
-        /** The node does not speak HTTP/2: the call goes by frames instead. */
+        /** The node does not speak HTTP/2; the caller sends the attempt over the frame protocol. */
         void fallBackToFrames(PartRequest request);
 
         /** Calls {@link Http2NodeClient#decide} at the end of the turn. */
@@ -71,15 +71,15 @@
     }
 
     /**
-     * Whether calls go this way now; a node that has shown that it speaks something else is tried again
-     * later.
+     * Whether attempts are sent over HTTP/2 now. A node that has shown that it does not speak HTTP/2 is tried
+     * again later.
      */
     public boolean supportsHttp2() {
         pool.advanceClock(loop.nowUs());
         return pool.supportsHttp2();
     }
 
-    /** Submits the call; its outcome comes to the handler. */
+    /** Submits an attempt, whose outcome is passed to the handler. */
     public void send(PartRequest request, InetSocketAddress nodeAddress) {
         address = nodeAddress;
         touch();
@@ -88,9 +88,9 @@
     }
 
     /**
-     * Its outcome is known.
+     * Ends an attempt whose outcome is known otherwise.
      *
-     * @param notifyNode the node should hear that the call is given up
+     * @param notifyNode whether to cancel the attempt at the node
      */
     public void cancel(PartRequest request, boolean notifyNode) {
         touch();
@@ -102,35 +102,35 @@
         }
     }
 
-    /** It has moved or started anew: what is out is finished where it is. */
+    /** The node has moved or was restarted; open streams finish on their connections. */
     public void nodeMoved() {
         touch();
         connections.keySet().forEach(pool::retire);
     }
 
-    /** Nothing new may go there: what waits was never sent. */
+    /** Ends all waiting attempts as not sent, because the node takes no new ones. */
     public void dropPending() {
         touch();
         pool.dropPending();
     }
 
-    /** The node is off the list: what is out is finished, nothing new goes there. */
+    /** The node left the list: open streams finish, and the node gets no new attempts. */
     public void nodeRemoved() {
         touch();
         pool.onNodeRemoved();
     }
 
-    /** It has no connection, and no call waits for one. */
+    /** Whether there is no connection and no attempt waits for one. */
     public boolean isIdle() {
         return connections.isEmpty() && pool.pendingCount() == 0;
     }
 
-    /** Connections that are open or connecting. */
+    /** The number of connections that are open or connecting. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Closes the connections that no call is out on. */
+    /** Closes the connections without an open stream. */
     public void closeUnused() {
         for (Http2NodeConnection nodeConnection : List.copyOf(connections.values())) {
             if (nodeConnection.pooled.openStreams() == 0) {
@@ -144,11 +144,11 @@
         callHandler.decisionsPending(this);
     }
 
-    /** Carries out all decisions that are due. */
+    /** Carries out all due decisions of the pool. */
     public void decide() {
         pool.advanceClock(loop.nowUs());
         while (pool.decide(this)) {
-            // Each has been carried out.
+            // decide() carries out one decision per call.
         }
     }
 
@@ -212,7 +212,7 @@
         loop.schedule(at, this::touch);
     }
 
-    // ---- What happens to connections. ----
+    // ---- Events of connections. ----
 
     String authority() {
         return address.getHostString() + ":" + address.getPort();
@@ -222,7 +222,7 @@
         return counters;
     }
 
-    /** Runs it later in this turn or in the next. */
+    /** Runs the task later in this turn of the event loop or in the next. */
     void runSoon(Runnable task) {
         loop.execute(task);
     }
@@ -231,7 +231,7 @@
         loop.cancel(timer);
     }
 
-    /** Runs the task unless a message that has begun comes whole in time. */
+    /** Schedules a task that runs unless the caller cancels the timer once a partial frame is complete. */
     EventLoop.Timer startStallTimer(Runnable task) {
         return loop.schedule(loop.nowUs() + settings.connectTimeoutUs(), task);
     }
@@ -266,14 +266,14 @@
         pool.onStreamClosed(nodeConnection.pooled);
     }
 
-    /** The end of a call while its connection stands, or before it had one. */
+    /** Ends an attempt whose connection is open or that has no connection yet. */
     void finish(PartRequest request, CallResult result, String value) {
         counters.increment("http2_" + result.name().toLowerCase(Locale.ROOT));
         request.ended = true;
         callHandler.callEnded(request, result.outcome, value);
     }
 
-    /** The end of a call with its connection. */
+    /** Ends an attempt whose connection has ended. */
     void onInterrupted(PartRequest request, Outcome outcome) {
         counters.increment("http2_interrupted");
         request.ended = true;
--- a/src/main/java/tinlink/http2/Http2NodeConnection.java
+++ b/src/main/java/tinlink/http2/Http2NodeConnection.java
@@ -14,8 +14,8 @@
 import java.util.logging.Logger;
 
 /**
- * One connection to a data node over HTTP/2: the socket of an {@link Http2Connection}. Runs on the event
- * loop's thread.
+ * One HTTP/2 connection to a data node, which joins an {@link Http2Connection} and its socket. Runs on the
+ * event loop's thread.
  */
 final class Http2NodeConnection implements Connection.Listener, StreamListener {
     private static final Logger LOG = Logger.getLogger("tinlink.http2");
@@ -24,7 +24,7 @@
     private final Http2Connection http2;
     private Connection connection;
     private EventLoop.Timer connectTimer;
-    /** Runs while a frame or a header block has begun and has not come whole. */
+    /** Set while a frame or a header block is incomplete; closes the connection when it expires. */
     private EventLoop.Timer stallTimer;
 
     private boolean wasUp;
@@ -50,7 +50,7 @@
         nodeClient.onConnected(this);
     }
 
-    /** Opens a stream for it, which leaves with this turn's write. */
+    /** Opens a stream for the attempt, which is sent with the write of this turn. */
     void sendRequest(PartRequest request, long now) {
         request.nodeConnection = this;
         request.headerPosition = connection.scheduleWrite();
@@ -63,10 +63,10 @@
         }
     }
 
-    /** Given up, its outcome is known. */
+    /** Ends an attempt whose outcome is known otherwise. */
     void cancel(PartRequest request, boolean notifyNode) {
         if (!notifyNode) {
-            // It may not be cancelled: it goes on there, and counts against the node's limit.
+            // The attempt continues at the node and counts against the node's stream limit.
             request.stream.abandoned = true;
             return;
         }
@@ -75,7 +75,7 @@
         nodeClient.onStreamClosed(this);
     }
 
-    /** Whether a byte of its header block was handed to the kernel, or may have been. */
+    /** Whether a byte of the attempt's header block may have been handed to the kernel. */
     private boolean mayHaveLeft(PartRequest request) {
         return connection.mayHaveLeft(request.headerPosition + 1);
     }
@@ -113,7 +113,7 @@
                 "event=http2_protocol_error node={0} code={1} reason=\"{2}\"",
                 new Object[] {nodeClient.authority(), e.code, e.getMessage()});
         nodeClient.counters().increment("http2_protocol_errors");
-        // The GOAWAY leaves with this turn; nothing that comes after is looked at.
+        // The GOAWAY is sent in this turn; bytes received later are discarded.
         protocolFailed = true;
         http2.sendGoAway(e.code);
         connection.scheduleWrite();
@@ -121,19 +121,19 @@
         nodeClient.runSoon(() -> connection.close(CloseReason.PROTOCOL_ERROR));
     }
 
-    /** Danger: a frame that stops in its middle holds up all behind it. */
+    /** Starts or stops the stall timer: an incomplete frame blocks all streams of the connection. */
     private void watchForStall() {
-        boolean isAtBoundary = http2.isAtFrameBoundary();
-        if (isAtBoundary != (stallTimer == null)) {
+        boolean atBoundary = http2.isAtFrameBoundary();
+        if (atBoundary != (stallTimer == null)) {
             nodeClient.cancelTimer(stallTimer);
-            stallTimer = isAtBoundary
+            stallTimer = atBoundary
                     ? null
                     : nodeClient.startStallTimer(
                             () -> connection.close(CloseReason.PROTOCOL_ERROR));
         }
     }
 
-    // ---- What came of streams. ----
+    // ---- Results of streams. ----
 
     @Override
     public void onMaxStreams(long maxStreams) {
@@ -158,8 +158,8 @@
         if (stream.abandoned) {
             return;
         }
-        boolean hasValue = result == CallResult.SATISFIED;
-        nodeClient.finish(request, result, hasValue ? Http2Connection.bodyText(stream) : null);
+        boolean satisfied = result == CallResult.SATISFIED;
+        nodeClient.finish(request, result, satisfied ? Http2Connection.bodyText(stream) : null);
     }
 
     @Override
@@ -189,10 +189,10 @@
                 new Object[] {nodeClient.authority(), closeReason, interrupted.size()});
         nodeClient.onConnectionEnded(this, wasUp, closeReason);
         for (PartRequest request : interrupted) {
-            boolean isOldest = request == interrupted.get(0);
-            boolean isConcerned = closeReason == CloseReason.PEER_CLOSED ? !anyResponse : isOldest;
+            boolean oldest = request == interrupted.get(0);
+            boolean concerned = closeReason == CloseReason.PEER_CLOSED ? !anyResponse : oldest;
             nodeClient.onInterrupted(
-                    request, closeReason.toOutcome(mayHaveLeft(request), isConcerned));
+                    request, closeReason.toOutcome(mayHaveLeft(request), concerned));
         }
     }
 }
--- a/src/main/java/tinlink/http2/PartRequest.java
+++ b/src/main/java/tinlink/http2/PartRequest.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * A part call as a request, and the meaning of its response; docs/protocol-http2.md. Belongs to the event
- * loop's thread.
+ * An attempt as an HTTP/2 request, with the interpretation of its response; see docs/protocol-http2.md. Not
+ * thread-safe: all calls come from the event loop's thread.
  */
 public final class PartRequest extends PendingCall {
     private static final int OK = 200;
@@ -16,7 +16,7 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final String RESULT_FIELD = "x-part-end";
 
-    /** Whatever the call is to whoever made it. */
+    /** The caller's object for the attempt. */
     public final Object attachment;
 
     private final int shard;
@@ -27,18 +27,18 @@
     boolean ended;
     Http2NodeConnection nodeConnection;
     Http2Stream stream;
-    /** Where its header block begins in what its connection has written. */
+    /** The position of the header block in the bytes written to the connection. */
     long headerPosition;
 
     long sentAt;
 
     /**
-     * A call that waits for a connection.
+     * Creates an attempt that waits for a connection.
      *
-     * @param idempotencyKey null where its class needs none
-     * @param text of the query; not copied, not to be changed
-     * @param deadline until when an answer counts, microseconds
-     * @param sendDeadline until when it may wait for a stream, microseconds
+     * @param idempotencyKey null if the class of the lookup needs none
+     * @param text the text of the query; not copied, so it must not be changed
+     * @param deadline the time until which an answer is accepted, microseconds
+     * @param sendDeadline the time until which the attempt may wait for a stream, microseconds
      */
     public PartRequest(
             Object attachment,
@@ -57,12 +57,12 @@
         answerDeadline = deadline;
     }
 
-    /** Its one outcome is known, or it was cancelled. */
+    /** Whether the outcome is known or the attempt was cancelled. */
     public boolean isEnded() {
         return ended;
     }
 
-    /** It is on no connection yet. */
+    /** Whether the attempt has no connection yet. */
     public boolean isPending() {
         return stream == null;
     }
@@ -87,7 +87,7 @@
         return text;
     }
 
-    /** What a response that has ended in order means; a trailer has the last word. */
+    /** The result of a complete response; a trailer overrides the header field. */
     static CallResult resultOf(Http2Stream response) {
         String declared = response.responseFields.getOrDefault(RESULT_FIELD, "");
         return switch (response.trailers.getOrDefault(RESULT_FIELD, declared)) {
--- a/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
+++ b/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
@@ -22,8 +22,8 @@
 import java.util.Map;
 
 /**
- * Plays frames of a scripted server against the client's engine; docs/scenarios.md has the
- * notation.
+ * Plays the frames of a scripted server against {@link Http2Connection}. The notation is described in
+ * docs/scenarios.md.
  */
 public final class Http2ConnectionPlayer implements StreamListener {
     private static final Map<String, Integer> SETTING_IDS = Map.of(
@@ -40,7 +40,7 @@
         connection.start();
         sent.clear();
         Scenarios.play(script, ";", this::line);
-        assertEquals("[] []", sent + " " + events, "said and heard, and not expected");
+        assertEquals("[] []", sent + " " + events, "unexpected frames and events");
     }
 
     private void line(String[] words) throws IOException {
@@ -49,11 +49,12 @@
             case "<" -> assertEquals(rest, sent.isEmpty() ? "nothing" : sent.poll());
             case "=" -> assertEquals(rest, events.isEmpty() ? "nothing" : events.poll());
             case "request" -> {
-                Map<String, String> f = new LinkedHashMap<>(Map.of(":method", "POST"));
-                f.put("x-part-id", words[1]);
+                Map<String, String> fields = new LinkedHashMap<>(Map.of(":method", "POST"));
+                fields.put("x-part-id", words[1]);
                 calls.put(
                         words[1],
-                        connection.sendRequest(words[1], f, new byte[Integer.parseInt(words[2])]));
+                        connection.sendRequest(
+                                words[1], fields, new byte[Integer.parseInt(words[2])]));
             }
             case "cancel" -> connection.cancel(calls.get(words[1]));
             case "ping" -> connection.sendPing(Long.parseLong(words[1]));
@@ -73,10 +74,10 @@
 
     private boolean failed;
 
-    private void receive(byte[] b) {
+    private void receive(byte[] bytes) {
         try {
-            for (int i = 0; i < b.length && !failed; i++) {
-                connection.read(ParserPlayer.ringBuffer(new byte[] {b[i]}));
+            for (int i = 0; i < bytes.length && !failed; i++) {
+                connection.read(ParserPlayer.ringBuffer(new byte[] {bytes[i]}));
             }
         } catch (Http2Exception e) {
             failed = true;
@@ -84,7 +85,7 @@
         }
     }
 
-    // ---- What the server says: TYPE STREAM [FLAGS ...] [...] ----
+    // ---- Frames of the server: TYPE STREAM [FLAGS ...] [...] ----
 
     private byte[] serverBytes(List<String> words) throws IOException {
         int stream = words.size() > 1 && words.get(1).matches("[0-9]+")
@@ -143,7 +144,7 @@
                         words.get(0).equals("reset") ? 3 : 8,
                         0,
                         stream,
-                        four(Long.parseLong(rest.get(0))));
+                        fourBytes(Long.parseLong(rest.get(0))));
             }
             case "settings" -> {
                 for (String one : words.subList(1, words.size())) {
@@ -152,7 +153,7 @@
                         payload.write(new byte[] {
                             0, (byte) (int) SETTING_IDS.get(one.substring(0, eq))
                         });
-                        payload.write(four(Long.parseLong(one.substring(eq + 1))));
+                        payload.write(fourBytes(Long.parseLong(one.substring(eq + 1))));
                     }
                 }
                 return frame(4, flags & 1, stream, payload.toByteArray());
@@ -187,8 +188,8 @@
         }
     }
 
-    private static byte[] four(long v) {
-        return ByteBuffer.allocate(4).putInt((int) v).array();
+    private static byte[] fourBytes(long value) {
+        return ByteBuffer.allocate(4).putInt((int) value).array();
     }
 
     private static byte[] frame(int type, int flags, int stream, byte[] payload) {
@@ -200,20 +201,20 @@
                 .array();
     }
 
-    // ---- What the client says. ----
+    // ---- Frames of the client. ----
 
-    private void recordFrame(byte[] b) {
-        if (b[0] == 'P') {
+    private void recordFrame(byte[] bytes) {
+        if (bytes[0] == 'P') {
             return;
         }
-        ByteBuffer f = ByteBuffer.wrap(b);
-        int length = f.getInt() >>> 8;
-        f.position(3);
-        int type = f.get();
-        int flags = f.get();
-        int stream = f.getInt();
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        int length = buffer.getInt() >>> 8;
+        buffer.position(3);
+        int type = buffer.get();
+        int flags = buffer.get();
+        int stream = buffer.getInt();
         byte[] payload = new byte[length];
-        f.get(payload);
+        buffer.get(payload);
         String end = (flags & 1) != 0 ? " end" : "";
         sent.add(
                 switch (type) {
@@ -255,7 +256,7 @@
         return String.join(",", all);
     }
 
-    // ---- What comes of it. ----
+    // ---- Events of the connection. ----
 
     @Override
     public void onMaxStreams(long maxStreams) {
