--- a/src/main/java/tinlink/http2/Http2Connection.java
+++ b/src/main/java/tinlink/http2/Http2Connection.java
@@ -123,7 +123,7 @@
         boolean settingsFrame = type == Http2Constants.SETTINGS && !isAck(flags);
         if (!peerSettings.areReceived() && !settingsFrame) {
             throw Http2Exception.protocolError(
-                    "first frame is of type " + type + " instead of SETTINGS");
+                    "first frame is not SETTINGS: type " + type + ", flags " + flags);
         }
         headerBlockReader.checkNext(type, streamId);
         switch (type) {
