--- a/src/main/java/tinlink/cluster/ClusterNode.java
+++ b/src/main/java/tinlink/cluster/ClusterNode.java
@@ -317,7 +317,7 @@
         identity.close();
     }
 
-    // EventLoopParticipant.
+    // Turns of the event loop: membership gets the time, then its decisions are carried out.
 
     @Override
     public void turnStarted(long nowUs) {
@@ -365,7 +365,7 @@
         });
     }
 
-    // RaftReplica.Listener; called on the Raft thread.
+    // Committed lines and restored snapshots, passed to the learner; called on the Raft thread.
 
     @Override
     public void onApplied(long index, String line) {
--- a/src/main/java/tinlink/config/ConfigFile.java
+++ b/src/main/java/tinlink/config/ConfigFile.java
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Danger: if a misspelt key were ignored, a default would apply instead of the intended
-     * setting.
+     * Rejects keys that are not known: if a misspelt key were ignored, a default would apply
+     * instead of the intended setting.
      */
     public void rejectUnknownKeys() {
         for (String key : keys()) {
--- a/src/main/java/tinlink/config/FlatSettings.java
+++ b/src/main/java/tinlink/config/FlatSettings.java
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Returns a name in the form that it has in a list of plain values. */
+    /** Replaces spaces and commas by underscores, since commas separate the items of a list. */
     public static String plainName(String name) {
         return name.replaceAll("[ ,]", "_");
     }
@@ -103,8 +103,8 @@
     /**
      * Returns a setting that determines the size of tables.
      *
-     * <p>Danger: without an upper bound, a table could exhaust the heap, instead of the
-     * configuration being rejected at the start.
+     * <p>The upper bound rejects the configuration at the start; without the bound, a table could
+     * exhaust the heap.
      */
     int count(String path, int defaultValue, int min) {
         int value = integer(path, defaultValue);
--- a/src/main/java/tinlink/config/GatewayConfig.java
+++ b/src/main/java/tinlink/config/GatewayConfig.java
@@ -117,7 +117,10 @@
         return all;
     }
 
-    /** Danger: a message must not contain the key, since messages are logged. */
+    /**
+     * Reads a key in hex. The message about an invalid key leaves the key out, since messages are
+     * logged.
+     */
     private static byte[] key(ConfigFile file, String id) {
         byte[] key = new byte[0];
         try {
--- a/src/main/java/tinlink/config/HangupSignal.java
+++ b/src/main/java/tinlink/config/HangupSignal.java
@@ -10,7 +10,10 @@
 public final class HangupSignal {
     private HangupSignal() {}
 
-    /** Danger: without a handler, SIGHUP ends the JVM and loses everything in flight. */
+    /**
+     * Runs the action on SIGHUP. Without a handler, SIGHUP ends the JVM and loses everything in
+     * flight.
+     */
     public static void onHangup(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
--- a/src/main/java/tinlink/config/RouterConfig.java
+++ b/src/main/java/tinlink/config/RouterConfig.java
@@ -199,8 +199,9 @@
     /**
      * Returns the address of discovery.
      *
-     * <p>Danger: NODE_DISCOVERY applies at startup only. If the variable overrode a file that has
-     * changed since, a reload could never leave an address that is about to close.
+     * <p>NODE_DISCOVERY applies at startup only; a reload takes an address that has changed in the
+     * file. If the variable overrode the changed file, a reload could never leave an address that
+     * is about to close.
      */
     private InetSocketAddress discovery(FlatSettings topLevel, RouterConfig previous) {
         if (previous == null) {
--- a/src/main/java/tinlink/config/ShutdownSafeLogManager.java
+++ b/src/main/java/tinlink/config/ShutdownSafeLogManager.java
@@ -5,8 +5,9 @@
 /**
  * Keeps the log handlers during shutdown.
  *
- * <p>Danger: java.util.logging removes its handlers as soon as SIGTERM arrives, while the router is
- * still completing what is in flight. The log lines of the shutdown would be lost.
+ * <p>java.util.logging would remove its handlers as soon as SIGTERM arrives, while the router is
+ * still completing what is in flight, and the log lines of the shutdown would be lost. Resetting
+ * therefore does nothing.
  */
 public final class ShutdownSafeLogManager extends LogManager {
     @Override
--- a/src/main/java/tinlink/net/CloseReason.java
+++ b/src/main/java/tinlink/net/CloseReason.java
@@ -40,10 +40,10 @@
     /**
      * Returns the outcome of an attempt that was in flight on the closed connection.
      *
-     * <p>Danger: an attempt that is wrongly reported as not run may be repeated and take effect
-     * twice. Attempts that only shared the connection must not count as failures either: otherwise
-     * a data node that lost one answer, or closed a connection between two requests, looks as if it
-     * were failing.
+     * <p>An attempt that is wrongly reported as not run may be repeated and take effect twice, so
+     * an attempt whose frame may have left is not reported as not sent. Attempts that only shared
+     * the connection must not count as failures either: otherwise a data node that lost one answer,
+     * or closed a connection between two requests, would look as if it were failing.
      *
      * @param mayHaveLeft whether the last byte of the attempt's frame was handed to the kernel, or
      *     may have been
--- a/src/main/java/tinlink/net/Connection.java
+++ b/src/main/java/tinlink/net/Connection.java
@@ -170,8 +170,8 @@
             return;
         }
         try {
-            // Danger: Nagle's algorithm holds back small frames until the previous frame is
-            // acknowledged.
+            // Disables Nagle's algorithm, which would hold back small frames until the previous
+            // frame is acknowledged.
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) {
             LOG.logFailure(Level.FINE, "no_delay_not_set", e);
@@ -201,10 +201,10 @@
     /**
      * Returns whether a completed read waits for the loop.
      *
-     * <p>Danger: bytes that have been read from the kernel can no longer be handled by anyone else.
-     * If the connection is closed now, the request in those bytes is lost, whereas an unread
-     * request goes elsewhere. Call this method only {@linkplain Network#whileReadsPaused while
-     * reads are paused}; otherwise a read may complete right after the call.
+     * <p>Bytes that have been read from the kernel can no longer be handled by anyone else. If the
+     * connection is closed now, the request in those bytes is lost, whereas an unread request goes
+     * elsewhere. Call this method only {@linkplain Network#whileReadsPaused while reads are
+     * paused}; otherwise a read may complete right after the call.
      */
     public boolean hasUnprocessedRead() {
         return pendingRead.unprocessed;
@@ -361,8 +361,8 @@
             LOG.logFailure(Level.FINE, "connection_close_failed", e);
         }
         listener.connectionClosed(closeReason);
-        // Danger: a ring buffer that a read or write in progress still uses must not be returned to
-        // the pool.
+        // A ring buffer that a read or write in progress still uses is not returned to the pool,
+        // since another connection could get the buffer meanwhile.
         if (!reading) {
             in.release();
         }
--- a/src/main/java/tinlink/net/EventLog.java
+++ b/src/main/java/tinlink/net/EventLog.java
@@ -73,8 +73,8 @@
                 if (c == '"' || c == '\\') {
                     line.append('\\');
                 }
-                // Danger: a line break in text from another process could end the line and start a
-                // forged event.
+                // Control characters become spaces: a line break in text from another process could
+                // otherwise end the line and start a forged event.
                 line.append(c < ' ' ? ' ' : c);
             }
             line.append('"');
--- a/src/main/java/tinlink/net/EventLoop.java
+++ b/src/main/java/tinlink/net/EventLoop.java
@@ -161,8 +161,8 @@
                 runGuarded(timers.pollFirst().task);
             }
             if (clock.nowUs() - nowUs > STALL_US) {
-                // Danger: with the time at which the turn began, data nodes would be told a longer
-                // remaining time than the clients have left.
+                // The clock is read again after a stall: with the time at which the turn began,
+                // data nodes would be told a longer remaining time than the clients have left.
                 nowUs = clock.nowUs();
                 runGuarded(() -> participant.turnStarted(nowUs));
                 catchUp(batch);
@@ -186,9 +186,9 @@
     /**
      * Runs the queued tasks.
      *
-     * <p>Danger: a request and the close after it are two reads, and the second becomes ready only
-     * once the first has been taken. A decision between the two would send parts for a client that
-     * has disconnected.
+     * <p>A request and the close after it are two reads, and the second becomes ready only once the
+     * first has been taken. The queue is therefore drained several times: a decision between the
+     * two reads would send parts for a client that has disconnected.
      *
      * @return whether any task was queued
      */
@@ -206,9 +206,10 @@
     }
 
     /**
-     * Danger: after a stall of the whole process this thread may run before the I/O thread. The
-     * router would then send to a data node that had long been listed as draining, or for a client
-     * that had long disconnected.
+     * Lets the I/O thread catch up, unless it did so recently, and runs the queued tasks. After a
+     * stall of the whole process, this thread may run before the I/O thread. The router would then
+     * send to a data node that had long been listed as draining, or for a client that had long
+     * disconnected.
      */
     private void catchUp(List<Runnable> batch) {
         if (clock.nowUs() - caughtUpAtUs > MIN_CATCH_UP_GAP_US) {
@@ -231,8 +232,8 @@
     }
 
     /**
-     * Danger: if an internal error in one task stopped the loop, every lookup in flight would be
-     * lost.
+     * Runs a task and logs an internal error in it. If the error stopped the loop, every lookup in
+     * flight would be lost.
      */
     private static void runGuarded(Runnable task) {
         try {
--- a/src/main/java/tinlink/net/FrameReader.java
+++ b/src/main/java/tinlink/net/FrameReader.java
@@ -75,8 +75,9 @@
     }
 
     /**
-     * Danger: a frame with a wrong length swallows the answers behind it, so everything that can be
-     * checked is checked before the frame is complete.
+     * Checks the frame's letter and an answer's line as soon as they arrive. A frame with a wrong
+     * length swallows the answers behind it, so everything that can be checked is checked before
+     * the frame is complete.
      */
     private void readAnswerLine(int previousPosition) throws MessageRejectedException {
         byte letter = frame.get(0);
@@ -87,8 +88,8 @@
                 letter == 'Y' && answerLine == null && at < frame.position();
                 at++) {
             if (frame.get(at) == '\n') {
-                // Danger: an unreadable load report must not make the answer unusable. The report
-                // may contain anything but a line break.
+                // The load report is not checked, since an unreadable load report must not make the
+                // answer unusable. The report may contain anything but a line break.
                 String[] fields = new String(frame.array(), 1, at - 1, StandardCharsets.ISO_8859_1)
                         .split(" ", 4);
                 if (fields.length != 4
--- a/src/main/java/tinlink/net/IoThread.java
+++ b/src/main/java/tinlink/net/IoThread.java
@@ -25,12 +25,15 @@
 final class IoThread {
     private static final EventLog LOG = new EventLog("tinlink.net");
 
-    /** Danger: an I/O thread that gets no processor time must not block the loop indefinitely. */
+    /**
+     * Bounds the wait for a pause: an I/O thread that gets no processor time must not block the
+     * loop indefinitely.
+     */
     private static final int MAX_WAITS = 40;
 
     /**
-     * Danger: after the whole process was suspended, a single long wait would expire before the I/O
-     * thread has run, so the wait is split into short ones.
+     * The length of one wait for a pause. After the whole process was suspended, a single long wait
+     * would expire before the I/O thread has run, so the wait is split into short ones.
      */
     private static final long WAIT_MS = 50;
 
@@ -61,8 +64,8 @@
         @Override
         public void completed(Integer count, Void unused) {
             if (count > 0) {
-                // Danger: the next read starts before the pause, while no byte can be available;
-                // otherwise completion handlers could nest.
+                // The next read starts before the pause, while no byte can be available; otherwise
+                // completion handlers could nest.
                 read();
                 pauseHere();
             }
@@ -103,7 +106,8 @@
             Future<Void> connected = writeEnd.connect(server.getLocalAddress());
             AsynchronousSocketChannel readEnd = await(server.accept());
             await(connected);
-            // Danger: any process on this machine can connect to that port.
+            // Any process on this machine can connect to that port, so a connection that does not
+            // come from the write end is closed.
             while (!writeEnd.getLocalAddress().equals(readEnd.getRemoteAddress())) {
                 readEnd.close();
                 readEnd = await(server.accept());
--- a/src/main/java/tinlink/net/Network.java
+++ b/src/main/java/tinlink/net/Network.java
@@ -120,8 +120,9 @@
     /**
      * Runs a task on the loop's thread while no connection is read.
      *
-     * <p>Danger: microseconds pass between a read and the flag that marks it as completed. Closing
-     * the connection in between loses a request that its client believes to be in flight.
+     * <p>Microseconds pass between a read and the flag that marks the read as completed. Closing
+     * the connection in between would lose a request that its client believes to be in flight; the
+     * pause rules that out.
      */
     public void whileReadsPaused(Runnable task) {
         ioThread.whilePaused(task);
--- a/src/main/java/tinlink/net/RingBuffer.java
+++ b/src/main/java/tinlink/net/RingBuffer.java
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Danger: an array that a write in progress still reads must not be returned to the pool or
-     * used for another connection.
+     * Sets whether a write in progress still reads the array. Such an array must not be returned to
+     * the pool or used for another connection.
      */
     void setPinned(boolean isPinned) {
         pinned = isPinned;
--- a/src/main/java/tinlink/router/NodeConnection.java
+++ b/src/main/java/tinlink/router/NodeConnection.java
@@ -19,7 +19,7 @@
     private static final EventLog LOG = new EventLog("tinlink.nodes");
 
     /**
-     * A frame is appended to the write buffer only while that holds fewer bytes than this. Once a write
+     * A frame is appended to the write buffer only while the buffer holds fewer bytes than this. Once a write
      * stalls, no frame in the buffer can be withdrawn any more.
      */
     private static final int MAX_BUFFERED_BYTES = 4096;
@@ -29,10 +29,15 @@
     private final NodeEndpoint endpoint;
     private final FrameReader reader = new FrameReader(this);
     private final AwaitedAnswers awaited;
-    /** Batches not yet written; they enter the buffer only when it can be written at once. */
+    /**
+     * Batches not yet written; a batch enters the write buffer only when the buffer can be written at once.
+     */
     private final ArrayDeque<AttemptBatch> queuedBatches = new ArrayDeque<>();
 
-    /** The part ids for which cancel frames are to be written, under the same rule. */
+    /**
+     * Part ids whose cancel frames are not yet written; these too wait until the buffer can be written at
+     * once.
+     */
     private final ArrayDeque<String> idsToCancel = new ArrayDeque<>();
     /** Null until the connect has begun. */
     private Connection connection;
@@ -43,15 +48,24 @@
     private long lastUsedUs;
     /** When the latest complete answer arrived, on the same clock; 0 before the first. */
     private long lastAnswerUs;
-    /** Whether an attempt timed out here and no answer has arrived since that attempt was sent. */
+    /**
+     * Whether an attempt timed out on this connection and no answer has arrived since that attempt was sent.
+     */
     private boolean unresponsive;
     /** Whether the data node has moved or restarted since the connection was opened. */
     private boolean retired;
-    /** Bounds the connect; cancelled when the connection is up. */
+    /** The timer of the connect timeout; cancelled when the connection is up or closed. */
     private EventLoop.Timer connectTimer;
-    /** Runs while no slot is in use. */
+    /**
+     * The timer that closes the connection at the idle timeout. Scheduled when the last slot in use becomes
+     * free, unless the connection is then closed at once; cancelled when a batch is enqueued or the
+     * connection is closed.
+     */
     private EventLoop.Timer idleTimer;
-    /** Runs while a frame has been received in part. */
+    /**
+     * The timer that closes the connection if the rest of a partly received frame doesn't arrive within the
+     * connect timeout; null while no frame is partly received.
+     */
     private EventLoop.Timer frameTimer;
 
     NodeConnection(
@@ -85,16 +99,18 @@
     }
 
     /**
-     * Whether new attempts may use the connection. A machine that vanishes leaves its connections open, so a
-     * connection on which an attempt timed out, with nothing received since, takes no more. Neither does a
-     * connection to a data node that has moved or restarted: attempts in flight on it may still be answered,
-     * but new attempts would be lost.
+     * Returns whether new attempts may use the connection. A machine that vanishes leaves its connections
+     * open, so a connection on which an attempt timed out, with no answer received since, takes no new
+     * attempts. Neither does a connection to a data node that has moved or restarted: attempts in flight on
+     * it may still be answered, but new attempts would be lost.
      */
     boolean isUsable() {
         return !unresponsive && !retired;
     }
 
-    /** The reason to close the connection once nothing is in flight; null if it stays open for reuse. */
+    /**
+     * Returns the reason to close the connection once nothing is in flight; null if it stays open for reuse.
+     */
     CloseReason closeReasonWhenUnused() {
         boolean obsolete = retired || endpoint.node.state == DataNode.State.GONE;
         return unresponsive
@@ -107,7 +123,10 @@
         retired = true;
     }
 
-    /** Whether the answer to an earlier attempt with that part id could be taken for its answer. */
+    /**
+     * Returns whether the answer to an earlier attempt with the same part id could be mistaken for the answer
+     * to this attempt.
+     */
     boolean hasIdInUse(SentAttempt sent) {
         return awaited.isIdInUse(sent.part().id);
     }
@@ -240,7 +259,10 @@
         }
     }
 
-    /** Rejects an answer to an attempt never sent here: the rest of the stream can't be trusted either. */
+    /**
+     * Rejects an answer to an attempt that was not sent on this connection: the rest of the stream can't be
+     * trusted either.
+     */
     @Override
     public void answerStarted(String partId) throws MessageRejectedException {
         if (!awaited.isExpected(partId)) {
--- a/src/test/java/tinlink/config/ClusterConfigTest.java
+++ b/src/test/java/tinlink/config/ClusterConfigTest.java
@@ -14,7 +14,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Files of routers that know each other and of work on machines: what is wrong is named. */
+/** Reads the cluster and maintenance files; an error message names the invalid key. */
 class ClusterConfigTest {
     @TempDir
     Path folder;
--- a/src/test/java/tinlink/config/CorruptedConfigTest.java
+++ b/src/test/java/tinlink/config/CorruptedConfigTest.java
@@ -18,7 +18,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A router's file with each of its values corrupted in turn: it is read, or rejected with the key. */
+/**
+ * Corrupts each value of a router's configuration in turn: the file must be read, or be rejected
+ * with a message that names the key.
+ */
 class CorruptedConfigTest {
     private static final String VALID = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
@@ -88,7 +91,11 @@
         }
     }
 
-    /** The message that it is rejected with; null where it is read. An escape is a fault. */
+    /**
+     * Returns the message with which the file is rejected; null if the file is read. Any exception
+     * but InvalidInputException gives a message that starts with "escaped", which counts as a
+     * fault.
+     */
     private static String rejection(Path directory, String text) throws IOException {
         Path file = directory.resolve("config.json");
         Files.writeString(file, text);
@@ -103,7 +110,8 @@
     }
 
     /**
-     * The message holds a name on the path to what was corrupted; lists are counted, so theirs will do.
+     * Returns whether the message contains a name on the path to the corrupted value. Indexes of
+     * list items don't count; the name of the list is enough.
      */
     private static boolean names(String rejection, String[] path) {
         if (rejection.startsWith("escaped")) {
