--- a/src/main/java/tinlink/http2/FrameParser.java
+++ b/src/main/java/tinlink/http2/FrameParser.java
@@ -14,6 +14,7 @@
     private final FrameHandler handler;
     private final byte[] header = new byte[Http2Constants.FRAME_HEADER_BYTES];
     private int headerBytesRead;
+    /** The payload received so far; null while the frame header is incomplete. */
     private ByteBuffer payload;
 
     FrameParser(FrameHandler handler) {
--- a/src/main/java/tinlink/http2/FrameWriter.java
+++ b/src/main/java/tinlink/http2/FrameWriter.java
@@ -25,7 +25,10 @@
         maxFrameSize = bytes;
     }
 
-    /** Writes the connection preface with the client's settings: no push, and the window of each stream. */
+    /**
+     * Writes the connection preface with the client's settings: no push, the window of each stream in bytes,
+     * and the maximum size of a header list.
+     */
     void preface(int streamWindow) {
         sink.accept(Http2Constants.PREFACE);
         ByteBuffer settings = ByteBuffer.allocate(3 * SETTING_BYTES);
--- a/src/main/java/tinlink/http2/HeaderBlockReader.java
+++ b/src/main/java/tinlink/http2/HeaderBlockReader.java
@@ -8,6 +8,7 @@
  * 4.3). At most one block is in progress on a connection, and no other frame may interrupt it.
  */
 final class HeaderBlockReader {
+    /** The maximum number of CONTINUATION frames in one header block. */
     private static final int MAX_CONTINUATIONS = 16;
 
     private final HeaderCodec headerCodec;
--- a/src/main/java/tinlink/http2/HeaderCodec.java
+++ b/src/main/java/tinlink/http2/HeaderCodec.java
@@ -24,16 +24,20 @@
     /** The maximum size of a header list as RFC 9113 counts it: names, values and 32 bytes per field. */
     static final int MAX_LIST_BYTES = 16 << 10;
 
+    /** The maximum size of the table of recurring fields, in each direction. */
     private static final int TABLE_BYTES = 4096;
+    /** The encoded last entry of the static table: {@link #SENTINEL_NAME}, an empty value. */
     private static final byte SENTINEL = (byte) (0x80 | 61);
+
     private static final String SENTINEL_NAME = "www-authenticate";
     private static final Set<String> CONNECTION_SPECIFIC_FIELDS =
             Set.of("connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade");
     private final Encoder encoder = new Encoder(TABLE_BYTES);
     private final Decoder decoder = new Decoder(MAX_LIST_BYTES, TABLE_BYTES);
+    /** The encoded change of the table size, which the next block begins with; then emptied. */
     private final ByteArrayOutputStream sizeUpdate = new ByteArrayOutputStream();
 
-    /** Sets the maximum table size of the server's decoder; the next encoded block announces it. */
+    /** Applies the table size that the server allows; the next encoded block announces it. */
     void setMaxTableSize(long bytes) {
         try {
             encoder.setMaxHeaderTableSize(sizeUpdate, (int) Math.min(bytes, TABLE_BYTES));
@@ -66,14 +70,13 @@
         }
     }
 
-    /**
-     * The fields of a decoded block, and the reason why the message is malformed; null if it is
-     * well-formed.
-     */
+    /** The fields of a decoded block, and whether the message is malformed. */
     static final class HeaderBlock {
         final Map<String, String> pseudoFields = new LinkedHashMap<>();
         final Map<String, String> fields = new LinkedHashMap<>();
+        /** The reason why the message is malformed; null if the message is well-formed. */
         String malformedReason;
+        /** The size of the header list, as {@link #MAX_LIST_BYTES} limits it. */
         int listBytes;
 
         private void add(String name, String value) {
--- a/src/main/java/tinlink/http2/Http2Connection.java
+++ b/src/main/java/tinlink/http2/Http2Connection.java
@@ -49,7 +49,7 @@
 
     // ---- Sending. ----
 
-    /** Sends the preface and the client's settings; requests may follow at once. */
+    /** Sends the preface, the client's settings and the connection's window; requests may follow at once. */
     void start() {
         writer.preface(ReceiveWindow.STREAM_WINDOW);
         receiveWindow.open();
@@ -229,7 +229,7 @@
         uselessFrameBudget.spend();
         if (stream != null) {
             streamTable.remove(stream);
-            streamTable.rememberReset(streamId); // A further reset is ignored.
+            streamTable.rememberReset(streamId); // Later frames on the stream are ignored.
             int code = payload.getInt();
             listener.onStreamReset(
                     stream, code == Http2Constants.ErrorCode.REFUSED_STREAM.number(), false);
--- a/src/main/java/tinlink/http2/Http2Constants.java
+++ b/src/main/java/tinlink/http2/Http2Constants.java
@@ -4,6 +4,8 @@
 
 /** The constants of RFC 9113. */
 final class Http2Constants {
+    // ---- Frame types. ----
+
     static final int DATA = 0;
     static final int HEADERS = 1;
     static final int PRIORITY = 2;
@@ -15,12 +17,16 @@
     static final int WINDOW_UPDATE = 8;
     static final int CONTINUATION = 9;
 
+    // ---- Frame flags. ----
+
     static final int END_STREAM = 1;
     static final int ACK = 1;
     static final int END_HEADERS = 4;
     static final int PADDED = 8;
     static final int WITH_PRIORITY = 32;
 
+    // ---- Identifiers of settings. ----
+
     static final int HEADER_TABLE_SIZE = 1;
     static final int ENABLE_PUSH = 2;
     static final int MAX_CONCURRENT_STREAMS = 3;
--- a/src/main/java/tinlink/http2/Http2NodeClient.java
+++ b/src/main/java/tinlink/http2/Http2NodeClient.java
@@ -54,6 +54,7 @@
     private final ConnectionPool pool;
     private final ConnectionPool.Settings settings;
     private final Map<PooledConnection, Http2NodeConnection> connections = new HashMap<>();
+    /** The address of the newest attempt, used for new connections; null before the first attempt. */
     private InetSocketAddress address;
 
     public Http2NodeClient(
@@ -114,7 +115,7 @@
         pool.dropPending();
     }
 
-    /** The node left the list: open streams finish, and the node gets no new attempts. */
+    /** The node left the endpoint list: open streams finish, and the node gets no new attempts. */
     public void nodeRemoved() {
         touch();
         pool.onNodeRemoved();
@@ -231,7 +232,7 @@
         loop.cancel(timer);
     }
 
-    /** Schedules a task that runs unless the caller cancels the timer once a partial frame is complete. */
+    /** Schedules the task after the connect timeout; the caller cancels it when a partial frame completes. */
     EventLoop.Timer startStallTimer(Runnable task) {
         return loop.schedule(loop.nowUs() + settings.connectTimeoutUs(), task);
     }
--- a/src/main/java/tinlink/http2/Http2NodeConnection.java
+++ b/src/main/java/tinlink/http2/Http2NodeConnection.java
@@ -27,8 +27,11 @@
     /** Set while a frame or a header block is incomplete; closes the connection when it expires. */
     private EventLoop.Timer stallTimer;
 
+    /** Whether the connection was established. */
     private boolean wasUp;
+    /** Whether any complete response has arrived on the connection. */
     private boolean anyResponse;
+    /** Whether the node violated the protocol; bytes received afterwards are discarded. */
     private boolean protocolFailed;
 
     Http2NodeConnection(Http2NodeClient nodeClient, PooledConnection pooled, int maxResetIds) {
@@ -63,7 +66,11 @@
         }
     }
 
-    /** Ends an attempt whose outcome is known otherwise. */
+    /**
+     * Ends an attempt whose outcome is known otherwise.
+     *
+     * @param notifyNode whether to reset the stream; otherwise the stream stays open until the node ends it
+     */
     void cancel(PartRequest request, boolean notifyNode) {
         if (!notifyNode) {
             // The attempt continues at the node and counts against the node's stream limit.
@@ -189,6 +196,8 @@
                 new Object[] {nodeClient.authority(), closeReason, interrupted.size()});
         nodeClient.onConnectionEnded(this, wasUp, closeReason);
         for (PartRequest request : interrupted) {
+            // A close by the node concerns all attempts if no response ever arrived, and else none. Any other
+            // close concerns the oldest attempt.
             boolean oldest = request == interrupted.get(0);
             boolean concerned = closeReason == CloseReason.PEER_CLOSED ? !anyResponse : oldest;
             nodeClient.onInterrupted(
--- a/src/main/java/tinlink/http2/Http2Stream.java
+++ b/src/main/java/tinlink/http2/Http2Stream.java
@@ -24,8 +24,11 @@
      */
     boolean abandoned;
 
+    /** The status code of the final response; 0 until its header fields have arrived. */
     int status;
+    /** The declared length of the response body, in bytes; -1 if none was declared. */
     long contentLength = -1;
+
     final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
     final Map<String, String> responseFields = new LinkedHashMap<>();
     final Map<String, String> trailers = new LinkedHashMap<>();
--- a/src/main/java/tinlink/http2/PartRequest.java
+++ b/src/main/java/tinlink/http2/PartRequest.java
@@ -14,6 +14,7 @@
     private static final int OK = 200;
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
+    /** The header field or trailer in which the node states how the attempt ended. */
     private static final String RESULT_FIELD = "x-part-end";
 
     /** The caller's object for the attempt. */
@@ -27,9 +28,10 @@
     boolean ended;
     Http2NodeConnection nodeConnection;
     Http2Stream stream;
-    /** The position of the header block in the bytes written to the connection. */
+    /** The number of bytes written to the connection before the header block. */
     long headerPosition;
 
+    /** The time at which the request was passed to the connection, microseconds. */
     long sentAt;
 
     /**
@@ -57,12 +59,12 @@
         answerDeadline = deadline;
     }
 
-    /** Whether the outcome is known or the attempt was cancelled. */
+    /** Whether the outcome is known, or the attempt was cancelled or passed to the frame protocol. */
     public boolean isEnded() {
         return ended;
     }
 
-    /** Whether the attempt has no connection yet. */
+    /** Whether the attempt has been given no stream. */
     public boolean isPending() {
         return stream == null;
     }
--- a/src/main/java/tinlink/http2/PeerSettings.java
+++ b/src/main/java/tinlink/http2/PeerSettings.java
@@ -16,6 +16,7 @@
     private final SendWindow sendWindow;
     private final UselessFrameBudget uselessFrameBudget;
     private boolean received;
+    /** Whether the server has acknowledged the client's settings. */
     private boolean ownAcknowledged;
 
     PeerSettings(
@@ -43,7 +44,8 @@
     /**
      * Applies a SETTINGS frame and acknowledges it.
      *
-     * @return the new stream limit, or {@link #UNCHANGED}
+     * @return the new stream limit, or {@link #UNCHANGED}; if the first settings contain no limit, the
+     *     highest stream id
      */
     long apply(ByteBuffer payload, Collection<Http2Stream> openStreams) throws Http2Exception {
         uselessFrameBudget.spendUnless(!received);
--- a/src/main/java/tinlink/http2/ReceiveWindow.java
+++ b/src/main/java/tinlink/http2/ReceiveWindow.java
@@ -9,10 +9,14 @@
 final class ReceiveWindow {
     /** The window of the connection, in bytes; large enough that responses don't block each other. */
     private static final int CONNECTION_WINDOW = 1 << 20;
-    /** The window of a stream, in bytes. The largest response fits; a longer one shows by its length. */
+    /**
+     * The window of a stream, in bytes; never enlarged. Twice the largest allowed body, so that a longer body
+     * is detected by its length before the window is exhausted.
+     */
     static final int STREAM_WINDOW = 2 * ProtocolLimits.MAX_BODY_BYTES;
 
     private final FrameWriter writer;
+    /** The bytes that the client still accepts on the connection. */
     private long connectionWindow = CONNECTION_WINDOW;
 
     ReceiveWindow(FrameWriter writer) {
--- a/src/main/java/tinlink/http2/ResponseReader.java
+++ b/src/main/java/tinlink/http2/ResponseReader.java
@@ -62,7 +62,7 @@
         return endsStream ? finish(stream) : Progress.INCOMPLETE;
     }
 
-    /** Reads a part of the response's body whose padding is removed. */
+    /** Reads the payload of a DATA frame whose padding is removed. */
     Progress data(Http2Stream stream, ByteBuffer payload, boolean endsStream)
             throws Http2Exception {
         if (stream.status == 0) {
--- a/src/main/java/tinlink/http2/SendWindow.java
+++ b/src/main/java/tinlink/http2/SendWindow.java
@@ -8,6 +8,7 @@
  */
 final class SendWindow {
     private final FrameWriter writer;
+    /** The bytes that the server still accepts on the connection. */
     private long connectionWindow = Http2Constants.DEFAULT_WINDOW;
     /** The initial window of a new stream, in bytes. */
     private long initialStreamWindow = Http2Constants.DEFAULT_WINDOW;
--- a/src/main/java/tinlink/http2/StreamListener.java
+++ b/src/main/java/tinlink/http2/StreamListener.java
@@ -4,7 +4,7 @@
 
 /** Receives the results of the streams of an {@link Http2Connection}, on the connection's thread. */
 interface StreamListener {
-    /** The stream limit is known: after the server's first settings and whenever the server changes it. */
+    /** The stream limit is known: after the server's first settings and after later ones that contain it. */
     void onMaxStreams(long maxStreams);
 
     /** A well-formed response is complete; the stream holds its status, fields, body and trailers. */
--- a/src/main/java/tinlink/http2/StreamTable.java
+++ b/src/main/java/tinlink/http2/StreamTable.java
@@ -14,10 +14,13 @@
  */
 final class StreamTable {
     private final TreeMap<Integer, Http2Stream> openById = new TreeMap<>();
+    /** The newest ids of reset streams, oldest first; at most {@link #maxResetIds}. */
     private final Set<Integer> resetIds = new LinkedHashSet<>();
+
     private final int maxResetIds;
+    /** The id of the next stream; negative once all ids are used. */
     private int nextStreamId = 1;
-    /** The last stream id that the server processes, from its newest GOAWAY. */
+    /** The last stream id of the newest GOAWAY; {@link Http2Constants#MAX_STREAM_ID} if there was none. */
     private int lastProcessedId = Http2Constants.MAX_STREAM_ID;
 
     /** @param maxResetIds the maximum number of remembered ids of reset streams */
@@ -93,7 +96,7 @@
         }
     }
 
-    /** Closes and returns the streams above the last one that the server processes. */
+    /** Records the last stream id of a GOAWAY; closes and returns the streams above it. */
     List<Http2Stream> closeAbove(int goAwayId) {
         lastProcessedId = goAwayId;
         List<Http2Stream> above = List.copyOf(openById.tailMap(goAwayId, false).values());
--- a/src/main/java/tinlink/http2/UselessFrameBudget.java
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -1,6 +1,9 @@
 package tinlink.http2;
 
-/** Limits frames without use, against a flood of frames that cost the server nothing. */
+/**
+ * Limits the received frames that advance no request or response, against a flood of such frames, which would
+ * cost the server nothing.
+ */
 final class UselessFrameBudget {
     /** The budget at first and at most; each complete response adds {@link #FRAMES_PER_RESPONSE}. */
     private static final int MAX_FRAMES = 256;
--- a/src/main/java/tinlink/http2/pool/CallResult.java
+++ b/src/main/java/tinlink/http2/pool/CallResult.java
@@ -3,13 +3,17 @@
 import tinlink.decision.Outcome;
 
 /**
- * The ways in which an attempt over HTTP/2 can end while its connection is open, each with its outcome. This
- * is the only place that decides whether such an attempt may have run. An attempt counts as not run only if
- * the node has said so by means of the protocol, or if no byte of the attempt was sent. The outcome of an
- * attempt whose connection ends is defined in {@link tinlink.net.CloseReason}.
+ * The ways in which an attempt over HTTP/2 can end before it has a connection or while its connection is
+ * open, each with its outcome. This is the only place that decides whether such an attempt may have run. An
+ * attempt counts as not run only if the node has said so by means of the protocol, or if no byte of the
+ * attempt was sent. The outcome of an attempt whose connection ends is defined in
+ * {@link tinlink.net.CloseReason}.
  */
 public enum CallResult {
-    /** No connection could be opened because the process has no file descriptor left. */
+    /**
+     * The client sent nothing: the process has no file descriptor left, the connect call failed, or the node
+     * takes no new attempts.
+     */
     NOT_SENT(Outcome.NOT_SENT),
     /** The stream id is above the last stream id of a GOAWAY (RFC 9113, 6.8). */
     ABOVE_GOAWAY(Outcome.NOT_SENT),
@@ -17,7 +21,7 @@
     REFUSED_STREAM(Outcome.REJECTED),
     /**
      * No stream became available within the time that the attempt may wait: all streams of the node are in
-     * use, the node allows none, or too many attempts wait already.
+     * use, the node allows none, or no connection became ready. Also if too many attempts wait already.
      */
     NO_CAPACITY(Outcome.REJECTED),
     /** No connection could be established. */
--- a/src/main/java/tinlink/http2/pool/ConnectionPool.java
+++ b/src/main/java/tinlink/http2/pool/ConnectionPool.java
@@ -17,7 +17,8 @@
      * The limits of a pool; times are microseconds.
      *
      * @param maxConnections the maximum number of connections that are not retiring
-     * @param initialStreams the number of streams expected of a connection that is being established
+     * @param initialStreams the number of streams expected of a connection that is being established; a
+     *     lower limit that the node sent on an earlier connection replaces the number
      * @param maxPending the maximum number of waiting attempts
      * @param maxWaitUs the time that an attempt may wait for a stream if a connection is ready
      * @param connectTimeoutUs the time within which a connection has to be established, and again the time
@@ -49,12 +50,16 @@
     /** Attempts to end with {@link #unreachableResult}; emptied by {@link #decide}. */
     private final ArrayDeque<PendingCall> unreachable = new ArrayDeque<>();
 
+    /** The result of all attempts in {@link #unreachable}. */
     private CallResult unreachableResult = CallResult.NO_CONNECTION;
-    /** The stream limit that the node sent last; {@link Settings#initialStreams()} before that. */
+    /** The last stream limit from the node, at least 1; {@link Settings#initialStreams()} before that. */
     private long expectedStreams;
 
+    /** The time until which the node is assumed not to speak HTTP/2. */
     private long fallbackUntil = Long.MIN_VALUE;
+    /** The number of the last ping that was sent; unique over all connections of the pool. */
     private long lastPing;
+
     private boolean nodeRemoved;
     private long now;
     /** The time of the scheduled wake-up; {@link Long#MAX_VALUE} if there is none. */
@@ -95,7 +100,7 @@
         endPending(CallResult.NOT_SENT);
     }
 
-    /** The node left the list: open streams finish, and the node gets no new attempts. */
+    /** The node left the endpoint list: open streams finish, and the node gets no new attempts. */
     public void onNodeRemoved() {
         nodeRemoved = true;
         dropPending();
@@ -146,8 +151,8 @@
 
     /**
      * The connection has ended. A node that accepts connections but does not speak HTTP/2 would cost each
-     * attempt a connect, so the pool falls back for a while. A node that merely can't be reached must not be
-     * taken for such a node.
+     * attempt a connect, so {@link #supportsHttp2} is false for a while. A node that merely can't be reached
+     * must not be taken for such a node.
      *
      * @param wasUp whether the connection had been established
      * @param result the result of waiting attempts if no connection is left for them
--- a/src/main/java/tinlink/http2/pool/PooledConnection.java
+++ b/src/main/java/tinlink/http2/pool/PooledConnection.java
@@ -23,7 +23,7 @@
     private long connectedAt;
     private long lastUsedAt;
     private long lastBytesAt;
-    /** The number of the unanswered ping; 0 if there is none. */
+    /** The number of the ping whose answer has not arrived; 0 if there is none. */
     private long pendingPing;
 
     private long pingSentAt;
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Whether the connection may take one more attempt. Nothing is sent before the node has shown that it
+     * Whether the connection may take one more attempt. No attempt is sent before the node has shown that it
      * speaks HTTP/2: a node of another protocol could read the bytes as anything, so it would be unknown
      * whether the attempt ran.
      */
--- a/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
+++ b/src/test/java/tinlink/http2/Http2ConnectionPlayer.java
@@ -28,12 +28,17 @@
 public final class Http2ConnectionPlayer implements StreamListener {
     private static final Map<String, Integer> SETTING_IDS = Map.of(
             "table", 1, "push", 2, "streams", 3, "window", 4, "frame", 5, "list", 6, "unknown", 99);
+    /** The frames of the client that the script has not checked yet, in the notation. */
     private final ArrayDeque<String> sent = new ArrayDeque<>();
+    /** The listener's events that the script has not checked yet, in the notation. */
     private final ArrayDeque<String> events = new ArrayDeque<>();
+    /** The streams by the id of their request in the script. */
     private final Map<String, Http2Stream> calls = new HashMap<>();
+
     private final Encoder encoder = new Encoder(4096);
     private final Decoder decoder = new Decoder(1 << 16, 4096);
     private final Http2Connection connection = new Http2Connection(this::recordFrame, this, 4);
+    /** The bytes of the client's header block whose end has not been sent. */
     private ByteArrayOutputStream headerBlock = new ByteArrayOutputStream();
 
     public void play(List<String> script) {
@@ -72,6 +77,7 @@
         }
     }
 
+    /** Whether the connection has thrown; later bytes are not read. */
     private boolean failed;
 
     private void receive(byte[] bytes) {
@@ -205,7 +211,7 @@
 
     private void recordFrame(byte[] bytes) {
         if (bytes[0] == 'P') {
-            return;
+            return; // The preface is not a frame.
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         int length = buffer.getInt() >>> 8;
--- a/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
+++ b/src/test/java/tinlink/http2/pool/ConnectionPoolPlayer.java
@@ -25,6 +25,7 @@
         }
     }
 
+    /** The pool's settings by their names in the notation; times are milliseconds. */
     private final Map<String, Long> figures = new HashMap<>(Map.of(
             "connections",
             2L,
@@ -42,12 +43,19 @@
             500L,
             "remember",
             1000L));
+    /** The decisions that the script has not checked yet, in the notation. */
     private final ArrayDeque<String> decided = new ArrayDeque<>();
+    /** The times for which the pool asked to be called again, microseconds. */
     private final PriorityQueue<Long> wakes = new PriorityQueue<>();
+    /** All connections that the pool opened; the index is the number in the notation. */
     private final List<PooledConnection> connections = new ArrayList<>();
+
     private final Map<String, TestCall> calls = new HashMap<>();
+    /** The index of the connection on which an attempt was started, by the name of the attempt. */
     private final Map<String, Integer> placed = new HashMap<>();
+    /** Null until the first input, so that the script can change settings before it. */
     private ConnectionPool pool;
+    /** The time, microseconds. */
     private long now;
 
     public void play(List<String> script) {
