--- a/src/main/java/tinlink/http2/PartRequest.java
+++ b/src/main/java/tinlink/http2/PartRequest.java
@@ -24,7 +24,9 @@
     private final String id;
     private final String idempotencyKey;
     private final byte[] text;
+    /** The time until which an answer is accepted, microseconds. */
     private final long answerDeadline;
+
     boolean ended;
     Http2NodeConnection nodeConnection;
     Http2Stream stream;
--- a/src/main/java/tinlink/http2/StreamTable.java
+++ b/src/main/java/tinlink/http2/StreamTable.java
@@ -45,7 +45,7 @@
         return openById.get(id);
     }
 
-    /** The open stream with the id, or null if it was reset; throws for any other id. */
+    /** The open stream with the id, or null if its reset is remembered; throws for any other id. */
     Http2Stream getKnown(int id) throws Http2Exception {
         Http2Stream stream = openById.get(id);
         if (stream != null || resetIds.contains(id)) {
--- a/src/main/java/tinlink/http2/UselessFrameBudget.java
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Refills the budget after a complete response. */
+    /** Adds {@link #FRAMES_PER_RESPONSE} to the budget, up to its maximum, after a complete response. */
     void refill() {
         remaining = Math.min(MAX_FRAMES, remaining + FRAMES_PER_RESPONSE);
     }
--- a/src/main/java/tinlink/http2/pool/CallResult.java
+++ b/src/main/java/tinlink/http2/pool/CallResult.java
@@ -30,7 +30,7 @@
     SATISFIED(Outcome.SATISFIED),
     /** The node sent a valid response that rejects the attempt, which promises that it did not run. */
     REJECTED(Outcome.REJECTED),
-    /** The node sent a valid response with any other status. */
+    /** The node sent a valid response that states an error or has any other status. */
     FAILED(Outcome.ERROR),
     /** The node sent any other RST_STREAM; the attempt may have run. */
     RESET(Outcome.ERROR),
--- a/src/main/java/tinlink/http2/pool/PendingCall.java
+++ b/src/main/java/tinlink/http2/pool/PendingCall.java
@@ -2,7 +2,7 @@
 
 /** An attempt that waits for a stream. Holds state only; {@link ConnectionPool} decides. */
 public class PendingCall {
-    /** The time until which an answer is accepted, microseconds. */
+    /** The time until which the attempt may wait, whether or not a connection is ready, microseconds. */
     final long deadline;
 
     /** The time until which the attempt waits for a stream if a connection is ready, microseconds. */
--- a/src/main/java/tinlink/http2/pool/PooledConnection.java
+++ b/src/main/java/tinlink/http2/pool/PooledConnection.java
@@ -125,7 +125,7 @@
     /**
      * Whether the connection may take one more attempt. No attempt is sent before the node has shown that it
      * speaks HTTP/2: a node of another protocol could read the bytes as anything, so it would be unknown
-     * whether the attempt ran.
+     * whether the attempt ran. A connection takes no attempt while a ping is unanswered.
      */
     boolean hasCapacity() {
         return isReady() && openStreams < maxStreams && pendingPing == 0;
