--- a/src/main/java/tinlink/http2/UselessFrameBudget.java
+++ b/src/main/java/tinlink/http2/UselessFrameBudget.java
@@ -1,6 +1,9 @@
 package tinlink.http2;
 
-/** Limits frames without use, against a flood of frames that cost the server nothing. */
+/**
+ * Limits the received frames that advance no request or response, against a flood of such frames, which would
+ * cost the server nothing.
+ */
 final class UselessFrameBudget {
     /** The budget at first and at most; each complete response adds {@link #FRAMES_PER_RESPONSE}. */
     private static final int MAX_FRAMES = 256;
@@ -23,7 +26,7 @@
         }
     }
 
-    /** Refills the budget after a complete response. */
+    /** Adds {@link #FRAMES_PER_RESPONSE} to the budget, up to its maximum, after a complete response. */
     void refill() {
         remaining = Math.min(MAX_FRAMES, remaining + FRAMES_PER_RESPONSE);
     }
