--- a/src/main/java/tinlink/net/Connection.java
+++ b/src/main/java/tinlink/net/Connection.java
@@ -46,10 +46,7 @@
     private boolean lastReadFilledBuffer;
     /** Whether the last write was partial: the kernel took fewer bytes than it was offered. */
     private boolean writeFellShort;
-    /**
-     * The number of bytes that the kernel has taken. {@code submittedBytes} also counts the bytes of the
-     * write in progress.
-     */
+    /** The number of bytes that the kernel has taken; {@code submittedBytes} adds the write in progress. */
     private long writtenBytes;
 
     private long submittedBytes;
@@ -126,10 +123,7 @@
         return connection;
     }
 
-    /**
-     * Returns the time of acceptance, in microseconds of the event loop's clock, or 0 for an outgoing
-     * connection.
-     */
+    /** Returns the acceptance time in microseconds of the loop's clock, or 0 for an outgoing connection. */
     public long acceptedAtUs() {
         return acceptedAtUs;
     }
@@ -184,10 +178,7 @@
         return closed;
     }
 
-    /**
-     * Returns the buffer for outgoing bytes; after {@link #scheduleWrite} the loop writes them at the end of
-     * the turn.
-     */
+    /** Returns the outgoing buffer; after {@link #scheduleWrite} the loop writes it at the turn's end. */
     public RingBuffer out() {
         return out;
     }
@@ -209,10 +200,7 @@
         return connected && !writing && out.size() == 0 && !closed;
     }
 
-    /**
-     * Returns whether bytes that are added now are written in this turn's write: no write is in progress, and
-     * the last write was not partial.
-     */
+    /** Returns whether this turn writes new bytes: no write is in progress, and the last was not partial. */
     public boolean canWriteNow() {
         return connected && !writing && !writeFellShort && !closed;
     }
@@ -230,17 +218,12 @@
         return writtenBytes + out.size();
     }
 
-    /**
-     * Returns whether the bytes before the given stream position were handed to the kernel, or may have been.
-     */
+    /** Returns whether the bytes before a stream position were handed to the kernel, or may have been. */
     public boolean mayHaveLeft(long position) {
         return position <= (writing ? submittedBytes : writtenBytes);
     }
 
-    /**
-     * Shuts down the outgoing direction of an idle connection; reading continues until the other side closes
-     * its direction too.
-     */
+    /** Shuts down the output of an idle connection; reading continues until the peer closes its side too. */
     public void halfClose() {
         if (isIdle()) {
             try {
